--- a/core/mtpoison/evidence.go
+++ b/core/mtpoison/evidence.go
@@ -15,35 +15,37 @@
 	"magnoliaturn/core/mtwire"
 )
 
-// WholeVM is the Count of a daemon's own loss. A life has only one.
+// WholeVM is the Count of the loss of a daemon with its whole VM, which happens at
+// most once per incarnation.
 const WholeVM = math.MaxUint32
 
-// Loss names a crash, so that all who report it speak of the same one.
+// Loss identifies a crash, so that reports of it from several daemons can be
+// merged.
 type Loss struct {
 	Holder mtid.Holder
-	Count  uint32 // of the server beside the holder, from 1; WholeVM for both
+	Count  uint32 // number of the crash of the holder's server, from 1; or WholeVM
 }
 
-// Crash is one loss of a backend server and what was in flight there.
+// Crash is one loss of a backend server with the requests in flight there.
 type Crash struct {
 	Loss     Loss
 	At       mtclock.Instant
-	Complete bool    // all that was in flight is listed
-	Prints   []Print // in order, each once
-	// Cleared are those of Prints that had been answered while alone since an
-	// earlier crash. That they were in flight at both tells nothing.
+	Complete bool    // Prints holds every request that was in flight
+	Prints   []Print // sorted, without duplicates
+	// Cleared holds those of Prints that ran alone and were answered since an
+	// earlier crash. Being in flight at both crashes proves nothing against them.
 	Cleared []Print
-	alone   bool // the one that was in flight was kept alone
+	alone   bool // the only request in flight was admitted alone
 }
 
-// lists reports whether the fingerprint was in flight.
-func (c *Crash) lists(p Print) bool {
+// contains reports whether the fingerprint was in flight.
+func (c *Crash) contains(p Print) bool {
 	_, found := slices.BinarySearch(c.Prints, p)
 	return found
 }
 
-// add adds a fingerprint and reports whether it wasn't known. A list that is
-// full is no longer complete.
+// add inserts a fingerprint and reports whether it was new. If the list is already
+// full, the fingerprint is left out and the crash is marked incomplete.
 func (c *Crash) add(p Print, limit int) bool {
 	i, found := slices.BinarySearch(c.Prints, p)
 	if found {
@@ -57,13 +59,13 @@
 	return true
 }
 
-// onlyCommon returns the fingerprint that both crashes list, if there is
-// exactly one.
+// onlyCommon returns the fingerprint that was in flight at both crashes and not
+// cleared, if there is exactly one.
 func (c *Crash) onlyCommon(other *Crash) (Print, bool) {
 	var common Print
 	count := 0
 	for _, p := range c.Prints {
-		if other.lists(p) && !slices.Contains(c.Cleared, p) && !slices.Contains(other.Cleared, p) {
+		if other.contains(p) && !slices.Contains(c.Cleared, p) && !slices.Contains(other.Cleared, p) {
 			common = p
 			count++
 		}
@@ -71,7 +73,7 @@
 	return common, count == 1
 }
 
-// older orders crashes by time, and by name among equals.
+// older reports whether c comes before other by time, then by identifier.
 func (c *Crash) older(other *Crash) bool { return compareCrashes(c, other) < 0 }
 
 func compareCrashes(a, b *Crash) int {
@@ -83,30 +85,31 @@
 	)
 }
 
-// Quarantine is a fingerprint in quarantine.
+// Quarantine is a fingerprint in quarantine, or pending quarantine.
 type Quarantine struct {
 	Print Print
-	Asked mtclock.Instant // last time
-	// IfLost, if not zero, is the holder that has to be lost for it to hold.
+	Asked mtclock.Instant // time of the last request
+	// IfLost, if not zero, makes the quarantine pending: it takes effect once this
+	// holder is lost.
 	IfLost mtid.Holder
 }
 
-// Digest is evidence as it is exchanged. Times in it are the exchanging
-// daemon's own; Encode and Decode make ages of them.
+// Digest is the evidence that daemons exchange. Its times are on the local clock;
+// Encode and Decode convert them to and from ages.
 type Digest struct {
 	Crashes     []Crash
 	Quarantines []Quarantine
 }
 
-// Digest returns the newest evidence: up to that many quarantines and
-// fingerprints of crashes in all. Quarantines go first, since they save servers
-// that are still up. It is called when there is something new to send at once,
-// and for gossip.
-func (t *Table[R]) Digest(now mtclock.Instant, prints int) Digest {
+// Digest returns the newest evidence, limited to that many quarantines and
+// fingerprints of crashes in total. Quarantines take precedence, since they protect
+// servers that are still up. It is called to push new evidence at once, and for
+// gossip.
+func (t *Table[R]) Digest(now mtclock.Instant, limit int) Digest {
 	t.Expire(now)
 	var d Digest
-	for p, asked := range t.quarantined {
-		d.Quarantines = append(d.Quarantines, Quarantine{Print: p, Asked: asked})
+	for p, requested := range t.quarantined {
+		d.Quarantines = append(d.Quarantines, Quarantine{Print: p, Asked: requested})
 	}
 	for p, c := range t.pending {
 		d.Quarantines = append(d.Quarantines, Quarantine{Print: p, Asked: c.at, IfLost: c.holder})
@@ -114,8 +117,8 @@
 	slices.SortFunc(d.Quarantines, func(a, b Quarantine) int {
 		return cmp.Or(cmp.Compare(b.Asked, a.Asked), cmp.Compare(a.Print, b.Print))
 	})
-	d.Quarantines = d.Quarantines[:min(prints, len(d.Quarantines))]
-	left := prints - len(d.Quarantines)
+	d.Quarantines = d.Quarantines[:min(limit, len(d.Quarantines))]
+	left := limit - len(d.Quarantines)
 	newest := make([]*Crash, 0, len(t.crashes))
 	for _, c := range t.crashes {
 		newest = append(newest, c)
@@ -125,15 +128,15 @@
 		if left == 0 {
 			break
 		}
-		out := c.cut(left)
+		out := c.truncated(left)
 		left -= len(out.Prints)
 		d.Crashes = append(d.Crashes, out)
 	}
 	return d
 }
 
-// cut returns a copy of c with so many fingerprints at most.
-func (c *Crash) cut(limit int) Crash {
+// truncated returns a copy of c with at most limit fingerprints.
+func (c *Crash) truncated(limit int) Crash {
 	out := *c
 	if len(c.Prints) > limit {
 		out.Complete = false
@@ -143,40 +146,42 @@
 	return out
 }
 
-// Merge takes in the evidence of another daemon. A crash of this daemon's own
-// server is passed over unless it is of an earlier life: what is known here of
-// this one is all there is to know.
+// Merge adds the evidence of another daemon. It ignores crashes of this daemon's own
+// server in the current incarnation, since the local evidence on them is already
+// complete.
 func (t *Table[R]) Merge(now mtclock.Instant, d Digest) {
-	for _, s := range d.Quarantines {
-		t.take(s)
+	for _, q := range d.Quarantines {
+		t.mergeQuarantine(q)
 	}
 	for i := range d.Crashes {
 		if d.Crashes[i].Loss.Holder != t.self {
-			t.note(now, &d.Crashes[i])
+			t.addCrash(now, &d.Crashes[i])
 		}
 	}
 	t.Expire(now)
 }
 
-// take takes in a quarantine of another daemon.
-func (t *Table[R]) take(s Quarantine) {
-	if known, ok := t.quarantined[s.Print]; ok {
-		if s.IfLost.IsZero() {
-			t.quarantined[s.Print] = max(known, s.Asked)
+// mergeQuarantine adds a quarantine of another daemon. A pending one is ignored if
+// the fingerprint is in quarantine already or was cleared since, or if too many are
+// pending.
+func (t *Table[R]) mergeQuarantine(q Quarantine) {
+	if known, ok := t.quarantined[q.Print]; ok {
+		if q.IfLost.IsZero() {
+			t.quarantined[q.Print] = max(known, q.Asked)
 		}
 		return
 	}
-	if s.IfLost.IsZero() {
-		t.quarantine(s.Asked, s.Print)
+	if q.IfLost.IsZero() {
+		t.quarantine(q.Asked, q.Print)
 		return
 	}
-	if cleared, ok := t.cleared[s.Print]; (ok && !s.Asked.After(cleared)) || len(t.pending) >= t.limits.Quarantined {
+	if cleared, ok := t.cleared[q.Print]; (ok && !q.Asked.After(cleared)) || len(t.pending) >= t.limits.Quarantined {
 		return
 	}
-	t.pending[s.Print] = condition{holder: s.IfLost, at: s.Asked}
+	t.pending[q.Print] = pendingQuarantine{holder: q.IfLost, at: q.Asked}
 }
 
-// DecodeError says that evidence can't be read.
+// DecodeError reports that evidence from another daemon cannot be decoded.
 type DecodeError struct {
 	Reason string
 	Err    error
@@ -185,27 +190,27 @@
 // Error implements error.
 func (e *DecodeError) Error() string {
 	if e.Err == nil {
-		return "poison: evidence can't be read: " + e.Reason
+		return "poison: cannot decode evidence: " + e.Reason
 	}
-	return fmt.Sprintf("poison: evidence can't be read: %s: %v", e.Reason, e.Err)
+	return fmt.Sprintf("poison: cannot decode evidence: %s: %v", e.Reason, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the protobuf error, or nil if the message itself was well-formed.
 func (e *DecodeError) Unwrap() error { return e.Err }
 
-// Encode returns the bytes of Wire.
+// Encode returns the serialized form of Wire(now, d). Equal digests give equal bytes.
 func Encode(now mtclock.Instant, d Digest) ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(Wire(now, d))
 }
 
-// Wire returns the form of d that daemons exchange.
+// Wire converts d to the protobuf message that daemons exchange.
 func Wire(now mtclock.Instant, d Digest) *mtwire.Evidence {
 	w := &mtwire.Evidence{}
 	for _, c := range d.Crashes {
 		wc := &mtwire.Crash{
 			Holder:   mtroster.WireHolder(c.Loss.Holder),
 			Loss:     c.Loss.Count,
-			AgeMs:    age(now, c.At),
+			AgeMs:    ageMillis(now, c.At),
 			Complete: c.Complete,
 		}
 		for _, p := range c.Prints {
@@ -216,40 +221,41 @@
 		}
 		w.Crashes = append(w.Crashes, wc)
 	}
-	for _, s := range d.Quarantines {
-		w.Quarantines = append(w.Quarantines, wireQuarantine(now, s))
+	for _, q := range d.Quarantines {
+		w.Quarantines = append(w.Quarantines, wireQuarantine(now, q))
 	}
 	return w
 }
 
-func wireQuarantine(now mtclock.Instant, s Quarantine) *mtwire.Quarantine {
-	w := &mtwire.Quarantine{Print: uint64(s.Print), AgeMs: age(now, s.Asked)}
-	if !s.IfLost.IsZero() {
-		w.IfLost = mtroster.WireHolder(s.IfLost)
+func wireQuarantine(now mtclock.Instant, q Quarantine) *mtwire.Quarantine {
+	w := &mtwire.Quarantine{Print: uint64(q.Print), AgeMs: ageMillis(now, q.Asked)}
+	if !q.IfLost.IsZero() {
+		w.IfLost = mtroster.WireHolder(q.IfLost)
 	}
 	return w
 }
 
-// Decode reads the bytes of Encode. It fails with a *DecodeError.
+// Decode parses the bytes that Encode returned. Errors are of type *DecodeError.
 func Decode(now mtclock.Instant, value []byte) (Digest, error) {
 	w := &mtwire.Evidence{}
 	if err := proto.Unmarshal(value, w); err != nil {
-		return Digest{}, &DecodeError{Reason: "not evidence", Err: err}
+		return Digest{}, &DecodeError{Reason: "malformed message", Err: err}
 	}
 	return Read(now, w)
 }
 
-// Read reads evidence. It fails with a *DecodeError.
+// Read converts a protobuf message from another daemon to a Digest. Errors are of
+// type *DecodeError.
 func Read(now mtclock.Instant, w *mtwire.Evidence) (Digest, error) {
 	var d Digest
 	for _, wc := range w.GetCrashes() {
 		c := Crash{
 			Loss:     Loss{Holder: mtroster.ReadHolder(wc.GetHolder()), Count: wc.GetLoss()},
-			At:       since(now, wc.GetAgeMs()),
+			At:       instantOf(now, wc.GetAgeMs()),
 			Complete: wc.GetComplete(),
 		}
 		if c.Loss.Holder.IsZero() {
-			return Digest{}, &DecodeError{Reason: "crash of nobody"}
+			return Digest{}, &DecodeError{Reason: "crash without a holder"}
 		}
 		for _, p := range wc.GetPrints() {
 			c.Prints = append(c.Prints, Print(p))
@@ -259,22 +265,23 @@
 		}
 		d.Crashes = append(d.Crashes, c)
 	}
-	for _, s := range w.GetQuarantines() {
+	for _, q := range w.GetQuarantines() {
 		d.Quarantines = append(d.Quarantines, Quarantine{
-			Print:  Print(s.GetPrint()),
-			Asked:  since(now, s.GetAgeMs()),
-			IfLost: mtroster.ReadHolder(s.GetIfLost()),
+			Print:  Print(q.GetPrint()),
+			Asked:  instantOf(now, q.GetAgeMs()),
+			IfLost: mtroster.ReadHolder(q.GetIfLost()),
 		})
 	}
 	return d, nil
 }
 
-// age returns the time from at to now in milliseconds.
-func age(now, at mtclock.Instant) uint32 {
+// ageMillis returns the time from at to now in milliseconds, clamped to the range
+// of uint32.
+func ageMillis(now, at mtclock.Instant) uint32 {
 	return uint32(min(max(now.Sub(at).Milliseconds(), 0), math.MaxUint32))
 }
 
-// since returns the time that many milliseconds before now.
-func since(now mtclock.Instant, ms uint32) mtclock.Instant {
+// instantOf returns the time that is ms milliseconds before now.
+func instantOf(now mtclock.Instant, ms uint32) mtclock.Instant {
 	return now.Add(-time.Duration(ms) * time.Millisecond)
 }
--- a/core/mtpoison/limits.go
+++ b/core/mtpoison/limits.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// Limits bound a Table. Zero fields take the defaults.
+// Limits bound the size of a Table and the age of its evidence. Zero fields take
+// the defaults.
 type Limits struct {
-	Crashes     int           // crashes that are remembered
-	Prints      int           // fingerprints of one crash
+	Crashes     int           // crashes retained
+	Prints      int           // fingerprints retained per crash
 	Quarantined int           // fingerprints in quarantine
-	Suspicion   time.Duration // how long a crash makes suspects
-	Quarantine  time.Duration // how long after the last request it ends
+	Suspicion   time.Duration // how long evidence of a crash counts
+	Quarantine  time.Duration // how long a quarantine outlasts the last request
 }
 
-// Defaults of Limits.
+// Defaults for the fields of Limits.
 const (
 	DefaultCrashes     = 128
 	DefaultPrints      = 256
@@ -20,18 +21,18 @@
 	DefaultQuarantine  = time.Hour
 )
 
-// filled returns l with its zero fields set to the defaults.
-func (l Limits) filled() Limits {
-	fill(&l.Crashes, DefaultCrashes)
-	fill(&l.Prints, DefaultPrints)
-	fill(&l.Quarantined, DefaultQuarantined)
-	fill(&l.Suspicion, DefaultSuspicion)
-	fill(&l.Quarantine, DefaultQuarantine)
+// withDefaults returns l with its zero fields set to the defaults.
+func (l Limits) withDefaults() Limits {
+	setDefault(&l.Crashes, DefaultCrashes)
+	setDefault(&l.Prints, DefaultPrints)
+	setDefault(&l.Quarantined, DefaultQuarantined)
+	setDefault(&l.Suspicion, DefaultSuspicion)
+	setDefault(&l.Quarantine, DefaultQuarantine)
 	return l
 }
 
-// fill sets a zero field to its default.
-func fill[T comparable](field *T, value T) {
+// setDefault sets a zero field to value.
+func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
 		*field = value
--- a/core/mtpoison/mtpoison.go
+++ b/core/mtpoison/mtpoison.go
@@ -1,40 +1,40 @@
-// Package mtpoison finds the requests that crash each backend server which runs
-// them, and keeps them from doing so a third time.
+// Package mtpoison detects requests that crash every backend server that runs
+// them, and stops such a request from crashing a third one.
 //
-// A request is known by its fingerprint, a hash of what it asks for; its
-// identifier doesn't count, since a caller may send the same thing under a new
-// one. A fingerprint goes through three states. It is clear until it was in
-// flight when a backend server was lost; then it is suspected. A suspect runs
-// alone: nothing else is in flight on its server. If that server is lost as
-// well, no other request can have done it, and the suspect is quarantined; if
-// it is answered, it is clear again. So the innocent requests that were in
-// flight beside the one that crashes servers are cleared by their own next run,
-// even if all are sent again together.
+// A request is identified by its fingerprint, a hash of its content. The request
+// identifier is not part of it, since a caller may send the same content again
+// under a new identifier. A fingerprint has three states. It is clear until it is
+// in flight when a backend server is lost, which makes it a suspect. A suspect
+// runs alone: nothing else is in flight on its server. If that server is lost too,
+// no other request can be the cause, and the suspect is quarantined; if the server
+// answers, the fingerprint is clear again. So harmless requests that were in
+// flight beside the poison request are cleared by their own next run, even if all
+// of them are sent again together.
 //
-// A fingerprint is quarantined as well if it is the only one that two complete
-// lists of requests in flight have in common. That is for a request that runs
-// on several servers at the same time, before anyone can suspect it.
+// A fingerprint is also quarantined if it is the only one that was in flight at
+// both of two crashes whose requests in flight are completely known. This covers a
+// request that runs on several servers at once, before it is a suspect anywhere.
 //
-// # Who knows what
+// # Sources of evidence
 //
-// The daemon beside the server sees all that is in flight there (Started, Ended,
-// ServerLost). If the whole VM is lost, its daemon's knowledge goes with it;
-// then each ingress knows the requests that it had relayed there (Relayed,
-// Begun, Returned, RelayLost). A broken connection between two daemons proves no
-// crash, hence what an ingress saw only makes suspects until HolderLost confirms
-// that the daemon is gone.
+// The daemon beside a server sees every request in flight there (Started, Ended,
+// ServerLost). If the whole VM is lost, that evidence is lost with the daemon;
+// what remains is each ingress's record of the requests that it relayed there
+// (Relayed, Begun, Returned, RelayLost). A broken connection between two daemons
+// does not prove a crash, so evidence from an ingress only makes suspects until
+// HolderLost confirms that the daemon was terminated.
 //
-// Evidence is exchanged by Digest and Merge. It is a set of crashes, each named
-// by the holder and a count, so that merging it twice or in any order gives the
-// same. All of it is bounded and ages.
+// Daemons exchange evidence with Digest and Merge. It is a set of crashes, each
+// identified by its holder and a count, so merging is idempotent and independent
+// of the order. All evidence is bounded in size and expires.
 //
 // # Usage
 //
-//	switch table.Judge(now, print, hint) {
+//	switch table.Judge(now, fingerprint, hint) {
 //	case mtpoison.Quarantined: // refuse with mtreply.CauseQuarantined
-//	case mtpoison.Suspect:     // admit it with mtgate.Ticket.Alone
+//	case mtpoison.Suspect:     // admit it with mtgate.Ticket.Alone set
 //	}
-//	table.Started(number, print, alone)
+//	table.Started(number, fingerprint, alone)
 //	table.Ended(now, number, mtpoison.Broken)
 //	table.ServerLost(now) // then send table.Digest(now, ...) to the service's daemons
 //
@@ -50,105 +50,103 @@
 )
 
 // Print is the fingerprint of a request: a hash of service, key, class, method,
-// path, query and body, as (*mtrequest.Request).Fingerprint makes it.
+// path, query and body, computed by (*mtrequest.Request).Fingerprint.
 type Print uint64
 
-// Verdict is what is known of a fingerprint.
+// Verdict is the state of a fingerprint.
 type Verdict uint8
 
-// The verdicts, from good to bad.
+// The verdicts, in increasing order of severity.
 const (
 	Clear Verdict = iota
 	Suspect
 	Quarantined
 )
 
-// String returns the verdict in words, for logs.
+// String returns the lower-case name of the verdict, for logs.
 func (v Verdict) String() string {
 	return [...]string{"clear", "suspect", "quarantined"}[v]
 }
 
-// Number tells the requests in flight apart. The caller of the Table chooses
-// it.
+// Number identifies a request in flight. The caller of the Table assigns it.
 type Number uint64
 
-// End is how a request in flight has ended.
+// End classifies how a request in flight ended.
 type End uint8
 
-// The ends of a request.
+// The ways in which a request in flight ends.
 const (
-	Whole  End = iota // the server answered it
-	NotRun            // it was not run
+	Whole  End = iota // the server sent a complete answer
+	NotRun            // the server did not run it
 	Broken            // the connection to the server broke
-	Left              // it was given up; nothing is known of the server
+	Left              // it was abandoned; the state of the server is unknown
 )
 
-// together is how long the connections of one lost server take to break. A
-// request whose connection broke that long before the loss was noticed counts
-// as in flight.
-const together = 2 * time.Second
+// breakWindow bounds how long it takes until all connections to a lost server have
+// broken. A request whose connection broke within that time before the loss was
+// detected counts as in flight.
+const breakWindow = 2 * time.Second
 
-// givenUpFor is how long a request that nobody waits for counts as in flight at
-// its owner: longer than it takes to find a daemon lost.
-const givenUpFor = 30 * time.Second
+// abandonedTTL is how long an abandoned relay still counts as in flight at its
+// owner. It is longer than the detection of a lost daemon takes.
+const abandonedTTL = 30 * time.Second
 
-// flight is a request in flight, here or at another daemon.
+// flight is a request in flight at the local server or at another daemon.
 type flight struct {
-	print  Print
-	alone  bool
-	holder mtid.Holder     // where it was relayed to; zero if it runs here
-	broken mtclock.Instant // when its connection broke or it was given up; zero if neither
+	fingerprint Print
+	alone       bool
+	holder      mtid.Holder     // the daemon that it was relayed to; zero if it runs locally
+	detachedAt  mtclock.Instant // when its connection broke or it was abandoned; zero if neither
 }
 
-// condition is the holder that has to be lost for a quarantine to hold, and when
-// the connection to it broke.
-type condition struct {
+// pendingQuarantine takes effect once its holder is known to be lost.
+type pendingQuarantine struct {
 	holder mtid.Holder
-	at     mtclock.Instant
+	at     mtclock.Instant // when the connection to the holder broke
 }
 
-// Table is what one daemon knows. See the package comment.
+// Table holds the evidence that one daemon has. See the package comment.
 type Table[R Rule] struct {
 	rule        R
 	limits      Limits
 	self        mtid.Holder
-	losses      uint32 // of the server beside this daemon
-	here        map[Number]*flight
+	localLosses uint32 // crashes of the server beside this daemon
+	local       map[Number]*flight
 	relays      map[Number]*flight
 	crashes     map[Loss]*Crash
-	suspects    map[Print]mtclock.Instant // the last crash that each was part of
-	cleared     map[Print]mtclock.Instant
-	quarantined map[Print]mtclock.Instant // when each was last asked for
-	pending     map[Print]condition       // quarantines that HolderLost would confirm
+	suspects    map[Print]mtclock.Instant // time of the last crash at which each was in flight
+	cleared     map[Print]mtclock.Instant // time of the answer that cleared each
+	quarantined map[Print]mtclock.Instant // time of the last request for each
+	pending     map[Print]pendingQuarantine
 }
 
-// New returns an empty Table of the daemon self.
+// New returns an empty Table for the daemon self.
 func New[R Rule](rule R, self mtid.Holder, limits Limits) *Table[R] {
 	return &Table[R]{
 		rule:        rule,
-		limits:      limits.filled(),
+		limits:      limits.withDefaults(),
 		self:        self,
-		here:        make(map[Number]*flight),
+		local:       make(map[Number]*flight),
 		relays:      make(map[Number]*flight),
 		crashes:     make(map[Loss]*Crash),
 		suspects:    make(map[Print]mtclock.Instant),
 		cleared:     make(map[Print]mtclock.Instant),
 		quarantined: make(map[Print]mtclock.Instant),
-		pending:     make(map[Print]condition),
+		pending:     make(map[Print]pendingQuarantine),
 	}
 }
 
-// Judge is called for each request, at the ingress and again at the owner. hint
-// says that the ingress suspects it; the owner believes that unless it has
-// cleared the fingerprint itself. A quarantine is renewed by each request, so
-// that it lasts for as long as somebody goes on asking.
+// Judge returns the verdict on a request. It is called at the ingress and again at
+// the owner. hint is set if the request is a suspect at the ingress; the owner
+// follows it unless it has cleared the fingerprint itself. Each request renews a
+// quarantine, so the quarantine lasts as long as requests keep coming.
 func (t *Table[R]) Judge(now mtclock.Instant, p Print, hint bool) Verdict {
-	if asked, ok := t.quarantined[p]; ok {
-		if now.Sub(asked) < t.limits.Quarantine {
+	if requested, ok := t.quarantined[p]; ok {
+		if now.Sub(requested) < t.limits.Quarantine {
 			t.quarantined[p] = now
 			return Quarantined
 		}
-		// Out of quarantine, but not clear: the next run is alone.
+		// An expired quarantine leaves a suspect: its next run is alone.
 		delete(t.quarantined, p)
 		t.suspects[p] = now
 	}
@@ -164,109 +162,110 @@
 	return Clear
 }
 
-// Started says that a request is sent to the server beside this daemon. alone
-// says that the gate keeps everything else out meanwhile.
+// Started records that a request is sent to the server beside this daemon. alone
+// is set if the gate admits no other request until it ends.
 func (t *Table[R]) Started(n Number, p Print, alone bool) {
-	t.here[n] = &flight{print: p, alone: alone}
+	t.local[n] = &flight{fingerprint: p, alone: alone}
 }
 
-// Ended says how a started request has ended. With Broken it returns true if
-// that may be a crash which isn't known yet: then the caller finds out whether
-// the server is up, and calls ServerLost if it is not.
+// Ended records how a started request ended. It returns true if how is Broken and
+// the cause may be a crash that is not recorded yet: the caller then probes the
+// server and calls ServerLost if the server is down.
 func (t *Table[R]) Ended(now mtclock.Instant, n Number, how End) bool {
-	f, ok := t.here[n]
+	f, ok := t.local[n]
 	if !ok {
 		return false
 	}
 	if how == Broken {
-		f.broken = now
+		f.detachedAt = now
 		return true
 	}
-	delete(t.here, n)
+	delete(t.local, n)
 	if how == Whole && f.alone {
-		t.release(now, f.print)
+		t.markClear(now, f.fingerprint)
 	}
 	return false
 }
 
-// Open reports whether a request that broke belongs to no known crash yet. It
-// is asked once more right before ServerLost: all the requests that one crash
-// broke look for the server at the same time, and only the first may report it.
+// Open reports whether a request whose connection broke is not yet assigned to a
+// recorded crash. The caller checks it again right before ServerLost: all requests
+// that one crash interrupted probe the server concurrently, and only the first of
+// them may report the crash.
 func (t *Table[R]) Open(n Number) bool {
-	_, ok := t.here[n]
+	_, ok := t.local[n]
 	return ok
 }
 
-// Live sets the present life of this daemon, under which its crashes are named.
+// Live sets the current incarnation of this daemon, which identifies the crashes
+// that it records.
 func (t *Table[R]) Live(self mtid.Holder) { t.self = self }
 
-// ServerLost says that the server beside this daemon has crashed. It is called
-// once per crash, and never for a single connection that broke.
+// ServerLost records that the server beside this daemon crashed. It is called once
+// per crash; a broken connection alone is not a crash.
 func (t *Table[R]) ServerLost(now mtclock.Instant) {
-	t.losses++
-	c := &Crash{Loss: Loss{Holder: t.self, Count: t.losses}, At: now, Complete: true}
-	for n, f := range t.here {
-		delete(t.here, n)
-		if f.broken != 0 && now.Sub(f.broken) > together {
+	t.localLosses++
+	c := &Crash{Loss: Loss{Holder: t.self, Count: t.localLosses}, At: now, Complete: true}
+	for n, f := range t.local {
+		delete(t.local, n)
+		if f.detachedAt != 0 && now.Sub(f.detachedAt) > breakWindow {
 			continue
 		}
-		c.Prints = append(c.Prints, f.print)
-		if _, ok := t.cleared[f.print]; ok {
-			c.Cleared = append(c.Cleared, f.print)
+		c.Prints = append(c.Prints, f.fingerprint)
+		if _, ok := t.cleared[f.fingerprint]; ok {
+			c.Cleared = append(c.Cleared, f.fingerprint)
 		}
 		c.alone = c.alone || f.alone
 	}
-	// A lone request with company was sent to a server that another one had
-	// taken down just before, unnoticed. It may have been either, so this crash
-	// is no proof against any.
+	// A request that was admitted alone is in flight with others only if it was
+	// sent to a server that an earlier request had just crashed, undetected. Either
+	// may be the cause, so this crash proves nothing against any of them.
 	if len(c.Prints) > 1 && c.alone {
 		c.alone = false
 		c.Complete = false
 	}
 	if len(c.Prints) > 0 {
-		t.note(now, c)
+		t.addCrash(now, c)
 	}
 }
 
-// Relayed says that a request is sent to the daemon of its owner.
+// Relayed records that a request is sent to the daemon of its owner.
 func (t *Table[R]) Relayed(n Number, to mtid.Holder, p Print) {
-	t.relays[n] = &flight{print: p, holder: to}
+	t.relays[n] = &flight{fingerprint: p, holder: to}
 }
 
-// Begun says that the owner has begun to run a relayed request, alone. It is
-// what tells a suspect that ran from one that only waited when its owner was
-// lost.
+// Begun records that the owner has started to run a relayed request alone. If the
+// owner is lost, this distinguishes a suspect that ran from one that was queued.
 func (t *Table[R]) Begun(n Number) {
 	if f, ok := t.relays[n]; ok {
 		f.alone = true
 	}
 }
 
-// Returned says that the owner's daemon has replied. whole says that the reply
-// is the server's answer.
-func (t *Table[R]) Returned(now mtclock.Instant, n Number, whole bool) {
+// Returned records that the owner's daemon replied. answered is set if the reply is
+// the server's answer.
+func (t *Table[R]) Returned(now mtclock.Instant, n Number, answered bool) {
 	f, ok := t.relays[n]
 	if !ok {
 		return
 	}
 	delete(t.relays, n)
-	if whole && f.alone {
-		t.release(now, f.print)
+	if answered && f.alone {
+		t.markClear(now, f.fingerprint)
 	}
 }
 
-// GivenUp says that the caller's time was over or the caller gone before the
-// reply came. The request may run still: if its owner's daemon is found lost
-// soon, it was in flight there.
+// GivenUp records that the caller's deadline passed or the caller disconnected
+// before the reply arrived. The request may still be running: if its owner's daemon
+// is found lost soon after, the request counts as in flight there.
 func (t *Table[R]) GivenUp(now mtclock.Instant, n Number) {
 	if f, ok := t.relays[n]; ok {
-		f.broken = now
+		f.detachedAt = now
 	}
 }
 
-// RelayLost says that the connection to the owner's daemon broke before the
-// reply. The request is suspected from now on; whether it is quarantined is
-// decided once the daemon is known to be lost.
+// RelayLost records that the connection to the owner's daemon broke before the
+// reply. The request becomes a suspect; whether it is quarantined is decided once
+// the daemon is known to be lost.
 func (t *Table[R]) RelayLost(now mtclock.Instant, n Number) {
 	f, ok := t.relays[n]
 	if !ok {
@@ -274,15 +273,15 @@
 	}
 	delete(t.relays, n)
 	loss := Loss{Holder: f.holder, Count: WholeVM}
-	c := &Crash{Loss: loss, At: now, Prints: []Print{f.print}}
-	t.note(now, c)
+	c := &Crash{Loss: loss, At: now, Prints: []Print{f.fingerprint}}
+	t.addCrash(now, c)
 	if f.alone {
-		t.pending[f.print] = condition{holder: f.holder, at: now}
+		t.pending[f.fingerprint] = pendingQuarantine{holder: f.holder, at: now}
 	}
 }
 
-// HolderLost says that a daemon's life is over: its incarnation was revoked.
-// What was in flight there counts as lost.
+// HolderLost records that a daemon's incarnation was revoked. The requests in
+// flight there count as lost with it.
 func (t *Table[R]) HolderLost(now mtclock.Instant, holder mtid.Holder) {
 	for n, f := range t.relays {
 		if f.holder == holder {
@@ -292,14 +291,14 @@
 	for p, c := range t.pending {
 		if c.holder == holder {
 			delete(t.pending, p)
-			t.weigh(now, p, Coincidence{Crashes: t.crashesOf(p), Alone: true})
+			t.evaluate(now, p, Coincidence{Crashes: t.crashesOf(p), Alone: true})
 		}
 	}
 }
 
-// Conditions returns the holders whose loss would put a request in quarantine.
-// The owner of a request looks whether they are lost before it runs anything:
-// its shard may have come from one of them a moment ago.
+// Conditions returns the holders whose loss would confirm a pending quarantine. An
+// owner checks whether they are lost before it runs a request, since its shard may
+// just have been taken over from one of them.
 func (t *Table[R]) Conditions() []mtid.Holder {
 	var holders []mtid.Holder
 	for _, c := range t.pending {
@@ -310,25 +309,26 @@
 	return holders
 }
 
-// release clears a fingerprint that ran alone and was answered.
-func (t *Table[R]) release(now mtclock.Instant, p Print) {
+// markClear clears a fingerprint that ran alone and was answered.
+func (t *Table[R]) markClear(now mtclock.Instant, p Print) {
 	delete(t.suspects, p)
 	delete(t.pending, p)
 	t.cleared[p] = now
 }
 
-// quarantine keeps a fingerprint from running.
+// quarantine puts a fingerprint in quarantine and evicts the one that was requested
+// least recently if there are too many.
 func (t *Table[R]) quarantine(now mtclock.Instant, p Print) {
 	delete(t.suspects, p)
 	t.quarantined[p] = now
 	for len(t.quarantined) > t.limits.Quarantined {
-		delete(t.quarantined, oldest(t.quarantined))
+		delete(t.quarantined, leastRecent(t.quarantined))
 	}
 }
 
-// note remembers a crash, or adds to what is known of it, and suspects what was
-// in flight.
-func (t *Table[R]) note(now mtclock.Instant, c *Crash) {
+// addCrash records a crash, or merges it with the same crash recorded before, and
+// makes suspects of the requests in flight.
+func (t *Table[R]) addCrash(now mtclock.Instant, c *Crash) {
 	known, ok := t.crashes[c.Loss]
 	if !ok {
 		known = &Crash{Loss: c.Loss, At: c.At}
@@ -345,31 +345,32 @@
 	}
 	only := t.onlyCommon(known)
 	for _, p := range known.Prints {
-		t.weigh(now, p, Coincidence{Crashes: t.crashesOf(p), Alone: c.alone, Only: only[p]})
+		t.evaluate(now, p, Coincidence{Crashes: t.crashesOf(p), Alone: c.alone, Only: only[p]})
 	}
-	t.bound()
+	t.evictCrashes()
 }
 
-// weigh quarantines a suspect if the rule says so.
-func (t *Table[R]) weigh(now mtclock.Instant, p Print, c Coincidence) {
+// evaluate quarantines a suspect if c satisfies the rule.
+func (t *Table[R]) evaluate(now mtclock.Instant, p Print, c Coincidence) {
 	if _, ok := t.suspects[p]; ok && t.rule.Quarantines(c) {
 		t.quarantine(now, p)
 	}
 }
 
-// crashesOf returns of how many crashes the fingerprint was part.
+// crashesOf returns the number of recorded crashes at which the fingerprint was in
+// flight.
 func (t *Table[R]) crashesOf(p Print) int {
 	count := 0
 	for _, c := range t.crashes {
-		if c.lists(p) {
+		if c.contains(p) {
 			count++
 		}
 	}
 	return count
 }
 
-// onlyCommon returns the fingerprints that are all that c and another crash
-// have in common, both being completely known.
+// onlyCommon returns each fingerprint that is the only one in common between c and
+// another crash, if the requests in flight at both are completely known.
 func (t *Table[R]) onlyCommon(c *Crash) map[Print]bool {
 	only := make(map[Print]bool)
 	for _, other := range t.crashes {
@@ -383,7 +384,8 @@
 	return only
 }
 
-// suspect notes that p was part of a crash at that time.
+// suspect makes p a suspect after a crash at that time, unless it was cleared later
+// or is in quarantine.
 func (t *Table[R]) suspect(p Print, at mtclock.Instant) {
 	if cleared, ok := t.cleared[p]; ok && !at.After(cleared) {
 		return
@@ -395,20 +397,20 @@
 	t.suspects[p] = max(t.suspects[p], at)
 }
 
-// bound forgets the oldest crashes above the limit.
-func (t *Table[R]) bound() {
+// evictCrashes removes the oldest crashes above the limit.
+func (t *Table[R]) evictCrashes() {
 	for len(t.crashes) > t.limits.Crashes {
-		var first *Crash
+		var oldest *Crash
 		for _, c := range t.crashes {
-			if first == nil || c.older(first) {
-				first = c
+			if oldest == nil || c.older(oldest) {
+				oldest = c
 			}
 		}
-		delete(t.crashes, first.Loss)
+		delete(t.crashes, oldest.Loss)
 	}
 }
 
-// Expire forgets what has aged. It is called now and then.
+// Expire removes evidence that is too old. It is called periodically.
 func (t *Table[R]) Expire(now mtclock.Instant) {
 	for loss, c := range t.crashes {
 		if now.Sub(c.At) >= t.limits.Suspicion {
@@ -420,49 +422,49 @@
 			delete(t.pending, p)
 		}
 	}
-	drop(t.suspects, now, t.limits.Suspicion)
-	drop(t.cleared, now, t.limits.Suspicion)
-	for n, f := range t.here {
-		if f.broken != 0 && now.Sub(f.broken) > together {
-			delete(t.here, n)
+	removeOlder(t.suspects, now, t.limits.Suspicion)
+	removeOlder(t.cleared, now, t.limits.Suspicion)
+	for n, f := range t.local {
+		if f.detachedAt != 0 && now.Sub(f.detachedAt) > breakWindow {
+			delete(t.local, n)
 		}
 	}
 	for n, f := range t.relays {
-		if f.broken != 0 && now.Sub(f.broken) > givenUpFor {
+		if f.detachedAt != 0 && now.Sub(f.detachedAt) > abandonedTTL {
 			delete(t.relays, n)
 		}
 	}
-	for p, asked := range t.quarantined {
-		if now.Sub(asked) >= t.limits.Quarantine {
+	for p, requested := range t.quarantined {
+		if now.Sub(requested) >= t.limits.Quarantine {
 			delete(t.quarantined, p)
 			t.suspects[p] = now
 		}
 	}
 }
 
-// drop deletes what is older than limit.
-func drop(prints map[Print]mtclock.Instant, now mtclock.Instant, limit time.Duration) {
-	for p, at := range prints {
+// removeOlder deletes the fingerprints whose time is limit or more ago.
+func removeOlder(times map[Print]mtclock.Instant, now mtclock.Instant, limit time.Duration) {
+	for p, at := range times {
 		if now.Sub(at) >= limit {
-			delete(prints, p)
+			delete(times, p)
 		}
 	}
 }
 
-// oldest returns the fingerprint with the smallest time, the smaller one among
-// equals: maps have no order.
-func oldest(prints map[Print]mtclock.Instant) Print {
+// leastRecent returns the fingerprint with the earliest time, and the smallest
+// among equals, so that the result does not depend on the order of the map.
+func leastRecent(times map[Print]mtclock.Instant) Print {
 	var first Print
 	found := false
-	for p, at := range prints {
-		if !found || at < prints[first] || (at == prints[first] && p < first) {
+	for p, at := range times {
+		if !found || at < times[first] || (at == times[first] && p < first) {
 			first, found = p, true
 		}
 	}
 	return first
 }
 
-// Counts are the sizes of a Table, for metrics.
+// Counts are the numbers of entries in a Table, for metrics.
 type Counts struct {
 	Crashes     int
 	Suspects    int
@@ -470,12 +472,12 @@
 	InFlight    int
 }
 
-// Counts returns the sizes of the Table.
+// Counts returns the current numbers of entries.
 func (t *Table[R]) Counts() Counts {
 	return Counts{
 		Crashes:     len(t.crashes),
 		Suspects:    len(t.suspects),
 		Quarantined: len(t.quarantined),
-		InFlight:    len(t.here) + len(t.relays),
+		InFlight:    len(t.local) + len(t.relays),
 	}
 }
--- a/core/mtpoison/mtpoison_test.go
+++ b/core/mtpoison/mtpoison_test.go
@@ -24,7 +24,7 @@
 	return mtpoison.New(mtpoison.Narrow{}, holder(name), mtpoison.Limits{})
 }
 
-// send merges all that one table knows into another, over the wire form.
+// send merges the evidence of one table into another, through the wire format.
 func send(t assert.TestingT, now mtclock.Instant, from, to *table) {
 	value, err := mtpoison.Encode(now, from.Digest(now, 1000))
 	assert.NilError(t, err)
@@ -35,110 +35,109 @@
 
 const (
 	poison   = mtpoison.Print(1)
-	innocent = mtpoison.Print(2)
+	harmless = mtpoison.Print(2)
 	other    = mtpoison.Print(3)
 )
 
-// crash runs the prints together and loses the server.
-func crash(tb *table, now mtclock.Instant, alone bool, prints ...mtpoison.Print) {
-	for i, p := range prints {
+// crash starts the requests together and loses the server while they run.
+func crash(tb *table, now mtclock.Instant, alone bool, fingerprints ...mtpoison.Print) {
+	for i, p := range fingerprints {
 		tb.Started(mtpoison.Number(i), p, alone)
 	}
-	for i := range prints {
+	for i := range fingerprints {
 		tb.Ended(now, mtpoison.Number(i), mtpoison.Broken)
 	}
 	tb.ServerLost(now)
 }
 
-// A status check crashes the server that answers it, and a desk's order was in
-// flight beside it. Both are sent again. The check must not take a third server
-// down, and the order must go through.
+// A request crashes its server while a harmless one is in flight there, and both
+// are sent again. The first must not crash a third server, and the second must run.
 func TestVerdicts(t *testing.T) {
 	minute := mtclock.Instant(time.Minute)
 	tests := []struct {
-		name  string
-		story func(tb *table)
-		print mtpoison.Print
-		want  mtpoison.Verdict
+		name        string
+		setup       func(tb *table)
+		fingerprint mtpoison.Print
+		want        mtpoison.Verdict
 	}{
 		{"nothing happened", func(*table) {}, poison, mtpoison.Clear},
-		{"one crash", func(tb *table) { crash(tb, 1, false, poison, innocent) }, innocent, mtpoison.Suspect},
+		{"one crash", func(tb *table) { crash(tb, 1, false, poison, harmless) }, harmless, mtpoison.Suspect},
 		{"crash while alone", func(tb *table) {
-			crash(tb, 1, false, poison, innocent)
+			crash(tb, 1, false, poison, harmless)
 			crash(tb, 2, true, poison)
 		}, poison, mtpoison.Quarantined},
-		{"another's crash while alone", func(tb *table) {
-			crash(tb, 1, false, poison, innocent)
+		{"other request crashes while alone", func(tb *table) {
+			crash(tb, 1, false, poison, harmless)
 			crash(tb, 2, true, poison)
-		}, innocent, mtpoison.Suspect},
+		}, harmless, mtpoison.Suspect},
 		{"answered while alone", func(tb *table) {
-			crash(tb, 1, false, poison, innocent)
-			tb.Started(9, innocent, true)
+			crash(tb, 1, false, poison, harmless)
+			tb.Started(9, harmless, true)
 			tb.Ended(2, 9, mtpoison.Whole)
-		}, innocent, mtpoison.Clear},
+		}, harmless, mtpoison.Clear},
 		{"not run while alone", func(tb *table) {
-			crash(tb, 1, false, poison, innocent)
-			tb.Started(9, innocent, true)
+			crash(tb, 1, false, poison, harmless)
+			tb.Started(9, harmless, true)
 			tb.Ended(2, 9, mtpoison.NotRun)
-		}, innocent, mtpoison.Suspect},
-		{"connection broke, server lives", func(tb *table) {
-			tb.Started(1, innocent, false)
+		}, harmless, mtpoison.Suspect},
+		{"connection broke, server is up", func(tb *table) {
+			tb.Started(1, harmless, false)
 			tb.Ended(1, 1, mtpoison.Broken)
-		}, innocent, mtpoison.Clear},
+		}, harmless, mtpoison.Clear},
 		{"connection broke long before the crash", func(tb *table) {
-			tb.Started(1, innocent, false)
+			tb.Started(1, harmless, false)
 			tb.Ended(1, 1, mtpoison.Broken)
 			crash(tb, minute, false, poison)
-		}, innocent, mtpoison.Clear},
-		{"sent alone to a server that another had crashed just before", func(tb *table) {
-			crash(tb, 1, false, other, innocent)
+		}, harmless, mtpoison.Clear},
+		{"sent alone to a server that an earlier request had just crashed", func(tb *table) {
+			crash(tb, 1, false, other, harmless)
 			tb.Started(1, poison, false)
 			tb.Ended(2, 1, mtpoison.Broken)
-			tb.Started(2, innocent, true)
+			tb.Started(2, harmless, true)
 			tb.Ended(3, 2, mtpoison.Broken)
 			tb.ServerLost(4)
-		}, innocent, mtpoison.Suspect},
-		{"the only one common to two crashes", func(tb *table) {
-			crash(tb, 1, false, poison, innocent)
+		}, harmless, mtpoison.Suspect},
+		{"only one in common between two crashes", func(tb *table) {
+			crash(tb, 1, false, poison, harmless)
 			crash(tb, 2, false, poison, other)
 		}, poison, mtpoison.Quarantined},
-		{"the only one common to two crashes, cleared in between", func(tb *table) {
-			crash(tb, 1, false, poison, innocent)
-			tb.Started(9, innocent, true)
+		{"only one in common between two crashes, cleared in between", func(tb *table) {
+			crash(tb, 1, false, poison, harmless)
+			tb.Started(9, harmless, true)
 			tb.Ended(2, 9, mtpoison.Whole)
-			crash(tb, 3, false, other, innocent)
-		}, innocent, mtpoison.Suspect},
-		{"one of two common to two crashes", func(tb *table) {
-			crash(tb, 1, false, poison, innocent)
-			crash(tb, 2, false, poison, innocent, other)
+			crash(tb, 3, false, other, harmless)
+		}, harmless, mtpoison.Suspect},
+		{"one of two in common between two crashes", func(tb *table) {
+			crash(tb, 1, false, poison, harmless)
+			crash(tb, 2, false, poison, harmless, other)
 		}, poison, mtpoison.Suspect},
-		{"relay lost, daemon lives", func(tb *table) {
-			tb.Relayed(1, holder("b"), innocent)
+		{"relay lost, daemon is up", func(tb *table) {
+			tb.Relayed(1, holder("b"), harmless)
 			tb.Begun(1)
 			tb.RelayLost(1, 1)
-		}, innocent, mtpoison.Suspect},
-		{"relay lost after it began alone, daemon lost", func(tb *table) {
+		}, harmless, mtpoison.Suspect},
+		{"relay lost after it started alone, daemon lost", func(tb *table) {
 			tb.Relayed(1, holder("b"), poison)
 			tb.Begun(1)
 			tb.RelayLost(1, 1)
 			tb.HolderLost(2, holder("b"))
 		}, poison, mtpoison.Quarantined},
-		{"relay open when the daemon is found lost", func(tb *table) {
+		{"relay open when the loss of the daemon is detected", func(tb *table) {
 			tb.Relayed(1, holder("b"), poison)
 			tb.Begun(1)
 			tb.HolderLost(2, holder("b"))
 		}, poison, mtpoison.Quarantined},
-		{"relay lost before it began, daemon lost", func(tb *table) {
-			tb.Relayed(1, holder("b"), innocent)
+		{"relay lost before it started, daemon lost", func(tb *table) {
+			tb.Relayed(1, holder("b"), harmless)
 			tb.HolderLost(2, holder("b"))
-		}, innocent, mtpoison.Suspect},
-		{"relay lost after it began, another daemon lost", func(tb *table) {
-			tb.Relayed(1, holder("b"), innocent)
+		}, harmless, mtpoison.Suspect},
+		{"relay lost after it started, another daemon lost", func(tb *table) {
+			tb.Relayed(1, holder("b"), harmless)
 			tb.Begun(1)
 			tb.RelayLost(1, 1)
 			tb.HolderLost(2, holder("c"))
-		}, innocent, mtpoison.Suspect},
-		{"out of quarantine", func(tb *table) {
+		}, harmless, mtpoison.Suspect},
+		{"quarantine expired", func(tb *table) {
 			crash(tb, 1, false, poison)
 			crash(tb, 2, true, poison)
 			tb.Expire(2 + mtclock.Instant(mtpoison.DefaultQuarantine))
@@ -147,30 +146,30 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			tb := newTable("a")
-			tt.story(tb)
-			got := tb.Judge(5, tt.print, false)
+			tt.setup(tb)
+			got := tb.Judge(5, tt.fingerprint, false)
 			assert.Equal(t, got, tt.want, "got %s, want %s", got, tt.want)
 		})
 	}
 }
 
-func TestAging(t *testing.T) {
+func TestSuspicionExpiresButRequestedQuarantineLasts(t *testing.T) {
 	tb := newTable("a")
 	crash(tb, 1, false, poison)
 	age := mtclock.Instant(mtpoison.DefaultSuspicion)
 	assert.Equal(t, tb.Judge(age, poison, false), mtpoison.Suspect)
 	assert.Equal(t, tb.Judge(1+age, poison, false), mtpoison.Clear)
 
-	// Who goes on asking for a quarantined request keeps it there.
-	crash(tb, 2, true, innocent)
+	// Each request renews the quarantine.
+	crash(tb, 2, true, harmless)
 	step := mtclock.Instant(mtpoison.DefaultQuarantine - 1)
 	for now := step; now < 10*step; now += step {
 		tb.Expire(now)
-		assert.Equal(t, tb.Judge(now, innocent, false), mtpoison.Quarantined)
+		assert.Equal(t, tb.Judge(now, harmless, false), mtpoison.Quarantined)
 	}
 }
 
-func TestHintOfTheIngress(t *testing.T) {
+func TestIngressHintCountsUntilCleared(t *testing.T) {
 	tb := newTable("a")
 	assert.Equal(t, tb.Judge(1, poison, true), mtpoison.Suspect)
 	tb.Started(1, poison, true)
@@ -178,10 +177,10 @@
 	assert.Equal(t, tb.Judge(3, poison, true), mtpoison.Clear)
 }
 
-// The ingress of a suspect hears that it ran alone, then the connection breaks.
-// The daemons that it tells quarantine the request once they know of the loss,
-// each for itself: the new owner may know before the ingress does.
-func TestConditionTravels(t *testing.T) {
+// The ingress of a suspect is notified that it runs alone, then the connection to
+// the owner breaks. Every daemon with this evidence must quarantine the request on
+// its own once it detects the loss: the new owner may detect it before the ingress.
+func TestPendingQuarantineIsConfirmedByEachDaemon(t *testing.T) {
 	ingress, owner := newTable("a"), newTable("c")
 	ingress.Relayed(1, holder("b"), poison)
 	ingress.Begun(1)
@@ -194,20 +193,20 @@
 	assert.Equal(t, len(owner.Conditions()), 0)
 }
 
-// Two poison requests crash a server each, and one innocent request was in
-// flight both times, cleared in between at its owner. A daemon that only hears
-// of the crashes must not hold that against it.
-func TestClearingTravels(t *testing.T) {
-	owner, hearer := newTable("a"), newTable("b")
-	crash(owner, 1, false, poison, innocent)
-	owner.Started(9, innocent, true)
+// Two poison requests crash a server each. A harmless request was in flight both
+// times and was cleared in between at its owner. A daemon that only receives the
+// evidence of the crashes must not quarantine it.
+func TestClearedRequestIsNotQuarantinedElsewhere(t *testing.T) {
+	owner, receiver := newTable("a"), newTable("b")
+	crash(owner, 1, false, poison, harmless)
+	owner.Started(9, harmless, true)
 	owner.Ended(2, 9, mtpoison.Whole)
-	crash(owner, 3, false, other, innocent)
-	send(t, 4, owner, hearer)
-	assert.Equal(t, hearer.Judge(5, innocent, false), mtpoison.Suspect)
+	crash(owner, 3, false, other, harmless)
+	send(t, 4, owner, receiver)
+	assert.Equal(t, receiver.Judge(5, harmless, false), mtpoison.Suspect)
 }
 
-func TestBounds(t *testing.T) {
+func TestTableAndDigestStayWithinLimits(t *testing.T) {
 	tb := mtpoison.New(mtpoison.Narrow{}, holder("a"), mtpoison.Limits{Crashes: 3, Prints: 2, Quarantined: 4})
 	for i := range 20 {
 		now := mtclock.Instant(i + 1)
@@ -225,20 +224,20 @@
 	assert.Equal(t, size, 5)
 }
 
-// fleet is some daemons, each with a server, and one key that they serve in
-// turn. Evidence is sent before callers are answered.
+// fleet simulates daemons with a server each, and one key that moves between them.
+// Evidence is exchanged before callers are answered.
 type fleet struct {
-	t      *rapid.T
-	now    mtclock.Instant
-	tables []*table
-	lives  []mtid.Incarnation
-	owner  int
-	number mtpoison.Number
-	kills  int
+	t            *rapid.T
+	now          mtclock.Instant
+	tables       []*table
+	incarnations []mtid.Incarnation
+	owner        int
+	number       mtpoison.Number
+	crashes      int
 }
 
 func (f *fleet) holder(i int) mtid.Holder {
-	return mtid.Holder{Daemon: mtid.Daemon(fmt.Sprint(i)), Incarnation: f.lives[i]}
+	return mtid.Holder{Daemon: mtid.Daemon(fmt.Sprint(i)), Incarnation: f.incarnations[i]}
 }
 
 func (f *fleet) spread() {
@@ -251,73 +250,73 @@
 	}
 }
 
-// flying is a request on its way.
-type flying struct {
-	print   mtpoison.Print
-	ingress int
-	number  mtpoison.Number
+// request is one try of a request.
+type request struct {
+	fingerprint mtpoison.Print
+	ingress     int
+	number      mtpoison.Number
 }
 
-// batch sends requests to the owner at the same time. What is suspected runs
-// alone, after the rest.
-func (f *fleet) batch(reqs []flying) {
-	var together []flying
-	var lone []flying
+// batch sends requests to the owner at the same time. Suspects run alone, after the
+// others.
+func (f *fleet) batch(reqs []request) {
+	var unsuspected []request
+	var suspects []request
 	for _, r := range reqs {
-		hint := f.tables[r.ingress].Judge(f.now, r.print, false)
+		hint := f.tables[r.ingress].Judge(f.now, r.fingerprint, false)
 		if hint == mtpoison.Quarantined {
-			assert.Equal(f.t, r.print, poison, "an innocent request is quarantined")
+			assert.Equal(f.t, r.fingerprint, poison, "a harmless request is quarantined")
 			continue
 		}
-		verdict := f.tables[f.owner].Judge(f.now, r.print, hint == mtpoison.Suspect)
+		verdict := f.tables[f.owner].Judge(f.now, r.fingerprint, hint == mtpoison.Suspect)
 		f.number++
 		r.number = f.number
 		switch verdict {
 		case mtpoison.Clear:
-			together = append(together, r)
+			unsuspected = append(unsuspected, r)
 		case mtpoison.Suspect:
-			lone = append(lone, r)
+			suspects = append(suspects, r)
 		default:
-			assert.Equal(f.t, r.print, poison, "an innocent request is quarantined")
+			assert.Equal(f.t, r.fingerprint, poison, "a harmless request is quarantined")
 		}
 	}
-	if f.run(together, lone) {
+	if f.run(unsuspected, suspects) {
 		return
 	}
-	for i := range lone {
-		if f.run(lone[i:i+1], lone[i+1:]) {
+	for i := range suspects {
+		if f.run(suspects[i:i+1], suspects[i+1:]) {
 			return
 		}
 	}
 }
 
-// run runs requests at the owner while others wait there, and reports whether
+// run runs requests at the owner while others are queued there, and reports whether
 // the server was lost.
-func (f *fleet) run(running, waiting []flying) bool {
+func (f *fleet) run(running, waiting []request) bool {
 	f.now += mtclock.Instant(time.Millisecond)
 	owner := f.tables[f.owner]
-	alone := len(running) == 1 && owner.Judge(f.now, running[0].print, true) == mtpoison.Suspect
-	killed := false
+	alone := len(running) == 1 && owner.Judge(f.now, running[0].fingerprint, true) == mtpoison.Suspect
+	crashed := false
 	for _, r := range waiting {
-		f.tables[r.ingress].Relayed(r.number, f.holder(f.owner), r.print)
+		f.tables[r.ingress].Relayed(r.number, f.holder(f.owner), r.fingerprint)
 	}
 	for _, r := range running {
-		f.tables[r.ingress].Relayed(r.number, f.holder(f.owner), r.print)
-		owner.Started(r.number, r.print, alone)
+		f.tables[r.ingress].Relayed(r.number, f.holder(f.owner), r.fingerprint)
+		owner.Started(r.number, r.fingerprint, alone)
 		if alone {
 			f.tables[r.ingress].Begun(r.number)
 		}
-		killed = killed || r.print == poison
+		crashed = crashed || r.fingerprint == poison
 	}
-	if !killed {
+	if !crashed {
 		for _, r := range running {
 			owner.Ended(f.now, r.number, mtpoison.Whole)
 			f.tables[r.ingress].Returned(f.now, r.number, true)
 		}
 		return false
 	}
-	f.kills++
-	all := append(append([]flying(nil), running...), waiting...)
+	f.crashes++
+	all := append(append([]request(nil), running...), waiting...)
 	if rapid.Bool().Draw(f.t, "whole VM") {
 		f.loseVM(all)
 	} else {
@@ -327,7 +326,7 @@
 	return true
 }
 
-func (f *fleet) loseServer(running, all []flying) {
+func (f *fleet) loseServer(running, all []request) {
 	owner := f.tables[f.owner]
 	for _, r := range running {
 		owner.Ended(f.now, r.number, mtpoison.Broken)
@@ -341,10 +340,10 @@
 	}
 }
 
-func (f *fleet) loseVM(all []flying) {
+func (f *fleet) loseVM(all []request) {
 	lost := f.owner
-	gone := f.holder(lost)
-	f.lives[lost]++
+	revoked := f.holder(lost)
+	f.incarnations[lost]++
 	f.tables[lost] = mtpoison.New(mtpoison.Narrow{}, f.holder(lost), mtpoison.Limits{})
 	for _, r := range all {
 		if rapid.Bool().Draw(f.t, "connection breaks") {
@@ -352,43 +351,43 @@
 		}
 	}
 	for _, tb := range f.tables {
-		tb.HolderLost(f.now, gone)
+		tb.HolderLost(f.now, revoked)
 	}
 	f.owner = (f.owner + 1) % len(f.tables)
 }
 
-// One request crashes each server that runs it, sometimes with the whole VM.
-// Its caller, and the callers of innocent requests that were in flight beside
-// it, send theirs again through any daemon, several at once. Two servers fall at
-// most, and no innocent request is ever quarantined.
-func TestAPoisonRequestKillsTwoServersAtMost(t *testing.T) {
+// One request crashes every server that runs it, sometimes with the whole VM. Its
+// caller, and the callers of harmless requests that were in flight beside it, retry
+// through any daemon, several at once. At most two servers may crash, and no harmless
+// request may be quarantined.
+func TestPoisonRequestCrashesAtMostTwoServers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &fleet{t: t, owner: 0}
 		for i := range 4 {
-			f.lives = append(f.lives, 1)
+			f.incarnations = append(f.incarnations, 1)
 			f.tables = append(f.tables, mtpoison.New(mtpoison.Narrow{}, f.holder(i), mtpoison.Limits{}))
 		}
 		for range rapid.IntRange(1, 12).Draw(t, "batches") {
-			var reqs []flying
+			var reqs []request
 			for range rapid.IntRange(1, 8).Draw(t, "requests") {
 				ingress := rapid.IntRange(0, 3).Draw(t, "ingress")
 				if ingress == f.owner {
-					// A daemon's own relays fall with it: they have no evidence
-					// to give and no caller that could be answered.
+					// If the owner is the ingress too, its relays are lost with
+					// it: no evidence is left, and no caller can be answered.
 					ingress = (ingress + 1) % 4
 				}
-				reqs = append(reqs, flying{print: mtpoison.Print(rapid.IntRange(1, 4).Draw(t, "print")), ingress: ingress})
+				reqs = append(reqs, request{fingerprint: mtpoison.Print(rapid.IntRange(1, 4).Draw(t, "print")), ingress: ingress})
 			}
 			f.batch(reqs)
 			f.now += mtclock.Instant(time.Second)
 		}
-		assert.Assert(t, f.kills <= 2, "%d servers were lost", f.kills)
+		assert.Assert(t, f.crashes <= 2, "%d servers were lost", f.crashes)
 	})
 }
 
 func FuzzDecode(f *testing.F) {
 	tb := newTable("a")
-	crash(tb, 1, false, poison, innocent)
+	crash(tb, 1, false, poison, harmless)
 	crash(tb, 2, true, poison)
 	value, err := mtpoison.Encode(3, tb.Digest(3, 100))
 	assert.NilError(f, err)
@@ -412,7 +411,7 @@
 	})
 }
 
-// BenchmarkRequest is one request at an owner that suspects nothing.
+// BenchmarkRequest measures one request at an owner without suspects.
 func BenchmarkRequest(b *testing.B) {
 	tb := newTable("a")
 	n := mtpoison.Number(0)
--- a/core/mtpoison/recurring_test.go
+++ b/core/mtpoison/recurring_test.go
@@ -14,14 +14,14 @@
 	"magnoliaturn/core/mtpoison"
 )
 
-// suspecting is daemons that hear of each other's suspects as the records spread.
-type suspecting struct {
+// recurringFleet simulates daemons that exchange their suspects through records.
+type recurringFleet struct {
 	daemons []*mtpoison.Recurring
 	now     mtclock.Instant
 }
 
-func newSuspecting(size int) *suspecting {
-	f := &suspecting{now: mtclock.Instant(time.Hour)}
+func newRecurringFleet(size int) *recurringFleet {
+	f := &recurringFleet{now: mtclock.Instant(time.Hour)}
 	for range size {
 		f.daemons = append(f.daemons, mtpoison.NewRecurring())
 	}
@@ -30,14 +30,14 @@
 
 func name(i int) mtid.Daemon { return mtid.Daemon(fmt.Sprintf("vm-%03d", i)) }
 
-// lose loses the server of a daemon while the requests are in flight there, and
-// spreads its record.
-func (f *suspecting) lose(i int, prints ...mtpoison.Print) mtpoison.Suspects {
-	for _, p := range prints {
+// lose terminates the server of a daemon while the requests are in flight there, and
+// sends the daemon's suspects to all others.
+func (f *recurringFleet) lose(i int, fingerprints ...mtpoison.Print) mtpoison.Suspects {
+	for _, p := range fingerprints {
 		f.daemons[i].Began(p)
 	}
 	suspects := f.daemons[i].Lost(f.now, name(i))
-	for _, p := range prints {
+	for _, p := range fingerprints {
 		f.daemons[i].Ended(f.now, p, mtpoison.Broken)
 	}
 	for j, other := range f.daemons {
@@ -48,17 +48,17 @@
 	return suspects
 }
 
-// refused reports whether a daemon refuses a request for which another one asks.
-func (f *suspecting) refused(host, ingress int, p mtpoison.Print) bool {
+// refused reports whether host refuses a request that ingress sends to it.
+func (f *recurringFleet) refused(host, ingress int, p mtpoison.Print) bool {
 	proven := f.daemons[ingress].Proven(p)
 	return f.daemons[host].Quarantined(f.now, p, proven) > 0
 }
 
-// A request crashes each server that runs it, and its caller sends it again through
-// any daemon, to any server of 155. Innocent requests are in flight beside it, others at
-// each loss. The fourth server must not fall, and the innocent ones must be served.
-func TestARecurringRequestIsRefusedByAllAfterThreeLosses(t *testing.T) {
-	f := newSuspecting(155)
+// A request crashes every server that runs it, and its caller retries through any daemon
+// and at any of 155 servers. Different harmless requests are in flight beside it at each
+// loss. A fourth server must not crash, and the harmless requests must run.
+func TestRecurringRequestIsRefusedAfterThreeLosses(t *testing.T) {
+	f := newRecurringFleet(155)
 	random := rand.New(rand.NewPCG(1, 2))
 	lost := 0
 	for try := range 40 {
@@ -75,44 +75,45 @@
 	assert.Equal(t, lost, 3)
 }
 
-// All status checks look alike. A loss of power takes sixty servers a few moments after
-// they began, each with status checks in flight. Held to be the cause, the checks were
-// refused for minutes, and nobody could ever have an answer that showed otherwise.
-func TestARequestThatSomebodyHadAnAnswerToIsNotRefused(t *testing.T) {
-	f := newSuspecting(155)
+// All status checks have the same fingerprint. A power failure terminates sixty servers
+// shortly after they started, each with status checks in flight. The checks were held to be
+// the cause and refused for minutes, so that no answer could ever clear them.
+func TestAnsweredRequestIsNotRefused(t *testing.T) {
+	f := newRecurringFleet(155)
 	for i := range 60 {
-		f.lose(i, innocent)
+		f.lose(i, harmless)
 	}
-	assert.Assert(t, f.refused(100, 101, innocent), "nobody has had an answer yet")
-	f.daemons[101].Prove(innocent)
-	assert.Assert(t, !f.refused(100, 101, innocent), "the daemon that asks had one")
-	f.daemons[100].Began(innocent)
-	f.daemons[100].Ended(f.now, innocent, mtpoison.Whole)
-	assert.Assert(t, !f.refused(100, 102, innocent), "the server itself gave one")
-	assert.Equal(t, len(f.lose(101, innocent).Prints()), 0, "a later loss is not held against it")
+	assert.Assert(t, f.refused(100, 101, harmless), "not answered anywhere yet")
+	f.daemons[101].Prove(harmless)
+	assert.Assert(t, !f.refused(100, 101, harmless), "answered at the ingress")
+	f.daemons[100].Began(harmless)
+	f.daemons[100].Ended(f.now, harmless, mtpoison.Whole)
+	assert.Assert(t, !f.refused(100, 102, harmless), "answered at the host")
+	assert.Equal(t, len(f.lose(101, harmless).Prints()), 0, "suspected after a later loss")
 }
 
-// A request was in flight at three losses by chance. It runs again when too few of them
-// are recent, without anybody's help, and however often it was asked for.
-func TestAWrongSuspicionEndsByItself(t *testing.T) {
-	f := newSuspecting(4)
+// A harmless request was in flight at three losses by chance. It must run again when fewer
+// than three of them are recent, without intervention and however often it was refused.
+func TestRefusalEndsWhenLossesExpire(t *testing.T) {
+	f := newRecurringFleet(4)
 	for i := range 3 {
-		f.lose(i, innocent)
+		f.lose(i, harmless)
 		f.now = f.now.Add(time.Minute)
 	}
-	left := f.daemons[3].Quarantined(f.now, innocent, false)
+	left := f.daemons[3].Quarantined(f.now, harmless, false)
 	assert.Assert(t, left > 0)
 	for range 100 {
 		f.now = f.now.Add(left / 100)
-		_ = f.refused(3, 3, innocent)
+		_ = f.refused(3, 3, harmless)
 	}
 	f.now = f.now.Add(time.Second)
-	assert.Assert(t, !f.refused(3, 3, innocent), "the time that callers were told is over")
+	assert.Assert(t, !f.refused(3, 3, harmless), "still refused after the time returned to callers")
 }
 
-// The process of a server ends, and its daemon notices a moment after the connections
-// broke. What broke long before, or was answered or not run, has nothing to do with it.
-func TestWhatBrokeJustBeforeALossIsSuspected(t *testing.T) {
+// A server's process exits, and its daemon detects this shortly after the connections
+// broke. Requests whose connection broke long before, or that were answered, not run or
+// abandoned, must not become suspects.
+func TestConnectionsBrokenJustBeforeLossAreSuspected(t *testing.T) {
 	r := mtpoison.NewRecurring()
 	now := mtclock.Instant(time.Hour)
 	end := func(p mtpoison.Print, how mtpoison.End) {
@@ -130,9 +131,9 @@
 	assert.DeepEqual(t, r.Lost(now, "a").Prints(), []mtpoison.Print{11, 15})
 }
 
-// A record is at most so long, however many requests were in flight, and what somebody
-// else writes into one names no request and costs no memory.
-func TestSuspectsAreBoundedAndChecked(t *testing.T) {
+// A record stays short however many requests were in flight, and malformed suspects in a
+// record yield no fingerprints and take no memory.
+func TestSuspectsAreBoundedAndValidated(t *testing.T) {
 	r := mtpoison.NewRecurring()
 	for p := range mtpoison.Print(5000) {
 		r.Began(^p)
@@ -140,31 +141,31 @@
 	suspects := r.Lost(0, "a")
 	assert.Equal(t, len(suspects.Prints()), 16)
 	assert.Assert(t, len(suspects) < 300)
-	for _, foreign := range []mtpoison.Suspects{"", "x", "0:1", "1:x", "-1:2", "1:", "1:10000000000000000", mtpoison.Suspects("1" + string(make([]byte, 1<<20)))} {
-		assert.Equal(t, len(foreign.Prints()), 0, "%.20q", string(foreign))
+	for _, malformed := range []mtpoison.Suspects{"", "x", "0:1", "1:x", "-1:2", "1:", "1:10000000000000000", mtpoison.Suspects("1" + string(make([]byte, 1<<20)))} {
+		assert.Equal(t, len(malformed.Prints()), 0, "%.20q", string(malformed))
 	}
 }
 
-// Whatever the order in which records are heard, once or more often, all daemons that
-// heard the same refuse the same.
-func TestSuspectsAreHeardInAnyOrder(t *testing.T) {
+// Daemons that received the same records must refuse the same requests, whatever the
+// order and however often each record arrived.
+func TestSuspectsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		type word struct {
+		type report struct {
 			daemon   mtid.Daemon
 			suspects mtpoison.Suspects
 		}
-		var words []word
+		var reports []report
 		for i := range rapid.IntRange(1, 8).Draw(t, "losses") {
 			source := mtpoison.NewRecurring()
 			for range rapid.IntRange(1, 4).Draw(t, "in flight") {
 				source.Began(mtpoison.Print(rapid.IntRange(1, 5).Draw(t, "print")))
 			}
-			words = append(words, word{daemon: name(i), suspects: source.Lost(0, name(i))})
+			reports = append(reports, report{daemon: name(i), suspects: source.Lost(0, name(i))})
 		}
-		judge := func(order []int) [6]time.Duration {
+		refusals := func(order []int) [6]time.Duration {
 			r := mtpoison.NewRecurring()
 			for _, i := range order {
-				r.Heard(0, words[i].daemon, words[i].suspects)
+				r.Heard(0, reports[i].daemon, reports[i].suspects)
 			}
 			var left [6]time.Duration
 			for p := range left {
@@ -173,10 +174,10 @@
 			return left
 		}
 		var once []int
-		for i := range words {
+		for i := range reports {
 			once = append(once, i)
 		}
-		again := append(rapid.Permutation(once).Draw(t, "order"), rapid.SliceOf(rapid.IntRange(0, len(words)-1)).Draw(t, "again")...)
-		assert.DeepEqual(t, judge(once), judge(again))
+		again := append(rapid.Permutation(once).Draw(t, "order"), rapid.SliceOf(rapid.IntRange(0, len(reports)-1)).Draw(t, "again")...)
+		assert.DeepEqual(t, refusals(once), refusals(again))
 	})
 }
