--- a/core/mtrecent/cache.go
+++ b/core/mtrecent/cache.go
@@ -10,32 +10,31 @@
 	"magnoliaturn/core/mtreply"
 )
 
-// Memory is the policy that keeps non-idempotent requests from running twice.
-// Table is the one meant for service, Cache the plain one.
+// Memory is a policy that keeps non-idempotent requests from running twice. Table is
+// the one for production; Cache is the simple one that it is compared with.
 type Memory interface {
 	// Begin returns the verdict on a request.
 	Begin(now mtclock.Instant, wall time.Time, r Request, w Waiter) Verdict
-	// End says how a request that was let run has ended, and returns the resends
+	// End records how a request with the verdict Run ended, and returns the resends
 	// that wait for it.
-	End(now mtclock.Instant, name Name, o Outcome) []Waiter
-	// Grant makes the memory answer for a range that was taken over.
+	End(now mtclock.Instant, key Name, o Outcome) []Waiter
+	// Grant adds a range that was taken over from a lost owner.
 	Grant(low, high mtid.Point, at time.Time) error
-	// Revoke ends that it answers for a range.
+	// Revoke removes a range.
 	Revoke(low, high mtid.Point)
-	// Export returns what it knows of a range.
+	// Export returns the state of a range for its new owner.
 	Export(now mtclock.Instant, low, high mtid.Point) Handover
-	// Import makes it answer for a range with what another one knew.
+	// Import adds a range with the state that its previous owner exported.
 	Import(now mtclock.Instant, h Handover) error
 }
 
-// Cache is the plain memory: the identifiers seen last, the oldest forgotten
-// for the newest. It doesn't ask what it may have forgotten, and knows nothing
-// of earlier owners.
+// Cache is an LRU cache of the identifiers seen last. It runs an identifier that it
+// has evicted again, and has no state from previous owners.
 type Cache struct{ seen *lru.Cache[Name, *Answer] }
 
-// NewCache returns an empty cache of that many identifiers, at least one.
+// NewCache returns an empty cache for that many identifiers, at least one.
 func NewCache(count int) *Cache {
-	seen, _ := lru.New[Name, *Answer](max(count, 1)) // fails for a size below one only
+	seen, _ := lru.New[Name, *Answer](max(count, 1)) // the error is for sizes below one only
 	return &Cache{seen: seen}
 }
 
@@ -53,12 +52,12 @@
 }
 
 // End implements Memory.
-func (c *Cache) End(_ mtclock.Instant, name Name, o Outcome) []Waiter {
+func (c *Cache) End(_ mtclock.Instant, key Name, o Outcome) []Waiter {
 	if o.What == mtreply.NotRun {
-		c.seen.Remove(name)
+		c.seen.Remove(key)
 		return nil
 	}
-	c.seen.Add(name, o.Answer)
+	c.seen.Add(key, o.Answer)
 	return nil
 }
 
--- a/core/mtrecent/codec.go
+++ b/core/mtrecent/codec.go
@@ -11,7 +11,7 @@
 	"magnoliaturn/core/mtwire"
 )
 
-// DecodeError says that a handover can't be read.
+// DecodeError reports that a handover from another daemon cannot be decoded.
 type DecodeError struct {
 	Reason string
 	Err    error
@@ -20,15 +20,15 @@
 // Error implements error.
 func (e *DecodeError) Error() string {
 	if e.Err == nil {
-		return "recent: handover can't be read: " + e.Reason
+		return "recent: cannot decode handover: " + e.Reason
 	}
-	return fmt.Sprintf("recent: handover can't be read: %s: %v", e.Reason, e.Err)
+	return fmt.Sprintf("recent: cannot decode handover: %s: %v", e.Reason, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying protobuf, identifier or range error, or nil.
 func (e *DecodeError) Unwrap() error { return e.Err }
 
-// Encode returns the form of h that daemons exchange.
+// Encode serializes h for another daemon.
 func Encode(h Handover) ([]byte, error) {
 	w := &mtwire.Recent{Low: uint64(h.Low), High: uint64(h.High)}
 	for _, s := range h.Spans {
@@ -40,12 +40,12 @@
 	return proto.MarshalOptions{Deterministic: true}.Marshal(w)
 }
 
-// Decode reads a handover. It fails with a *DecodeError, also where the
-// handover is readable but not one well-formed range.
+// Decode parses and validates a handover. Errors are of type *DecodeError; they include
+// a well-formed message whose spans or entries are not within one range.
 func Decode(value []byte) (Handover, error) {
 	w := &mtwire.Recent{}
 	if err := proto.Unmarshal(value, w); err != nil {
-		return Handover{}, &DecodeError{Reason: "not a handover", Err: err}
+		return Handover{}, &DecodeError{Reason: "malformed message", Err: err}
 	}
 	h := Handover{Low: mtid.Point(w.GetLow()), High: mtid.Point(w.GetHigh())}
 	for _, s := range w.GetSpans() {
@@ -59,7 +59,7 @@
 		h.Entries = append(h.Entries, e)
 	}
 	if err := h.check(); err != nil {
-		return Handover{}, &DecodeError{Reason: "not one range", Err: err}
+		return Handover{}, &DecodeError{Reason: "invalid range", Err: err}
 	}
 	return h, nil
 }
@@ -81,16 +81,16 @@
 	return w
 }
 
-// maxAge bounds the age of an entry, so that no sum with it overflows.
+// maxAge bounds the age of a decoded entry, so that arithmetic on it can't overflow.
 const maxAge = 24 * time.Hour
 
 func readEntry(w *mtwire.RecentEntry) (Entry, error) {
 	id, err := uuid.FromBytes(w.GetId())
 	if err != nil {
-		return Entry{}, &DecodeError{Reason: "identifier", Err: err}
+		return Entry{}, &DecodeError{Reason: "invalid identifier", Err: err}
 	}
 	if w.GetAgeMs() < 0 || w.GetAgeMs() > maxAge.Milliseconds() {
-		return Entry{}, &DecodeError{Reason: "age out of range"}
+		return Entry{}, &DecodeError{Reason: fmt.Sprintf("entry age of %d ms is not within 0 to %d ms", w.GetAgeMs(), maxAge.Milliseconds())}
 	}
 	e := Entry{
 		Name:        Name{Point: mtid.Point(w.GetPoint()), ID: id},
--- a/core/mtrecent/mtrecent.go
+++ b/core/mtrecent/mtrecent.go
@@ -1,44 +1,44 @@
-// Package mtrecent remembers, at the owner of a key, the identifiers of the
-// non-idempotent requests that it has run lately, so that none runs twice.
+// Package mtrecent deduplicates non-idempotent requests. The owner of a key retains
+// the identifiers of the requests that it ran recently, so that none runs twice.
 //
-// # What a Table promises
+// # Guarantee
 //
-// Within the time that a Table knows of, an identifier is run at most once. For
-// what lies before it, the Table says that it doesn't know. It has three limits
-// of knowledge, all expressed in the time that a UUIDv7 carries:
+// A Table runs an identifier at most once within the period that it has records of.
+// For an identifier from before that period, the outcome is unknown. Three rules,
+// all on the time within a UUIDv7, limit the period:
 //
-//   - The grant: a range that was taken over from a lost owner starts with no
-//     memory. What that owner may have run was minted no later than the grant
-//     plus twice the allowed skew: once for the identifier's lead over the lost
-//     owner's clock, once for that clock's lead over this one's. One skew alone
-//     would not do.
-//   - The horizon: entries are forgotten Keep after they ended. The newest
-//     identifier that was ever forgotten marks the horizon, and what isn't newer
-//     counts as unknown. The horizon moves by what was forgotten and by nothing
-//     else, so that no jump of the wall clock can open a gap.
+//   - The grant: a range that was taken over from a lost owner starts without
+//     records. The identifiers that the lost owner may have run were minted no
+//     later than the grant plus twice the allowed skew: once for the identifier's
+//     lead over the lost owner's clock, once for that clock's lead over this one.
+//     A single skew is not enough.
+//   - The horizon: entries expire Keep after they ended. The newest identifier that
+//     has expired is the horizon, and an identifier that isn't newer counts as
+//     unknown. Only expired entries move the horizon, so that no jump of the wall
+//     clock can open a gap.
 //   - The future: an identifier that leads this clock by more than the skew is
-//     refused. If it were run, the first rule would not cover it, and a new
-//     owner would run it again once its clock had caught up. This holds for
-//     identifiers of the ingress too.
+//     refused. If it ran, the first rule would not cover it, and a new owner would
+//     run it again once its clock had caught up. This applies to identifiers that
+//     the ingress minted, too.
 //
-// An identifier that the ingress minted for this very request is known to be
-// new, hence passes the first two rules; the caller's resend of it does not.
+// An identifier that the ingress minted for the request at hand is new, so the first
+// two rules don't apply to it; they do apply when the caller resends it.
 //
-// A full Table refuses new requests; it never forgets early.
+// A full Table refuses new requests; it never drops an entry early.
 //
 // # Usage
 //
 //	table := mtrecent.New(limits)
-//	table.Grant(low, high, wall)                  // taken over; or table.Import
+//	table.Grant(low, high, wall)                  // after a takeover; or table.Import
 //	verdict := table.Begin(now, wall, request, waiter)
 //	switch verdict.Kind {
 //	case mtrecent.Run:    // run it, then waiters := table.End(now, request.Name, outcome)
-//	case mtrecent.Wait:   // it runs already: End returns waiter
+//	case mtrecent.Wait:   // it is running: the End of the first try returns waiter
 //	case mtrecent.Replay: // answer with verdict.Answer
 //	case mtrecent.Refuse: // answer with verdict.Err
 //	}
 //
-// The clock is read by the caller: now ages entries, wall is compared with
+// The caller reads the clocks: now expires entries, wall is compared with the time of
 // identifiers. A Table isn't safe for concurrent use.
 package mtrecent
 
@@ -52,73 +52,74 @@
 	"magnoliaturn/core/mtreply"
 )
 
-// Name tells requests apart: an identifier counts per key, so that one caller's
-// identifier can't collide with another's on a key that moves here later.
+// Name identifies a request. Identifiers are scoped to the point of the key, so that
+// one caller's identifier can't collide with another's on a key that moves here later.
 type Name struct {
 	Point mtid.Point
 	ID    uuid.UUID
 }
 
-// Fingerprint is a hash of what the request asks for: service, key, class,
-// method, path and body.
+// Fingerprint is a hash of the content of a request: service, key, class, method, path
+// and body.
 type Fingerprint uint64
 
-// Waiter names a resend that waits for the first one's answer. The caller of
-// the Table chooses it.
+// Waiter identifies a resend that waits for the answer to the first try. The caller of
+// the Table assigns it.
 type Waiter uint64
 
-// Request is what the Table looks at.
+// Request holds the properties of a request on which its verdict depends.
 type Request struct {
 	Name        Name
 	Fingerprint Fingerprint
-	// Minted says that the ingress made the identifier for this very request.
-	// It must be false for whatever a caller sent.
+	// Minted is set if the ingress generated the identifier for this request. It
+	// must be false if the caller sent the identifier.
 	Minted bool
 }
 
-// Answer is a whole reply of the backend server.
+// Answer is a complete reply of the backend server.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// size is what keeping the answer costs.
+// size returns the memory that retaining the answer takes.
 func (a *Answer) size() int { return len(a.Body) + len(a.ContentType) + answerOverhead }
 
-// answerOverhead is the memory of an Answer beside its contents.
+// answerOverhead is the size of an Answer without its contents.
 const answerOverhead = 48
 
-// Kind says what to do with a request.
+// Kind is the action to take on a request.
 type Kind uint8
 
 // The kinds of verdict.
 const (
-	Run    Kind = iota + 1 // it is new: run it, and call End whatever happens
-	Wait                   // it runs already: End will return the waiter
-	Replay                 // it has run: send the kept answer
-	Refuse                 // send Err
+	Run    Kind = iota + 1 // it is new: run it, and call End in any case
+	Wait                   // it is running: End will return the waiter
+	Replay                 // it has run: send the retained answer
+	Refuse                 // reply with Err
 )
 
-// Verdict is the Table's word on a request. Err is a *mtreply.RefusedError or a
-// *mtreply.UnknownError.
+// Verdict is the Table's decision on a request. Answer is set for Replay. Err is set
+// for Refuse, to a *mtreply.RefusedError or a *mtreply.UnknownError.
 type Verdict struct {
 	Kind   Kind
 	Answer *Answer
 	Err    error
 }
 
-// Limits bound a Table. Zero fields take the defaults.
+// Limits bound the size of a Table and the age of its entries. Zero fields take the
+// defaults.
 type Limits struct {
-	Keep    time.Duration // how long an ended request is remembered
-	Skew    time.Duration // bound of the difference between the clocks of two VMs
-	Count   int           // identifiers remembered, those running included
-	Answer  int           // bytes of the largest answer that is kept
-	Answers int           // bytes of all kept answers
-	Waiters int           // resends that may wait for one request
+	Keep    time.Duration // how long the entry of an ended request is retained
+	Skew    time.Duration // maximum difference between the clocks of two VMs
+	Count   int           // maximum number of entries, running requests included
+	Answer  int           // maximum body of a retained answer, in bytes
+	Answers int           // maximum total size of the retained answers, in bytes
+	Waiters int           // maximum number of resends waiting for one request
 }
 
-// Defaults of Limits.
+// Defaults for the fields of Limits.
 const (
 	DefaultKeep    = 60 * time.Second
 	DefaultSkew    = 250 * time.Millisecond
@@ -128,93 +129,93 @@
 	DefaultWaiters = 16
 )
 
-// state is what is known of an entry.
+// state is the progress of the request of an entry.
 type state uint8
 
 const (
 	running  state = iota
-	answered       // it ran to its end; the answer may be kept
+	answered       // the server answered; the answer may be retained
 	unknown        // it may have run
 )
 
-// entry is one remembered identifier.
+// entry is the record of one identifier.
 type entry struct {
-	name   Name
-	print  Fingerprint
-	ended  mtclock.Instant
-	answer *Answer
-	state  state
+	key         Name
+	fingerprint Fingerprint
+	ended       mtclock.Instant
+	answer      *Answer
+	state       state
 }
 
-// Table is the memory of one owner. See the package comment.
+// Table holds the recent requests of one owner. See the package comment.
 type Table struct {
 	limits  Limits
 	entries map[Name]*entry
 	waiters map[Name][]Waiter
 	ended   queue // by time of end, oldest first
 	ranges  []span
-	horizon int64 // newest identifier time that was forgotten, in milliseconds
-	bytes   int   // of kept answers
+	horizon int64 // newest time of an expired identifier, in milliseconds
+	bytes   int   // total size of the retained answers
 }
 
-// New returns an empty Table that owns nothing.
+// New returns an empty Table that covers no range.
 func New(limits Limits) *Table {
 	return &Table{
-		limits:  limits.filled(),
+		limits:  limits.withDefaults(),
 		entries: make(map[Name]*entry),
 		waiters: make(map[Name][]Waiter),
 		horizon: noHorizon,
 	}
 }
 
-// filled returns l with its zero fields set to the defaults.
-func (l Limits) filled() Limits {
-	fill(&l.Keep, DefaultKeep)
-	fill(&l.Skew, DefaultSkew)
-	fill(&l.Count, DefaultCount)
-	fill(&l.Answer, DefaultAnswer)
-	fill(&l.Answers, DefaultAnswers)
-	fill(&l.Waiters, DefaultWaiters)
+// withDefaults returns l with its zero fields set to the defaults.
+func (l Limits) withDefaults() Limits {
+	setDefault(&l.Keep, DefaultKeep)
+	setDefault(&l.Skew, DefaultSkew)
+	setDefault(&l.Count, DefaultCount)
+	setDefault(&l.Answer, DefaultAnswer)
+	setDefault(&l.Answers, DefaultAnswers)
+	setDefault(&l.Waiters, DefaultWaiters)
 	return l
 }
 
-// fill sets a zero field to its default.
-func fill[T comparable](field *T, value T) {
+// setDefault sets a zero field to value.
+func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
 		*field = value
 	}
 }
 
-// Len returns how many identifiers are remembered.
+// Len returns the number of entries.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Bytes returns the size of the kept answers.
+// Bytes returns the total size of the retained answers.
 func (t *Table) Bytes() int { return t.bytes }
 
-// Begin is called for each non-idempotent request before it is admitted. The
-// waiter is kept only if the verdict is Wait.
+// Begin returns the verdict on a non-idempotent request, before the request is
+// admitted. The waiter is stored only if the verdict is Wait.
 func (t *Table) Begin(now mtclock.Instant, wall time.Time, r Request, w Waiter) Verdict {
 	t.Expire(now)
 	if r.Name.ID.Version() != 7 {
 		return refuse(mtreply.CauseMalformed, never, "the identifier is not a UUIDv7")
 	}
 	if e, ok := t.entries[r.Name]; ok {
-		return t.again(e, r, w)
+		return t.resent(e, r, w)
 	}
-	if v, barred := t.barred(wall, r); barred {
+	if v, rejected := t.rejected(wall, r); rejected {
 		return v
 	}
 	if len(t.entries) >= t.limits.Count {
-		return refuse(mtreply.CauseRecentFull, t.untilRoom(now), "")
+		return refuse(mtreply.CauseRecentFull, t.untilCapacity(now), "")
 	}
-	t.entries[r.Name] = &entry{name: r.Name, print: r.Fingerprint, state: running}
+	t.entries[r.Name] = &entry{key: r.Name, fingerprint: r.Fingerprint, state: running}
 	return Verdict{Kind: Run}
 }
 
-// again returns the verdict on a request whose identifier is remembered.
-func (t *Table) again(e *entry, r Request, w Waiter) Verdict {
-	if e.print != r.Fingerprint {
+// resent returns the verdict on a request whose identifier has an entry.
+func (t *Table) resent(e *entry, r Request, w Waiter) Verdict {
+	if e.fingerprint != r.Fingerprint {
 		return refuse(mtreply.CauseMalformed, never, "the identifier belongs to another request")
 	}
 	switch {
@@ -226,26 +227,26 @@
 	return unknownVerdict(mtreply.CauseEarlier)
 }
 
-// wait lets a resend wait for the request that runs.
+// wait adds a resend to the waiters of a running request. If too many wait already, the
+// resend gets an unknown outcome.
 func (t *Table) wait(e *entry, w Waiter) Verdict {
-	if len(t.waiters[e.name]) >= t.limits.Waiters {
+	if len(t.waiters[e.key]) >= t.limits.Waiters {
 		return unknownVerdict(mtreply.CauseEarlier)
 	}
-	t.waiters[e.name] = append(t.waiters[e.name], w)
+	t.waiters[e.key] = append(t.waiters[e.key], w)
 	return Verdict{Kind: Wait}
 }
 
-// barred returns the verdict on a request that isn't remembered and must not
-// run.
-func (t *Table) barred(wall time.Time, r Request) (Verdict, bool) {
+// rejected returns the verdict on a request that has no entry, if it must not run.
+func (t *Table) rejected(wall time.Time, r Request) (Verdict, bool) {
 	s, ok := t.find(r.Name.Point)
 	if !ok {
 		return refuse(mtreply.CauseStaleRoute, 0, ""), true
 	}
 	minted := Millis(r.Name.ID)
-	// What an earlier owner may have run comes before the look into the future:
-	// just after a takeover both can hold, since the lost owner's clock may have
-	// led this one, and "not run" would then be false.
+	// The horizons are checked before the lead over the clock: just after a takeover
+	// both rules can apply, since the lost owner's clock may have led this one, and
+	// replying "not run" would then be false.
 	if !r.Minted && minted <= s.horizon {
 		return unknownVerdict(mtreply.CauseTakenOver), true
 	}
@@ -258,8 +259,8 @@
 	return Verdict{}, false
 }
 
-// untilRoom returns how long until the next identifier is forgotten.
-func (t *Table) untilRoom(now mtclock.Instant) time.Duration {
+// untilCapacity returns the time until the next entry expires.
+func (t *Table) untilCapacity(now mtclock.Instant) time.Duration {
 	e, ok := t.ended.oldest()
 	if !ok {
 		return t.limits.Keep
@@ -267,30 +268,30 @@
 	return max(e.ended.Add(t.limits.Keep).Sub(now), time.Millisecond)
 }
 
-// Outcome is how a request that Begin let run has ended. Answer may be nil
-// unless What is mtreply.Answered.
+// Outcome describes how a request with the verdict Run ended. Answer may be nil unless
+// What is mtreply.Answered.
 type Outcome struct {
 	What   mtreply.Outcome
 	Answer *Answer
 }
 
-// End says how a request that was let run has ended, and returns the resends
-// that wait for it: they get the same answer. A request that was proved not run
-// is forgotten, since it may be sent again.
-func (t *Table) End(now mtclock.Instant, name Name, o Outcome) []Waiter {
-	e, ok := t.entries[name]
+// End records how a request with the verdict Run ended, and returns the resends that
+// wait for it, which get the same answer. The entry of a request that did not run is
+// removed, so that a resend may run.
+func (t *Table) End(now mtclock.Instant, key Name, o Outcome) []Waiter {
+	e, ok := t.entries[key]
 	if !ok || e.state != running {
 		return nil
 	}
-	waiters := t.waiters[name]
-	delete(t.waiters, name)
+	waiters := t.waiters[key]
+	delete(t.waiters, key)
 	switch o.What {
 	case mtreply.NotRun:
-		delete(t.entries, name)
+		delete(t.entries, key)
 		return waiters
 	case mtreply.Answered:
 		e.state = answered
-		t.keep(e, o.Answer)
+		t.retain(e, o.Answer)
 	default:
 		e.state = unknown
 	}
@@ -299,20 +300,20 @@
 	return waiters
 }
 
-// Leave takes a waiter back whose caller went away or whose deadline passed.
-func (t *Table) Leave(name Name, w Waiter) {
-	waiters := t.waiters[name]
+// Leave removes a waiter whose caller disconnected or whose deadline passed.
+func (t *Table) Leave(key Name, w Waiter) {
+	waiters := t.waiters[key]
 	for i, other := range waiters {
 		if other == w {
-			t.waiters[name] = append(waiters[:i], waiters[i+1:]...)
+			t.waiters[key] = append(waiters[:i], waiters[i+1:]...)
 			return
 		}
 	}
 }
 
-// keep keeps an answer if there is room. Without it a resend is told that the
-// outcome is unknown, never that the request wasn't run.
-func (t *Table) keep(e *entry, a *Answer) {
+// retain stores an answer if it is within the limits. A resend without a stored answer
+// gets an unknown outcome, never "not run".
+func (t *Table) retain(e *entry, a *Answer) {
 	if a == nil || len(a.Body) > t.limits.Answer || t.bytes+a.size() > t.limits.Answers {
 		return
 	}
@@ -320,8 +321,8 @@
 	t.bytes += a.size()
 }
 
-// Expire forgets what ended longer than Keep ago. Begin calls it; a quiet owner
-// calls it now and then to free memory.
+// Expire removes the entries that ended Keep or longer ago. Begin calls it; an idle
+// owner calls it periodically to free memory.
 func (t *Table) Expire(now mtclock.Instant) {
 	for {
 		e, ok := t.ended.oldest()
@@ -329,30 +330,30 @@
 			return
 		}
 		t.ended.pop()
-		t.forget(e)
+		t.expire(e)
 	}
 }
 
-// forget removes an entry for good and moves the horizon over it.
-func (t *Table) forget(e *entry) {
-	// An entry that was replaced or dropped with its range is in the queue
-	// still, but no longer the one that counts.
-	if t.entries[e.name] != e {
+// expire removes an entry and advances the horizon to its identifier.
+func (t *Table) expire(e *entry) {
+	// An entry that was replaced, or removed with its range, stays in the queue
+	// but no longer counts.
+	if t.entries[e.key] != e {
 		return
 	}
-	t.horizon = max(t.horizon, Millis(e.name.ID))
+	t.horizon = max(t.horizon, Millis(e.key.ID))
 	t.remove(e)
 }
 
-// remove takes an entry out of the memory.
+// remove deletes an entry and releases its answer.
 func (t *Table) remove(e *entry) {
-	delete(t.entries, e.name)
+	delete(t.entries, e.key)
 	if e.answer != nil {
 		t.bytes -= e.answer.size()
 	}
 }
 
-// Millis returns the time that a UUIDv7 carries, in milliseconds since 1970.
+// Millis returns the time within a UUIDv7, in milliseconds since 1970.
 func Millis(id uuid.UUID) int64 {
 	var ms int64
 	for _, b := range id[:6] {
@@ -361,16 +362,16 @@
 	return ms
 }
 
-// never is the RetryAfter of what won't get better.
+// never is the RetryAfter of a request that a retry cannot help.
 const never = -1
 
-// refuse returns the verdict that refuses a request as not run.
+// refuse returns the verdict for a request that is refused without running.
 func refuse(cause mtreply.Cause, retryAfter time.Duration, detail string) Verdict {
 	err := &mtreply.RefusedError{Cause: cause, RetryAfter: retryAfter, Detail: detail}
 	return Verdict{Kind: Refuse, Err: err}
 }
 
-// unknownVerdict returns the verdict that the request may have run.
+// unknownVerdict returns the verdict for a request that may have run.
 func unknownVerdict(cause mtreply.Cause) Verdict {
 	return Verdict{Kind: Refuse, Err: &mtreply.UnknownError{Cause: cause}}
 }
--- a/core/mtrecent/mtrecent_test.go
+++ b/core/mtrecent/mtrecent_test.go
@@ -16,8 +16,7 @@
 
 const last = ^mtid.Point(0)
 
-// owned returns a table that answers for the whole ring, which had no owner
-// before.
+// owned returns a table that covers the whole ring, which had no owner before.
 func owned(t *testing.T, limits mtrecent.Limits) *mtrecent.Table {
 	t.Helper()
 	table := mtrecent.New(limits)
@@ -25,8 +24,8 @@
 	return table
 }
 
-// word returns the kind of a verdict, or the cause of its refusal.
-func word(v mtrecent.Verdict) string {
+// verdictText returns the kind of a verdict, or the outcome and cause of its refusal.
+func verdictText(v mtrecent.Verdict) string {
 	var refused *mtreply.RefusedError
 	var unknown *mtreply.UnknownError
 	switch {
@@ -42,48 +41,47 @@
 	return mtrecent.Request{Name: mtrecent.Name{Point: 7, ID: mint(at, n)}, Fingerprint: 1}
 }
 
-// A payment is sent, and sent again while it runs, after its end, with another
-// body, and after its answer was forgotten. The account is debited once, and
-// each time the adviser reads what is true.
-func TestResendsGetTheTruth(t *testing.T) {
+// A payment is resent while it runs, after it ended, with another body, and after its
+// entry expired. It must run once, and no resend may get a false reply.
+func TestResendVerdictFollowsOutcome(t *testing.T) {
 	small := &mtrecent.Answer{Status: 201, Body: []byte("paid")}
 	large := &mtrecent.Answer{Status: 201, Body: make([]byte, 200)}
 	tests := []struct {
-		name  string
-		end   *mtrecent.Outcome
-		after time.Duration
-		print mtrecent.Fingerprint
-		want  string
+		name        string
+		end         *mtrecent.Outcome
+		after       time.Duration
+		fingerprint mtrecent.Fingerprint
+		want        string
 	}{
 		{"while it runs", nil, 0, 1, "wait"},
 		{"while it runs, another body", nil, 0, 2, "not-run malformed"},
 		{"after its answer", &mtrecent.Outcome{What: mtreply.Answered, Answer: small}, 0, 1, "replay"},
 		{"after its answer, another body", &mtrecent.Outcome{What: mtreply.Answered, Answer: small}, 0, 2, "not-run malformed"},
-		{"after an answer too large to keep", &mtrecent.Outcome{What: mtreply.Answered, Answer: large}, 0, 1, "unknown earlier"},
+		{"after an answer too large to retain", &mtrecent.Outcome{What: mtreply.Answered, Answer: large}, 0, 1, "unknown earlier"},
 		{"after it was not run", &mtrecent.Outcome{What: mtreply.NotRun}, 0, 1, "run"},
 		{"after an unknown outcome", &mtrecent.Outcome{What: mtreply.Unknown}, 0, 1, "unknown earlier"},
-		{"just before it is forgotten", &mtrecent.Outcome{What: mtreply.Answered, Answer: small}, keep - 1, 1, "replay"},
-		{"once it is forgotten", &mtrecent.Outcome{What: mtreply.Answered, Answer: small}, keep, 1, "unknown earlier"},
+		{"just before its entry expires", &mtrecent.Outcome{What: mtreply.Answered, Answer: small}, retention - 1, 1, "replay"},
+		{"once its entry has expired", &mtrecent.Outcome{What: mtreply.Answered, Answer: small}, retention, 1, "unknown earlier"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			table := owned(t, mtrecent.Limits{Keep: keep, Skew: skew, Answer: 100})
+			table := owned(t, mtrecent.Limits{Keep: retention, Skew: skew, Answer: 100})
 			r := request(epoch, 1)
-			assert.Equal(t, word(table.Begin(0, epoch, r, 1)), "run")
+			assert.Equal(t, verdictText(table.Begin(0, epoch, r, 1)), "run")
 			if tt.end != nil {
 				table.End(0, r.Name, *tt.end)
 			}
-			r.Fingerprint = tt.print
-			got := word(table.Begin(mtclock.Instant(tt.after), epoch.Add(tt.after), r, 2))
+			r.Fingerprint = tt.fingerprint
+			got := verdictText(table.Begin(mtclock.Instant(tt.after), epoch.Add(tt.after), r, 2))
 			assert.Equal(t, got, tt.want)
 		})
 	}
 }
 
-// An owner is lost with a send order in flight, and another daemon takes its
-// shard over. The desk sends the order again. Whatever the three clocks show
-// within their bound, no second robot leaves, and a new order does leave.
-func TestAfterATakeover(t *testing.T) {
+// An owner is lost while it runs a request, another daemon takes over its shard, and the
+// caller resends the request. Whatever the three clocks show within the allowed skew, the
+// new owner must not run the resend, and must run a new request.
+func TestIdentifiersAfterTakeover(t *testing.T) {
 	granted := epoch
 	tests := []struct {
 		name   string
@@ -103,65 +101,65 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			table := mtrecent.New(mtrecent.Limits{Keep: keep, Skew: skew})
+			table := mtrecent.New(mtrecent.Limits{Keep: retention, Skew: skew})
 			assert.NilError(t, table.Grant(0, last, granted))
 			r := request(granted.Add(tt.lead), 1)
 			r.Minted = tt.minted
-			got := word(table.Begin(mtclock.Instant(tt.after), granted.Add(tt.after), r, 1))
+			got := verdictText(table.Begin(mtclock.Instant(tt.after), granted.Add(tt.after), r, 1))
 			assert.Equal(t, got, tt.want)
 		})
 	}
 }
 
-func TestFullTableRefusesAndForgetsNothing(t *testing.T) {
-	table := owned(t, mtrecent.Limits{Keep: keep, Skew: skew, Count: 2})
+func TestFullTableRefusesAndDropsNoEntry(t *testing.T) {
+	table := owned(t, mtrecent.Limits{Keep: retention, Skew: skew, Count: 2})
 	first, second, third := request(epoch, 1), request(epoch, 2), request(epoch, 3)
 	for _, r := range []mtrecent.Request{first, second} {
-		assert.Equal(t, word(table.Begin(0, epoch, r, 1)), "run")
+		assert.Equal(t, verdictText(table.Begin(0, epoch, r, 1)), "run")
 		table.End(0, r.Name, mtrecent.Outcome{What: mtreply.Unknown})
 	}
-	v := table.Begin(mtclock.Instant(keep/2), epoch, third, 1)
+	v := table.Begin(mtclock.Instant(retention/2), epoch, third, 1)
 	var refused *mtreply.RefusedError
 	assert.Assert(t, errors.As(v.Err, &refused))
 	assert.Equal(t, refused.Cause, mtreply.CauseRecentFull)
-	assert.Equal(t, refused.RetryAfter, keep/2)
-	assert.Equal(t, word(table.Begin(mtclock.Instant(keep/2), epoch, first, 1)), "unknown earlier")
-	late := epoch.Add(keep)
-	assert.Equal(t, word(table.Begin(mtclock.Instant(keep), late, request(late, 3), 1)), "run")
+	assert.Equal(t, refused.RetryAfter, retention/2)
+	assert.Equal(t, verdictText(table.Begin(mtclock.Instant(retention/2), epoch, first, 1)), "unknown earlier")
+	late := epoch.Add(retention)
+	assert.Equal(t, verdictText(table.Begin(mtclock.Instant(retention), late, request(late, 3), 1)), "run")
 }
 
-// A clock that is set an hour ahead and back again must neither make the owner
-// forget an order nor make it refuse the orders of the next hour.
-func TestWallClockJump(t *testing.T) {
-	table := owned(t, mtrecent.Limits{Keep: keep, Skew: skew})
+// A wall clock that jumps an hour ahead and back must neither make the owner lose the
+// entry of a request nor make it refuse the requests of the next hour.
+func TestWallClockJumpKeepsEntries(t *testing.T) {
+	table := owned(t, mtrecent.Limits{Keep: retention, Skew: skew})
 	r := request(epoch, 1)
-	assert.Equal(t, word(table.Begin(0, epoch.Add(time.Hour), r, 1)), "run")
+	assert.Equal(t, verdictText(table.Begin(0, epoch.Add(time.Hour), r, 1)), "run")
 	table.End(0, r.Name, mtrecent.Outcome{What: mtreply.Unknown})
-	assert.Equal(t, word(table.Begin(1, epoch.Add(-time.Hour), r, 1)), "unknown earlier")
-	assert.Equal(t, word(table.Begin(2, epoch.Add(time.Second), request(epoch.Add(time.Second), 2), 1)), "run")
+	assert.Equal(t, verdictText(table.Begin(1, epoch.Add(-time.Hour), r, 1)), "unknown earlier")
+	assert.Equal(t, verdictText(table.Begin(2, epoch.Add(time.Second), request(epoch.Add(time.Second), 2), 1)), "run")
 }
 
 func TestWaitersAreReturnedOnce(t *testing.T) {
-	table := owned(t, mtrecent.Limits{Keep: keep, Skew: skew, Waiters: 2})
+	table := owned(t, mtrecent.Limits{Keep: retention, Skew: skew, Waiters: 2})
 	r := request(epoch, 1)
-	assert.Equal(t, word(table.Begin(0, epoch, r, 1)), "run")
-	assert.Equal(t, word(table.Begin(0, epoch, r, 2)), "wait")
-	assert.Equal(t, word(table.Begin(0, epoch, r, 3)), "wait")
-	assert.Equal(t, word(table.Begin(0, epoch, r, 4)), "unknown earlier")
+	assert.Equal(t, verdictText(table.Begin(0, epoch, r, 1)), "run")
+	assert.Equal(t, verdictText(table.Begin(0, epoch, r, 2)), "wait")
+	assert.Equal(t, verdictText(table.Begin(0, epoch, r, 3)), "wait")
+	assert.Equal(t, verdictText(table.Begin(0, epoch, r, 4)), "unknown earlier")
 	table.Leave(r.Name, 2)
 	outcome := mtrecent.Outcome{What: mtreply.Answered}
 	assert.DeepEqual(t, table.End(0, r.Name, outcome), []mtrecent.Waiter{3})
 	assert.Equal(t, len(table.End(0, r.Name, outcome)), 0)
 }
 
-func TestImportThatDoesNotFitChangesNothing(t *testing.T) {
-	from := owned(t, mtrecent.Limits{Keep: keep, Skew: skew})
+func TestImportBeyondCapacityChangesNothing(t *testing.T) {
+	from := owned(t, mtrecent.Limits{Keep: retention, Skew: skew})
 	for n := range 3 {
 		r := request(epoch, n)
 		from.Begin(0, epoch, r, 1)
 		from.End(0, r.Name, mtrecent.Outcome{What: mtreply.Answered})
 	}
-	to := mtrecent.New(mtrecent.Limits{Keep: keep, Skew: skew, Count: 2})
+	to := mtrecent.New(mtrecent.Limits{Keep: retention, Skew: skew, Count: 2})
 	err := to.Import(0, from.Export(0, 0, 100))
 	var full *mtrecent.FullError
 	assert.Assert(t, errors.As(err, &full), "%v", err)
@@ -170,7 +168,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	table := mtrecent.New(mtrecent.Limits{Keep: keep, Skew: skew})
+	table := mtrecent.New(mtrecent.Limits{Keep: retention, Skew: skew})
 	assert.NilError(f, table.Grant(0, last, epoch))
 	r := request(epoch.Add(time.Second), 1)
 	table.Begin(0, epoch.Add(time.Second), r, 1)
@@ -185,15 +183,14 @@
 			assert.Assert(t, errors.As(err, &want), "got %T", err)
 			return
 		}
-		to := mtrecent.New(mtrecent.Limits{Keep: keep, Skew: skew})
+		to := mtrecent.New(mtrecent.Limits{Keep: retention, Skew: skew})
 		assert.NilError(t, to.Import(mtclock.Instant(48*time.Hour), h))
 		_, err = mtrecent.Encode(to.Export(mtclock.Instant(48*time.Hour), h.Low, h.High))
 		assert.NilError(t, err)
 	})
 }
 
-// BenchmarkMemory reports the heap bytes that one remembered identifier takes,
-// without its answer.
+// BenchmarkMemory reports the heap bytes of one entry without its answer.
 func BenchmarkMemory(b *testing.B) {
 	const count = 100_000
 	for b.Loop() {
@@ -215,15 +212,14 @@
 	}
 }
 
-// BenchmarkRequest is one non-idempotent request at an owner that remembers
-// many.
+// BenchmarkRequest measures one non-idempotent request at an owner with many entries.
 func BenchmarkRequest(b *testing.B) {
 	table := mtrecent.New(mtrecent.Limits{})
 	_ = table.Grant(0, last, time.Time{})
 	n := 0
 	for b.Loop() {
 		n++
-		// Two thousand a second: the table stays about full.
+		// 2000 requests per second, so that the table stays about full.
 		now := mtclock.Instant(n) * mtclock.Instant(500*time.Microsecond)
 		wall := epoch.Add(now.Sub(0))
 		r := request(wall, n)
--- a/core/mtrecent/queue.go
+++ b/core/mtrecent/queue.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// queue holds ended entries, oldest first, in a slice whose taken front is cut
-// off now and then.
+// queue holds ended entries, oldest first, in a slice. The consumed front of the slice
+// is released from time to time.
 type queue struct {
 	entries []*entry
-	head    int
+	head    int // index of the oldest entry
 }
 
-// minCut is the least number of taken places that is worth a copy.
-const minCut = 1024
+// minCompact is the least number of consumed slots for which compaction is worth a copy.
+const minCompact = 1024
 
-// push adds an entry that ended last.
+// push appends an entry, which must have ended last.
 func (q *queue) push(e *entry) { q.entries = append(q.entries, e) }
 
 // oldest returns the entry that ended first.
@@ -26,17 +26,17 @@
 	return q.entries[q.head], true
 }
 
-// pop takes the oldest entry out.
+// pop removes the oldest entry, and compacts the slice once half of it is consumed.
 func (q *queue) pop() {
 	q.entries[q.head] = nil
 	q.head++
-	if q.head >= minCut && q.head*2 >= len(q.entries) {
+	if q.head >= minCompact && q.head*2 >= len(q.entries) {
 		q.entries = slices.Clone(q.entries[q.head:])
 		q.head = 0
 	}
 }
 
-// sort restores the order after entries of another owner came in.
+// sort restores the order after entries of a previous owner were pushed.
 func (q *queue) sort() {
 	slices.SortStableFunc(q.entries[q.head:], func(a, b *entry) int { return cmp.Compare(a.ended, b.ended) })
 }
--- a/core/mtrecent/span.go
+++ b/core/mtrecent/span.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"fmt"
 	"math"
 	"slices"
 	"time"
@@ -10,26 +11,25 @@
 	"magnoliaturn/core/mtid"
 )
 
-// noHorizon is before every identifier.
+// noHorizon is older than every identifier.
 const noHorizon = math.MinInt64
 
-// span is a range of the ring that this Table answers for. Spans don't overlap
-// and needn't be shards: a shard that is split or merged here changes nothing.
+// span is a range of the ring that a Table covers. Spans don't overlap and needn't
+// match shards: splitting or merging a shard here has no effect on them.
 type span struct {
-	low, high mtid.Point // both included
-	horizon   int64      // identifiers up to it may have run at an earlier owner
+	low, high mtid.Point // both inclusive
+	horizon   int64      // identifiers up to this time may have run at a previous owner
 }
 
-// Handover is the memory of a range on its way to a new owner.
+// Handover is the state of a range that its owner transfers to the new owner.
 type Handover struct {
 	Low, High mtid.Point
 	Spans     []Span
 	Entries   []Entry
 }
 
-// Span is a part of the range with its limit of knowledge: identifiers up to
-// Horizon that are not among the entries may have run. It is in milliseconds
-// since 1970.
+// Span is a part of the range of a Handover. Identifiers up to Horizon, in milliseconds
+// since 1970, that have no entry may have run.
 type Span struct {
 	Low, High mtid.Point
 	Horizon   int64
@@ -40,59 +40,62 @@
 	Name        Name
 	Fingerprint Fingerprint
 	Age         time.Duration // since it ended
-	Answered    bool          // else it may have run
-	Answer      *Answer       // nil if it was not kept
+	Answered    bool          // false if it may or may not have run
+	Answer      *Answer       // nil if it was not retained
 }
 
-// FullError says that a handover doesn't fit. Nothing of it was taken in; the
-// move must not go on.
+// FullError reports that a handover has more entries than the Table can take. None of it
+// was imported, and the move must be aborted.
 type FullError struct {
-	Need int
-	Room int
+	Need int // new entries in the handover
+	Room int // entries that the Table can still take
 }
 
 // Error implements error.
-func (e *FullError) Error() string { return "recent: handover does not fit" }
+func (e *FullError) Error() string {
+	return fmt.Sprintf("recent: handover has %d new entries, table has capacity for %d more", e.Need, e.Room)
+}
 
-// RangeError says that a range ends before it begins, or that a handover names
-// something outside its own range.
+// RangeError reports a range that ends before it starts, or a part of a handover outside
+// the range expected.
 type RangeError struct{ Low, High mtid.Point }
 
 // Error implements error.
-func (e *RangeError) Error() string { return "recent: not a range" }
+func (e *RangeError) Error() string {
+	return fmt.Sprintf("recent: range %d to %d is inverted or out of bounds", e.Low, e.High)
+}
 
-// Grant makes this Table answer for a range from low to high, both included,
-// whose memory is lost with an earlier owner. It is called when the owner may
-// serve, never before; at is the wall time then. The zero time says that the
-// range has had no owner before. What the Table remembers of the range stays,
-// since a fact holds whoever owns the key.
+// Grant adds the range from low to high, both inclusive, whose records were lost with
+// its previous owner. It is called when this owner may start to serve the range, never
+// before; at is the wall time of that, or zero if the range had no owner before. Entries
+// that the Table already has in the range stay, since they hold whoever owns the key.
 func (t *Table) Grant(low, high mtid.Point, at time.Time) error {
 	if high < low {
 		return &RangeError{Low: low, High: high}
 	}
 	horizon := int64(noHorizon)
 	if !at.IsZero() {
-		// Rounded up: an identifier of the same millisecond counts as older.
+		// Rounded up, so that an identifier from the same millisecond counts as older.
 		horizon = at.Add(2*t.limits.Skew + time.Millisecond).UnixMilli()
 	}
-	t.cut(low, high)
+	t.removeRange(low, high)
 	t.insert(span{low: low, high: high, horizon: horizon})
 	return nil
 }
 
-// Revoke ends that this Table answers for a range. What ended there is dropped;
-// what runs still is kept until its end.
+// Revoke removes a range and the entries in it, except those of requests that are still
+// running.
 func (t *Table) Revoke(low, high mtid.Point) {
-	t.cut(low, high)
+	t.removeRange(low, high)
 	for _, e := range t.entries {
-		if e.state != running && low <= e.name.Point && e.name.Point <= high {
+		if e.state != running && low <= e.key.Point && e.key.Point <= high {
 			t.remove(e)
 		}
 	}
 }
 
-// Lost returns up to which time of an identifier a request for p may have run
-// at an owner that is lost, and false if the range had none.
+// Lost returns the horizon of the range of p: a request whose identifier isn't newer may
+// have run at a lost owner. It returns false if no owner of the range was lost.
 func (t *Table) Lost(p mtid.Point) (time.Time, bool) {
 	s, ok := t.find(p)
 	if !ok || s.horizon == noHorizon {
@@ -101,16 +104,16 @@
 	return time.UnixMilli(s.horizon), true
 }
 
-// Owns reports whether the Table answers for p.
+// Owns reports whether the Table covers p.
 func (t *Table) Owns(p mtid.Point) bool {
 	_, ok := t.find(p)
 	return ok
 }
 
-// Export returns the memory of a range for its new owner. It is called when
-// nothing of the range is in flight and nothing new is let in; what runs
-// nevertheless is handed over as unknown. The Table stays as it is, since the
-// move may yet fail; Revoke follows once the new owner is in the store.
+// Export returns the state of a range for its new owner. It is called when no request in
+// the range is in flight and none is admitted; an entry that is running nevertheless is
+// exported as unknown. The Table keeps the range, since the move may still fail; the
+// caller calls Revoke once the store holds the new owner.
 func (t *Table) Export(now mtclock.Instant, low, high mtid.Point) Handover {
 	t.Expire(now)
 	h := Handover{Low: low, High: high}
@@ -125,7 +128,7 @@
 		})
 	}
 	for _, e := range t.entries {
-		if e.name.Point < low || high < e.name.Point {
+		if e.key.Point < low || high < e.key.Point {
 			continue
 		}
 		h.Entries = append(h.Entries, e.export(now))
@@ -136,62 +139,64 @@
 	return h
 }
 
-// export returns the entry as it is handed over.
+// export returns the form of e in a Handover.
 func (e *entry) export(now mtclock.Instant) Entry {
-	out := Entry{Name: e.name, Fingerprint: e.print, Answered: e.state == answered, Answer: e.answer}
+	out := Entry{Name: e.key, Fingerprint: e.fingerprint, Answered: e.state == answered, Answer: e.answer}
 	if e.state != running {
 		out.Age = now.Sub(e.ended)
 	}
 	return out
 }
 
-// Import makes this Table answer for a range with the memory that its earlier
-// owner handed over. It is called before the first request of the range is let
-// in. Parts of the range that no span of h covers aren't answered for. It fails
-// with a *FullError or a *RangeError, and then nothing has changed.
+// Import adds a range with the state that its previous owner exported. It is called
+// before the first request in the range is admitted. Parts of the range that no span of h
+// covers are not covered afterwards. Errors are of type *FullError or *RangeError and
+// leave the Table unchanged.
 func (t *Table) Import(now mtclock.Instant, h Handover) error {
 	t.Expire(now)
 	if err := h.check(); err != nil {
 		return err
 	}
-	fresh := 0
+	added := 0
 	for _, e := range h.Entries {
 		if _, ok := t.entries[e.Name]; !ok {
-			fresh++
+			added++
 		}
 	}
-	if room := t.limits.Count - len(t.entries); fresh > room {
-		return &FullError{Need: fresh, Room: room}
+	if capacity := t.limits.Count - len(t.entries); added > capacity {
+		return &FullError{Need: added, Room: capacity}
 	}
-	t.cut(h.Low, h.High)
+	t.removeRange(h.Low, h.High)
 	for _, s := range h.Spans {
 		t.insert(span{low: s.Low, high: s.High, horizon: s.Horizon})
 	}
 	for _, e := range h.Entries {
-		t.take(now, e)
+		t.importEntry(now, e)
 	}
 	t.ended.sort()
 	return nil
 }
 
-// take remembers an entry of a handover.
-func (t *Table) take(now mtclock.Instant, in Entry) {
+// importEntry adds an entry of a handover. It replaces an existing entry of the same
+// identifier unless that one is still running here.
+func (t *Table) importEntry(now mtclock.Instant, in Entry) {
 	if old, ok := t.entries[in.Name]; ok {
 		if old.state == running {
 			return
 		}
 		t.remove(old)
 	}
-	e := &entry{name: in.Name, print: in.Fingerprint, ended: now.Add(-in.Age), state: unknown}
+	e := &entry{key: in.Name, fingerprint: in.Fingerprint, ended: now.Add(-in.Age), state: unknown}
 	if in.Answered {
 		e.state = answered
-		t.keep(e, in.Answer)
+		t.retain(e, in.Answer)
 	}
 	t.entries[in.Name] = e
 	t.ended.push(e)
 }
 
-// check returns a *RangeError if h isn't one well-formed range.
+// check returns a *RangeError unless the spans of h are ordered and disjoint, and all
+// spans and entries are within its range.
 func (h *Handover) check() error {
 	if h.High < h.Low {
 		return &RangeError{Low: h.Low, High: h.High}
@@ -221,36 +226,36 @@
 	return t.ranges[i], true
 }
 
-// cut takes the range out of all spans.
-func (t *Table) cut(low, high mtid.Point) {
-	var kept []span
+// removeRange removes a range from the spans, splitting those that it covers in part.
+func (t *Table) removeRange(low, high mtid.Point) {
+	var rest []span
 	for _, s := range t.ranges {
 		if s.high < low || high < s.low {
-			kept = append(kept, s)
+			rest = append(rest, s)
 			continue
 		}
 		if s.low < low {
-			kept = append(kept, span{low: s.low, high: low - 1, horizon: s.horizon})
+			rest = append(rest, span{low: s.low, high: low - 1, horizon: s.horizon})
 		}
 		if high < s.high {
-			kept = append(kept, span{low: high + 1, high: s.high, horizon: s.horizon})
+			rest = append(rest, span{low: high + 1, high: s.high, horizon: s.horizon})
 		}
 	}
-	t.ranges = kept
+	t.ranges = rest
 }
 
-// insert adds a span where none is, and joins it to neighbours that know as
-// much, so that years of moves leave no trail of small spans.
+// insert adds a span that overlaps no other, and joins it with adjacent spans of the
+// same horizon, so that the number of spans doesn't grow with every move.
 func (t *Table) insert(s span) {
 	i, _ := slices.BinarySearchFunc(t.ranges, s.low, func(s span, p mtid.Point) int { return cmp.Compare(s.low, p) })
 	t.ranges = slices.Insert(t.ranges, i, s)
-	t.join(i + 1)
-	t.join(i)
+	t.joinBefore(i + 1)
+	t.joinBefore(i)
 }
 
-// join makes one span of the i-th and the one before it, if they touch and
-// their horizons are equal or both passed by the Table's own.
-func (t *Table) join(i int) {
+// joinBefore merges the i-th span with the one before it if they are adjacent and their
+// horizons are equal, or both not newer than the Table's own.
+func (t *Table) joinBefore(i int) {
 	if i < 1 || i >= len(t.ranges) {
 		return
 	}
