--- a/cmd/policies/poison.go
+++ b/cmd/policies/poison.go
@@ -111,7 +111,7 @@
 
 // poisonRequest is a request of a trial.
 type poisonRequest struct {
-	print   mtpoison.Print
+	print   mtpoison.Fingerprint
 	ingress int
 	fatal   bool
 	alone   bool
@@ -136,7 +136,7 @@
 	crashes  int
 	lone     time.Duration
 	down     time.Duration
-	wronged  map[mtpoison.Print]bool
+	wronged  map[mtpoison.Fingerprint]bool
 }
 
 // poisonFleet is a trial under one rule.
@@ -152,7 +152,7 @@
 	return func(l poisonLoad, seed uint64, length time.Duration) *poisonTrial {
 		f := &poisonFleet[R]{rule: rule, poisonTrial: &poisonTrial{
 			length: length, random: rand.New(rand.NewPCG(seed, 7)), load: l, up: true,
-			wronged: make(map[mtpoison.Print]bool),
+			wronged: make(map[mtpoison.Fingerprint]bool),
 		}}
 		for i := range poisonDaemons {
 			f.lives = append(f.lives, 1)
@@ -212,11 +212,11 @@
 
 func (f *poisonFleet[R]) innocent() {
 	f.offered++
-	f.send(&poisonRequest{print: mtpoison.Print(1000 + f.random.IntN(poisonPrints))})
+	f.send(&poisonRequest{print: mtpoison.Fingerprint(1000 + f.random.IntN(poisonPrints))})
 }
 
 func (f *poisonFleet[R]) poisonous() {
-	f.send(&poisonRequest{print: mtpoison.Print(1 + f.random.IntN(f.load.kinds)), fatal: true})
+	f.send(&poisonRequest{print: mtpoison.Fingerprint(1 + f.random.IntN(f.load.kinds)), fatal: true})
 }
 
 // send takes a request through any daemon but the owner, which would fall with
@@ -242,7 +242,7 @@
 	f.number++
 	number := mtgate.Number(f.number)
 	f.open[number] = r
-	f.tables[r.ingress].Relayed(mtpoison.Number(number), f.holder(f.owner), r.print)
+	f.tables[r.ingress].Relayed(mtpoison.FlightID(number), f.holder(f.owner), r.print)
 	f.act(f.gate.Offer(f.now, mtgate.Ticket{
 		Number: number, Business: "ratins", Class: "status", Deadline: f.now.Add(poisonTimeout), Alone: r.alone,
 	}))
@@ -257,7 +257,7 @@
 		case mtgate.Refuse:
 			r := f.open[e.Ticket.Number]
 			delete(f.open, e.Ticket.Number)
-			f.tables[r.ingress].Returned(f.now, mtpoison.Number(e.Ticket.Number), false)
+			f.tables[r.ingress].Returned(f.now, mtpoison.FlightID(e.Ticket.Number), false)
 		}
 	}
 }
@@ -265,9 +265,9 @@
 func (f *poisonFleet[R]) start(number mtgate.Number) {
 	r := f.open[number]
 	r.started = f.now
-	f.tables[f.owner].Started(mtpoison.Number(number), r.print, r.alone)
+	f.tables[f.owner].Started(mtpoison.FlightID(number), r.print, r.alone)
 	if r.alone {
-		f.tables[r.ingress].Begun(mtpoison.Number(number))
+		f.tables[r.ingress].StartedAlone(mtpoison.FlightID(number))
 	}
 	if r.fatal {
 		f.events.at(f.now.Add(poisonFatal), func() { f.crash(r) })
@@ -286,8 +286,8 @@
 	if r.alone {
 		f.lone += f.now.Sub(r.started)
 	}
-	f.tables[f.owner].Ended(f.now, mtpoison.Number(number), mtpoison.Whole)
-	f.tables[r.ingress].Returned(f.now, mtpoison.Number(number), true)
+	f.tables[f.owner].Ended(f.now, mtpoison.FlightID(number), mtpoison.Answered)
+	f.tables[r.ingress].Returned(f.now, mtpoison.FlightID(number), true)
 	f.act(f.gate.Done(f.now, number))
 }
 
@@ -308,11 +308,11 @@
 		r := f.open[number]
 		f.resend(r)
 		if f.load.vm {
-			f.tables[r.ingress].RelayLost(f.now, mtpoison.Number(number))
+			f.tables[r.ingress].RelayLost(f.now, mtpoison.FlightID(number))
 			continue
 		}
-		f.tables[f.owner].Ended(f.now, mtpoison.Number(number), mtpoison.Broken)
-		f.tables[r.ingress].Returned(f.now, mtpoison.Number(number), false)
+		f.tables[f.owner].Ended(f.now, mtpoison.FlightID(number), mtpoison.Broken)
+		f.tables[r.ingress].Returned(f.now, mtpoison.FlightID(number), false)
 	}
 	outage := f.outage()
 	if f.load.vm {
--- a/cmd/policies/recent.go
+++ b/cmd/policies/recent.go
@@ -80,12 +80,12 @@
 // memories are what is compared.
 var memories = []struct {
 	name string
-	make func() mtrecent.Memory
+	make func() mtrecent.Deduplicator
 }{
-	{"none", func() mtrecent.Memory { return mtrecent.NewCache(1) }},
-	{"cache of 10,000", func() mtrecent.Memory { return mtrecent.NewCache(10_000) }},
-	{"table of 1,000", func() mtrecent.Memory { return mtrecent.New(mtrecent.Limits{Count: 1000}) }},
-	{"table", func() mtrecent.Memory { return mtrecent.New(mtrecent.Limits{}) }},
+	{"none", func() mtrecent.Deduplicator { return mtrecent.NewCache(1) }},
+	{"cache of 10,000", func() mtrecent.Deduplicator { return mtrecent.NewCache(10_000) }},
+	{"table of 1,000", func() mtrecent.Deduplicator { return mtrecent.New(mtrecent.Limits{Entries: 1000}) }},
+	{"table", func() mtrecent.Deduplicator { return mtrecent.New(mtrecent.Limits{}) }},
 }
 
 // The fleet of the trials.
@@ -100,7 +100,7 @@
 
 // order is what a caller wants to happen once.
 type order struct {
-	name   mtrecent.Name
+	name   mtrecent.DedupKey
 	shard  int
 	runs   int
 	tries  int
@@ -115,8 +115,8 @@
 	events    eventHeap
 	random    *rand.Rand
 	load      recentLoad
-	fresh     func() mtrecent.Memory
-	memories  [recentOwners]mtrecent.Memory
+	fresh     func() mtrecent.Deduplicator
+	memories  [recentOwners]mtrecent.Deduplicator
 	clocks    [recentOwners]time.Duration
 	owner     [recentShards]int // -1 while there is none
 	orders    []*order
@@ -142,7 +142,7 @@
 }
 
 // runRecent lets callers order for the length of time.
-func runRecent(fresh func() mtrecent.Memory, l recentLoad, seed uint64, length time.Duration) *recentTrial {
+func runRecent(fresh func() mtrecent.Deduplicator, l recentLoad, seed uint64, length time.Duration) *recentTrial {
 	t := &recentTrial{length: length, random: rand.New(rand.NewPCG(seed, 6)), load: l, fresh: fresh}
 	for i := range recentOwners {
 		t.memories[i] = fresh()
@@ -189,7 +189,7 @@
 	var id uuid.UUID
 	binary.BigEndian.PutUint64(id[:8], uint64(made.UnixMilli())<<16|0x7000)
 	binary.BigEndian.PutUint64(id[8:], uint64(len(t.orders)))
-	o := &order{name: mtrecent.Name{Point: low + 1, ID: id}, shard: shard, minted: len(t.orders)%2 == 0}
+	o := &order{name: mtrecent.DedupKey{Point: low + 1, ID: id}, shard: shard, minted: len(t.orders)%2 == 0}
 	t.orders = append(t.orders, o)
 	t.try(o)
 }
@@ -204,7 +204,7 @@
 		return
 	}
 	memory := t.memories[owner]
-	request := mtrecent.Request{Name: o.name, Fingerprint: 1, Minted: o.minted && o.tries == 1}
+	request := mtrecent.Request{DedupKey: o.name, Fingerprint: 1, Minted: o.minted && o.tries == 1}
 	v := memory.Begin(t.now, t.wall(owner), request, 1)
 	var refused *mtreply.RefusedError
 	switch {
@@ -225,12 +225,12 @@
 }
 
 // end ends a run. Its answer reaches the caller unless it or its owner is lost.
-func (t *recentTrial) end(o *order, owner int, memory mtrecent.Memory) {
+func (t *recentTrial) end(o *order, owner int, memory mtrecent.Deduplicator) {
 	if t.memories[owner] != memory {
 		t.later(o)
 		return
 	}
-	memory.End(t.now, o.name, mtrecent.Outcome{What: mtreply.Answered, Answer: &mtrecent.Answer{Status: 201}})
+	memory.End(t.now, o.name, mtrecent.Result{Outcome: mtreply.Answered, Answer: &mtrecent.Answer{Status: 201}})
 	if t.random.Float64() < t.load.lost {
 		t.later(o)
 	}
--- a/core/mtattempt/mtattempt.go
+++ b/core/mtattempt/mtattempt.go
@@ -36,7 +36,7 @@
 
 // attempt is a try that failed.
 type attempt struct {
-	mark     mtpoison.Print
+	mark     mtpoison.Fingerprint
 	first    mtclock.Instant // arrival of its caller's first try
 	deadline mtclock.Instant
 }
@@ -45,18 +45,18 @@
 type Attempts struct {
 	most   int
 	recent []attempt // the oldest first
-	known  map[mtpoison.Print]int
+	known  map[mtpoison.Fingerprint]int
 }
 
 // New returns an Attempts that remembers so many tries at most.
 func New(most int) *Attempts {
-	return &Attempts{most: most, known: make(map[mtpoison.Print]int)}
+	return &Attempts{most: most, known: make(map[mtpoison.Fingerprint]int)}
 }
 
 // Recall returns when the first try of a request arrived that arrives now with a
 // deadline: now, unless it is another try of one that failed. Each failure is
 // followed by one try at most, so it is forgotten then.
-func (a *Attempts) Recall(now mtclock.Instant, mark mtpoison.Print, deadline mtclock.Instant) mtclock.Instant {
+func (a *Attempts) Recall(now mtclock.Instant, mark mtpoison.Fingerprint, deadline mtclock.Instant) mtclock.Instant {
 	if a.known[mark] == 0 {
 		return now
 	}
@@ -78,7 +78,7 @@
 
 // Failed remembers a try that was not answered with success, whose caller's first
 // try arrived at first. After the deadline nobody asks again.
-func (a *Attempts) Failed(now mtclock.Instant, mark mtpoison.Print, first, deadline mtclock.Instant) {
+func (a *Attempts) Failed(now mtclock.Instant, mark mtpoison.Fingerprint, first, deadline mtclock.Instant) {
 	for len(a.recent) > 0 && (len(a.recent) >= a.most || a.recent[0].deadline.Before(now)) {
 		a.forget(0)
 	}
--- a/core/mtattempt/mtattempt_test.go
+++ b/core/mtattempt/mtattempt_test.go
@@ -19,10 +19,10 @@
 // 400 ms, with what is left. Another caller gives a deadline of 2.6 s at its first
 // try. They look alike but for when their deadlines end.
 func TestASecondTryIsToldFromAFreshRequest(t *testing.T) {
-	const plan, status = mtpoison.Print(1), mtpoison.Print(2)
+	const plan, status = mtpoison.Fingerprint(1), mtpoison.Fingerprint(2)
 	for _, test := range []struct {
 		name     string
-		print    mtpoison.Print
+		print    mtpoison.Fingerprint
 		at       time.Duration
 		deadline time.Duration
 		want     time.Duration
@@ -57,7 +57,7 @@
 func TestWhatIsRememberedIsBounded(t *testing.T) {
 	a := mtattempt.New(3)
 	for n := range 10 {
-		a.Failed(after(0), mtpoison.Print(n), after(0), after(time.Second))
+		a.Failed(after(0), mtpoison.Fingerprint(n), after(0), after(time.Second))
 	}
 	assert.Equal(t, a.Recall(after(1), 0, after(time.Second)), after(1), "the oldest is still there")
 	assert.Equal(t, a.Recall(after(1), 9, after(time.Second)), after(0))
--- a/core/mtcall/mtcall.go
+++ b/core/mtcall/mtcall.go
@@ -78,7 +78,7 @@
 // Print returns a hash of everything that the backend server sees but the
 // identifier: two tries of one request share it, whatever identifier they
 // carry.
-func (c *Call) Print() mtpoison.Print {
+func (c *Call) Print() mtpoison.Fingerprint {
 	var d xxhash.Digest
 	d.Reset()
 	for _, part := range []string{string(c.Service), string(c.Caller), c.Method, c.Host, c.Target} {
@@ -86,7 +86,7 @@
 		_, _ = d.WriteString("\x00")
 	}
 	_, _ = d.Write(c.Body)
-	return mtpoison.Print(d.Sum64())
+	return mtpoison.Fingerprint(d.Sum64())
 }
 
 // Second reports whether the call is known to be a second try of its caller.
--- a/core/mtpoison/evidence.go
+++ b/core/mtpoison/evidence.go
@@ -19,52 +19,52 @@
 // most once per incarnation.
 const WholeVM = math.MaxUint32
 
-// Loss identifies a crash, so that reports of it from several daemons can be
+// CrashID identifies a crash, so that reports of it from several daemons can be
 // merged.
-type Loss struct {
+type CrashID struct {
 	Holder mtid.Holder
 	Count  uint32 // number of the crash of the holder's server, from 1; or WholeVM
 }
 
 // Crash is one loss of a backend server with the requests in flight there.
 type Crash struct {
-	Loss     Loss
-	At       mtclock.Instant
-	Complete bool    // Prints holds every request that was in flight
-	Prints   []Print // sorted, without duplicates
-	// Cleared holds those of Prints that ran alone and were answered since an
+	ID           CrashID
+	At           mtclock.Instant
+	Complete     bool          // Fingerprints holds every request that was in flight
+	Fingerprints []Fingerprint // sorted, without duplicates
+	// Cleared holds those of Fingerprints that ran alone and were answered since an
 	// earlier crash. Being in flight at both crashes proves nothing against them.
-	Cleared []Print
+	Cleared []Fingerprint
 	alone   bool // the only request in flight was admitted alone
 }
 
 // contains reports whether the fingerprint was in flight.
-func (c *Crash) contains(p Print) bool {
-	_, found := slices.BinarySearch(c.Prints, p)
+func (c *Crash) contains(p Fingerprint) bool {
+	_, found := slices.BinarySearch(c.Fingerprints, p)
 	return found
 }
 
 // add inserts a fingerprint and reports whether it was new. If the list is already
 // full, the fingerprint is left out and the crash is marked incomplete.
-func (c *Crash) add(p Print, limit int) bool {
-	i, found := slices.BinarySearch(c.Prints, p)
+func (c *Crash) add(p Fingerprint, limit int) bool {
+	i, found := slices.BinarySearch(c.Fingerprints, p)
 	if found {
 		return false
 	}
-	if len(c.Prints) >= limit {
+	if len(c.Fingerprints) >= limit {
 		c.Complete = false
 		return false
 	}
-	c.Prints = slices.Insert(c.Prints, i, p)
+	c.Fingerprints = slices.Insert(c.Fingerprints, i, p)
 	return true
 }
 
 // onlyCommon returns the fingerprint that was in flight at both crashes and not
 // cleared, if there is exactly one.
-func (c *Crash) onlyCommon(other *Crash) (Print, bool) {
-	var common Print
+func (c *Crash) onlyCommon(other *Crash) (Fingerprint, bool) {
+	var common Fingerprint
 	count := 0
-	for _, p := range c.Prints {
+	for _, p := range c.Fingerprints {
 		if other.contains(p) && !slices.Contains(c.Cleared, p) && !slices.Contains(other.Cleared, p) {
 			common = p
 			count++
@@ -79,16 +79,16 @@
 func compareCrashes(a, b *Crash) int {
 	return cmp.Or(
 		cmp.Compare(a.At, b.At),
-		cmp.Compare(a.Loss.Holder.Daemon, b.Loss.Holder.Daemon),
-		cmp.Compare(a.Loss.Holder.Incarnation, b.Loss.Holder.Incarnation),
-		cmp.Compare(a.Loss.Count, b.Loss.Count),
+		cmp.Compare(a.ID.Holder.Daemon, b.ID.Holder.Daemon),
+		cmp.Compare(a.ID.Holder.Incarnation, b.ID.Holder.Incarnation),
+		cmp.Compare(a.ID.Count, b.ID.Count),
 	)
 }
 
 // Quarantine is a fingerprint in quarantine, or pending quarantine.
 type Quarantine struct {
-	Print Print
-	Asked mtclock.Instant // time of the last request
+	Fingerprint Fingerprint
+	LastRequest mtclock.Instant // time of the last request
 	// IfLost, if not zero, makes the quarantine pending: it takes effect once this
 	// holder is lost.
 	IfLost mtid.Holder
@@ -109,13 +109,13 @@
 	t.Expire(now)
 	var d Digest
 	for p, requested := range t.quarantined {
-		d.Quarantines = append(d.Quarantines, Quarantine{Print: p, Asked: requested})
+		d.Quarantines = append(d.Quarantines, Quarantine{Fingerprint: p, LastRequest: requested})
 	}
 	for p, c := range t.pending {
-		d.Quarantines = append(d.Quarantines, Quarantine{Print: p, Asked: c.at, IfLost: c.holder})
+		d.Quarantines = append(d.Quarantines, Quarantine{Fingerprint: p, LastRequest: c.at, IfLost: c.holder})
 	}
 	slices.SortFunc(d.Quarantines, func(a, b Quarantine) int {
-		return cmp.Or(cmp.Compare(b.Asked, a.Asked), cmp.Compare(a.Print, b.Print))
+		return cmp.Or(cmp.Compare(b.LastRequest, a.LastRequest), cmp.Compare(a.Fingerprint, b.Fingerprint))
 	})
 	d.Quarantines = d.Quarantines[:min(limit, len(d.Quarantines))]
 	left := limit - len(d.Quarantines)
@@ -129,7 +129,7 @@
 			break
 		}
 		out := c.truncated(left)
-		left -= len(out.Prints)
+		left -= len(out.Fingerprints)
 		d.Crashes = append(d.Crashes, out)
 	}
 	return d
@@ -138,10 +138,10 @@
 // truncated returns a copy of c with at most limit fingerprints.
 func (c *Crash) truncated(limit int) Crash {
 	out := *c
-	if len(c.Prints) > limit {
+	if len(c.Fingerprints) > limit {
 		out.Complete = false
 	}
-	out.Prints = slices.Clone(c.Prints[:min(limit, len(c.Prints))])
+	out.Fingerprints = slices.Clone(c.Fingerprints[:min(limit, len(c.Fingerprints))])
 	out.Cleared = slices.Clone(c.Cleared)
 	return out
 }
@@ -154,7 +154,7 @@
 		t.mergeQuarantine(q)
 	}
 	for i := range d.Crashes {
-		if d.Crashes[i].Loss.Holder != t.self {
+		if d.Crashes[i].ID.Holder != t.self {
 			t.addCrash(now, &d.Crashes[i])
 		}
 	}
@@ -165,20 +165,20 @@
 // the fingerprint is in quarantine already or was cleared since, or if too many are
 // pending.
 func (t *Table[R]) mergeQuarantine(q Quarantine) {
-	if known, ok := t.quarantined[q.Print]; ok {
+	if known, ok := t.quarantined[q.Fingerprint]; ok {
 		if q.IfLost.IsZero() {
-			t.quarantined[q.Print] = max(known, q.Asked)
+			t.quarantined[q.Fingerprint] = max(known, q.LastRequest)
 		}
 		return
 	}
 	if q.IfLost.IsZero() {
-		t.quarantine(q.Asked, q.Print)
+		t.quarantine(q.LastRequest, q.Fingerprint)
 		return
 	}
-	if cleared, ok := t.cleared[q.Print]; (ok && !q.Asked.After(cleared)) || len(t.pending) >= t.limits.Quarantined {
+	if cleared, ok := t.cleared[q.Fingerprint]; (ok && !q.LastRequest.After(cleared)) || len(t.pending) >= t.limits.Quarantined {
 		return
 	}
-	t.pending[q.Print] = pendingQuarantine{holder: q.IfLost, at: q.Asked}
+	t.pending[q.Fingerprint] = pendingQuarantine{holder: q.IfLost, at: q.LastRequest}
 }
 
 // DecodeError reports that evidence from another daemon cannot be decoded.
@@ -208,12 +208,12 @@
 	w := &mtwire.Evidence{}
 	for _, c := range d.Crashes {
 		wc := &mtwire.Crash{
-			Holder:   mtroster.WireHolder(c.Loss.Holder),
-			Loss:     c.Loss.Count,
+			Holder:   mtroster.WireHolder(c.ID.Holder),
+			Loss:     c.ID.Count,
 			AgeMs:    ageMillis(now, c.At),
 			Complete: c.Complete,
 		}
-		for _, p := range c.Prints {
+		for _, p := range c.Fingerprints {
 			wc.Prints = append(wc.Prints, uint64(p))
 		}
 		for _, p := range c.Cleared {
@@ -228,7 +228,7 @@
 }
 
 func wireQuarantine(now mtclock.Instant, q Quarantine) *mtwire.Quarantine {
-	w := &mtwire.Quarantine{Print: uint64(q.Print), AgeMs: ageMillis(now, q.Asked)}
+	w := &mtwire.Quarantine{Print: uint64(q.Fingerprint), AgeMs: ageMillis(now, q.LastRequest)}
 	if !q.IfLost.IsZero() {
 		w.IfLost = mtroster.WireHolder(q.IfLost)
 	}
@@ -250,26 +250,26 @@
 	var d Digest
 	for _, wc := range w.GetCrashes() {
 		c := Crash{
-			Loss:     Loss{Holder: mtroster.ReadHolder(wc.GetHolder()), Count: wc.GetLoss()},
+			ID:       CrashID{Holder: mtroster.ReadHolder(wc.GetHolder()), Count: wc.GetLoss()},
 			At:       instantOf(now, wc.GetAgeMs()),
 			Complete: wc.GetComplete(),
 		}
-		if c.Loss.Holder.IsZero() {
+		if c.ID.Holder.IsZero() {
 			return Digest{}, &DecodeError{Reason: "crash without a holder"}
 		}
 		for _, p := range wc.GetPrints() {
-			c.Prints = append(c.Prints, Print(p))
+			c.Fingerprints = append(c.Fingerprints, Fingerprint(p))
 		}
 		for _, p := range wc.GetCleared() {
-			c.Cleared = append(c.Cleared, Print(p))
+			c.Cleared = append(c.Cleared, Fingerprint(p))
 		}
 		d.Crashes = append(d.Crashes, c)
 	}
 	for _, q := range w.GetQuarantines() {
 		d.Quarantines = append(d.Quarantines, Quarantine{
-			Print:  Print(q.GetPrint()),
-			Asked:  instantOf(now, q.GetAgeMs()),
-			IfLost: mtroster.ReadHolder(q.GetIfLost()),
+			Fingerprint: Fingerprint(q.GetPrint()),
+			LastRequest: instantOf(now, q.GetAgeMs()),
+			IfLost:      mtroster.ReadHolder(q.GetIfLost()),
 		})
 	}
 	return d, nil
--- a/core/mtpoison/mtpoison.go
+++ b/core/mtpoison/mtpoison.go
@@ -20,9 +20,9 @@
 // The daemon beside a server sees every request in flight there (Started, Ended,
 // ServerLost). If the whole VM is lost, that evidence is lost with the daemon;
 // what remains is each ingress's record of the requests that it relayed there
-// (Relayed, Begun, Returned, RelayLost). A broken connection between two daemons
-// does not prove a crash, so evidence from an ingress only makes suspects until
-// HolderLost confirms that the daemon was terminated.
+// (Relayed, StartedAlone, Returned, RelayLost). A broken connection between two
+// daemons does not prove a crash, so evidence from an ingress only makes suspects
+// until HolderLost confirms that the daemon was terminated.
 //
 // Daemons exchange evidence with Digest and Merge. It is a set of crashes, each
 // identified by its holder and a count, so merging is idempotent and independent
@@ -34,8 +34,8 @@
 //	case mtpoison.Quarantined: // refuse with mtreply.CauseQuarantined
 //	case mtpoison.Suspect:     // admit it with mtgate.Ticket.Alone set
 //	}
-//	table.Started(number, fingerprint, alone)
-//	table.Ended(now, number, mtpoison.Broken)
+//	table.Started(id, fingerprint, alone)
+//	table.Ended(now, id, mtpoison.Broken)
 //	table.ServerLost(now) // then send table.Digest(now, ...) to the service's daemons
 //
 // A Table isn't safe for concurrent use.
@@ -49,9 +49,9 @@
 	"magnoliaturn/core/mtid"
 )
 
-// Print is the fingerprint of a request: a hash of service, key, class, method,
+// Fingerprint is the fingerprint of a request: a hash of service, key, class, method,
 // path, query and body, computed by (*mtrequest.Request).Fingerprint.
-type Print uint64
+type Fingerprint uint64
 
 // Verdict is the state of a fingerprint.
 type Verdict uint8
@@ -68,18 +68,18 @@
 	return [...]string{"clear", "suspect", "quarantined"}[v]
 }
 
-// Number identifies a request in flight. The caller of the Table assigns it.
-type Number uint64
+// FlightID identifies a request in flight. The caller of the Table assigns it.
+type FlightID uint64
 
-// End classifies how a request in flight ended.
-type End uint8
+// RunResult classifies how a request in flight ended.
+type RunResult uint8
 
 // The ways in which a request in flight ends.
 const (
-	Whole  End = iota // the server sent a complete answer
-	NotRun            // the server did not run it
-	Broken            // the connection to the server broke
-	Left              // it was abandoned; the state of the server is unknown
+	Answered  RunResult = iota // the server sent a complete answer
+	NotRun                     // the server did not run it
+	Broken                     // the connection to the server broke
+	Abandoned                  // it was abandoned; the state of the server is unknown
 )
 
 // breakWindow bounds how long it takes until all connections to a lost server have
@@ -93,7 +93,7 @@
 
 // flight is a request in flight at the local server or at another daemon.
 type flight struct {
-	fingerprint Print
+	fingerprint Fingerprint
 	alone       bool
 	holder      mtid.Holder     // the daemon that it was relayed to; zero if it runs locally
 	detachedAt  mtclock.Instant // when its connection broke or it was abandoned; zero if neither
@@ -111,13 +111,13 @@
 	limits      Limits
 	self        mtid.Holder
 	localLosses uint32 // crashes of the server beside this daemon
-	local       map[Number]*flight
-	relays      map[Number]*flight
-	crashes     map[Loss]*Crash
-	suspects    map[Print]mtclock.Instant // time of the last crash at which each was in flight
-	cleared     map[Print]mtclock.Instant // time of the answer that cleared each
-	quarantined map[Print]mtclock.Instant // time of the last request for each
-	pending     map[Print]pendingQuarantine
+	local       map[FlightID]*flight
+	relays      map[FlightID]*flight
+	crashes     map[CrashID]*Crash
+	suspects    map[Fingerprint]mtclock.Instant // time of the last crash at which each was in flight
+	cleared     map[Fingerprint]mtclock.Instant // time of the answer that cleared each
+	quarantined map[Fingerprint]mtclock.Instant // time of the last request for each
+	pending     map[Fingerprint]pendingQuarantine
 }
 
 // New returns an empty Table for the daemon self.
@@ -126,13 +126,13 @@
 		rule:        rule,
 		limits:      limits.withDefaults(),
 		self:        self,
-		local:       make(map[Number]*flight),
-		relays:      make(map[Number]*flight),
-		crashes:     make(map[Loss]*Crash),
-		suspects:    make(map[Print]mtclock.Instant),
-		cleared:     make(map[Print]mtclock.Instant),
-		quarantined: make(map[Print]mtclock.Instant),
-		pending:     make(map[Print]pendingQuarantine),
+		local:       make(map[FlightID]*flight),
+		relays:      make(map[FlightID]*flight),
+		crashes:     make(map[CrashID]*Crash),
+		suspects:    make(map[Fingerprint]mtclock.Instant),
+		cleared:     make(map[Fingerprint]mtclock.Instant),
+		quarantined: make(map[Fingerprint]mtclock.Instant),
+		pending:     make(map[Fingerprint]pendingQuarantine),
 	}
 }
 
@@ -140,7 +140,7 @@
 // the owner. hint is set if the request is a suspect at the ingress; the owner
 // follows it unless it has cleared the fingerprint itself. Each request renews a
 // quarantine, so the quarantine lasts as long as requests keep coming.
-func (t *Table[R]) Judge(now mtclock.Instant, p Print, hint bool) Verdict {
+func (t *Table[R]) Judge(now mtclock.Instant, p Fingerprint, hint bool) Verdict {
 	if requested, ok := t.quarantined[p]; ok {
 		if now.Sub(requested) < t.limits.Quarantine {
 			t.quarantined[p] = now
@@ -164,14 +164,14 @@
 
 // Started records that a request is sent to the server beside this daemon. alone
 // is set if the gate admits no other request until it ends.
-func (t *Table[R]) Started(n Number, p Print, alone bool) {
+func (t *Table[R]) Started(n FlightID, p Fingerprint, alone bool) {
 	t.local[n] = &flight{fingerprint: p, alone: alone}
 }
 
 // Ended records how a started request ended. It returns true if how is Broken and
 // the cause may be a crash that is not recorded yet: the caller then probes the
 // server and calls ServerLost if the server is down.
-func (t *Table[R]) Ended(now mtclock.Instant, n Number, how End) bool {
+func (t *Table[R]) Ended(now mtclock.Instant, n FlightID, how RunResult) bool {
 	f, ok := t.local[n]
 	if !ok {
 		return false
@@ -181,36 +181,36 @@
 		return true
 	}
 	delete(t.local, n)
-	if how == Whole && f.alone {
+	if how == Answered && f.alone {
 		t.markClear(now, f.fingerprint)
 	}
 	return false
 }
 
-// Open reports whether a request whose connection broke is not yet assigned to a
+// Unattributed reports whether a request whose connection broke is not yet assigned to a
 // recorded crash. The caller checks it again right before ServerLost: all requests
 // that one crash interrupted probe the server concurrently, and only the first of
 // them may report the crash.
-func (t *Table[R]) Open(n Number) bool {
+func (t *Table[R]) Unattributed(n FlightID) bool {
 	_, ok := t.local[n]
 	return ok
 }
 
-// Live sets the current incarnation of this daemon, which identifies the crashes
+// SetSelf sets the current incarnation of this daemon, which identifies the crashes
 // that it records.
-func (t *Table[R]) Live(self mtid.Holder) { t.self = self }
+func (t *Table[R]) SetSelf(self mtid.Holder) { t.self = self }
 
 // ServerLost records that the server beside this daemon crashed. It is called once
 // per crash; a broken connection alone is not a crash.
 func (t *Table[R]) ServerLost(now mtclock.Instant) {
 	t.localLosses++
-	c := &Crash{Loss: Loss{Holder: t.self, Count: t.localLosses}, At: now, Complete: true}
+	c := &Crash{ID: CrashID{Holder: t.self, Count: t.localLosses}, At: now, Complete: true}
 	for n, f := range t.local {
 		delete(t.local, n)
 		if f.detachedAt != 0 && now.Sub(f.detachedAt) > breakWindow {
 			continue
 		}
-		c.Prints = append(c.Prints, f.fingerprint)
+		c.Fingerprints = append(c.Fingerprints, f.fingerprint)
 		if _, ok := t.cleared[f.fingerprint]; ok {
 			c.Cleared = append(c.Cleared, f.fingerprint)
 		}
@@ -219,23 +219,23 @@
 	// A request that was admitted alone is in flight with others only if it was
 	// sent to a server that an earlier request had just crashed, undetected. Either
 	// may be the cause, so this crash proves nothing against any of them.
-	if len(c.Prints) > 1 && c.alone {
+	if len(c.Fingerprints) > 1 && c.alone {
 		c.alone = false
 		c.Complete = false
 	}
-	if len(c.Prints) > 0 {
+	if len(c.Fingerprints) > 0 {
 		t.addCrash(now, c)
 	}
 }
 
 // Relayed records that a request is sent to the daemon of its owner.
-func (t *Table[R]) Relayed(n Number, to mtid.Holder, p Print) {
+func (t *Table[R]) Relayed(n FlightID, to mtid.Holder, p Fingerprint) {
 	t.relays[n] = &flight{fingerprint: p, holder: to}
 }
 
-// Begun records that the owner has started to run a relayed request alone. If the
+// StartedAlone records that the owner has started to run a relayed request alone. If the
 // owner is lost, this distinguishes a suspect that ran from one that was queued.
-func (t *Table[R]) Begun(n Number) {
+func (t *Table[R]) StartedAlone(n FlightID) {
 	if f, ok := t.relays[n]; ok {
 		f.alone = true
 	}
@@ -243,7 +243,7 @@
 
 // Returned records that the owner's daemon replied. answered is set if the reply is
 // the server's answer.
-func (t *Table[R]) Returned(now mtclock.Instant, n Number, answered bool) {
+func (t *Table[R]) Returned(now mtclock.Instant, n FlightID, answered bool) {
 	f, ok := t.relays[n]
 	if !ok {
 		return
@@ -257,7 +257,7 @@
 // GivenUp records that the caller's deadline passed or the caller disconnected
 // before the reply arrived. The request may still be running: if its owner's daemon
 // is found lost soon after, the request counts as in flight there.
-func (t *Table[R]) GivenUp(now mtclock.Instant, n Number) {
+func (t *Table[R]) GivenUp(now mtclock.Instant, n FlightID) {
 	if f, ok := t.relays[n]; ok {
 		f.detachedAt = now
 	}
@@ -266,14 +266,14 @@
 // RelayLost records that the connection to the owner's daemon broke before the
 // reply. The request becomes a suspect; whether it is quarantined is decided once
 // the daemon is known to be lost.
-func (t *Table[R]) RelayLost(now mtclock.Instant, n Number) {
+func (t *Table[R]) RelayLost(now mtclock.Instant, n FlightID) {
 	f, ok := t.relays[n]
 	if !ok {
 		return
 	}
 	delete(t.relays, n)
-	loss := Loss{Holder: f.holder, Count: WholeVM}
-	c := &Crash{Loss: loss, At: now, Prints: []Print{f.fingerprint}}
+	loss := CrashID{Holder: f.holder, Count: WholeVM}
+	c := &Crash{ID: loss, At: now, Fingerprints: []Fingerprint{f.fingerprint}}
 	t.addCrash(now, c)
 	if f.alone {
 		t.pending[f.fingerprint] = pendingQuarantine{holder: f.holder, at: now}
@@ -296,10 +296,10 @@
 	}
 }
 
-// Conditions returns the holders whose loss would confirm a pending quarantine. An
+// PendingHolders returns the holders whose loss would confirm a pending quarantine. An
 // owner checks whether they are lost before it runs a request, since its shard may
 // just have been taken over from one of them.
-func (t *Table[R]) Conditions() []mtid.Holder {
+func (t *Table[R]) PendingHolders() []mtid.Holder {
 	var holders []mtid.Holder
 	for _, c := range t.pending {
 		if !slices.Contains(holders, c.holder) {
@@ -310,7 +310,7 @@
 }
 
 // markClear clears a fingerprint that ran alone and was answered.
-func (t *Table[R]) markClear(now mtclock.Instant, p Print) {
+func (t *Table[R]) markClear(now mtclock.Instant, p Fingerprint) {
 	delete(t.suspects, p)
 	delete(t.pending, p)
 	t.cleared[p] = now
@@ -318,7 +318,7 @@
 
 // quarantine puts a fingerprint in quarantine and evicts the one that was requested
 // least recently if there are too many.
-func (t *Table[R]) quarantine(now mtclock.Instant, p Print) {
+func (t *Table[R]) quarantine(now mtclock.Instant, p Fingerprint) {
 	delete(t.suspects, p)
 	t.quarantined[p] = now
 	for len(t.quarantined) > t.limits.Quarantined {
@@ -329,29 +329,29 @@
 // addCrash records a crash, or merges it with the same crash recorded before, and
 // makes suspects of the requests in flight.
 func (t *Table[R]) addCrash(now mtclock.Instant, c *Crash) {
-	known, ok := t.crashes[c.Loss]
+	known, ok := t.crashes[c.ID]
 	if !ok {
-		known = &Crash{Loss: c.Loss, At: c.At}
-		t.crashes[c.Loss] = known
+		known = &Crash{ID: c.ID, At: c.At}
+		t.crashes[c.ID] = known
 	}
 	known.Complete = known.Complete || c.Complete
 	if len(known.Cleared) == 0 {
-		known.Cleared = c.Cleared[:min(len(c.Cleared), t.limits.Prints)]
+		known.Cleared = c.Cleared[:min(len(c.Cleared), t.limits.Fingerprints)]
 	}
-	for _, p := range c.Prints {
-		if known.add(p, t.limits.Prints) {
+	for _, p := range c.Fingerprints {
+		if known.add(p, t.limits.Fingerprints) {
 			t.suspect(p, c.At)
 		}
 	}
 	only := t.onlyCommon(known)
-	for _, p := range known.Prints {
+	for _, p := range known.Fingerprints {
 		t.evaluate(now, p, Coincidence{Crashes: t.crashesOf(p), Alone: c.alone, Only: only[p]})
 	}
 	t.evictCrashes()
 }
 
 // evaluate quarantines a suspect if c satisfies the rule.
-func (t *Table[R]) evaluate(now mtclock.Instant, p Print, c Coincidence) {
+func (t *Table[R]) evaluate(now mtclock.Instant, p Fingerprint, c Coincidence) {
 	if _, ok := t.suspects[p]; ok && t.rule.Quarantines(c) {
 		t.quarantine(now, p)
 	}
@@ -359,7 +359,7 @@
 
 // crashesOf returns the number of recorded crashes at which the fingerprint was in
 // flight.
-func (t *Table[R]) crashesOf(p Print) int {
+func (t *Table[R]) crashesOf(p Fingerprint) int {
 	count := 0
 	for _, c := range t.crashes {
 		if c.contains(p) {
@@ -371,8 +371,8 @@
 
 // onlyCommon returns each fingerprint that is the only one in common between c and
 // another crash, if the requests in flight at both are completely known.
-func (t *Table[R]) onlyCommon(c *Crash) map[Print]bool {
-	only := make(map[Print]bool)
+func (t *Table[R]) onlyCommon(c *Crash) map[Fingerprint]bool {
+	only := make(map[Fingerprint]bool)
 	for _, other := range t.crashes {
 		if other == c || !c.Complete || !other.Complete {
 			continue
@@ -386,7 +386,7 @@
 
 // suspect makes p a suspect after a crash at that time, unless it was cleared later
 // or is in quarantine.
-func (t *Table[R]) suspect(p Print, at mtclock.Instant) {
+func (t *Table[R]) suspect(p Fingerprint, at mtclock.Instant) {
 	if cleared, ok := t.cleared[p]; ok && !at.After(cleared) {
 		return
 	}
@@ -406,7 +406,7 @@
 				oldest = c
 			}
 		}
-		delete(t.crashes, oldest.Loss)
+		delete(t.crashes, oldest.ID)
 	}
 }
 
@@ -443,7 +443,7 @@
 }
 
 // removeOlder deletes the fingerprints whose time is limit or more ago.
-func removeOlder(times map[Print]mtclock.Instant, now mtclock.Instant, limit time.Duration) {
+func removeOlder(times map[Fingerprint]mtclock.Instant, now mtclock.Instant, limit time.Duration) {
 	for p, at := range times {
 		if now.Sub(at) >= limit {
 			delete(times, p)
@@ -453,8 +453,8 @@
 
 // leastRecent returns the fingerprint with the earliest time, and the smallest
 // among equals, so that the result does not depend on the order of the map.
-func leastRecent(times map[Print]mtclock.Instant) Print {
-	var first Print
+func leastRecent(times map[Fingerprint]mtclock.Instant) Fingerprint {
+	var first Fingerprint
 	found := false
 	for p, at := range times {
 		if !found || at < times[first] || (at == times[first] && p < first) {
--- a/core/mtpoison/mtpoison_test.go
+++ b/core/mtpoison/mtpoison_test.go
@@ -34,18 +34,18 @@
 }
 
 const (
-	poison   = mtpoison.Print(1)
-	harmless = mtpoison.Print(2)
-	other    = mtpoison.Print(3)
+	poison   = mtpoison.Fingerprint(1)
+	harmless = mtpoison.Fingerprint(2)
+	other    = mtpoison.Fingerprint(3)
 )
 
 // crash starts the requests together and loses the server while they run.
-func crash(tb *table, now mtclock.Instant, alone bool, fingerprints ...mtpoison.Print) {
+func crash(tb *table, now mtclock.Instant, alone bool, fingerprints ...mtpoison.Fingerprint) {
 	for i, p := range fingerprints {
-		tb.Started(mtpoison.Number(i), p, alone)
+		tb.Started(mtpoison.FlightID(i), p, alone)
 	}
 	for i := range fingerprints {
-		tb.Ended(now, mtpoison.Number(i), mtpoison.Broken)
+		tb.Ended(now, mtpoison.FlightID(i), mtpoison.Broken)
 	}
 	tb.ServerLost(now)
 }
@@ -57,7 +57,7 @@
 	tests := []struct {
 		name        string
 		setup       func(tb *table)
-		fingerprint mtpoison.Print
+		fingerprint mtpoison.Fingerprint
 		want        mtpoison.Verdict
 	}{
 		{"nothing happened", func(*table) {}, poison, mtpoison.Clear},
@@ -73,7 +73,7 @@
 		{"answered while alone", func(tb *table) {
 			crash(tb, 1, false, poison, harmless)
 			tb.Started(9, harmless, true)
-			tb.Ended(2, 9, mtpoison.Whole)
+			tb.Ended(2, 9, mtpoison.Answered)
 		}, harmless, mtpoison.Clear},
 		{"not run while alone", func(tb *table) {
 			crash(tb, 1, false, poison, harmless)
@@ -104,7 +104,7 @@
 		{"only one in common between two crashes, cleared in between", func(tb *table) {
 			crash(tb, 1, false, poison, harmless)
 			tb.Started(9, harmless, true)
-			tb.Ended(2, 9, mtpoison.Whole)
+			tb.Ended(2, 9, mtpoison.Answered)
 			crash(tb, 3, false, other, harmless)
 		}, harmless, mtpoison.Suspect},
 		{"one of two in common between two crashes", func(tb *table) {
@@ -113,18 +113,18 @@
 		}, poison, mtpoison.Suspect},
 		{"relay lost, daemon is up", func(tb *table) {
 			tb.Relayed(1, holder("b"), harmless)
-			tb.Begun(1)
+			tb.StartedAlone(1)
 			tb.RelayLost(1, 1)
 		}, harmless, mtpoison.Suspect},
 		{"relay lost after it started alone, daemon lost", func(tb *table) {
 			tb.Relayed(1, holder("b"), poison)
-			tb.Begun(1)
+			tb.StartedAlone(1)
 			tb.RelayLost(1, 1)
 			tb.HolderLost(2, holder("b"))
 		}, poison, mtpoison.Quarantined},
 		{"relay open when the loss of the daemon is detected", func(tb *table) {
 			tb.Relayed(1, holder("b"), poison)
-			tb.Begun(1)
+			tb.StartedAlone(1)
 			tb.HolderLost(2, holder("b"))
 		}, poison, mtpoison.Quarantined},
 		{"relay lost before it started, daemon lost", func(tb *table) {
@@ -133,7 +133,7 @@
 		}, harmless, mtpoison.Suspect},
 		{"relay lost after it started, another daemon lost", func(tb *table) {
 			tb.Relayed(1, holder("b"), harmless)
-			tb.Begun(1)
+			tb.StartedAlone(1)
 			tb.RelayLost(1, 1)
 			tb.HolderLost(2, holder("c"))
 		}, harmless, mtpoison.Suspect},
@@ -173,7 +173,7 @@
 	tb := newTable("a")
 	assert.Equal(t, tb.Judge(1, poison, true), mtpoison.Suspect)
 	tb.Started(1, poison, true)
-	tb.Ended(2, 1, mtpoison.Whole)
+	tb.Ended(2, 1, mtpoison.Answered)
 	assert.Equal(t, tb.Judge(3, poison, true), mtpoison.Clear)
 }
 
@@ -183,14 +183,14 @@
 func TestPendingQuarantineIsConfirmedByEachDaemon(t *testing.T) {
 	ingress, owner := newTable("a"), newTable("c")
 	ingress.Relayed(1, holder("b"), poison)
-	ingress.Begun(1)
+	ingress.StartedAlone(1)
 	ingress.RelayLost(1, 1)
 	send(t, 2, ingress, owner)
 	assert.Equal(t, owner.Judge(3, poison, false), mtpoison.Suspect)
-	assert.DeepEqual(t, owner.Conditions(), []mtid.Holder{holder("b")})
+	assert.DeepEqual(t, owner.PendingHolders(), []mtid.Holder{holder("b")})
 	owner.HolderLost(4, holder("b"))
 	assert.Equal(t, owner.Judge(5, poison, false), mtpoison.Quarantined)
-	assert.Equal(t, len(owner.Conditions()), 0)
+	assert.Equal(t, len(owner.PendingHolders()), 0)
 }
 
 // Two poison requests crash a server each. A harmless request was in flight both
@@ -200,18 +200,18 @@
 	owner, receiver := newTable("a"), newTable("b")
 	crash(owner, 1, false, poison, harmless)
 	owner.Started(9, harmless, true)
-	owner.Ended(2, 9, mtpoison.Whole)
+	owner.Ended(2, 9, mtpoison.Answered)
 	crash(owner, 3, false, other, harmless)
 	send(t, 4, owner, receiver)
 	assert.Equal(t, receiver.Judge(5, harmless, false), mtpoison.Suspect)
 }
 
 func TestTableAndDigestStayWithinLimits(t *testing.T) {
-	tb := mtpoison.New(mtpoison.Narrow{}, holder("a"), mtpoison.Limits{Crashes: 3, Prints: 2, Quarantined: 4})
+	tb := mtpoison.New(mtpoison.Narrow{}, holder("a"), mtpoison.Limits{Crashes: 3, Fingerprints: 2, Quarantined: 4})
 	for i := range 20 {
 		now := mtclock.Instant(i + 1)
-		crash(tb, now, false, mtpoison.Print(3*i+10), mtpoison.Print(3*i+11), mtpoison.Print(3*i+12))
-		crash(tb, now, true, mtpoison.Print(1000+i))
+		crash(tb, now, false, mtpoison.Fingerprint(3*i+10), mtpoison.Fingerprint(3*i+11), mtpoison.Fingerprint(3*i+12))
+		crash(tb, now, true, mtpoison.Fingerprint(1000+i))
 	}
 	counts := tb.Counts()
 	assert.Equal(t, counts.Crashes, 3)
@@ -219,7 +219,7 @@
 	d := tb.Digest(21, 5)
 	size := len(d.Quarantines)
 	for _, c := range d.Crashes {
-		size += len(c.Prints)
+		size += len(c.Fingerprints)
 	}
 	assert.Equal(t, size, 5)
 }
@@ -232,7 +232,7 @@
 	tables       []*table
 	incarnations []mtid.Incarnation
 	owner        int
-	number       mtpoison.Number
+	number       mtpoison.FlightID
 	crashes      int
 }
 
@@ -252,9 +252,9 @@
 
 // request is one try of a request.
 type request struct {
-	fingerprint mtpoison.Print
+	fingerprint mtpoison.Fingerprint
 	ingress     int
-	number      mtpoison.Number
+	number      mtpoison.FlightID
 }
 
 // batch sends requests to the owner at the same time. Suspects run alone, after the
@@ -304,13 +304,13 @@
 		f.tables[r.ingress].Relayed(r.number, f.holder(f.owner), r.fingerprint)
 		owner.Started(r.number, r.fingerprint, alone)
 		if alone {
-			f.tables[r.ingress].Begun(r.number)
+			f.tables[r.ingress].StartedAlone(r.number)
 		}
 		crashed = crashed || r.fingerprint == poison
 	}
 	if !crashed {
 		for _, r := range running {
-			owner.Ended(f.now, r.number, mtpoison.Whole)
+			owner.Ended(f.now, r.number, mtpoison.Answered)
 			f.tables[r.ingress].Returned(f.now, r.number, true)
 		}
 		return false
@@ -376,7 +376,7 @@
 					// it: no evidence is left, and no caller can be answered.
 					ingress = (ingress + 1) % 4
 				}
-				reqs = append(reqs, request{fingerprint: mtpoison.Print(rapid.IntRange(1, 4).Draw(t, "print")), ingress: ingress})
+				reqs = append(reqs, request{fingerprint: mtpoison.Fingerprint(rapid.IntRange(1, 4).Draw(t, "print")), ingress: ingress})
 			}
 			f.batch(reqs)
 			f.now += mtclock.Instant(time.Second)
@@ -414,12 +414,12 @@
 // BenchmarkRequest measures one request at an owner without suspects.
 func BenchmarkRequest(b *testing.B) {
 	tb := newTable("a")
-	n := mtpoison.Number(0)
+	n := mtpoison.FlightID(0)
 	for b.Loop() {
 		n++
 		now := mtclock.Instant(n)
-		tb.Judge(now, mtpoison.Print(n), false)
-		tb.Started(n, mtpoison.Print(n), false)
-		tb.Ended(now, n, mtpoison.Whole)
+		tb.Judge(now, mtpoison.Fingerprint(n), false)
+		tb.Started(n, mtpoison.Fingerprint(n), false)
+		tb.Ended(now, n, mtpoison.Answered)
 	}
 }
--- a/core/mtpoison/recurring.go
+++ b/core/mtpoison/recurring.go
@@ -28,7 +28,7 @@
 	maxLosses = 512
 )
 
-// Recurring detects requests that crash every backend server that runs them, by
+// RecurrenceDetector detects requests that crash every backend server that runs them, by
 // counting, for servers with many slots: a request that was in flight at three losses
 // and that no server has answered is refused from then on.
 //
@@ -38,15 +38,15 @@
 // recognized by an answer to the same request instead, which a request that crashes
 // every server never gets.
 //
-// The daemon beside a server tracks the requests in flight there (Began, Ended, Lost).
-// It publishes its suspects in its record (Suspects), from which all other daemons
-// merge them (Heard). The daemon that sends a request reports whether the same request
-// was answered before (Proven), since a daemon that has just started has no record of
-// answers.
+// The daemon beside a server tracks the requests in flight there (Started, Ended,
+// ServerLost). It publishes its suspects in its record (Suspects), from which all other
+// daemons merge them (MergeSuspects). The daemon that sends a request reports whether
+// the same request was answered before (Answered), since a daemon that has just started
+// has no record of answers.
 //
-// A Recurring isn't safe for concurrent use.
-type Recurring struct {
-	running  map[Print]int
+// A RecurrenceDetector isn't safe for concurrent use.
+type RecurrenceDetector struct {
+	running  map[Fingerprint]int
 	broken   []brokenRequest // oldest first
 	answered fingerprintRing
 	losses   map[lossKey]loss
@@ -56,7 +56,7 @@
 
 // brokenRequest is a request whose connection to the server broke.
 type brokenRequest struct {
-	fingerprint Print
+	fingerprint Fingerprint
 	at          mtclock.Instant
 }
 
@@ -70,47 +70,47 @@
 // loss holds the requests that were in flight at the loss of a server.
 type loss struct {
 	at           mtclock.Instant // when this daemon received the report
-	fingerprints []Print
+	fingerprints []Fingerprint
 }
 
-// NewRecurring returns a Recurring without any evidence.
-func NewRecurring() *Recurring {
-	return &Recurring{running: make(map[Print]int), answered: fingerprintRing{known: make(map[Print]bool)}, losses: make(map[lossKey]loss)}
+// NewRecurrenceDetector returns a RecurrenceDetector without any evidence.
+func NewRecurrenceDetector() *RecurrenceDetector {
+	return &RecurrenceDetector{running: make(map[Fingerprint]int), answered: fingerprintRing{known: make(map[Fingerprint]bool)}, losses: make(map[lossKey]loss)}
 }
 
-// Began records that a request is sent to the server beside this daemon.
-func (r *Recurring) Began(p Print) { r.running[p]++ }
+// Started records that a request is sent to the server beside this daemon.
+func (r *RecurrenceDetector) Started(p Fingerprint) { r.running[p]++ }
 
 // Ended records how a request that was sent to the server ended.
-func (r *Recurring) Ended(now mtclock.Instant, p Print, how End) {
+func (r *RecurrenceDetector) Ended(now mtclock.Instant, p Fingerprint, how RunResult) {
 	r.running[p]--
 	if r.running[p] <= 0 {
 		delete(r.running, p)
 	}
 	switch how {
-	case Whole:
-		r.Prove(p)
+	case Answered:
+		r.MarkAnswered(p)
 	case Broken:
 		r.broken = append(r.recentlyBroken(now), brokenRequest{fingerprint: p, at: now})
 	}
 }
 
 // recentlyBroken returns the requests whose connections broke within detectionDelay.
-func (r *Recurring) recentlyBroken(now mtclock.Instant) []brokenRequest {
+func (r *RecurrenceDetector) recentlyBroken(now mtclock.Instant) []brokenRequest {
 	return slices.DeleteFunc(r.broken, func(b brokenRequest) bool { return now.Sub(b.at) > detectionDelay })
 }
 
-// Prove records that a server has answered a request.
-func (r *Recurring) Prove(p Print) { r.answered.add(p) }
+// MarkAnswered records that a server has answered a request.
+func (r *RecurrenceDetector) MarkAnswered(p Fingerprint) { r.answered.add(p) }
 
-// Proven reports whether a server is known to have answered the same request. Only the
+// Answered reports whether a server is known to have answered the same request. Only the
 // newest answers are retained.
-func (r *Recurring) Proven(p Print) bool { return r.answered.known[p] }
+func (r *RecurrenceDetector) Answered(p Fingerprint) bool { return r.answered.known[p] }
 
-// Lost records that the server beside this daemon was lost, and returns the suspects
+// ServerLost records that the server beside this daemon was lost, and returns the suspects
 // that the daemon publishes from now on.
-func (r *Recurring) Lost(now mtclock.Instant, self mtid.Daemon) Suspects {
-	var fingerprints []Print
+func (r *RecurrenceDetector) ServerLost(now mtclock.Instant, self mtid.Daemon) Suspects {
+	var fingerprints []Fingerprint
 	for _, b := range r.recentlyBroken(now) {
 		fingerprints = append(fingerprints, b.fingerprint)
 	}
@@ -119,20 +119,20 @@
 	}
 	r.broken = nil
 	slices.Sort(fingerprints)
-	fingerprints = slices.DeleteFunc(slices.Compact(fingerprints), r.Proven)
+	fingerprints = slices.DeleteFunc(slices.Compact(fingerprints), r.Answered)
 	if len(fingerprints) == 0 {
 		return r.own
 	}
 	r.own = newSuspects(r.own.lossNumber()+1, fingerprints)
-	r.Heard(now, self, r.own)
+	r.MergeSuspects(now, self, r.own)
 	return r.own
 }
 
-// Heard adds the suspects that a daemon published. A loss that is already recorded is
+// MergeSuspects adds the suspects that a daemon published. A loss that is already recorded is
 // ignored.
-func (r *Recurring) Heard(now mtclock.Instant, daemon mtid.Daemon, s Suspects) {
+func (r *RecurrenceDetector) MergeSuspects(now mtclock.Instant, daemon mtid.Daemon, s Suspects) {
 	key := lossKey{daemon: daemon, suspects: s}
-	fingerprints := s.Prints()
+	fingerprints := s.Fingerprints()
 	if _, known := r.losses[key]; known || len(fingerprints) == 0 {
 		return
 	}
@@ -144,10 +144,10 @@
 	}
 }
 
-// Quarantined returns how long a request is still to be refused, or zero. answered is
+// RefusedFor returns how long a request is still to be refused, or zero. answered is
 // set if the daemon that sends it has had an answer to the same request.
-func (r *Recurring) Quarantined(now mtclock.Instant, p Print, answered bool) time.Duration {
-	if answered || len(r.losses) < lossesToRefuse || r.Proven(p) {
+func (r *RecurrenceDetector) RefusedFor(now mtclock.Instant, p Fingerprint, answered bool) time.Duration {
+	if answered || len(r.losses) < lossesToRefuse || r.Answered(p) {
 		return 0
 	}
 	var left []time.Duration
@@ -174,7 +174,7 @@
 const maxSuspects = 16
 
 // newSuspects encodes the suspects of the loss with that number.
-func newSuspects(number int, fingerprints []Print) Suspects {
+func newSuspects(number int, fingerprints []Fingerprint) Suspects {
 	text := strconv.AppendInt(nil, int64(number), 16)
 	for _, p := range fingerprints[:min(len(fingerprints), maxSuspects)] {
 		text = append(text, ':')
@@ -194,33 +194,33 @@
 	return int(number)
 }
 
-// Prints returns the fingerprints, or none if s is malformed: the record is input from
+// Fingerprints returns the fingerprints, or none if s is malformed: the record is input from
 // another writer and may hold anything.
-func (s Suspects) Prints() []Print {
+func (s Suspects) Fingerprints() []Fingerprint {
 	fields := strings.Split(string(s), ":")
 	if s.lossNumber() <= 0 || len(fields) > 1+maxSuspects {
 		return nil
 	}
-	fingerprints := make([]Print, 0, len(fields)-1)
+	fingerprints := make([]Fingerprint, 0, len(fields)-1)
 	for _, field := range fields[1:] {
 		p, err := strconv.ParseUint(field, 16, 64)
 		if err != nil {
 			return nil
 		}
-		fingerprints = append(fingerprints, Print(p))
+		fingerprints = append(fingerprints, Fingerprint(p))
 	}
 	return fingerprints
 }
 
 // fingerprintRing holds the maxAnswered fingerprints added last.
 type fingerprintRing struct {
-	known map[Print]bool
-	order [maxAnswered]Print
+	known map[Fingerprint]bool
+	order [maxAnswered]Fingerprint
 	next  int // index in order of the oldest, which the next one replaces
 }
 
 // add adds a fingerprint, replacing the oldest, unless it is already present.
-func (r *fingerprintRing) add(p Print) {
+func (r *fingerprintRing) add(p Fingerprint) {
 	if r.known[p] {
 		return
 	}
--- a/core/mtpoison/recurring_test.go
+++ b/core/mtpoison/recurring_test.go
@@ -16,14 +16,14 @@
 
 // recurringFleet simulates daemons that exchange their suspects through records.
 type recurringFleet struct {
-	daemons []*mtpoison.Recurring
+	daemons []*mtpoison.RecurrenceDetector
 	now     mtclock.Instant
 }
 
 func newRecurringFleet(size int) *recurringFleet {
 	f := &recurringFleet{now: mtclock.Instant(time.Hour)}
 	for range size {
-		f.daemons = append(f.daemons, mtpoison.NewRecurring())
+		f.daemons = append(f.daemons, mtpoison.NewRecurrenceDetector())
 	}
 	return f
 }
@@ -32,26 +32,26 @@
 
 // lose terminates the server of a daemon while the requests are in flight there, and
 // sends the daemon's suspects to all others.
-func (f *recurringFleet) lose(i int, fingerprints ...mtpoison.Print) mtpoison.Suspects {
+func (f *recurringFleet) lose(i int, fingerprints ...mtpoison.Fingerprint) mtpoison.Suspects {
 	for _, p := range fingerprints {
-		f.daemons[i].Began(p)
+		f.daemons[i].Started(p)
 	}
-	suspects := f.daemons[i].Lost(f.now, name(i))
+	suspects := f.daemons[i].ServerLost(f.now, name(i))
 	for _, p := range fingerprints {
 		f.daemons[i].Ended(f.now, p, mtpoison.Broken)
 	}
 	for j, other := range f.daemons {
 		if j != i {
-			other.Heard(f.now, name(i), suspects)
+			other.MergeSuspects(f.now, name(i), suspects)
 		}
 	}
 	return suspects
 }
 
 // refused reports whether host refuses a request that ingress sends to it.
-func (f *recurringFleet) refused(host, ingress int, p mtpoison.Print) bool {
-	proven := f.daemons[ingress].Proven(p)
-	return f.daemons[host].Quarantined(f.now, p, proven) > 0
+func (f *recurringFleet) refused(host, ingress int, p mtpoison.Fingerprint) bool {
+	proven := f.daemons[ingress].Answered(p)
+	return f.daemons[host].RefusedFor(f.now, p, proven) > 0
 }
 
 // A request crashes every server that runs it, and its caller retries through any daemon
@@ -67,7 +67,7 @@
 			continue
 		}
 		lost++
-		beside := mtpoison.Print(1000 + 10*try)
+		beside := mtpoison.Fingerprint(1000 + 10*try)
 		f.lose(host, poison, beside, beside+1, beside+2)
 		assert.Assert(t, !f.refused(random.IntN(155), ingress, beside))
 		f.now = f.now.Add(time.Second)
@@ -84,12 +84,12 @@
 		f.lose(i, harmless)
 	}
 	assert.Assert(t, f.refused(100, 101, harmless), "not answered anywhere yet")
-	f.daemons[101].Prove(harmless)
+	f.daemons[101].MarkAnswered(harmless)
 	assert.Assert(t, !f.refused(100, 101, harmless), "answered at the ingress")
-	f.daemons[100].Began(harmless)
-	f.daemons[100].Ended(f.now, harmless, mtpoison.Whole)
+	f.daemons[100].Started(harmless)
+	f.daemons[100].Ended(f.now, harmless, mtpoison.Answered)
 	assert.Assert(t, !f.refused(100, 102, harmless), "answered at the host")
-	assert.Equal(t, len(f.lose(101, harmless).Prints()), 0, "suspected after a later loss")
+	assert.Equal(t, len(f.lose(101, harmless).Fingerprints()), 0, "suspected after a later loss")
 }
 
 // A harmless request was in flight at three losses by chance. It must run again when fewer
@@ -100,7 +100,7 @@
 		f.lose(i, harmless)
 		f.now = f.now.Add(time.Minute)
 	}
-	left := f.daemons[3].Quarantined(f.now, harmless, false)
+	left := f.daemons[3].RefusedFor(f.now, harmless, false)
 	assert.Assert(t, left > 0)
 	for range 100 {
 		f.now = f.now.Add(left / 100)
@@ -114,35 +114,35 @@
 // broke. Requests whose connection broke long before, or that were answered, not run or
 // abandoned, must not become suspects.
 func TestConnectionsBrokenJustBeforeLossAreSuspected(t *testing.T) {
-	r := mtpoison.NewRecurring()
+	r := mtpoison.NewRecurrenceDetector()
 	now := mtclock.Instant(time.Hour)
-	end := func(p mtpoison.Print, how mtpoison.End) {
-		r.Began(p)
+	end := func(p mtpoison.Fingerprint, how mtpoison.RunResult) {
+		r.Started(p)
 		r.Ended(now, p, how)
 	}
 	end(10, mtpoison.Broken)
 	now = now.Add(5 * time.Second)
 	end(11, mtpoison.Broken)
-	end(12, mtpoison.Whole)
+	end(12, mtpoison.Answered)
 	end(13, mtpoison.NotRun)
-	end(14, mtpoison.Left)
-	r.Began(15)
+	end(14, mtpoison.Abandoned)
+	r.Started(15)
 	now = now.Add(300 * time.Millisecond)
-	assert.DeepEqual(t, r.Lost(now, "a").Prints(), []mtpoison.Print{11, 15})
+	assert.DeepEqual(t, r.ServerLost(now, "a").Fingerprints(), []mtpoison.Fingerprint{11, 15})
 }
 
 // A record stays short however many requests were in flight, and malformed suspects in a
 // record yield no fingerprints and take no memory.
 func TestSuspectsAreBoundedAndValidated(t *testing.T) {
-	r := mtpoison.NewRecurring()
-	for p := range mtpoison.Print(5000) {
-		r.Began(^p)
+	r := mtpoison.NewRecurrenceDetector()
+	for p := range mtpoison.Fingerprint(5000) {
+		r.Started(^p)
 	}
-	suspects := r.Lost(0, "a")
-	assert.Equal(t, len(suspects.Prints()), 16)
+	suspects := r.ServerLost(0, "a")
+	assert.Equal(t, len(suspects.Fingerprints()), 16)
 	assert.Assert(t, len(suspects) < 300)
 	for _, malformed := range []mtpoison.Suspects{"", "x", "0:1", "1:x", "-1:2", "1:", "1:10000000000000000", mtpoison.Suspects("1" + string(make([]byte, 1<<20)))} {
-		assert.Equal(t, len(malformed.Prints()), 0, "%.20q", string(malformed))
+		assert.Equal(t, len(malformed.Fingerprints()), 0, "%.20q", string(malformed))
 	}
 }
 
@@ -156,20 +156,20 @@
 		}
 		var reports []report
 		for i := range rapid.IntRange(1, 8).Draw(t, "losses") {
-			source := mtpoison.NewRecurring()
+			source := mtpoison.NewRecurrenceDetector()
 			for range rapid.IntRange(1, 4).Draw(t, "in flight") {
-				source.Began(mtpoison.Print(rapid.IntRange(1, 5).Draw(t, "print")))
+				source.Started(mtpoison.Fingerprint(rapid.IntRange(1, 5).Draw(t, "print")))
 			}
-			reports = append(reports, report{daemon: name(i), suspects: source.Lost(0, name(i))})
+			reports = append(reports, report{daemon: name(i), suspects: source.ServerLost(0, name(i))})
 		}
 		refusals := func(order []int) [6]time.Duration {
-			r := mtpoison.NewRecurring()
+			r := mtpoison.NewRecurrenceDetector()
 			for _, i := range order {
-				r.Heard(0, reports[i].daemon, reports[i].suspects)
+				r.MergeSuspects(0, reports[i].daemon, reports[i].suspects)
 			}
 			var left [6]time.Duration
 			for p := range left {
-				left[p] = r.Quarantined(0, mtpoison.Print(p), false)
+				left[p] = r.RefusedFor(0, mtpoison.Fingerprint(p), false)
 			}
 			return left
 		}
--- a/core/mtrecent/cache.go
+++ b/core/mtrecent/cache.go
@@ -10,14 +10,14 @@
 	"magnoliaturn/core/mtreply"
 )
 
-// Memory is a policy that keeps non-idempotent requests from running twice. Table is
+// Deduplicator is a policy that keeps non-idempotent requests from running twice. Table is
 // the one for production; Cache is the simple one that it is compared with.
-type Memory interface {
+type Deduplicator interface {
 	// Begin returns the verdict on a request.
 	Begin(now mtclock.Instant, wall time.Time, r Request, w Waiter) Verdict
 	// End records how a request with the verdict Run ended, and returns the resends
 	// that wait for it.
-	End(now mtclock.Instant, key Name, o Outcome) []Waiter
+	End(now mtclock.Instant, key DedupKey, o Result) []Waiter
 	// Grant adds a range that was taken over from a lost owner.
 	Grant(low, high mtid.Point, at time.Time) error
 	// Revoke removes a range.
@@ -30,19 +30,19 @@
 
 // Cache is an LRU cache of the identifiers seen last. It runs an identifier that it
 // has evicted again, and has no state from previous owners.
-type Cache struct{ seen *lru.Cache[Name, *Answer] }
+type Cache struct{ seen *lru.Cache[DedupKey, *Answer] }
 
 // NewCache returns an empty cache for that many identifiers, at least one.
 func NewCache(count int) *Cache {
-	seen, _ := lru.New[Name, *Answer](max(count, 1)) // the error is for sizes below one only
+	seen, _ := lru.New[DedupKey, *Answer](max(count, 1)) // the error is for sizes below one only
 	return &Cache{seen: seen}
 }
 
-// Begin implements Memory.
+// Begin implements Deduplicator.
 func (c *Cache) Begin(_ mtclock.Instant, _ time.Time, r Request, _ Waiter) Verdict {
-	answer, ok := c.seen.Get(r.Name)
+	answer, ok := c.seen.Get(r.DedupKey)
 	if !ok {
-		c.seen.Add(r.Name, nil)
+		c.seen.Add(r.DedupKey, nil)
 		return Verdict{Kind: Run}
 	}
 	if answer == nil {
@@ -51,9 +51,9 @@
 	return Verdict{Kind: Replay, Answer: answer}
 }
 
-// End implements Memory.
-func (c *Cache) End(_ mtclock.Instant, key Name, o Outcome) []Waiter {
-	if o.What == mtreply.NotRun {
+// End implements Deduplicator.
+func (c *Cache) End(_ mtclock.Instant, key DedupKey, o Result) []Waiter {
+	if o.Outcome == mtreply.NotRun {
 		c.seen.Remove(key)
 		return nil
 	}
@@ -61,16 +61,16 @@
 	return nil
 }
 
-// Grant implements Memory.
+// Grant implements Deduplicator.
 func (*Cache) Grant(mtid.Point, mtid.Point, time.Time) error { return nil }
 
-// Revoke implements Memory.
+// Revoke implements Deduplicator.
 func (*Cache) Revoke(mtid.Point, mtid.Point) {}
 
-// Export implements Memory.
+// Export implements Deduplicator.
 func (*Cache) Export(_ mtclock.Instant, low, high mtid.Point) Handover {
 	return Handover{Low: low, High: high}
 }
 
-// Import implements Memory.
+// Import implements Deduplicator.
 func (*Cache) Import(mtclock.Instant, Handover) error { return nil }
--- a/core/mtrecent/codec.go
+++ b/core/mtrecent/codec.go
@@ -66,8 +66,8 @@
 
 func wireEntry(e Entry) *mtwire.RecentEntry {
 	w := &mtwire.RecentEntry{
-		Id:          e.Name.ID[:],
-		Point:       uint64(e.Name.Point),
+		Id:          e.DedupKey.ID[:],
+		Point:       uint64(e.DedupKey.Point),
 		Fingerprint: uint64(e.Fingerprint),
 		AgeMs:       e.Age.Milliseconds(),
 		Answered:    e.Answered,
@@ -93,7 +93,7 @@
 		return Entry{}, &DecodeError{Reason: fmt.Sprintf("entry age of %d ms is not within 0 to %d ms", w.GetAgeMs(), maxAge.Milliseconds())}
 	}
 	e := Entry{
-		Name:        Name{Point: mtid.Point(w.GetPoint()), ID: id},
+		DedupKey:    DedupKey{Point: mtid.Point(w.GetPoint()), ID: id},
 		Fingerprint: Fingerprint(w.GetFingerprint()),
 		Age:         time.Duration(w.GetAgeMs()) * time.Millisecond,
 		Answered:    w.GetAnswered(),
--- a/core/mtrecent/mtrecent.go
+++ b/core/mtrecent/mtrecent.go
@@ -12,7 +12,7 @@
 //     later than the grant plus twice the allowed skew: once for the identifier's
 //     lead over the lost owner's clock, once for that clock's lead over this one.
 //     A single skew is not enough.
-//   - The horizon: entries expire Keep after they ended. The newest identifier that
+//   - The horizon: entries expire Retention after they ended. The newest identifier that
 //     has expired is the horizon, and an identifier that isn't newer counts as
 //     unknown. Only expired entries move the horizon, so that no jump of the wall
 //     clock can open a gap.
@@ -32,7 +32,7 @@
 //	table.Grant(low, high, wall)                  // after a takeover; or table.Import
 //	verdict := table.Begin(now, wall, request, waiter)
 //	switch verdict.Kind {
-//	case mtrecent.Run:    // run it, then waiters := table.End(now, request.Name, outcome)
+//	case mtrecent.Run:    // run it, then waiters := table.End(now, request.DedupKey, result)
 //	case mtrecent.Wait:   // it is running: the End of the first try returns waiter
 //	case mtrecent.Replay: // answer with verdict.Answer
 //	case mtrecent.Refuse: // answer with verdict.Err
@@ -52,9 +52,9 @@
 	"magnoliaturn/core/mtreply"
 )
 
-// Name identifies a request. Identifiers are scoped to the point of the key, so that
+// DedupKey identifies a request. Identifiers are scoped to the point of the key, so that
 // one caller's identifier can't collide with another's on a key that moves here later.
-type Name struct {
+type DedupKey struct {
 	Point mtid.Point
 	ID    uuid.UUID
 }
@@ -69,7 +69,7 @@
 
 // Request holds the properties of a request on which its verdict depends.
 type Request struct {
-	Name        Name
+	DedupKey    DedupKey
 	Fingerprint Fingerprint
 	// Minted is set if the ingress generated the identifier for this request. It
 	// must be false if the caller sent the identifier.
@@ -111,22 +111,22 @@
 // Limits bound the size of a Table and the age of its entries. Zero fields take the
 // defaults.
 type Limits struct {
-	Keep    time.Duration // how long the entry of an ended request is retained
-	Skew    time.Duration // maximum difference between the clocks of two VMs
-	Count   int           // maximum number of entries, running requests included
-	Answer  int           // maximum body of a retained answer, in bytes
-	Answers int           // maximum total size of the retained answers, in bytes
-	Waiters int           // maximum number of resends waiting for one request
+	Retention        time.Duration // how long the entry of an ended request is retained
+	Skew             time.Duration // maximum difference between the clocks of two VMs
+	Entries          int           // maximum number of entries, running requests included
+	AnswerBytes      int           // maximum body of a retained answer, in bytes
+	TotalAnswerBytes int           // maximum total size of the retained answers, in bytes
+	Waiters          int           // maximum number of resends waiting for one request
 }
 
 // Defaults for the fields of Limits.
 const (
-	DefaultKeep    = 60 * time.Second
-	DefaultSkew    = 250 * time.Millisecond
-	DefaultCount   = 1 << 17
-	DefaultAnswer  = 1 << 10
-	DefaultAnswers = 8 << 20
-	DefaultWaiters = 16
+	DefaultRetention        = 60 * time.Second
+	DefaultSkew             = 250 * time.Millisecond
+	DefaultEntries          = 1 << 17
+	DefaultAnswerBytes      = 1 << 10
+	DefaultTotalAnswerBytes = 8 << 20
+	DefaultWaiters          = 16
 )
 
 // state is the progress of the request of an entry.
@@ -140,7 +140,7 @@
 
 // entry is the record of one identifier.
 type entry struct {
-	key         Name
+	key         DedupKey
 	fingerprint Fingerprint
 	ended       mtclock.Instant
 	answer      *Answer
@@ -150,8 +150,8 @@
 // Table holds the recent requests of one owner. See the package comment.
 type Table struct {
 	limits  Limits
-	entries map[Name]*entry
-	waiters map[Name][]Waiter
+	entries map[DedupKey]*entry
+	waiters map[DedupKey][]Waiter
 	ended   queue // by time of end, oldest first
 	ranges  []span
 	horizon int64 // newest time of an expired identifier, in milliseconds
@@ -162,19 +162,19 @@
 func New(limits Limits) *Table {
 	return &Table{
 		limits:  limits.withDefaults(),
-		entries: make(map[Name]*entry),
-		waiters: make(map[Name][]Waiter),
+		entries: make(map[DedupKey]*entry),
+		waiters: make(map[DedupKey][]Waiter),
 		horizon: noHorizon,
 	}
 }
 
 // withDefaults returns l with its zero fields set to the defaults.
 func (l Limits) withDefaults() Limits {
-	setDefault(&l.Keep, DefaultKeep)
+	setDefault(&l.Retention, DefaultRetention)
 	setDefault(&l.Skew, DefaultSkew)
-	setDefault(&l.Count, DefaultCount)
-	setDefault(&l.Answer, DefaultAnswer)
-	setDefault(&l.Answers, DefaultAnswers)
+	setDefault(&l.Entries, DefaultEntries)
+	setDefault(&l.AnswerBytes, DefaultAnswerBytes)
+	setDefault(&l.TotalAnswerBytes, DefaultTotalAnswerBytes)
 	setDefault(&l.Waiters, DefaultWaiters)
 	return l
 }
@@ -197,19 +197,19 @@
 // admitted. The waiter is stored only if the verdict is Wait.
 func (t *Table) Begin(now mtclock.Instant, wall time.Time, r Request, w Waiter) Verdict {
 	t.Expire(now)
-	if r.Name.ID.Version() != 7 {
+	if r.DedupKey.ID.Version() != 7 {
 		return refuse(mtreply.CauseMalformed, never, "the identifier is not a UUIDv7")
 	}
-	if e, ok := t.entries[r.Name]; ok {
+	if e, ok := t.entries[r.DedupKey]; ok {
 		return t.resent(e, r, w)
 	}
 	if v, rejected := t.rejected(wall, r); rejected {
 		return v
 	}
-	if len(t.entries) >= t.limits.Count {
+	if len(t.entries) >= t.limits.Entries {
 		return refuse(mtreply.CauseRecentFull, t.untilCapacity(now), "")
 	}
-	t.entries[r.Name] = &entry{key: r.Name, fingerprint: r.Fingerprint, state: running}
+	t.entries[r.DedupKey] = &entry{key: r.DedupKey, fingerprint: r.Fingerprint, state: running}
 	return Verdict{Kind: Run}
 }
 
@@ -239,11 +239,11 @@
 
 // rejected returns the verdict on a request that has no entry, if it must not run.
 func (t *Table) rejected(wall time.Time, r Request) (Verdict, bool) {
-	s, ok := t.find(r.Name.Point)
+	s, ok := t.find(r.DedupKey.Point)
 	if !ok {
 		return refuse(mtreply.CauseStaleRoute, 0, ""), true
 	}
-	minted := Millis(r.Name.ID)
+	minted := Millis(r.DedupKey.ID)
 	// The horizons are checked before the lead over the clock: just after a takeover
 	// both rules can apply, since the lost owner's clock may have led this one, and
 	// replying "not run" would then be false.
@@ -263,29 +263,29 @@
 func (t *Table) untilCapacity(now mtclock.Instant) time.Duration {
 	e, ok := t.ended.oldest()
 	if !ok {
-		return t.limits.Keep
+		return t.limits.Retention
 	}
-	return max(e.ended.Add(t.limits.Keep).Sub(now), time.Millisecond)
+	return max(e.ended.Add(t.limits.Retention).Sub(now), time.Millisecond)
 }
 
-// Outcome describes how a request with the verdict Run ended. Answer may be nil unless
-// What is mtreply.Answered.
-type Outcome struct {
-	What   mtreply.Outcome
-	Answer *Answer
+// Result describes how a request with the verdict Run ended. Answer may be nil unless
+// Outcome is mtreply.Answered.
+type Result struct {
+	Outcome mtreply.Outcome
+	Answer  *Answer
 }
 
 // End records how a request with the verdict Run ended, and returns the resends that
 // wait for it, which get the same answer. The entry of a request that did not run is
 // removed, so that a resend may run.
-func (t *Table) End(now mtclock.Instant, key Name, o Outcome) []Waiter {
+func (t *Table) End(now mtclock.Instant, key DedupKey, o Result) []Waiter {
 	e, ok := t.entries[key]
 	if !ok || e.state != running {
 		return nil
 	}
 	waiters := t.waiters[key]
 	delete(t.waiters, key)
-	switch o.What {
+	switch o.Outcome {
 	case mtreply.NotRun:
 		delete(t.entries, key)
 		return waiters
@@ -300,8 +300,8 @@
 	return waiters
 }
 
-// Leave removes a waiter whose caller disconnected or whose deadline passed.
-func (t *Table) Leave(key Name, w Waiter) {
+// RemoveWaiter removes a waiter whose caller disconnected or whose deadline passed.
+func (t *Table) RemoveWaiter(key DedupKey, w Waiter) {
 	waiters := t.waiters[key]
 	for i, other := range waiters {
 		if other == w {
@@ -314,19 +314,19 @@
 // retain stores an answer if it is within the limits. A resend without a stored answer
 // gets an unknown outcome, never "not run".
 func (t *Table) retain(e *entry, a *Answer) {
-	if a == nil || len(a.Body) > t.limits.Answer || t.bytes+a.size() > t.limits.Answers {
+	if a == nil || len(a.Body) > t.limits.AnswerBytes || t.bytes+a.size() > t.limits.TotalAnswerBytes {
 		return
 	}
 	e.answer = a
 	t.bytes += a.size()
 }
 
-// Expire removes the entries that ended Keep or longer ago. Begin calls it; an idle
+// Expire removes the entries that ended Retention or longer ago. Begin calls it; an idle
 // owner calls it periodically to free memory.
 func (t *Table) Expire(now mtclock.Instant) {
 	for {
 		e, ok := t.ended.oldest()
-		if !ok || now.Sub(e.ended) < t.limits.Keep {
+		if !ok || now.Sub(e.ended) < t.limits.Retention {
 			return
 		}
 		t.ended.pop()
--- a/core/mtrecent/mtrecent_test.go
+++ b/core/mtrecent/mtrecent_test.go
@@ -38,7 +38,7 @@
 }
 
 func request(at time.Time, n int) mtrecent.Request {
-	return mtrecent.Request{Name: mtrecent.Name{Point: 7, ID: mint(at, n)}, Fingerprint: 1}
+	return mtrecent.Request{DedupKey: mtrecent.DedupKey{Point: 7, ID: mint(at, n)}, Fingerprint: 1}
 }
 
 // A payment is resent while it runs, after it ended, with another body, and after its
@@ -48,28 +48,28 @@
 	large := &mtrecent.Answer{Status: 201, Body: make([]byte, 200)}
 	tests := []struct {
 		name        string
-		end         *mtrecent.Outcome
+		end         *mtrecent.Result
 		after       time.Duration
 		fingerprint mtrecent.Fingerprint
 		want        string
 	}{
 		{"while it runs", nil, 0, 1, "wait"},
 		{"while it runs, another body", nil, 0, 2, "not-run malformed"},
-		{"after its answer", &mtrecent.Outcome{What: mtreply.Answered, Answer: small}, 0, 1, "replay"},
-		{"after its answer, another body", &mtrecent.Outcome{What: mtreply.Answered, Answer: small}, 0, 2, "not-run malformed"},
-		{"after an answer too large to retain", &mtrecent.Outcome{What: mtreply.Answered, Answer: large}, 0, 1, "unknown earlier"},
-		{"after it was not run", &mtrecent.Outcome{What: mtreply.NotRun}, 0, 1, "run"},
-		{"after an unknown outcome", &mtrecent.Outcome{What: mtreply.Unknown}, 0, 1, "unknown earlier"},
-		{"just before its entry expires", &mtrecent.Outcome{What: mtreply.Answered, Answer: small}, retention - 1, 1, "replay"},
-		{"once its entry has expired", &mtrecent.Outcome{What: mtreply.Answered, Answer: small}, retention, 1, "unknown earlier"},
+		{"after its answer", &mtrecent.Result{Outcome: mtreply.Answered, Answer: small}, 0, 1, "replay"},
+		{"after its answer, another body", &mtrecent.Result{Outcome: mtreply.Answered, Answer: small}, 0, 2, "not-run malformed"},
+		{"after an answer too large to retain", &mtrecent.Result{Outcome: mtreply.Answered, Answer: large}, 0, 1, "unknown earlier"},
+		{"after it was not run", &mtrecent.Result{Outcome: mtreply.NotRun}, 0, 1, "run"},
+		{"after an unknown outcome", &mtrecent.Result{Outcome: mtreply.Unknown}, 0, 1, "unknown earlier"},
+		{"just before its entry expires", &mtrecent.Result{Outcome: mtreply.Answered, Answer: small}, retention - 1, 1, "replay"},
+		{"once its entry has expired", &mtrecent.Result{Outcome: mtreply.Answered, Answer: small}, retention, 1, "unknown earlier"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			table := owned(t, mtrecent.Limits{Keep: retention, Skew: skew, Answer: 100})
+			table := owned(t, mtrecent.Limits{Retention: retention, Skew: skew, AnswerBytes: 100})
 			r := request(epoch, 1)
 			assert.Equal(t, verdictText(table.Begin(0, epoch, r, 1)), "run")
 			if tt.end != nil {
-				table.End(0, r.Name, *tt.end)
+				table.End(0, r.DedupKey, *tt.end)
 			}
 			r.Fingerprint = tt.fingerprint
 			got := verdictText(table.Begin(mtclock.Instant(tt.after), epoch.Add(tt.after), r, 2))
@@ -101,7 +101,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			table := mtrecent.New(mtrecent.Limits{Keep: retention, Skew: skew})
+			table := mtrecent.New(mtrecent.Limits{Retention: retention, Skew: skew})
 			assert.NilError(t, table.Grant(0, last, granted))
 			r := request(granted.Add(tt.lead), 1)
 			r.Minted = tt.minted
@@ -112,11 +112,11 @@
 }
 
 func TestFullTableRefusesAndDropsNoEntry(t *testing.T) {
-	table := owned(t, mtrecent.Limits{Keep: retention, Skew: skew, Count: 2})
+	table := owned(t, mtrecent.Limits{Retention: retention, Skew: skew, Entries: 2})
 	first, second, third := request(epoch, 1), request(epoch, 2), request(epoch, 3)
 	for _, r := range []mtrecent.Request{first, second} {
 		assert.Equal(t, verdictText(table.Begin(0, epoch, r, 1)), "run")
-		table.End(0, r.Name, mtrecent.Outcome{What: mtreply.Unknown})
+		table.End(0, r.DedupKey, mtrecent.Result{Outcome: mtreply.Unknown})
 	}
 	v := table.Begin(mtclock.Instant(retention/2), epoch, third, 1)
 	var refused *mtreply.RefusedError
@@ -131,35 +131,35 @@
 // A wall clock that jumps an hour ahead and back must neither make the owner lose the
 // entry of a request nor make it refuse the requests of the next hour.
 func TestWallClockJumpKeepsEntries(t *testing.T) {
-	table := owned(t, mtrecent.Limits{Keep: retention, Skew: skew})
+	table := owned(t, mtrecent.Limits{Retention: retention, Skew: skew})
 	r := request(epoch, 1)
 	assert.Equal(t, verdictText(table.Begin(0, epoch.Add(time.Hour), r, 1)), "run")
-	table.End(0, r.Name, mtrecent.Outcome{What: mtreply.Unknown})
+	table.End(0, r.DedupKey, mtrecent.Result{Outcome: mtreply.Unknown})
 	assert.Equal(t, verdictText(table.Begin(1, epoch.Add(-time.Hour), r, 1)), "unknown earlier")
 	assert.Equal(t, verdictText(table.Begin(2, epoch.Add(time.Second), request(epoch.Add(time.Second), 2), 1)), "run")
 }
 
 func TestWaitersAreReturnedOnce(t *testing.T) {
-	table := owned(t, mtrecent.Limits{Keep: retention, Skew: skew, Waiters: 2})
+	table := owned(t, mtrecent.Limits{Retention: retention, Skew: skew, Waiters: 2})
 	r := request(epoch, 1)
 	assert.Equal(t, verdictText(table.Begin(0, epoch, r, 1)), "run")
 	assert.Equal(t, verdictText(table.Begin(0, epoch, r, 2)), "wait")
 	assert.Equal(t, verdictText(table.Begin(0, epoch, r, 3)), "wait")
 	assert.Equal(t, verdictText(table.Begin(0, epoch, r, 4)), "unknown earlier")
-	table.Leave(r.Name, 2)
-	outcome := mtrecent.Outcome{What: mtreply.Answered}
-	assert.DeepEqual(t, table.End(0, r.Name, outcome), []mtrecent.Waiter{3})
-	assert.Equal(t, len(table.End(0, r.Name, outcome)), 0)
+	table.RemoveWaiter(r.DedupKey, 2)
+	outcome := mtrecent.Result{Outcome: mtreply.Answered}
+	assert.DeepEqual(t, table.End(0, r.DedupKey, outcome), []mtrecent.Waiter{3})
+	assert.Equal(t, len(table.End(0, r.DedupKey, outcome)), 0)
 }
 
 func TestImportBeyondCapacityChangesNothing(t *testing.T) {
-	from := owned(t, mtrecent.Limits{Keep: retention, Skew: skew})
+	from := owned(t, mtrecent.Limits{Retention: retention, Skew: skew})
 	for n := range 3 {
 		r := request(epoch, n)
 		from.Begin(0, epoch, r, 1)
-		from.End(0, r.Name, mtrecent.Outcome{What: mtreply.Answered})
+		from.End(0, r.DedupKey, mtrecent.Result{Outcome: mtreply.Answered})
 	}
-	to := mtrecent.New(mtrecent.Limits{Keep: retention, Skew: skew, Count: 2})
+	to := mtrecent.New(mtrecent.Limits{Retention: retention, Skew: skew, Entries: 2})
 	err := to.Import(0, from.Export(0, 0, 100))
 	var full *mtrecent.FullError
 	assert.Assert(t, errors.As(err, &full), "%v", err)
@@ -168,11 +168,11 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	table := mtrecent.New(mtrecent.Limits{Keep: retention, Skew: skew})
+	table := mtrecent.New(mtrecent.Limits{Retention: retention, Skew: skew})
 	assert.NilError(f, table.Grant(0, last, epoch))
 	r := request(epoch.Add(time.Second), 1)
 	table.Begin(0, epoch.Add(time.Second), r, 1)
-	table.End(0, r.Name, mtrecent.Outcome{What: mtreply.Answered, Answer: &mtrecent.Answer{Status: 200, Body: []byte("x")}})
+	table.End(0, r.DedupKey, mtrecent.Result{Outcome: mtreply.Answered, Answer: &mtrecent.Answer{Status: 200, Body: []byte("x")}})
 	value, err := mtrecent.Encode(table.Export(1, 0, 100))
 	assert.NilError(f, err)
 	f.Add(value)
@@ -183,7 +183,7 @@
 			assert.Assert(t, errors.As(err, &want), "got %T", err)
 			return
 		}
-		to := mtrecent.New(mtrecent.Limits{Keep: retention, Skew: skew})
+		to := mtrecent.New(mtrecent.Limits{Retention: retention, Skew: skew})
 		assert.NilError(t, to.Import(mtclock.Instant(48*time.Hour), h))
 		_, err = mtrecent.Encode(to.Export(mtclock.Instant(48*time.Hour), h.Low, h.High))
 		assert.NilError(t, err)
@@ -195,15 +195,15 @@
 	const count = 100_000
 	for b.Loop() {
 		var before, after runtime.MemStats
-		table := mtrecent.New(mtrecent.Limits{Count: count})
+		table := mtrecent.New(mtrecent.Limits{Entries: count})
 		_ = table.Grant(0, last, time.Time{})
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		for n := range count {
 			r := request(epoch, n)
-			r.Name.Point = mtid.Point(n)
+			r.DedupKey.Point = mtid.Point(n)
 			table.Begin(0, epoch, r, 1)
-			table.End(0, r.Name, mtrecent.Outcome{What: mtreply.Unknown})
+			table.End(0, r.DedupKey, mtrecent.Result{Outcome: mtreply.Unknown})
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
@@ -224,6 +224,6 @@
 		wall := epoch.Add(now.Sub(0))
 		r := request(wall, n)
 		table.Begin(now, wall, r, 1)
-		table.End(now, r.Name, mtrecent.Outcome{What: mtreply.Unknown})
+		table.End(now, r.DedupKey, mtrecent.Result{Outcome: mtreply.Unknown})
 	}
 }
--- a/core/mtrecent/simulation_test.go
+++ b/core/mtrecent/simulation_test.go
@@ -39,7 +39,7 @@
 
 // sent is a request that a caller has sent at least once.
 type sent struct {
-	key   mtrecent.Name
+	key   mtrecent.DedupKey
 	shard int
 	runs  int
 	// running is set while a try with the verdict Run has not ended. It runs at
@@ -81,7 +81,7 @@
 }
 
 func (sim *simulation) restartTable(i int) {
-	sim.tables[i] = mtrecent.New(mtrecent.Limits{Keep: retention, Skew: skew, Count: 40, Answers: 300, Waiters: 2})
+	sim.tables[i] = mtrecent.New(mtrecent.Limits{Retention: retention, Skew: skew, Entries: 40, TotalAnswerBytes: 300, Waiters: 2})
 }
 
 func (sim *simulation) instant() mtclock.Instant { return mtclock.Instant(sim.now) }
@@ -92,7 +92,7 @@
 // the record of what has run.
 func (sim *simulation) try(s *sent, minted bool, hash mtrecent.Fingerprint) {
 	i := sim.owner[s.shard]
-	r := mtrecent.Request{Name: s.key, Fingerprint: hash, Minted: minted}
+	r := mtrecent.Request{DedupKey: s.key, Fingerprint: hash, Minted: minted}
 	v := sim.tables[i].Begin(sim.instant(), sim.wall(i), r, 1)
 	var refused *mtreply.RefusedError
 	switch {
@@ -126,7 +126,7 @@
 	}
 	low, _ := bounds(shard)
 	at := epoch.Add(sim.now + time.Duration(lead)*time.Millisecond)
-	s := &sent{key: mtrecent.Name{Point: low + 7, ID: mint(at, len(sim.sent))}, shard: shard}
+	s := &sent{key: mtrecent.DedupKey{Point: low + 7, ID: mint(at, len(sim.sent))}, shard: shard}
 	sim.sent = append(sim.sent, s)
 	sim.try(s, minted, 1)
 }
@@ -146,11 +146,11 @@
 		return
 	}
 	s.running = false
-	o := mtrecent.Outcome{What: rapid.SampledFrom([]mtreply.Outcome{mtreply.Answered, mtreply.Unknown, mtreply.NotRun}).Draw(sim.t, "what")}
-	if o.What == mtreply.Answered {
+	o := mtrecent.Result{Outcome: rapid.SampledFrom([]mtreply.Outcome{mtreply.Answered, mtreply.Unknown, mtreply.NotRun}).Draw(sim.t, "what")}
+	if o.Outcome == mtreply.Answered {
 		o.Answer = &mtrecent.Answer{Status: 200, Body: []byte("done")}
 	}
-	if o.What == mtreply.NotRun {
+	if o.Outcome == mtreply.NotRun {
 		s.runs--
 	}
 	s.table.End(sim.instant(), s.key, o)
--- a/core/mtrecent/span.go
+++ b/core/mtrecent/span.go
@@ -37,7 +37,7 @@
 
 // Entry is one identifier in a Handover.
 type Entry struct {
-	Name        Name
+	DedupKey    DedupKey
 	Fingerprint Fingerprint
 	Age         time.Duration // since it ended
 	Answered    bool          // false if it may or may not have run
@@ -47,13 +47,13 @@
 // FullError reports that a handover has more entries than the Table can take. None of it
 // was imported, and the move must be aborted.
 type FullError struct {
-	Need int // new entries in the handover
-	Room int // entries that the Table can still take
+	Need     int // new entries in the handover
+	Capacity int // entries that the Table can still take
 }
 
 // Error implements error.
 func (e *FullError) Error() string {
-	return fmt.Sprintf("recent: handover has %d new entries, table has capacity for %d more", e.Need, e.Room)
+	return fmt.Sprintf("recent: handover has %d new entries, table has capacity for %d more", e.Need, e.Capacity)
 }
 
 // RangeError reports a range that ends before it starts, or a part of a handover outside
@@ -94,9 +94,9 @@
 	}
 }
 
-// Lost returns the horizon of the range of p: a request whose identifier isn't newer may
+// Horizon returns the horizon of the range of p: a request whose identifier isn't newer may
 // have run at a lost owner. It returns false if no owner of the range was lost.
-func (t *Table) Lost(p mtid.Point) (time.Time, bool) {
+func (t *Table) Horizon(p mtid.Point) (time.Time, bool) {
 	s, ok := t.find(p)
 	if !ok || s.horizon == noHorizon {
 		return time.Time{}, false
@@ -134,14 +134,14 @@
 		h.Entries = append(h.Entries, e.export(now))
 	}
 	slices.SortFunc(h.Entries, func(a, b Entry) int {
-		return cmp.Or(cmp.Compare(b.Age, a.Age), cmp.Compare(a.Name.Point, b.Name.Point), slices.Compare(a.Name.ID[:], b.Name.ID[:]))
+		return cmp.Or(cmp.Compare(b.Age, a.Age), cmp.Compare(a.DedupKey.Point, b.DedupKey.Point), slices.Compare(a.DedupKey.ID[:], b.DedupKey.ID[:]))
 	})
 	return h
 }
 
 // export returns the form of e in a Handover.
 func (e *entry) export(now mtclock.Instant) Entry {
-	out := Entry{Name: e.key, Fingerprint: e.fingerprint, Answered: e.state == answered, Answer: e.answer}
+	out := Entry{DedupKey: e.key, Fingerprint: e.fingerprint, Answered: e.state == answered, Answer: e.answer}
 	if e.state != running {
 		out.Age = now.Sub(e.ended)
 	}
@@ -159,12 +159,12 @@
 	}
 	added := 0
 	for _, e := range h.Entries {
-		if _, ok := t.entries[e.Name]; !ok {
+		if _, ok := t.entries[e.DedupKey]; !ok {
 			added++
 		}
 	}
-	if capacity := t.limits.Count - len(t.entries); added > capacity {
-		return &FullError{Need: added, Room: capacity}
+	if capacity := t.limits.Entries - len(t.entries); added > capacity {
+		return &FullError{Need: added, Capacity: capacity}
 	}
 	t.removeRange(h.Low, h.High)
 	for _, s := range h.Spans {
@@ -180,18 +180,18 @@
 // importEntry adds an entry of a handover. It replaces an existing entry of the same
 // identifier unless that one is still running here.
 func (t *Table) importEntry(now mtclock.Instant, in Entry) {
-	if old, ok := t.entries[in.Name]; ok {
+	if old, ok := t.entries[in.DedupKey]; ok {
 		if old.state == running {
 			return
 		}
 		t.remove(old)
 	}
-	e := &entry{key: in.Name, fingerprint: in.Fingerprint, ended: now.Add(-in.Age), state: unknown}
+	e := &entry{key: in.DedupKey, fingerprint: in.Fingerprint, ended: now.Add(-in.Age), state: unknown}
 	if in.Answered {
 		e.state = answered
 		t.retain(e, in.Answer)
 	}
-	t.entries[in.Name] = e
+	t.entries[in.DedupKey] = e
 	t.ended.push(e)
 }
 
@@ -207,8 +207,8 @@
 		}
 	}
 	for _, e := range h.Entries {
-		if e.Name.Point < h.Low || e.Name.Point > h.High || e.Age < 0 {
-			return &RangeError{Low: e.Name.Point, High: e.Name.Point}
+		if e.DedupKey.Point < h.Low || e.DedupKey.Point > h.High || e.Age < 0 {
+			return &RangeError{Low: e.DedupKey.Point, High: e.DedupKey.Point}
 		}
 	}
 	return nil
--- a/io/mthost/crash.go
+++ b/io/mthost/crash.go
@@ -16,10 +16,10 @@
 
 // contain refuses a request that is held to have crashed its servers. It fails with a
 // *mtreply.RefusedError.
-func (h *Host) contain(now mtclock.Instant, p mtpoison.Print, proven bool) error {
+func (h *Host) contain(now mtclock.Instant, p mtpoison.Fingerprint, proven bool) error {
 	h.crashMu.Lock()
 	defer h.crashMu.Unlock()
-	left := h.recurring.Quarantined(now, p, proven)
+	left := h.recurring.RefusedFor(now, p, proven)
 	if left == 0 {
 		return nil
 	}
@@ -27,29 +27,29 @@
 }
 
 // began notes that a request is sent to the server.
-func (h *Host) began(p mtpoison.Print) {
+func (h *Host) began(p mtpoison.Fingerprint) {
 	h.crashMu.Lock()
 	defer h.crashMu.Unlock()
-	h.recurring.Began(p)
+	h.recurring.Started(p)
 }
 
 // ended notes how a request that began has ended.
-func (h *Host) ended(p mtpoison.Print, err error) {
+func (h *Host) ended(p mtpoison.Fingerprint, err error) {
 	h.crashMu.Lock()
 	defer h.crashMu.Unlock()
 	h.recurring.Ended(h.Clock.Now(), p, endOf(err))
 }
 
 // endOf returns what the end of a request tells of its server.
-func endOf(err error) mtpoison.End {
+func endOf(err error) mtpoison.RunResult {
 	var unknown *mtreply.UnknownError
 	switch {
 	case err == nil:
-		return mtpoison.Whole
+		return mtpoison.Answered
 	case errors.As(err, &unknown) && unknown.Cause == mtreply.CauseLost:
 		return mtpoison.Broken
 	case errors.As(err, &unknown):
-		return mtpoison.Left
+		return mtpoison.Abandoned
 	}
 	return mtpoison.NotRun
 }
@@ -59,7 +59,7 @@
 func (h *Host) lost() {
 	h.crashMu.Lock()
 	defer h.crashMu.Unlock()
-	suspects := h.recurring.Lost(h.Clock.Now(), h.Daemon)
+	suspects := h.recurring.ServerLost(h.Clock.Now(), h.Daemon)
 	if suspects == h.record.Suspects {
 		return
 	}
@@ -74,19 +74,19 @@
 	}
 	h.crashMu.Lock()
 	defer h.crashMu.Unlock()
-	h.recurring.Heard(h.Clock.Now(), r.Daemon, r.Suspects)
+	h.recurring.MergeSuspects(h.Clock.Now(), r.Daemon, r.Suspects)
 }
 
 // Proven reports whether a server has answered the same request before.
-func (h *Host) Proven(p mtpoison.Print) bool {
+func (h *Host) Proven(p mtpoison.Fingerprint) bool {
 	h.crashMu.Lock()
 	defer h.crashMu.Unlock()
-	return h.recurring.Proven(p)
+	return h.recurring.Answered(p)
 }
 
 // Prove notes that a server anywhere has answered a request.
-func (h *Host) Prove(p mtpoison.Print) {
+func (h *Host) Prove(p mtpoison.Fingerprint) {
 	h.crashMu.Lock()
 	defer h.crashMu.Unlock()
-	h.recurring.Prove(p)
+	h.recurring.MarkAnswered(p)
 }
--- a/io/mthost/mthost.go
+++ b/io/mthost/mthost.go
@@ -161,7 +161,7 @@
 	running map[mtcall.ID]int // calls at the server, by identifier
 
 	crashMu   sync.Mutex
-	recurring *mtpoison.Recurring
+	recurring *mtpoison.RecurrenceDetector
 
 	meterMu  sync.Mutex
 	meter    *mtrange.Meter
@@ -186,7 +186,7 @@
 		usual:   make(map[mtid.Class]time.Duration),
 		meter:   mtrange.NewMeter(config.Clock.Now()),
 
-		recurring: mtpoison.NewRecurring(),
+		recurring: mtpoison.NewRecurrenceDetector(),
 	}
 	h.record = mtbackend.Record{
 		Daemon: config.Daemon, Address: config.Peer, Zone: config.Zone, Link: config.Link, Service: config.Service, State: mtbackend.Unknown,
--- a/io/mtingress/send.go
+++ b/io/mtingress/send.go
@@ -28,8 +28,8 @@
 	Load() mtcall.Load
 	// Proven reports whether a server has answered the same request before, and Prove
 	// notes that one has.
-	Proven(p mtpoison.Print) bool
-	Prove(p mtpoison.Print)
+	Proven(p mtpoison.Fingerprint) bool
+	Prove(p mtpoison.Fingerprint)
 }
 
 // peers send calls to other daemons.
--- a/io/mtingress/send_test.go
+++ b/io/mtingress/send_test.go
@@ -55,9 +55,9 @@
 
 func (host) Load() mtcall.Load { return mtcall.Load{} }
 
-func (host) Proven(mtpoison.Print) bool { return false }
+func (host) Proven(mtpoison.Fingerprint) bool { return false }
 
-func (host) Prove(mtpoison.Print) {}
+func (host) Prove(mtpoison.Fingerprint) {}
 
 // newSender returns a sender that knows three servers beside other daemons.
 func newSender(t *testing.T, p *peers) (*mtingress.Sender, *mttime.Clock) {
--- a/io/mtowner/recent.go
+++ b/io/mtowner/recent.go
@@ -117,7 +117,7 @@
 	defer r.mu.Unlock()
 	r.next++
 	v := r.table.Begin(clock.Now(), clock.Wall(), mtrecent.Request{
-		Name:        nameOf(q),
+		DedupKey:    nameOf(q),
 		Fingerprint: mtrecent.Fingerprint(q.Fingerprint()),
 		Minted:      q.Minted,
 	}, r.next)
@@ -149,7 +149,7 @@
 func (r *recent) end(clock clock, q *mtrequest.Request, reply *mtrequest.Reply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	outcome := mtrecent.Outcome{What: reply.Outcome}
+	outcome := mtrecent.Result{Outcome: reply.Outcome}
 	if reply.Outcome == mtreply.Answered {
 		outcome.Answer = &mtrecent.Answer{Status: reply.Status, ContentType: reply.ContentType, Body: reply.Body}
 	}
@@ -169,14 +169,14 @@
 	case <-ctx.Done():
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.table.Leave(nameOf(q), v.waiter)
+		r.table.RemoveWaiter(nameOf(q), v.waiter)
 		delete(r.waiters, v.waiter)
 		return nil, &mtreply.UnknownError{Cause: mtreply.CauseEarlier, Err: ctx.Err()}
 	}
 }
 
-func nameOf(q *mtrequest.Request) mtrecent.Name {
-	return mtrecent.Name{Point: q.Point(), ID: uuid.UUID(q.ID)}
+func nameOf(q *mtrequest.Request) mtrecent.DedupKey {
+	return mtrecent.DedupKey{Point: q.Point(), ID: uuid.UUID(q.ID)}
 }
 
 // exposure is how long after a takeover the requests of a range may be the ones
@@ -205,7 +205,7 @@
 func (r *recent) lost(p mtid.Point) (time.Time, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.table.Lost(p)
+	return r.table.Horizon(p)
 }
 
 // Adopt makes the memories answer for all shards that this daemon owns. It is
--- a/io/mtowner/recent_test.go
+++ b/io/mtowner/recent_test.go
@@ -228,8 +228,8 @@
 
 	b.clock.pass(time.Second)
 	order := b.order(1)
-	name := mtrecent.Name{Point: order.Point(), ID: uuid.UUID(order.ID)}
-	verdict := memory.Begin(1, b.clock.Wall(), mtrecent.Request{Name: name}, 1)
+	name := mtrecent.DedupKey{Point: order.Point(), ID: uuid.UUID(order.ID)}
+	verdict := memory.Begin(1, b.clock.Wall(), mtrecent.Request{DedupKey: name}, 1)
 	assert.Equal(t, verdict.Kind, mtrecent.Run) // at the other owner, lost since
 
 	b.clock.pass(2 * time.Second)
--- a/io/mtpoison/ask.go
+++ b/io/mtpoison/ask.go
@@ -159,7 +159,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.table.Live(w.Self())
+	w.table.SetSelf(w.Self())
 	w.table.Merge(now, digest)
 	return nil
 }
--- a/io/mtpoison/attend.go
+++ b/io/mtpoison/attend.go
@@ -139,7 +139,7 @@
 }
 
 // end sends an end.
-func (a *attendant) end(number uint64, how mtpoison.End) {
+func (a *attendant) end(number uint64, how mtpoison.RunResult) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.begun, number)
@@ -147,7 +147,7 @@
 		return
 	}
 	end := &mtwire.Flight{
-		Number: number, Ended: true, Whole: how == mtpoison.Whole, Left: how == mtpoison.Left || how == mtpoison.Broken,
+		Number: number, Ended: true, Whole: how == mtpoison.Answered, Left: how == mtpoison.Abandoned || how == mtpoison.Broken,
 	}
 	if err := a.stream.Send(end); err != nil {
 		a.reset()
@@ -214,9 +214,9 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := w.number()
-	w.table.Relayed(n, mtroster.ReadHolder(flight.GetHolder()), mtpoison.Print(flight.GetPrint()))
+	w.table.Relayed(n, mtroster.ReadHolder(flight.GetHolder()), mtpoison.Fingerprint(flight.GetPrint()))
 	if flight.GetAlone() {
-		w.table.Begun(n)
+		w.table.StartedAlone(n)
 	}
 	return &Relayed{watch: w, number: n, service: ref}
 }
--- a/io/mtpoison/mtpoison.go
+++ b/io/mtpoison/mtpoison.go
@@ -79,7 +79,7 @@
 	Config
 	mu      sync.Mutex // guards table, next, refused
 	table   *mtpoison.Table[mtpoison.Narrow]
-	next    mtpoison.Number
+	next    mtpoison.FlightID
 	refused refusals
 	lost    losses
 	// attendant is the peer that attends requests which came straight here.
@@ -155,14 +155,14 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, holder := range w.table.Conditions() {
+	for _, holder := range w.table.PendingHolders() {
 		if !w.live(holder) {
 			w.table.HolderLost(w.Clock.Now(), holder)
 		}
 	}
-	verdict := w.table.Judge(w.Clock.Now(), mtpoison.Print(r.Fingerprint()), r.Suspect)
+	verdict := w.table.Judge(w.Clock.Now(), mtpoison.Fingerprint(r.Fingerprint()), r.Suspect)
 	if verdict == mtpoison.Quarantined {
-		w.refused.note(w.Clock.Now(), r.Service, mtpoison.Print(r.Fingerprint()))
+		w.refused.note(w.Clock.Now(), r.Service, mtpoison.Fingerprint(r.Fingerprint()))
 	}
 	return verdict
 }
@@ -192,25 +192,25 @@
 	}
 }
 
-func (w *Watch) started(r *mtrequest.Request) mtpoison.Number {
+func (w *Watch) started(r *mtrequest.Request) mtpoison.FlightID {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := w.number()
-	w.table.Started(n, mtpoison.Print(r.Fingerprint()), r.Suspect)
+	w.table.Started(n, mtpoison.Fingerprint(r.Fingerprint()), r.Suspect)
 	if r.Suspect && r.Begun != nil {
 		r.Begun()
 	}
 	return n
 }
 
-func (w *Watch) number() mtpoison.Number {
+func (w *Watch) number() mtpoison.FlightID {
 	w.next++
 	return w.next
 }
 
 // ended takes in the end of a run. A connection that broke may mean that the
 // server has crashed; a server that takes no connection has.
-func (w *Watch) ended(n mtpoison.Number, service mtid.Ref, address string, err error) {
+func (w *Watch) ended(n mtpoison.FlightID, service mtid.Ref, address string, err error) {
 	w.mu.Lock()
 	open := w.table.Ended(w.Clock.Now(), n, endOf(err))
 	w.mu.Unlock()
@@ -218,11 +218,11 @@
 		return
 	}
 	w.mu.Lock()
-	if !w.table.Open(n) {
+	if !w.table.Unattributed(n) {
 		w.mu.Unlock()
 		return
 	}
-	w.table.Live(w.Self())
+	w.table.SetSelf(w.Self())
 	before := w.table.Counts().Quarantined
 	w.table.ServerLost(w.Clock.Now())
 	quarantined := w.table.Counts().Quarantined > before
@@ -247,9 +247,9 @@
 }
 
 // endOf returns what a run's error says of its server.
-func endOf(err error) mtpoison.End {
+func endOf(err error) mtpoison.RunResult {
 	if err == nil {
-		return mtpoison.Whole
+		return mtpoison.Answered
 	}
 	var refused *mtreply.RefusedError
 	if errors.As(err, &refused) {
@@ -259,13 +259,13 @@
 	if errors.As(err, &unknown) && (unknown.Cause == mtreply.CauseLost || unknown.Cause == mtreply.CauseTruncated) {
 		return mtpoison.Broken
 	}
-	return mtpoison.Left
+	return mtpoison.Abandoned
 }
 
 // Relayed is a request on its way through another daemon.
 type Relayed struct {
 	watch   *Watch
-	number  mtpoison.Number
+	number  mtpoison.FlightID
 	service mtid.Ref
 }
 
@@ -274,7 +274,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := w.number()
-	w.table.Relayed(n, to, mtpoison.Print(r.Fingerprint()))
+	w.table.Relayed(n, to, mtpoison.Fingerprint(r.Fingerprint()))
 	return &Relayed{watch: w, number: n, service: r.Service}
 }
 
@@ -282,7 +282,7 @@
 func (r *Relayed) Begun() {
 	r.watch.mu.Lock()
 	defer r.watch.mu.Unlock()
-	r.watch.table.Begun(r.number)
+	r.watch.table.StartedAlone(r.number)
 }
 
 // End says how the relay has ended. err is nil if the owner's daemon has
@@ -294,7 +294,7 @@
 	w.mu.Lock()
 	lost := false
 	switch endOf(err) {
-	case mtpoison.Whole:
+	case mtpoison.Answered:
 		w.table.Returned(now, r.number, answered)
 	case mtpoison.NotRun:
 		w.table.Returned(now, r.number, false)
--- a/io/mtpoison/refused.go
+++ b/io/mtpoison/refused.go
@@ -17,7 +17,7 @@
 // alone doesn't tell whose service it is for.
 type Refused struct {
 	Service mtid.Ref
-	Print   mtpoison.Print
+	Print   mtpoison.Fingerprint
 	Times   int
 	Last    mtclock.Instant
 	// Until is when the quarantine ends if nobody asks again.
@@ -25,10 +25,10 @@
 }
 
 // refusals are the Refused of a Watch, guarded by its lock.
-type refusals map[mtpoison.Print]Refused
+type refusals map[mtpoison.Fingerprint]Refused
 
 // note counts a refusal.
-func (r refusals) note(now mtclock.Instant, service mtid.Ref, p mtpoison.Print) {
+func (r refusals) note(now mtclock.Instant, service mtid.Ref, p mtpoison.Fingerprint) {
 	refused, ok := r[p]
 	if !ok && len(r) >= maxRefused {
 		r.expire(now)
