--- a/core/mtrange/codec.go
+++ b/core/mtrange/codec.go
@@ -10,19 +10,19 @@
 	"magnoliaturn/core/mtwire"
 )
 
-// Patch is what has changed in a table since Since was its next epoch: a key that
-// changed hands since then lies in one of the ranges, and every other key stands
-// as before. Daemons tell each other patches: a move among 39 servers that
-// share 250 ranges changes two or three of them, and the whole table sent to
-// every daemon for each move filled links of 10 Mbit/s.
+// Patch holds the changes to a table since the epoch Since was its next one. Every
+// key that has changed owner since lies in one of the ranges; all other keys are
+// unchanged. Daemons exchange patches instead of whole tables: a move among 39
+// servers that share 250 ranges changes two or three of them, and sending the
+// whole table to every daemon for each move saturated links of 10 Mbit/s.
 type Patch struct {
 	Service mtid.Service
 	Since   mtid.Epoch
 	Next    mtid.Epoch
-	Ranges  []Range // in order; those under an epoch of Since or higher
+	Ranges  []Range // in order; only those whose epoch is at least Since
 }
 
-// Since returns what has changed since an epoch was the next one.
+// Since returns the changes made since the given epoch was the next one.
 func (t *Table) Since(epoch mtid.Epoch) *Patch {
 	p := &Patch{Service: t.Service, Since: epoch, Next: t.Next}
 	for _, r := range t.Ranges {
@@ -33,7 +33,7 @@
 	return p
 }
 
-// PatchError says that a patch does not fit the table that it is laid over.
+// PatchError reports that a patch cannot be applied to a table.
 type PatchError struct {
 	Service mtid.Service
 	Next    mtid.Epoch // of the table
@@ -42,11 +42,12 @@
 
 // Error implements error.
 func (e *PatchError) Error() string {
-	return fmt.Sprintf("range: patch of %q since epoch %d does not fit a table at epoch %d", e.Service, e.Since, e.Next)
+	return fmt.Sprintf("range: cannot apply the patch of service %q since epoch %d to a table at epoch %d", e.Service, e.Since, e.Next)
 }
 
-// Apply returns the table with a patch laid over it. It fails with a *PatchError
-// if the table is older than what the patch builds on.
+// Apply returns a copy of the table with the patch applied. It fails with a
+// *PatchError if the patch is of another service, starts at an epoch that the
+// table has not reached, or ends before the table does.
 func (t *Table) Apply(p *Patch) (*Table, error) {
 	if t.Service != p.Service || t.Next < p.Since || p.Next < t.Next {
 		return nil, &PatchError{Service: p.Service, Next: t.Next, Since: p.Since}
@@ -57,23 +58,23 @@
 		low := int(r.Low)
 		for len(changed) > 0 && int(changed[0].Low) <= int(r.High) {
 			if int(changed[0].Low) > low {
-				next.Ranges = append(next.Ranges, part(r, mtid.Number(low), changed[0].Low-1))
+				next.Ranges = append(next.Ranges, subrange(r, mtid.Number(low), changed[0].Low-1))
 			}
 			low = max(low, int(changed[0].High)+1)
 			if int(changed[0].High) > int(r.High) {
-				break // it covers the next range too
+				break // it extends into the next range
 			}
 			next.Ranges = append(next.Ranges, changed[0])
 			changed = changed[1:]
 		}
 		if low <= int(r.High) {
-			next.Ranges = append(next.Ranges, part(r, mtid.Number(low), r.High))
+			next.Ranges = append(next.Ranges, subrange(r, mtid.Number(low), r.High))
 		}
 	}
 	return next, nil
 }
 
-// DecodeError says that a table or a patch can't be read.
+// DecodeError reports that an encoded table, patch or batch is invalid.
 type DecodeError struct {
 	Reason string
 	Err    error
@@ -82,34 +83,35 @@
 // Error implements error.
 func (e *DecodeError) Error() string {
 	if e.Err != nil {
-		return "range: table can't be read: " + e.Err.Error()
+		return "range: decode: " + e.Err.Error()
 	}
-	return "range: table can't be read: " + e.Reason
+	return "range: decode: " + e.Reason
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of the protobuf decoder, or nil if the message was
+// well-formed but its content was invalid.
 func (e *DecodeError) Unwrap() error { return e.Err }
 
-// Encode returns the stored form of t. A range costs about eight bytes, and its
-// warmth twenty.
+// Encode returns the stored form of t. A range takes about eight bytes, and its
+// warm-up state another twenty.
 func (t *Table) Encode() ([]byte, error) { return encode(t.Service, t.Next, 0, t.Ranges) }
 
-// Encode returns the form of p that daemons tell each other.
+// Encode returns the form of p that daemons exchange.
 func (p *Patch) Encode() ([]byte, error) { return encode(p.Service, p.Next, p.Since, p.Ranges) }
 
 func encode(service mtid.Service, next, since mtid.Epoch, ranges []Range) ([]byte, error) {
 	w := &mtwire.RangeTable{Service: string(service), Next: uint64(next), Since: uint64(since)}
-	places := make(map[Owner]uint32)
+	indexes := make(map[Owner]uint32)
 	for i, r := range ranges {
-		place, ok := places[r.Owner]
+		index, ok := indexes[r.Owner]
 		if !ok {
-			place = uint32(len(w.Owners))
-			places[r.Owner] = place
+			index = uint32(len(w.Owners))
+			indexes[r.Owner] = index
 			w.Owners = append(w.Owners, wireOwner(r.Owner))
 		}
 		w.Lows = append(w.Lows, uint32(r.Low))
 		w.Highs = append(w.Highs, uint32(r.High))
-		w.Owner = append(w.Owner, place)
+		w.Owner = append(w.Owner, index)
 		w.Epochs = append(w.Epochs, uint64(r.Epoch))
 		if r.Warmth != "" {
 			w.Warmths = append(w.Warmths, &mtwire.RangeWarmth{Place: uint32(i), Text: r.Warmth})
@@ -123,36 +125,36 @@
 }
 
 func readOwner(w *mtwire.RangeOwner) Owner {
-	life := mtid.Life{Server: mtid.Server(w.GetServer()), Born: mtid.Birth(w.GetBorn())}
-	return Owner{Daemon: mtid.Daemon(w.GetDaemon()), Life: life}
+	incarnation := mtid.Life{Server: mtid.Server(w.GetServer()), Born: mtid.Birth(w.GetBorn())}
+	return Owner{Daemon: mtid.Daemon(w.GetDaemon()), Life: incarnation}
 }
 
-// Decode reads a stored table. It fails with a *DecodeError if the ranges don't
-// cover all keys in order: a table with a gap would leave keys unserved for
-// good, one with an overlap would give a key two owners.
+// Decode reads a stored table. It fails with a *DecodeError if the ranges do not
+// cover all keys in order: a gap would leave keys unserved permanently, and an
+// overlap would give a key two owners.
 func Decode(value []byte) (*Table, error) {
 	w, ranges, err := decode(value)
 	if err != nil {
 		return nil, err
 	}
 	if w.GetSince() != 0 {
-		return nil, &DecodeError{Reason: "it is a patch"}
+		return nil, &DecodeError{Reason: "expected a full table, got a patch"}
 	}
-	want := 0
+	nextLow := 0
 	for _, r := range ranges {
-		if int(r.Low) != want {
-			return nil, &DecodeError{Reason: fmt.Sprintf("range %d to %d is out of order", r.Low, r.High)}
+		if int(r.Low) != nextLow {
+			return nil, &DecodeError{Reason: fmt.Sprintf("gap before range %d to %d", r.Low, r.High)}
 		}
-		want = int(r.High) + 1
+		nextLow = int(r.High) + 1
 	}
-	if want != int(mtid.LastNumber)+1 {
-		return nil, &DecodeError{Reason: "not all keys are covered"}
+	if nextLow != int(mtid.LastNumber)+1 {
+		return nil, &DecodeError{Reason: "no range covers the last keys"}
 	}
 	return &Table{Service: mtid.Service(w.GetService()), Next: mtid.Epoch(w.GetNext()), Ranges: ranges}, nil
 }
 
 // DecodePatch reads a patch. It returns nil if the value is a whole table, and
-// fails with a *DecodeError.
+// fails with a *DecodeError if the value is invalid.
 func DecodePatch(value []byte) (*Patch, error) {
 	w, ranges, err := decode(value)
 	if err != nil {
@@ -163,7 +165,7 @@
 	}
 	for _, r := range ranges {
 		if r.Epoch < mtid.Epoch(w.GetSince()) {
-			return nil, &DecodeError{Reason: fmt.Sprintf("epoch %d is older than the patch", r.Epoch)}
+			return nil, &DecodeError{Reason: fmt.Sprintf("epoch %d is below the first epoch of the patch", r.Epoch)}
 		}
 	}
 	return &Patch{
@@ -171,8 +173,8 @@
 	}, nil
 }
 
-// decode reads what tables and patches have in common: ranges in order, whose
-// epochs have been given out.
+// decode reads the parts that tables and patches share. It checks that the
+// ranges are in order and that their epochs have already been assigned.
 func decode(value []byte) (*mtwire.RangeTable, []Range, error) {
 	w := &mtwire.RangeTable{}
 	if err := proto.Unmarshal(value, w); err != nil {
@@ -180,31 +182,31 @@
 	}
 	n := len(w.GetLows())
 	if len(w.GetHighs()) != n || len(w.GetOwner()) != n || len(w.GetEpochs()) != n {
-		return nil, nil, &DecodeError{Reason: "columns differ in length"}
+		return nil, nil, &DecodeError{Reason: "columns lows, highs, owner and epochs differ in length"}
 	}
 	ranges := make([]Range, 0, n)
-	least := uint32(0)
+	minLow := uint32(0)
 	for i, low := range w.GetLows() {
-		high, place, epoch := w.GetHighs()[i], w.GetOwner()[i], w.GetEpochs()[i]
+		high, index, epoch := w.GetHighs()[i], w.GetOwner()[i], w.GetEpochs()[i]
 		switch {
-		case low < least || high < low || high > uint32(mtid.LastNumber):
-			return nil, nil, &DecodeError{Reason: fmt.Sprintf("range %d to %d is out of order", low, high)}
+		case low < minLow || high < low || high > uint32(mtid.LastNumber):
+			return nil, nil, &DecodeError{Reason: fmt.Sprintf("range %d to %d is invalid or overlaps the previous one", low, high)}
 		case epoch >= w.GetNext():
-			return nil, nil, &DecodeError{Reason: fmt.Sprintf("epoch %d is not below the next one", epoch)}
-		case int(place) >= len(w.GetOwners()):
-			return nil, nil, &DecodeError{Reason: fmt.Sprintf("owner %d is not named", place)}
+			return nil, nil, &DecodeError{Reason: fmt.Sprintf("epoch %d is not below the next epoch of the table", epoch)}
+		case int(index) >= len(w.GetOwners()):
+			return nil, nil, &DecodeError{Reason: fmt.Sprintf("owner index %d is out of range", index)}
 		}
 		ranges = append(ranges, Range{
 			Low: mtid.Number(low), High: mtid.Number(high), Epoch: mtid.Epoch(epoch),
-			Owner: readOwner(w.GetOwners()[place]),
+			Owner: readOwner(w.GetOwners()[index]),
 		})
-		least = high + 1
+		minLow = high + 1
 	}
-	for _, warmth := range w.GetWarmths() {
-		if int(warmth.GetPlace()) >= n {
-			return nil, nil, &DecodeError{Reason: "warmth of a range that is not there"}
+	for _, warmup := range w.GetWarmths() {
+		if int(warmup.GetPlace()) >= n {
+			return nil, nil, &DecodeError{Reason: "warm-up state of a range that does not exist"}
 		}
-		ranges[warmth.GetPlace()].Warmth = warmth.GetText()
+		ranges[warmup.GetPlace()].Warmth = warmup.GetText()
 	}
 	return w, slices.Clip(ranges), nil
 }
--- a/core/mtrange/codec_test.go
+++ b/core/mtrange/codec_test.go
@@ -13,9 +13,9 @@
 	"magnoliaturn/core/mtwire"
 )
 
-// patched checks that a daemon which has the table before, and is told only what
-// has changed since, has the table after: as it was written and as it is read.
-func patched(t *rapid.T, before, after *mtrange.Table) {
+// checkPatch checks that applying the changes since the table before yields the
+// table after, once the patch has been encoded and decoded.
+func checkPatch(t *rapid.T, before, after *mtrange.Table) {
 	value, err := after.Since(before.Next).Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -31,9 +31,9 @@
 	assert.DeepEqual(t, got, after)
 }
 
-// A daemon misses several changes, makes one itself and hears of all others in one
-// patch that builds on what it knew before its own change. It must not lose any.
-func TestAPatchLaidOverALaterTable(t *testing.T) {
+// A daemon misses several changes, makes one itself and receives all others in one
+// patch that starts before its own change. Applying it must not lose any change.
+func TestApplyPatchToLaterTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, err := mtrange.Spread("maps", owners(5))
 		if err != nil {
@@ -41,12 +41,12 @@
 		}
 		history := []*mtrange.Table{table}
 		for range rapid.IntRange(1, 8).Draw(t, "changes") {
-			table = change(t, table)
+			table = randomChange(t, table)
 			history = append(history, table)
 		}
-		known := rapid.IntRange(0, len(history)-1).Draw(t, "asked at")
-		own := rapid.IntRange(known, len(history)-1).Draw(t, "learned meanwhile")
-		got, err := history[own].Apply(table.Since(history[known].Next))
+		known := rapid.IntRange(0, len(history)-1).Draw(t, "known at")
+		ownAt := rapid.IntRange(known, len(history)-1).Draw(t, "applied at")
+		got, err := history[ownAt].Apply(table.Since(history[known].Next))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -54,9 +54,9 @@
 	})
 }
 
-// A patch that builds on more than the daemon knows would leave keys with former
-// owners, and so would one that is older than the table.
-func TestAPatchThatDoesNotFitIsRefused(t *testing.T) {
+// A patch that starts after the daemon's table would leave keys with previous owners,
+// and so would one that ends before it.
+func TestApplyRejectsPatchThatDoesNotFit(t *testing.T) {
 	first, err := mtrange.Spread("maps", owners(2))
 	assert.NilError(t, err)
 	second, err := first.Move(0, 9, owner(1), "")
@@ -76,8 +76,9 @@
 	}
 }
 
-// wire returns an encoded table of one owner.
-func wire(t testing.TB, next, since uint64, rows ...[3]uint32) []byte {
+// encodedTable returns a table with one owner; a row holds the low and high key and
+// the epoch of a range.
+func encodedTable(t testing.TB, next, since uint64, rows ...[3]uint32) []byte {
 	w := &mtwire.RangeTable{Service: "m", Next: next, Since: since, Owners: []*mtwire.RangeOwner{{Daemon: "d", Server: "s"}}}
 	for _, row := range rows {
 		w.Lows = append(w.Lows, row[0])
@@ -90,24 +91,24 @@
 	return value
 }
 
-func TestDecodeRefusesWhatWouldLeaveKeysOrShareThem(t *testing.T) {
-	stranger := &mtwire.RangeTable{Next: 2, Lows: []uint32{0}, Highs: []uint32{65535}, Epochs: []uint64{1}, Owner: []uint32{3}}
-	unnamed, err := proto.Marshal(stranger)
+func TestDecodeRejectsInvalidTables(t *testing.T) {
+	unknownOwner := &mtwire.RangeTable{Next: 2, Lows: []uint32{0}, Highs: []uint32{65535}, Epochs: []uint64{1}, Owner: []uint32{3}}
+	badIndex, err := proto.Marshal(unknownOwner)
 	assert.NilError(t, err)
 	ragged, err := proto.Marshal(&mtwire.RangeTable{Next: 2, Lows: []uint32{0}, Highs: []uint32{65535}})
 	assert.NilError(t, err)
 	for name, value := range map[string][]byte{
-		"gap":             wire(t, 3, 0, [3]uint32{0, 9, 1}, [3]uint32{11, 65535, 2}),
-		"overlap":         wire(t, 3, 0, [3]uint32{0, 9, 1}, [3]uint32{9, 65535, 2}),
-		"start missing":   wire(t, 3, 0, [3]uint32{1, 65535, 1}),
-		"end missing":     wire(t, 3, 0, [3]uint32{0, 65534, 1}),
-		"epoch to come":   wire(t, 1, 0, [3]uint32{0, 65535, 1}),
-		"no ranges":       wire(t, 1, 0),
-		"key out of 16b":  wire(t, 3, 0, [3]uint32{0, 65536, 1}),
-		"a patch":         wire(t, 3, 2, [3]uint32{0, 65535, 2}),
-		"owner not named": unnamed,
-		"columns ragged":  ragged,
-		"not a table":     []byte("[]"),
+		"gap":                      encodedTable(t, 3, 0, [3]uint32{0, 9, 1}, [3]uint32{11, 65535, 2}),
+		"overlap":                  encodedTable(t, 3, 0, [3]uint32{0, 9, 1}, [3]uint32{9, 65535, 2}),
+		"start missing":            encodedTable(t, 3, 0, [3]uint32{1, 65535, 1}),
+		"end missing":              encodedTable(t, 3, 0, [3]uint32{0, 65534, 1}),
+		"epoch not assigned yet":   encodedTable(t, 1, 0, [3]uint32{0, 65535, 1}),
+		"no ranges":                encodedTable(t, 1, 0),
+		"key out of 16b":           encodedTable(t, 3, 0, [3]uint32{0, 65536, 1}),
+		"a patch":                  encodedTable(t, 3, 2, [3]uint32{0, 65535, 2}),
+		"owner index out of range": badIndex,
+		"columns differ in length": ragged,
+		"not a table":              []byte("[]"),
 	} {
 		_, err := mtrange.Decode(value)
 		var want *mtrange.DecodeError
@@ -116,15 +117,15 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(wire(f, 2, 0, [3]uint32{0, 65535, 1}))
-	f.Add(wire(f, 4, 3, [3]uint32{7, 9, 3}))
+	f.Add(encodedTable(f, 2, 0, [3]uint32{0, 65535, 1}))
+	f.Add(encodedTable(f, 4, 3, [3]uint32{7, 9, 3}))
 	f.Fuzz(func(t *testing.T, value []byte) {
 		patch, err := mtrange.DecodePatch(value)
 		if err == nil && patch != nil {
 			whole, err := mtrange.Spread(patch.Service, owners(3))
 			assert.NilError(t, err)
 			if next, err := whole.Apply(patch); err == nil {
-				covered(t, next)
+				checkCoverage(t, next)
 			}
 			return
 		}
@@ -132,12 +133,12 @@
 		if err != nil {
 			return
 		}
-		covered(t, table)
+		checkCoverage(t, table)
 	})
 }
 
-// covered checks that every key has one owner.
-func covered(t *testing.T, table *mtrange.Table) {
+// checkCoverage checks that every key has exactly one owner.
+func checkCoverage(t *testing.T, table *mtrange.Table) {
 	want := 0
 	for _, r := range table.Ranges {
 		assert.Equal(t, int(r.Low), want)
--- a/core/mtrange/meter.go
+++ b/core/mtrange/meter.go
@@ -9,98 +9,102 @@
 	"magnoliaturn/core/mtid"
 )
 
-// MeterMemory is the time after which an arrival counts for 1/e. Hot keys change
-// within seconds, and a server of the usual size sees some twenty requests a
-// second: two seconds hold enough of them to tell a hot key from chance.
+// MeterMemory is the time constant of the measurement: an arrival this old counts
+// for 1/e. Hot keys change within seconds, and a typical server receives some
+// twenty requests a second, so two seconds hold enough of them to tell a hot key
+// from chance.
 const MeterMemory = 2 * time.Second
 
-// Meter measures the offered work of each key at one server, in slots: arrivals
-// a second, refused ones included, times the mean time that a request takes. It
-// keeps growing past the server's slots, where the work done would not.
+// Meter measures the offered work of each key on one server, in slots: the
+// arrival rate, including refused requests, times the mean service time. Unlike
+// the completed work, it keeps growing beyond the server's slots.
 //
-// What has been measured for a moment only is scaled up to what it will come to.
-// A server that has just been given a hot run would else report hardly more work
-// than before for two seconds, and all owners would go on giving to it, back and
-// forth: 39 servers moved keys fifty times a second.
+// Ranges that the server acquired recently are extrapolated from the time they
+// have been measured. Otherwise a server that has just received a hot run would
+// report hardly more work than before for two seconds, and all owners would keep
+// moving keys to it and back again: 39 servers moved keys fifty times a second.
 //
-// It isn't safe for concurrent use.
+// A Meter is not safe for concurrent use.
 type Meter struct {
-	work [int(mtid.LastNumber) + 1]float32 // seconds of server time in memory
+	work [int(mtid.LastNumber) + 1]float32 // decayed service time in seconds; multiply by scale
 	sum  float64
 	at   mtclock.Instant
-	// scale turns stored work into present work: all of it fades by one number
-	// instead of 65,536.
-	scale float64
-	young []*span
+	// scale converts stored to current work, so that one factor decays instead of
+	// 65,536 values.
+	scale  float64
+	recent []*recentRange
 }
 
-// span is a run of keys that came to the server not long ago.
-type span struct {
+// recentRange is a range of keys that the server acquired recently.
+type recentRange struct {
 	low, high mtid.Number
 	since     mtclock.Instant
-	sum       float64 // of its keys' work, in seconds
+	sum       float64 // decayed service time of its keys, in seconds
 	at        mtclock.Instant
 }
 
 const (
-	// leastAge is the age up to which a run counts as so old: of fewer arrivals
-	// nothing can be told.
-	leastAge = 400 * time.Millisecond
-	// grownUp is the age from which the measured work is taken as it is.
-	grownUp = 2 * MeterMemory
+	// minAge is the least age used for the extrapolation: with fewer arrivals an
+	// estimate is meaningless.
+	minAge = 400 * time.Millisecond
+	// settledAge is the age from which the measured work is used without
+	// extrapolation.
+	settledAge = 2 * MeterMemory
 )
 
-// left returns what is left of measured work after a time, as a part.
-func left(passed time.Duration) float64 {
-	return math.Exp(-passed.Seconds() / MeterMemory.Seconds())
+// decayFactor returns the fraction of measured work that still counts after the
+// elapsed time.
+func decayFactor(elapsed time.Duration) float64 {
+	return math.Exp(-elapsed.Seconds() / MeterMemory.Seconds())
 }
 
-// share returns the part of the work that has come into the measurement by now.
-func (s *span) share(now mtclock.Instant) float64 {
-	return 1 - left(max(now.Sub(s.since), leastAge))
+// measuredShare returns the fraction of the steady-state value that a constant
+// load would have reached by now.
+func (s *recentRange) measuredShare(now mtclock.Instant) float64 {
+	return 1 - decayFactor(max(now.Sub(s.since), minAge))
 }
 
-func (s *span) covers(key mtid.Number) bool { return s.low <= key && key <= s.high }
+func (s *recentRange) covers(key mtid.Number) bool { return s.low <= key && key <= s.high }
 
-// add counts work of the span's keys, and lets the past count less.
-func (s *span) add(now mtclock.Instant, work float64) {
-	if passed := now.Sub(s.at); passed > 0 {
-		s.sum *= left(passed)
+// add decays the past work of the range, then adds the new work.
+func (s *recentRange) add(now mtclock.Instant, work float64) {
+	if elapsed := now.Sub(s.at); elapsed > 0 {
+		s.sum *= decayFactor(elapsed)
 		s.at = now
 	}
 	s.sum += work
 }
 
-// rescaleAt is the scale below which the stored numbers are brought up to date,
-// far above where 32 bits lose precision.
-const rescaleAt = 1e-6
+// rescaleThreshold is the scale below which the stored values are rescaled, well
+// before the 32-bit floats lose precision.
+const rescaleThreshold = 1e-6
 
-// NewMeter returns a meter that has seen nothing.
+// NewMeter returns a meter without any arrivals.
 func NewMeter(now mtclock.Instant) *Meter { return &Meter{at: now, scale: 1} }
 
-// Arrive counts a request for a key that takes about so long.
-func (m *Meter) Arrive(now mtclock.Instant, key mtid.Number, takes time.Duration) {
-	m.fade(now)
-	m.work[key] += float32(takes.Seconds() / m.scale)
-	m.sum += takes.Seconds()
-	if s := m.youngAt(key); s != nil {
-		s.add(now, takes.Seconds())
+// Arrive records a request for a key with its expected service time.
+func (m *Meter) Arrive(now mtclock.Instant, key mtid.Number, serviceTime time.Duration) {
+	m.decay(now)
+	m.work[key] += float32(serviceTime.Seconds() / m.scale)
+	m.sum += serviceTime.Seconds()
+	if s := m.recentAt(key); s != nil {
+		s.add(now, serviceTime.Seconds())
 	}
 }
 
-// Gain says that keys came to the server just now, so that nothing was measured of
-// them yet.
+// Gain records that the server has just acquired a range of keys, for which
+// nothing has been measured yet.
 func (m *Meter) Gain(now mtclock.Instant, low, high mtid.Number) {
 	m.Forget(now, low, high)
-	m.young = slices.DeleteFunc(m.young, func(s *span) bool { return now.Sub(s.since) > grownUp })
-	m.young = append(m.young, &span{low: low, high: high, since: now, at: now})
+	m.recent = slices.DeleteFunc(m.recent, func(s *recentRange) bool { return now.Sub(s.since) > settledAge })
+	m.recent = append(m.recent, &recentRange{low: low, high: high, since: now, at: now})
 }
 
-// youngAt returns the youngest run that holds the key, or nil.
-func (m *Meter) youngAt(key mtid.Number) *span {
-	for i := len(m.young) - 1; i >= 0; i-- {
-		if m.young[i].covers(key) {
-			return m.young[i]
+// recentAt returns the most recently acquired range that contains the key, or nil.
+func (m *Meter) recentAt(key mtid.Number) *recentRange {
+	for i := len(m.recent) - 1; i >= 0; i-- {
+		if m.recent[i].covers(key) {
+			return m.recent[i]
 		}
 	}
 	return nil
@@ -108,31 +112,31 @@
 
 // Demand returns the offered work of all keys, in slots.
 func (m *Meter) Demand(now mtclock.Instant) float64 {
-	m.fade(now)
+	m.decay(now)
 	sum := m.sum
-	for _, s := range m.young {
+	for _, s := range m.recent {
 		s.add(now, 0)
-		sum += s.sum * (1/s.share(now) - 1)
+		sum += s.sum * (1/s.measuredShare(now) - 1)
 	}
 	return sum / MeterMemory.Seconds()
 }
 
 // Of returns the offered work of one key, in slots.
 func (m *Meter) Of(now mtclock.Instant, key mtid.Number) float64 {
-	m.fade(now)
+	m.decay(now)
 	work := float64(m.work[key]) * m.scale / MeterMemory.Seconds()
 	if work == 0 {
 		return 0
 	}
-	if s := m.youngAt(key); s != nil {
-		work /= s.share(now)
+	if s := m.recentAt(key); s != nil {
+		work /= s.measuredShare(now)
 	}
 	return work
 }
 
-// Forget drops what was measured of keys that have gone to another owner.
+// Forget drops the measurements of keys that have moved to another owner.
 func (m *Meter) Forget(now mtclock.Instant, low, high mtid.Number) {
-	m.fade(now)
+	m.decay(now)
 	for key := int(low); key <= int(high); key++ {
 		if m.work[key] == 0 {
 			continue
@@ -140,24 +144,24 @@
 		work := float64(m.work[key]) * m.scale
 		m.sum -= work
 		m.work[key] = 0
-		if s := m.youngAt(mtid.Number(key)); s != nil {
+		if s := m.recentAt(mtid.Number(key)); s != nil {
 			s.add(now, -min(work, s.sum))
 		}
 	}
 	m.sum = max(m.sum, 0)
 }
 
-// fade lets the past count less.
-func (m *Meter) fade(now mtclock.Instant) {
-	passed := now.Sub(m.at)
-	if passed <= 0 {
+// decay reduces the weight of past arrivals.
+func (m *Meter) decay(now mtclock.Instant) {
+	elapsed := now.Sub(m.at)
+	if elapsed <= 0 {
 		return
 	}
 	m.at = now
-	factor := left(passed)
+	factor := decayFactor(elapsed)
 	m.sum *= factor
 	m.scale *= factor
-	if m.scale >= rescaleAt {
+	if m.scale >= rescaleThreshold {
 		return
 	}
 	for key := range m.work {
--- a/core/mtrange/mtrange.go
+++ b/core/mtrange/mtrange.go
@@ -1,19 +1,20 @@
-// Package mtrange is the assignment of a service with numbered keys: which life
-// of which backend server owns which range of keys, under which epoch.
+// Package mtrange holds the assignment of a service with numbered keys: which
+// incarnation of which backend server owns which range of keys, and under which
+// epoch.
 //
-// Neighbouring keys are busy together, so ranges of numbers divide the load
-// where hashes would only scatter it. An owner is a life of a backend server,
-// not of the daemon beside it: a daemon that comes back beside a living server
-// goes on with the same ranges and epochs, and no key changes hands.
+// Adjacent keys are busy at the same time, so ranges can be cut along the load,
+// while hashing would only scatter it. An owner is an incarnation of a backend
+// server, not of the daemon beside it: a daemon that restarts beside a running
+// server continues with the same ranges and epochs, and no key changes owner.
 //
 // # Usage
 //
-//	table := mtrange.Spread(service, owners)
-//	next, err := table.Move(low, high, to, handover)
+//	table, err := mtrange.Spread(service, owners)
+//	next, err := table.Move(low, high, to, warmup)
 //	r, ok := next.Lookup(key)
 //
-// A Table is immutable: each change returns a new one, which holds once it has
-// been written to the platform's store in place of the one it was made from.
+// A Table is immutable: each change returns a new one, which takes effect once it
+// has replaced its predecessor in the platform's store.
 package mtrange
 
 import (
@@ -24,7 +25,7 @@
 	"magnoliaturn/core/mtid"
 )
 
-// Owner is a life of a backend server, with the daemon beside it.
+// Owner identifies an incarnation of a backend server and the daemon beside it.
 type Owner struct {
 	Daemon mtid.Daemon
 	Life   mtid.Life
@@ -33,38 +34,39 @@
 // IsZero reports whether o names no server.
 func (o Owner) IsZero() bool { return o == Owner{} }
 
-// Compare orders owners by daemon, then by life of the server.
+// Compare orders owners by daemon, then by incarnation of the server.
 func (o Owner) Compare(other Owner) int {
 	return cmp.Or(cmp.Compare(o.Daemon, other.Daemon), o.Life.Compare(other.Life))
 }
 
-// Range is a run of keys with one owner, both ends included.
+// Range is a run of adjacent keys with one owner. Both ends are inclusive.
 type Range struct {
 	Low   mtid.Number
 	High  mtid.Number
 	Owner Owner
 	Epoch mtid.Epoch
-	// Warmth is what the former owner left for the next one, so that it starts
-	// warm. It is opaque, and empty if the former owner was lost.
+	// Warmth is the warm-up state that the previous owner handed over, so that
+	// the new owner starts warm. It is opaque, and empty if the previous owner
+	// was lost.
 	Warmth string
 }
 
-// Keys returns how many keys the range holds.
+// Keys returns the number of keys in the range.
 func (r Range) Keys() int { return int(r.High) - int(r.Low) + 1 }
 
-// Covers reports whether the key lies in the range.
+// Covers reports whether the range contains the key.
 func (r Range) Covers(key mtid.Number) bool { return r.Low <= key && key <= r.High }
 
-// Table is the whole assignment of one service.
+// Table is the complete assignment of one service.
 type Table struct {
 	Service mtid.Service
-	// Next is the epoch of the next change. It only grows, so that no two
-	// owners of one key ever carry the same epoch, nor the later one a lower.
+	// Next is the epoch of the next change. It only grows, so no two owners of a
+	// key ever have the same epoch, and a later owner never has a lower one.
 	Next   mtid.Epoch
 	Ranges []Range // in order, without gaps, from 0 to mtid.LastNumber
 }
 
-// RangeError says that a change does not fit its table.
+// RangeError reports that a change is not possible for a range of keys.
 type RangeError struct {
 	Low, High mtid.Number
 	Reason    string
@@ -75,14 +77,14 @@
 	return fmt.Sprintf("range %d to %d: %s", e.Low, e.High, e.Reason)
 }
 
-// Spread divides all keys among the owners, in equal runs. It fails with a
-// *RangeError if there are none.
+// Spread divides all keys evenly among the owners. It fails with a *RangeError if
+// there are no owners.
 func Spread(service mtid.Service, owners []Owner) (*Table, error) {
 	if len(owners) == 0 {
-		return nil, &RangeError{High: mtid.LastNumber, Reason: "no owner to give keys to"}
+		return nil, &RangeError{High: mtid.LastNumber, Reason: "no owners to assign keys to"}
 	}
 	t := &Table{Service: service, Next: 1}
-	for i, part := range pieces(0, mtid.LastNumber, len(owners)) {
+	for i, part := range splitEvenly(0, mtid.LastNumber, len(owners)) {
 		part.Owner = owners[i]
 		part.Epoch = t.Next
 		t.Next++
@@ -91,19 +93,19 @@
 	return t, nil
 }
 
-// pieces divides low to high into n runs of nearly equal width.
-func pieces(low, high mtid.Number, n int) []Range {
+// splitEvenly divides the keys from low to high into n runs of nearly equal length.
+func splitEvenly(low, high mtid.Number, n int) []Range {
 	keys := int(high) - int(low) + 1
 	n = min(n, keys)
-	out := make([]Range, 0, n)
+	result := make([]Range, 0, n)
 	for i := range n {
 		from, to := i*keys/n, (i+1)*keys/n-1
-		out = append(out, Range{Low: low + mtid.Number(from), High: low + mtid.Number(to)})
+		result = append(result, Range{Low: low + mtid.Number(from), High: low + mtid.Number(to)})
 	}
-	return out
+	return result
 }
 
-// Lookup returns the range of a key. It is called for each request.
+// Lookup returns the range that contains the key. It is called for each request.
 func (t *Table) Lookup(key mtid.Number) (Range, bool) {
 	i, found := slices.BinarySearchFunc(t.Ranges, key, func(r Range, key mtid.Number) int {
 		switch {
@@ -131,7 +133,7 @@
 	return owned
 }
 
-// Owners returns all owners, ordered.
+// Owners returns all owners in order, each once.
 func (t *Table) Owners() []Owner {
 	var owners []Owner
 	for _, r := range t.Ranges {
@@ -141,7 +143,7 @@
 	return slices.Compact(owners)
 }
 
-// Keys returns how many keys an owner has.
+// Keys returns the number of keys that an owner has.
 func (t *Table) Keys(owner Owner) int {
 	n := 0
 	for _, r := range t.Ranges {
@@ -152,7 +154,7 @@
 	return n
 }
 
-// Shares returns how many keys each owner has.
+// Shares returns the number of keys of each owner.
 func (t *Table) Shares() map[Owner]int {
 	shares := make(map[Owner]int)
 	for _, r := range t.Ranges {
@@ -161,82 +163,85 @@
 	return shares
 }
 
-// Move gives the keys from low to high, which have one owner, to another one,
-// with what the former owner left for it. It fails with a *RangeError.
-func (t *Table) Move(low, high mtid.Number, to Owner, warmth string) (*Table, error) {
+// Move assigns the keys from low to high, which must have a single owner, to
+// another one, with the warm-up state that the previous owner handed over. It
+// fails with a *RangeError if the keys are not contained in one range or the new
+// owner is empty.
+func (t *Table) Move(low, high mtid.Number, to Owner, warmupState string) (*Table, error) {
 	if low > high {
-		return nil, &RangeError{Low: low, High: high, Reason: "is empty"}
+		return nil, &RangeError{Low: low, High: high, Reason: "low is above high"}
 	}
 	if to.IsZero() {
-		return nil, &RangeError{Low: low, High: high, Reason: "names no owner"}
+		return nil, &RangeError{Low: low, High: high, Reason: "new owner is empty"}
 	}
 	i := slices.IndexFunc(t.Ranges, func(r Range) bool { return r.Covers(low) })
 	if i < 0 || !t.Ranges[i].Covers(high) {
-		return nil, &RangeError{Low: low, High: high, Reason: "does not lie in one range"}
+		return nil, &RangeError{Low: low, High: high, Reason: "keys are not contained in a single range"}
 	}
 	whole := t.Ranges[i]
 	next := &Table{Service: t.Service, Next: t.Next + 1}
-	before, after := whole.around(low, high)
-	moved := Range{Low: low, High: high, Owner: to, Epoch: t.Next, Warmth: warmth}
+	before, after := whole.remainder(low, high)
+	moved := Range{Low: low, High: high, Owner: to, Epoch: t.Next, Warmth: warmupState}
 	next.Ranges = slices.Concat(t.Ranges[:i], before, []Range{moved}, after, t.Ranges[i+1:])
 	return next, nil
 }
 
-// around returns what is left of a range before and behind the keys from low to
-// high, which lie in it: one part each, or none.
-func (r Range) around(low, high mtid.Number) (before, after []Range) {
+// remainder returns what a range has before and after the keys from low to high,
+// which it contains: one range each, or none.
+func (r Range) remainder(low, high mtid.Number) (before, after []Range) {
 	if r.Low < low {
-		before = []Range{part(r, r.Low, low-1)}
+		before = []Range{subrange(r, r.Low, low-1)}
 	}
 	if high < r.High {
-		after = []Range{part(r, high+1, r.High)}
+		after = []Range{subrange(r, high+1, r.High)}
 	}
 	return before, after
 }
 
-// part returns the keys from low to high of a range, with all else as it is.
-func part(r Range, low, high mtid.Number) Range {
+// subrange returns a copy of a range that is limited to the keys from low to high.
+func subrange(r Range, low, high mtid.Number) Range {
 	r.Low, r.High = low, high
 	return r
 }
 
-// maxPieces bounds into how many runs one lost range is cut, so that the table
-// stays small when many servers are lost one after the other.
+// maxPieces is the maximum number of runs that one lost range is cut into, so that
+// the table stays small when many servers are lost one after another.
 const maxPieces = 8
 
-// Take gives all ranges of the lost owners to the survivors: to the next life of
-// the same server if there is one, since the keys were spread by load before, and
-// else the most to those with the fewest keys. After all VMs lost power, whoever
-// came up first was given everything.
+// Take assigns all ranges of lost owners to the survivors. If a new incarnation of
+// the same server is among them it gets all its former ranges, since these were
+// balanced by load before; otherwise the survivors with the fewest keys get the
+// most. Without the preference for the same server, the first server to come up
+// after a power loss of all VMs was assigned every key.
 //
 // It fails with a *RangeError if there are no survivors.
 func (t *Table) Take(lost func(Owner) bool, survivors []Owner) (*Table, error) {
 	if len(survivors) == 0 {
-		return nil, &RangeError{High: mtid.LastNumber, Reason: "no survivor to give keys to"}
+		return nil, &RangeError{High: mtid.LastNumber, Reason: "no surviving server to take over the keys"}
 	}
 	next := &Table{Service: t.Service, Next: t.Next}
 	shares := t.Shares()
 	keys := make(map[Owner]int, len(survivors))
-	heirs := make(map[mtid.Daemon]Owner, len(survivors))
+	successors := make(map[mtid.Daemon]Owner, len(survivors))
 	for _, s := range survivors {
 		keys[s] = shares[s]
-		heirs[s.Daemon] = s
+		successors[s.Daemon] = s
 	}
-	cuts := t.cuts(lost, len(survivors))
+	piecesPerRange := t.piecesPerRange(lost, len(survivors))
 	for _, r := range t.Ranges {
 		if !lost(r.Owner) {
 			next.Ranges = append(next.Ranges, r)
 			continue
 		}
-		heir, inherits := heirs[r.Owner.Daemon]
-		parts := cuts
-		if inherits {
+		successor, hasSuccessor := successors[r.Owner.Daemon]
+		parts := piecesPerRange
+		if hasSuccessor {
 			parts = 1
 		}
-		for _, piece := range pieces(r.Low, r.High, parts) {
-			piece.Owner = heir
-			if !inherits {
-				piece.Owner = fewest(survivors, keys)
+		for _, piece := range splitEvenly(r.Low, r.High, parts) {
+			piece.Owner = successor
+			if !hasSuccessor {
+				piece.Owner = fewestKeys(survivors, keys)
 			}
 			piece.Epoch = next.Next
 			next.Next++
@@ -244,15 +249,15 @@
 			next.Ranges = append(next.Ranges, piece)
 		}
 	}
-	next.Ranges = joined(next.Ranges, t.Next)
+	next.Ranges = mergeAdjacent(next.Ranges, t.Next)
 	return next, nil
 }
 
-// cuts returns into how many runs each lost range is cut: so many that every
-// survivor can be given one. Where much is lost in many ranges already they stay
-// whole; cut each time, they grew from 41 to 116 in one takeover, and each range
-// is an order to a server every few seconds.
-func (t *Table) cuts(lost func(Owner) bool, survivors int) int {
+// piecesPerRange returns the number of runs that each lost range is cut into: just
+// enough for every survivor to get one. If many ranges are lost already, they stay
+// whole: with a cut each time, the ranges grew from 41 to 116 in one takeover, and
+// each range costs a command to a server every few seconds.
+func (t *Table) piecesPerRange(lost func(Owner) bool, survivors int) int {
 	ranges := 0
 	for _, r := range t.Ranges {
 		if lost(r.Owner) {
@@ -262,8 +267,8 @@
 	return min((survivors+max(ranges, 1)-1)/max(ranges, 1), maxPieces)
 }
 
-// fewest returns the owner with the fewest keys; the first of equals.
-func fewest(owners []Owner, keys map[Owner]int) Owner {
+// fewestKeys returns the owner with the fewest keys, the first of equals.
+func fewestKeys(owners []Owner, keys map[Owner]int) Owner {
 	best := owners[0]
 	for _, o := range owners[1:] {
 		if keys[o] < keys[best] {
@@ -273,19 +278,19 @@
 	return best
 }
 
-// joined joins neighbours that were taken by one owner just now, under epochs
-// from first on. These follow each other, and the higher one holds for both.
-// Older neighbours stay apart: a key's epoch changes only with its owner.
-func joined(ranges []Range, first mtid.Epoch) []Range {
-	var out []Range
+// mergeAdjacent merges adjacent ranges that one owner has just taken over, with
+// consecutive epochs from first on; the merged range gets the higher one. Older
+// ranges stay separate, since the epoch of a key only changes with its owner.
+func mergeAdjacent(ranges []Range, first mtid.Epoch) []Range {
+	var result []Range
 	for _, r := range ranges {
-		last := len(out) - 1
-		if last >= 0 && out[last].Owner == r.Owner && out[last].Epoch >= first && out[last].Epoch+1 == r.Epoch {
-			out[last].High = r.High
-			out[last].Epoch = r.Epoch
+		last := len(result) - 1
+		if last >= 0 && result[last].Owner == r.Owner && result[last].Epoch >= first && result[last].Epoch+1 == r.Epoch {
+			result[last].High = r.High
+			result[last].Epoch = r.Epoch
 			continue
 		}
-		out = append(out, r)
+		result = append(result, r)
 	}
-	return out
+	return result
 }
--- a/core/mtrange/mtrange_test.go
+++ b/core/mtrange/mtrange_test.go
@@ -26,8 +26,8 @@
 	return out
 }
 
-// Over any order of moves and takeovers each key has exactly one owner, and
-// whenever a key changes hands its epoch is above every one that any key had.
+// After any sequence of moves and takeovers each key has exactly one owner, and a
+// key that changes owner gets an epoch above all that were assigned before.
 func TestEveryKeyHasOneOwnerAndEpochsGrow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, err := mtrange.Spread("maps", owners(rapid.IntRange(1, 9).Draw(t, "owners")))
@@ -35,14 +35,14 @@
 			t.Fatal(err)
 		}
 		for range rapid.IntRange(1, 30).Draw(t, "changes") {
-			next := change(t, table)
-			check(t, table, next)
+			next := randomChange(t, table)
+			checkChange(t, table, next)
 			table = next
 		}
 	})
 }
 
-func change(t *rapid.T, table *mtrange.Table) *mtrange.Table {
+func randomChange(t *rapid.T, table *mtrange.Table) *mtrange.Table {
 	to := owner(rapid.IntRange(0, 12).Draw(t, "to"))
 	if rapid.Bool().Draw(t, "move") {
 		r := rapid.SampledFrom(table.Ranges).Draw(t, "range")
@@ -63,16 +63,16 @@
 	return next
 }
 
-func check(t *rapid.T, before, after *mtrange.Table) {
+func checkChange(t *rapid.T, before, after *mtrange.Table) {
 	value, err := after.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Decode refuses gaps, overlaps and epochs that were not given out.
+	// Decode rejects gaps, overlaps and epochs that have not been assigned.
 	if _, err := mtrange.Decode(value); err != nil {
 		t.Fatal(err)
 	}
-	patched(t, before, after)
+	checkPatch(t, before, after)
 	for _, r := range after.Ranges {
 		for _, key := range []mtid.Number{r.Low, r.High} {
 			old, _ := before.Lookup(key)
@@ -83,9 +83,9 @@
 	}
 }
 
-// Servers are lost one after the other all day. Were each lost range cut for every
-// survivor, the assignment would grow without end.
-func TestTakeoversDoNotCutRangesWithoutEnd(t *testing.T) {
+// Servers are lost one after another. If each lost range were cut for every survivor,
+// the table would grow without bound.
+func TestTakeoversKeepTableSmall(t *testing.T) {
 	table, err := mtrange.Spread("maps", owners(6))
 	assert.NilError(t, err)
 	for n := range 50 {
@@ -99,10 +99,10 @@
 
 const second = mtclock.Instant(time.Second)
 
-// A wing of a hotel wakes up: one run of neighbouring keys gets most of the
-// requests within a second. Its owner is overloaded while the others have room,
-// and gives keys of that work away without giving all of them.
-func TestAnOverloadedOwnerGivesPartOfItsWork(t *testing.T) {
+// A run of adjacent keys gets most of the requests within a second. Its owner is
+// overloaded while another server has spare capacity, and must offload part of the
+// run but not all of it.
+func TestOverloadedOwnerOffloadsPartOfItsWork(t *testing.T) {
 	now := 10 * second
 	meter := mtrange.NewMeter(now)
 	for key := range mtid.Number(200) {
@@ -113,10 +113,10 @@
 	demand := meter.Demand(now)
 	self := mtrange.Standing{Owner: owner(0), Slots: 12, Demand: demand, Service: 100 * time.Millisecond, Keys: 5000, Known: true}
 	other := mtrange.Standing{Owner: owner(1), Slots: 12, Demand: 2, Service: 100 * time.Millisecond, Keys: 5000, Known: true}
-	gifts := mtrange.Relief(self, []mtrange.Standing{other})
-	assert.Equal(t, len(gifts), 1)
-	assert.Equal(t, gifts[0].To, owner(1))
-	amount := gifts[0].Amount
+	offloads := mtrange.Relief(self, []mtrange.Standing{other})
+	assert.Equal(t, len(offloads), 1)
+	assert.Equal(t, offloads[0].To, owner(1))
+	amount := offloads[0].Amount
 	assert.Assert(t, amount > 0.4*(demand-2) && amount < 0.6*(demand-2), "amount %.1f of %.1f", amount, demand)
 	low, high, ok := mtrange.Cut(now, []mtrange.Range{{Low: 0, High: 4999, Owner: owner(0)}}, meter, amount)
 	assert.Assert(t, ok)
@@ -130,13 +130,13 @@
 	assert.Assert(t, moved > 0.8*amount && moved < 1.4*amount, "moved %.1f, amount %.1f", moved, amount)
 }
 
-func TestRelief(t *testing.T) {
-	standing := func(n int, demand float64, keys int) mtrange.Standing {
+func TestOffloadDecision(t *testing.T) {
+	report := func(n int, demand float64, keys int) mtrange.Standing {
 		return mtrange.Standing{Owner: owner(n), Slots: 10, Demand: demand, Service: time.Second, Keys: keys, Known: true}
 	}
-	unknown := standing(1, 0, 100)
+	unknown := report(1, 0, 100)
 	unknown.Known = false
-	slow := standing(1, 2, 100)
+	slow := report(1, 2, 100)
 	slow.Service = 2 * time.Second
 	for _, test := range []struct {
 		name   string
@@ -144,24 +144,24 @@
 		others []mtrange.Standing
 		want   bool
 	}{
-		{"nobody else", standing(0, 20, 100), nil, false},
-		{"others as loaded", standing(0, 20, 100), []mtrange.Standing{standing(1, 19, 100)}, false},
-		{"free slots here", standing(0, 4, 100), []mtrange.Standing{standing(1, 0, 100)}, false},
-		{"overloaded", standing(0, 15, 100), []mtrange.Standing{standing(1, 5, 100)}, true},
-		{"the other is slow", standing(0, 15, 100), []mtrange.Standing{slow}, true},
-		{"nothing is known of the other", standing(0, 15, 100), []mtrange.Standing{unknown}, false},
-		{"a newcomer without keys", standing(0, 4, 100), []mtrange.Standing{{Owner: owner(1), Slots: 10}}, true},
+		{"no other server", report(0, 20, 100), nil, false},
+		{"others as loaded", report(0, 20, 100), []mtrange.Standing{report(1, 19, 100)}, false},
+		{"own slots are free", report(0, 4, 100), []mtrange.Standing{report(1, 0, 100)}, false},
+		{"overloaded", report(0, 15, 100), []mtrange.Standing{report(1, 5, 100)}, true},
+		{"the other is slow", report(0, 15, 100), []mtrange.Standing{slow}, true},
+		{"no report of the other", report(0, 15, 100), []mtrange.Standing{unknown}, false},
+		{"empty server", report(0, 4, 100), []mtrange.Standing{{Owner: owner(1), Slots: 10}}, true},
 	} {
 		got := len(mtrange.Relief(test.self, test.others)) > 0
 		assert.Equal(t, got, test.want, test.name)
 	}
 }
 
-// A run of sixty keys gets four tenths of the traffic for a few seconds: eight
-// servers' work comes to one owner. Given away to one other server at a time, by
-// halves, it would still be uneven when the run cools down again. In one step all
-// servers come to one level, the fast ones with more of the work.
-func TestAHotRunIsSpreadOverManyServersAtOnce(t *testing.T) {
+// A run of sixty keys gets four tenths of the traffic for a few seconds, so one owner
+// gets the work of eight servers. Offloading half of it to one server at a time would
+// not balance the load before the run cools down. One decision must bring all servers
+// to the same load, with more of the work on the fast ones.
+func TestHotRunIsSpreadOverManyServersAtOnce(t *testing.T) {
 	now := 10 * second
 	meter := mtrange.NewMeter(now)
 	for range 12 {
@@ -178,37 +178,37 @@
 		}
 		others = append(others, mtrange.Standing{Owner: owner(n + 1), Slots: 9, Demand: 3, Service: service, Keys: 5000, Known: true})
 	}
-	gifts := mtrange.Relief(self, others)
-	assert.Equal(t, len(gifts), 8)
-	runs := mtrange.CutAll(now, []mtrange.Range{{Low: 0, High: 4999, Owner: owner(0)}}, meter, gifts)
+	offloads := mtrange.Relief(self, others)
+	assert.Equal(t, len(offloads), 8)
+	runs := mtrange.CutAll(now, []mtrange.Range{{Low: 0, High: 4999, Owner: owner(0)}}, meter, offloads)
 	assert.Assert(t, len(runs) >= 6, "%d runs", len(runs))
 	left := self.Demand
-	taken := make(map[mtid.Number]bool)
+	covered := make(map[mtid.Number]bool)
 	for _, r := range runs {
 		for key := r.Low; key <= r.High; key++ {
-			assert.Assert(t, !taken[key], "key %d goes to two servers", key)
-			taken[key] = true
+			assert.Assert(t, !covered[key], "key %d moves to two servers", key)
+			covered[key] = true
 			left -= meter.Of(now, key)
 		}
 	}
-	assert.Assert(t, left < 0.5*self.Demand, "%.1f of %.1f slots are left", left, self.Demand)
+	assert.Assert(t, left < 0.5*self.Demand, "%.1f of %.1f slots remain", left, self.Demand)
 }
 
-// All VMs lose power and come back with new lives of their servers, a few at a
-// time. Each life is given what the former one beside the same daemon had; were
-// the keys spread over those that are up, the first ones would get all of them.
-func TestTheNextLifeOfAServerInheritsItsKeys(t *testing.T) {
+// After a power loss of all VMs the servers come back as new incarnations, a few at a
+// time. Each must get the keys of its previous incarnation: if the keys were spread
+// over the servers that are up, the first ones would get all of them.
+func TestNextIncarnationTakesOverItsOwnKeys(t *testing.T) {
 	table, err := mtrange.Spread("maps", owners(6))
 	assert.NilError(t, err)
 	next := owner(2)
 	next.Life.Born++
-	taken, err := table.Take(func(o mtrange.Owner) bool { return o == owner(2) }, []mtrange.Owner{owner(0), next, owner(5)})
+	after, err := table.Take(func(o mtrange.Owner) bool { return o == owner(2) }, []mtrange.Owner{owner(0), next, owner(5)})
 	assert.NilError(t, err)
-	assert.Equal(t, taken.Keys(next), table.Keys(owner(2)))
-	assert.Equal(t, len(taken.Ranges), len(table.Ranges))
+	assert.Equal(t, after.Keys(next), table.Keys(owner(2)))
+	assert.Equal(t, len(after.Ranges), len(table.Ranges))
 }
 
-func TestASingleHotKeyStaysAndTheRestGoes(t *testing.T) {
+func TestCutLeavesSingleHotKey(t *testing.T) {
 	now := second
 	meter := mtrange.NewMeter(now)
 	for range 100 {
@@ -221,7 +221,7 @@
 	assert.Assert(t, high < 500 || low > 500, "cut %d to %d moves the hot key", low, high)
 }
 
-func TestMeterForgets(t *testing.T) {
+func TestMeterForgetsMovedAndOldWork(t *testing.T) {
 	meter := mtrange.NewMeter(0)
 	meter.Arrive(second, 7, time.Second)
 	meter.Arrive(second, 8, time.Second)
@@ -232,12 +232,12 @@
 	later := second + mtclock.Instant(20*mtrange.MeterMemory)
 	assert.Assert(t, meter.Demand(later) < 1e-6)
 	meter.Arrive(later, 9, time.Second)
-	assert.Assert(t, meter.Of(later, 9) > 0.3, "precision is lost after long silence")
+	assert.Assert(t, meter.Of(later, 9) > 0.3, "precision is lost after a long idle time")
 }
 
-// A server was given a hot run half a second ago. Reported as it was measured, its
-// load would seem a quarter of what it is, and every owner would give it more.
-func TestKeysThatCameJustNowCountInFull(t *testing.T) {
+// A server received a hot run half a second ago. Without extrapolation its reported
+// load would be a quarter of the real one, and every owner would move more keys to it.
+func TestRecentlyAcquiredKeysAreExtrapolated(t *testing.T) {
 	meter := mtrange.NewMeter(0)
 	now := 60 * second
 	meter.Gain(now, 100, 199)
@@ -257,21 +257,22 @@
 	assert.Assert(t, meter.Demand(now) < 0.1, "%.1f slots", meter.Demand(now))
 }
 
-// A server joins forty others, none of which has too much. Each gives it a fortieth
-// of its work, which is not worth a move, and it would stand idle for good.
-func TestANewcomerAmongManyGetsWork(t *testing.T) {
+// An empty server joins forty others, none of which is overloaded. A fortieth of each
+// one's work is too little for a move, so without a special case the server would
+// stay idle.
+func TestEmptyServerAmongManyReceivesWork(t *testing.T) {
 	var owned []mtrange.Standing
 	for n := range 40 {
 		owned = append(owned, mtrange.Standing{Owner: owner(n), Slots: 9, Demand: 6, Service: time.Second, Keys: 1600, Known: true})
 	}
-	newcomer := mtrange.Standing{Owner: owner(40), Slots: 9}
-	given := 0.0
+	empty := mtrange.Standing{Owner: owner(40), Slots: 9}
+	offloaded := 0.0
 	for n, self := range owned {
-		others := append([]mtrange.Standing{newcomer}, owned[:n]...)
+		others := append([]mtrange.Standing{empty}, owned[:n]...)
 		for _, g := range mtrange.Relief(self, append(others, owned[n+1:]...)) {
-			assert.Equal(t, g.To, newcomer.Owner)
-			given += g.Amount
+			assert.Equal(t, g.To, empty.Owner)
+			offloaded += g.Amount
 		}
 	}
-	assert.Assert(t, given >= 2 && given <= 12, "%.1f slots", given)
+	assert.Assert(t, offloaded >= 2 && offloaded <= 12, "%.1f slots", offloaded)
 }
--- a/core/mtrange/relief.go
+++ b/core/mtrange/relief.go
@@ -12,186 +12,188 @@
 	"magnoliaturn/core/mtid"
 )
 
-// Figures of the decision to give keys away.
+// Parameters of the decision to offload work.
 const (
-	// minGap is how much more loaded, as a share of its slots, an owner has to be
-	// than the level to which it could come, before it gives keys away. Below that
-	// the pause of a move costs more than the shorter queue saves, and a measured
-	// load scatters by a sixth.
-	minGap = 0.25
-	// busy is the load below which an owner keeps what it has: hardly anybody
-	// waits there, whatever others have.
-	busy = 0.85
-	// full is the load up to which others are given work. Where all have more than
-	// they can do, as after a loss of power while every key is cold, one that is
-	// moved is served no sooner, and its callers wait for the release.
-	full = 1.2
-	// leastGift is the least work, in slots, that is worth the pause of a move and
-	// one more range in the assignment.
-	leastGift = 1.0
-	// mostGifts is to how many servers an owner gives at once, so that one wrong
-	// measurement does not scatter its keys over all of them.
-	mostGifts = 8
-	// MovePause is the least time between the end of one owner's moves and its
-	// next ones. The load of the former moves has to show before it is judged
-	// again.
+	// minLoadGap is by how much the load of an owner, relative to its slots, has
+	// to exceed the load it could come down to before it offloads work. For a
+	// smaller gap the pause of a move costs more than the shorter queue saves,
+	// and measured loads vary by a sixth.
+	minLoadGap = 0.25
+	// busyLoad is the load below which an owner keeps its keys, whatever the load
+	// of the others: hardly any request waits there.
+	busyLoad = 0.85
+	// maxReceiverLoad is the load up to which servers receive work. Where all are
+	// overloaded, as after a power loss while every key is cold, moved keys are
+	// not served any sooner, and their callers wait for the release.
+	maxReceiverLoad = 1.2
+	// minOffload is the least work, in slots, that justifies the pause of a move
+	// and one more range in the assignment.
+	minOffload = 1.0
+	// maxReceivers is the maximum number of servers that an owner offloads to at
+	// once, so that one wrong measurement does not scatter its keys over all of
+	// them.
+	maxReceivers = 8
+	// MovePause is the minimum time between the end of one owner's moves and its
+	// next ones. The effect of the previous moves has to show in the load first.
 	MovePause = 700 * time.Millisecond
 )
 
-// Standing is what an owner knows of a server of the same service.
+// Standing is what an owner knows about the load of a server of its service.
 type Standing struct {
 	Owner   Owner
 	Slots   int
 	Demand  float64       // offered work, in slots
-	Service time.Duration // that the same request takes there; 0 if not known
-	Keys    int           // that it owns
-	Known   bool          // a report of it is at hand
+	Service time.Duration // service time of a standard request; 0 if not known
+	Keys    int           // number of keys that it owns
+	Known   bool          // whether a recent report of the load is available
 }
 
 func (s Standing) slots() float64 { return float64(max(s.Slots, 1)) }
 
-// load returns the offered work as a share of the slots.
+// load returns the offered work relative to the slots.
 func (s Standing) load() float64 { return s.Demand / s.slots() }
 
-// newcomer reports whether the server has no keys yet. Nothing is known of its load
-// then, and nothing needs to be.
-func (s Standing) newcomer() bool { return s.Keys == 0 }
+// empty reports whether the server owns no keys. No report of its load is needed
+// then.
+func (s Standing) empty() bool { return s.Keys == 0 }
 
-// Overloaded reports whether the server may have work to give away, so that it is
-// worth asking others how they are.
-func (s Standing) Overloaded() bool { return s.load() >= busy }
+// Overloaded reports whether the server may have to offload work, so that it is
+// worth querying the load of others.
+func (s Standing) Overloaded() bool { return s.load() >= busyLoad }
 
-// Gift is work that an owner gives to another server.
+// Gift is an amount of work that an owner offloads to another server.
 type Gift struct {
 	To     Owner
-	Amount float64 // in slots of the giver
+	Amount float64 // in slots of the current owner
 }
 
-// Relief decides whether an owner gives work to other servers of its service, to
-// which, and how much. It answers the pattern of a key, or a run of neighbouring
-// keys, that gets much of the traffic within a second: the one owner has several
-// servers' work while the others have room. So it gives to several at once, as
-// much as brings all of them to one level. Half of the work given to one other
-// server every 1.5 s, a run that was busy for five seconds was never spread.
+// Relief decides which servers of the same service an owner offloads work to, and
+// how much. It handles a key, or a run of adjacent keys, that attracts much of the
+// traffic within a second: its owner gets the work of several servers while the
+// others have spare capacity. So the owner offloads to several servers at once, as
+// much as brings all of them to the same load. When it moved half of the work to
+// one other server every 1.5 s, a run that was hot for five seconds was never
+// spread.
 //
-// The largest gift comes first.
+// The largest offload comes first.
 func Relief(self Standing, others []Standing) []Gift {
-	var takers []Standing
+	var receivers []Standing
 	for _, o := range others {
-		if o.newcomer() || (o.Known && self.load() >= busy && o.load() < self.load()) {
-			takers = append(takers, o)
+		if o.empty() || (o.Known && self.load() >= busyLoad && o.load() < self.load()) {
+			receivers = append(receivers, o)
 		}
 	}
-	level := min(level(self, takers), full)
-	var gifts []Gift
-	for _, o := range takers {
-		if !o.newcomer() && self.load()-level < minGap {
+	level := min(balancedLoad(self, receivers), maxReceiverLoad)
+	var offloads []Gift
+	for _, o := range receivers {
+		if !o.empty() && self.load()-level < minLoadGap {
 			continue
 		}
-		if amount := o.room(self, level, len(others)); amount >= leastGift {
-			gifts = append(gifts, Gift{To: o.Owner, Amount: amount})
+		if amount := o.offloadAmount(self, level, len(others)); amount >= minOffload {
+			offloads = append(offloads, Gift{To: o.Owner, Amount: amount})
 		}
 	}
-	slices.SortFunc(gifts, func(a, b Gift) int {
+	slices.SortFunc(offloads, func(a, b Gift) int {
 		return cmp.Or(cmp.Compare(b.Amount, a.Amount), a.To.Compare(b.To))
 	})
-	return gifts[:min(len(gifts), mostGifts)]
+	return offloads[:min(len(offloads), maxReceivers)]
 }
 
-// level returns the load at which the owner and all takers stand once the owner
-// has given what is above it.
-func level(self Standing, takers []Standing) float64 {
+// balancedLoad returns the load that the owner and all receivers have once the
+// owner has offloaded everything above it.
+func balancedLoad(self Standing, receivers []Standing) float64 {
 	low, high := 0.0, self.load()
-	for range halvings {
-		middle := (low + high) / 2
-		room := 0.0
-		for _, o := range takers {
-			room += o.below(self, middle)
+	for range bisections {
+		mid := (low + high) / 2
+		spare := 0.0
+		for _, o := range receivers {
+			spare += o.spareCapacity(self, mid)
 		}
-		if room > (self.load()-middle)*self.slots() {
-			high = middle
+		if spare > (self.load()-mid)*self.slots() {
+			high = mid
 		} else {
-			low = middle
+			low = mid
 		}
 	}
 	return low
 }
 
-// halvings is how often the search for the level halves its span, which it then
-// knows to a thousandth.
-const halvings = 10
+// bisections is the number of steps in the search for the balanced load, which
+// determine it to a thousandth.
+const bisections = 10
 
-// below returns how much of the owner's work brings the server up to a level.
-func (s Standing) below(owner Standing, level float64) float64 {
-	return max(level-s.load(), 0) * s.slots() / ratio(s.Service, owner.Service)
+// spareCapacity returns how much of the owner's work brings the server up to a load.
+func (s Standing) spareCapacity(owner Standing, level float64) float64 {
+	return max(level-s.load(), 0) * s.slots() / costRatio(s.Service, owner.Service)
 }
 
-// room returns how much of the owner's work the server is given.
-func (s Standing) room(owner Standing, level float64, others int) float64 {
-	room := s.below(owner, level)
-	if !s.newcomer() {
-		return room
+// offloadAmount returns how much of the owner's work is offloaded to the server.
+func (s Standing) offloadAmount(owner Standing, level float64, others int) float64 {
+	spare := s.spareCapacity(owner, level)
+	if !s.empty() {
+		return spare
 	}
-	// All owners give to a newcomer at the same time. Where there are many, a part
-	// of each one's work would not be worth a move: some give a whole gift instead,
-	// drawn by lot.
-	part := min(room, owner.Demand/float64(others+1))
-	if part < leastGift && part > leastGift*lot(owner.Owner, s.Owner) {
-		return leastGift
+	// All owners offload to an empty server at the same time. Where there are
+	// many, an equal part of each one's work would not be worth a move. Instead a
+	// pseudo-random choice of them offloads the minimum amount.
+	part := min(spare, owner.Demand/float64(others+1))
+	if part < minOffload && part > minOffload*pairDraw(owner.Owner, s.Owner) {
+		return minOffload
 	}
 	return part
 }
 
-// lot returns a number from 0 to 1 that is always the same for two owners.
-func lot(a, b Owner) float64 {
+// pairDraw returns a pseudo-random number from 0 to 1, always the same for a pair
+// of owners.
+func pairDraw(a, b Owner) float64 {
 	sum := xxhash.Sum64String(a.Life.String() + "\x00" + b.Life.String())
 	return float64(sum) / math.MaxUint64
 }
 
-// ratio returns how much longer work takes there than here, within bounds that
-// keep a wrong estimate from deciding alone.
-func ratio(there, here time.Duration) float64 {
+// costRatio returns how much longer a request takes there than here, within bounds
+// that keep a wrong estimate from dominating the decision.
+func costRatio(there, here time.Duration) float64 {
 	if there <= 0 || here <= 0 {
 		return 1
 	}
 	return min(max(float64(there)/float64(here), 0.3), 3)
 }
 
-// Run is a run of keys that goes to another server.
+// Run is a run of adjacent keys that moves to another server.
 type Run struct {
 	Low, High mtid.Number
 	To        Owner
 }
 
-// CutAll finds a run of keys for each gift, as Cut does, none of which overlap.
-// Gifts for which there is none are left out.
-func CutAll(now mtclock.Instant, ranges []Range, meter *Meter, gifts []Gift) []Run {
+// CutAll finds a run of keys for each offload, as Cut does. The runs do not
+// overlap. Offloads without a suitable run are left out.
+func CutAll(now mtclock.Instant, ranges []Range, meter *Meter, offloads []Gift) []Run {
 	var runs []Run
-	for _, g := range gifts {
+	for _, g := range offloads {
 		low, high, ok := Cut(now, ranges, meter, g.Amount)
 		if !ok {
 			continue
 		}
 		runs = append(runs, Run{Low: low, High: high, To: g.To})
 		i := slices.IndexFunc(ranges, func(r Range) bool { return r.Covers(low) })
-		before, after := ranges[i].around(low, high)
+		before, after := ranges[i].remainder(low, high)
 		ranges = slices.Concat(ranges[:i], before, after, ranges[i+1:])
 	}
 	return runs
 }
 
-// tooMuch is by how much the work of a run may exceed what is to be given away.
-// A single key can't be divided: moving a hot key as a whole only moves the
-// overload.
-const tooMuch = 1.3
+// maxOvershoot is the factor by which the work of a run may exceed the amount to
+// offload. A single key cannot be divided, and moving a hot key as a whole only
+// moves the overload.
+const maxOvershoot = 1.3
 
-// Cut finds the run of keys whose work comes closest to amount, from either end
-// of one of the ranges. A whole range may be cut off, but never the last one.
+// Cut finds the run of keys with the most work, up to about amount, at either end of
+// one of the ranges. It may cut off a whole range, but never the only one.
 func Cut(now mtclock.Instant, ranges []Range, meter *Meter, amount float64) (low, high mtid.Number, ok bool) {
 	bestWork := 0.0
 	for _, r := range ranges {
 		for _, fromLow := range []bool{true, false} {
-			n, work := run(now, r, meter, amount, fromLow)
+			n, work := keysUpTo(now, r, meter, amount, fromLow)
 			if len(ranges) == 1 && n == r.Keys() {
 				continue
 			}
@@ -209,19 +211,19 @@
 	return low, high, ok
 }
 
-// run returns how many keys from one end of a range make up at most amount, and
-// a little more, and their work.
-func run(now mtclock.Instant, r Range, meter *Meter, amount float64, fromLow bool) (n int, work float64) {
+// keysUpTo returns how many keys, counted from one end of a range, make up the
+// amount of work without exceeding it by more than maxOvershoot, and their work.
+func keysUpTo(now mtclock.Instant, r Range, meter *Meter, amount float64, fromLow bool) (n int, work float64) {
 	for n < r.Keys() {
 		key := r.Low + mtid.Number(n)
 		if !fromLow {
 			key = r.High - mtid.Number(n)
 		}
-		more := work + meter.Of(now, key)
-		if more > amount*tooMuch {
+		next := work + meter.Of(now, key)
+		if next > amount*maxOvershoot {
 			return n, work
 		}
-		work = more
+		work = next
 		n++
 		if work >= amount {
 			return n, work
--- a/core/mtrange/spill.go
+++ b/core/mtrange/spill.go
@@ -9,65 +9,69 @@
 	"magnoliaturn/core/mtid"
 )
 
-// spillPieces is in how many pieces a server's work is given away at most: each is a
-// release, a grant and a range of the assignment.
+// spillPieces limits the number of pieces that the work of a server is cut into; each
+// of its ranges may add one. A piece costs a release, a grant and a range of the
+// assignment.
 const spillPieces = 6
 
-// Turn is the place of a server among those that give their keys away at the same time.
+// Turn is the position of a server among those that spill their keys at the same time.
 type Turn struct{ Place, Of int }
 
-// Spill gives all keys of a server to others, the hottest run first. It answers the
-// pattern of a whole zone whose keys leave within a second or two: whole ranges would
-// double the work of whoever gets one. So the keys are cut into runs of about equal work.
+// Spill distributes all keys of a server over others, the hottest run first. It is
+// used when a whole zone goes out of service and all its keys move within a second
+// or two. Moving whole ranges would double the work of each receiver, so the keys
+// are cut into runs of about equal work.
 //
-// All servers of the zone do so at once, by figures that don't show each other's gifts:
-// were the least loaded chosen, all would choose the same few. So they deal their runs in
-// turn, around the circle of all takers. Those that are overloaded are left out, unless
-// most are.
-func Spill(now mtclock.Instant, ranges []Range, meter *Meter, turn Turn, others []Standing) []Run {
-	takers := circle(others)
-	if len(takers) == 0 {
+// All servers of the zone do this at the same time, with load reports that do not
+// include each other's moves yet: if each chose the least loaded receivers, all
+// would choose the same few. So they assign their runs round-robin, in an order of
+// the receivers that they share. Overloaded receivers are left out, unless most are
+// overloaded.
+func Spill(now mtclock.Instant, ranges []Range, meter *Meter, position Turn, others []Standing) []Run {
+	receivers := receiverOrder(others)
+	if len(receivers) == 0 {
 		return nil
 	}
-	pieces := cutEqual(now, ranges, meter, min(spillPieces, len(takers)))
+	pieces := cutEqual(now, ranges, meter, min(spillPieces, len(receivers)))
 	slices.SortStableFunc(pieces, func(a, b piece) int { return cmp.Compare(b.work, a.work) })
 	runs := make([]Run, len(pieces))
 	for i, p := range pieces {
-		at := turn.Place + i*max(turn.Of, 1)
-		// Each round begins one further on: where the givers divide the takers evenly, each
-		// would meet the same few in all rounds.
-		at += at / len(takers)
-		runs[i] = Run{Low: p.low, High: p.high, To: takers[at%len(takers)].Owner}
+		at := position.Place + i*max(position.Of, 1)
+		// Each round is shifted by one. Otherwise, if the number of spilling servers
+		// divides the number of receivers, each server would reach the same few
+		// receivers in every round.
+		at += at / len(receivers)
+		runs[i] = Run{Low: p.low, High: p.high, To: receivers[at%len(receivers)].Owner}
 	}
 	return runs
 }
 
-// circle returns the takers in an order that all who give share.
-func circle(others []Standing) []Standing {
-	takers := slices.DeleteFunc(slices.Clone(others), func(s Standing) bool { return s.Known && s.Overloaded() })
-	if len(takers)*2 < len(others) {
-		takers = slices.Clone(others)
+// receiverOrder returns the receivers in the order that all spilling servers share.
+func receiverOrder(others []Standing) []Standing {
+	receivers := slices.DeleteFunc(slices.Clone(others), func(s Standing) bool { return s.Known && s.Overloaded() })
+	if len(receivers)*2 < len(others) {
+		receivers = slices.Clone(others)
 	}
-	slices.SortFunc(takers, func(a, b Standing) int { return a.Owner.Compare(b.Owner) })
-	return takers
+	slices.SortFunc(receivers, func(a, b Standing) int { return a.Owner.Compare(b.Owner) })
+	return receivers
 }
 
-// piece is a run of keys with its work, in slots.
+// piece is a run of adjacent keys with its work, in slots.
 type piece struct {
 	low, high mtid.Number
 	work      float64
 }
 
-// cutEqual cuts ranges into runs of about equal work, as many as given or one for each
-// range, if these are more.
-func cutEqual(now mtclock.Instant, ranges []Range, meter *Meter, most int) []piece {
+// cutEqual cuts ranges into about limit runs of about equal work, at least one for
+// each range.
+func cutEqual(now mtclock.Instant, ranges []Range, meter *Meter, limit int) []piece {
 	total := 0.0
 	for _, r := range ranges {
 		for key := int(r.Low); key <= int(r.High); key++ {
 			total += meter.Of(now, mtid.Number(key))
 		}
 	}
-	count := min(most, int(math.Ceil(total/leastGift)))
+	count := min(limit, int(math.Ceil(total/minOffload)))
 	share := math.Inf(1)
 	if count > 1 {
 		share = total / float64(count)
@@ -79,7 +83,7 @@
 	return pieces
 }
 
-// cutRange cuts one range into runs that have about a share of the work each.
+// cutRange cuts one range into runs with about the given share of the work each.
 func cutRange(now mtclock.Instant, r Range, meter *Meter, share float64) []piece {
 	var pieces []piece
 	p := piece{low: r.Low}
--- a/core/mtrange/spill_test.go
+++ b/core/mtrange/spill_test.go
@@ -12,9 +12,9 @@
 	"magnoliaturn/core/mtrange"
 )
 
-// A zone is taken out of service: ten of forty servers give all their keys away within a
-// moment, one of them with a hot run. Whole ranges would double the work of ten others.
-func TestAZoneSpillsItsKeysEvenly(t *testing.T) {
+// A zone goes out of service: ten of forty servers spill all their keys at once, one of
+// them with a hot run. Moving whole ranges would double the load of ten others.
+func TestSpillOfAZoneIsEven(t *testing.T) {
 	owner := func(i int) mtrange.Owner {
 		return mtrange.Owner{Daemon: mtid.Daemon(fmt.Sprintf("vm-%d", i)), Life: mtid.Life{Server: mtid.Server(fmt.Sprintf("s-%d", i))}}
 	}
@@ -40,22 +40,22 @@
 		covered := make(map[mtid.Number]bool)
 		for _, run := range mtrange.Spill(now, []mtrange.Range{r}, meter, mtrange.Turn{Place: i, Of: 10}, others) {
 			for key := int(run.Low); key <= int(run.High); key++ {
-				assert.Assert(t, !covered[mtid.Number(key)], "key %d goes to two servers", key)
+				assert.Assert(t, !covered[mtid.Number(key)], "key %d moves to two servers", key)
 				covered[mtid.Number(key)] = true
 				loads[run.To] += meter.Of(now, mtid.Number(key))
 				total += meter.Of(now, mtid.Number(key))
 			}
 		}
-		assert.Equal(t, len(covered), each, "every key leaves")
-		assert.Assert(t, total > work*0.99, "%f", total)
+		assert.Equal(t, len(covered), each, "not every key moves")
+		assert.Assert(t, total > work*0.99, "only %f slots of work move", total)
 	}
 	for o, load := range loads {
-		assert.Assert(t, load <= 2*usual, "%s has %.1f, twice the usual is %.1f", o.Daemon, load, 2*usual)
+		assert.Assert(t, load <= 2*usual, "%s has a load of %.1f, above twice the usual, %.1f", o.Daemon, load, 2*usual)
 	}
 }
 
-// All zones are out of service: the keys stay where they are.
-func TestNothingIsSpiltOverNobody(t *testing.T) {
+// With all zones out of service, no receivers are left and the keys stay.
+func TestSpillWithoutReceivers(t *testing.T) {
 	r := mtrange.Range{Low: 0, High: 99}
 	assert.Equal(t, len(mtrange.Spill(0, []mtrange.Range{r}, mtrange.NewMeter(0), mtrange.Turn{}, nil)), 0)
 }
--- a/core/mtrange/spread_test.go
+++ b/core/mtrange/spread_test.go
@@ -13,22 +13,22 @@
 	"magnoliaturn/core/mtrange"
 )
 
-// fleetLoad plays a fleet of owners under keyed load whose hot run changes every
-// few seconds, in steps of 20 ms: who gives keys to whom, by what each has
-// measured and by reports that are old.
-type fleetLoad struct {
-	random  *rand.Rand
-	now     mtclock.Instant
-	table   *mtrange.Table
-	owners  []mtrange.Owner
-	speed   map[mtrange.Owner]float64
-	meters  map[mtrange.Owner]*mtrange.Meter
-	last    map[mtrange.Owner]mtclock.Instant
-	busy    map[mtrange.Owner]mtclock.Instant // its moves end
-	pending []pendingMove
-	weights []float64 // of keys, cumulated
-	rate    float64   // requests a second
-	hot     struct {
+// fleetSim simulates owners under keyed load whose hot run changes every few seconds,
+// in steps of 20 ms. Each owner decides on moves from its own measurements and the
+// load reports of some others.
+type fleetSim struct {
+	random      *rand.Rand
+	now         mtclock.Instant
+	table       *mtrange.Table
+	owners      []mtrange.Owner
+	speed       map[mtrange.Owner]float64
+	meters      map[mtrange.Owner]*mtrange.Meter
+	last        map[mtrange.Owner]mtclock.Instant
+	movingUntil map[mtrange.Owner]mtclock.Instant // end of the moves of an owner
+	pending     []pendingMove
+	weights     []float64 // cumulative weights of the keys
+	rate        float64   // requests per second
+	hot         struct {
 		from, keys int
 		share      float64
 	}
@@ -36,22 +36,22 @@
 }
 
 type pendingMove struct {
-	at  mtclock.Instant
-	run mtrange.Run
-	by  mtrange.Range
+	at   mtclock.Instant
+	run  mtrange.Run
+	from mtrange.Range
 }
 
 const (
 	simSlots = 9
 	simStep  = 20 * time.Millisecond
-	simWork  = 280 * time.Millisecond // mean over the classes, at speed one
+	simWork  = 280 * time.Millisecond // mean service time over the classes, at speed 1
 )
 
-func newFleetLoad(seed uint64, servers int, utilization float64) *fleetLoad {
-	f := &fleetLoad{
+func newFleetSim(seed uint64, servers int, utilization float64) *fleetSim {
+	f := &fleetSim{
 		random: rand.New(rand.NewPCG(seed, seed)), owners: owners(servers),
 		speed: map[mtrange.Owner]float64{}, meters: map[mtrange.Owner]*mtrange.Meter{},
-		last: map[mtrange.Owner]mtclock.Instant{}, busy: map[mtrange.Owner]mtclock.Instant{},
+		last: map[mtrange.Owner]mtclock.Instant{}, movingUntil: map[mtrange.Owner]mtclock.Instant{},
 	}
 	f.now = mtclock.Instant(time.Minute)
 	f.table, _ = mtrange.Spread("maps", f.owners)
@@ -63,14 +63,14 @@
 	f.rate = utilization * float64(servers*simSlots) / simWork.Seconds()
 	sum := 0.0
 	for i := range int(mtid.LastNumber) + 1 {
-		// Busy keys lie side by side, and their rates follow a power law.
+		// Busy keys are adjacent, and their rates follow a power law.
 		sum += math.Pow(float64(i%8192)+1, -0.57)
 		f.weights = append(f.weights, sum)
 	}
 	return f
 }
 
-func (f *fleetLoad) key() mtid.Number {
+func (f *fleetSim) randomKey() mtid.Number {
 	if f.random.Float64() < f.hot.share {
 		return mtid.Number(f.hot.from + f.random.IntN(f.hot.keys))
 	}
@@ -86,56 +86,56 @@
 	return mtid.Number(low)
 }
 
-func (f *fleetLoad) standing(o mtrange.Owner) mtrange.Standing {
+func (f *fleetSim) report(o mtrange.Owner) mtrange.Standing {
 	return mtrange.Standing{
 		Owner: o, Slots: simSlots, Demand: f.meters[o].Demand(f.now),
 		Service: time.Duration(float64(simWork) / f.speed[o]), Keys: f.table.Keys(o), Known: true,
 	}
 }
 
-// step lets requests arrive and owners decide.
-func (f *fleetLoad) step() {
+// step simulates the arrivals and the decisions of one time step.
+func (f *fleetSim) step() {
 	f.now = f.now.Add(simStep)
 	n := f.rate * simStep.Seconds()
 	for range int(n) + map[bool]int{true: 1}[f.random.Float64() < n-math.Floor(n)] {
-		key := f.key()
+		key := f.randomKey()
 		r, _ := f.table.Lookup(key)
 		work := f.random.ExpFloat64()*0.3 + 0.7
 		f.meters[r.Owner].Arrive(f.now, key, time.Duration(work*float64(simWork)/f.speed[r.Owner]))
 	}
-	f.land()
+	f.applyMoves()
 	for _, o := range f.owners {
-		if f.now.Sub(f.last[o]) >= mtrange.MovePause && !f.now.Before(f.busy[o]) {
+		if f.now.Sub(f.last[o]) >= mtrange.MovePause && !f.now.Before(f.movingUntil[o]) {
 			f.decide(o)
 		}
 	}
 }
 
-// decide is one owner's look at its load.
-func (f *fleetLoad) decide(o mtrange.Owner) {
+// decide makes an owner offload work if it is overloaded.
+func (f *fleetSim) decide(o mtrange.Owner) {
 	f.last[o] = f.now
 	var others []mtrange.Standing
 	for _, i := range f.random.Perm(len(f.owners))[:min(12, len(f.owners))] {
 		if f.owners[i] != o {
-			others = append(others, f.standing(f.owners[i]))
+			others = append(others, f.report(f.owners[i]))
 		}
 	}
-	gifts := mtrange.Relief(f.standing(o), others)
-	for _, run := range mtrange.CutAll(f.now, f.table.Owned(o), f.meters[o], gifts) {
+	offloads := mtrange.Relief(f.report(o), others)
+	for _, run := range mtrange.CutAll(f.now, f.table.Owned(o), f.meters[o], offloads) {
 		r, _ := f.table.Lookup(run.Low)
-		took := time.Duration(f.random.ExpFloat64() * float64(300*time.Millisecond))
-		f.pending = append(f.pending, pendingMove{at: f.now.Add(took), run: run, by: r})
-		f.busy[o] = max(f.busy[o], f.now.Add(took+mtrange.MovePause))
+		duration := time.Duration(f.random.ExpFloat64() * float64(300*time.Millisecond))
+		f.pending = append(f.pending, pendingMove{at: f.now.Add(duration), run: run, from: r})
+		f.movingUntil[o] = max(f.movingUntil[o], f.now.Add(duration+mtrange.MovePause))
 		f.moves++
 	}
 }
 
-// land carries out the moves that are due.
-func (f *fleetLoad) land() {
-	var left []pendingMove
+// applyMoves applies the moves that are due.
+func (f *fleetSim) applyMoves() {
+	var notDue []pendingMove
 	for _, p := range f.pending {
 		if f.now.Before(p.at) {
-			left = append(left, p)
+			notDue = append(notDue, p)
 			continue
 		}
 		next, err := f.table.Move(p.run.Low, p.run.High, p.run.To, "")
@@ -143,15 +143,14 @@
 			continue
 		}
 		f.table = next
-		f.meters[p.by.Owner].Forget(f.now, p.run.Low, p.run.High)
+		f.meters[p.from.Owner].Forget(f.now, p.run.Low, p.run.High)
 		f.meters[p.run.To].Gain(f.now, p.run.Low, p.run.High)
 	}
-	f.pending = left
+	f.pending = notDue
 }
 
-// excess returns the part of the offered work that is beyond the slots of the
-// server that it comes to.
-func (f *fleetLoad) excess() float64 {
+// excess returns the fraction of the offered work that exceeds the slots of its server.
+func (f *fleetSim) excess() float64 {
 	work := map[mtrange.Owner]float64{}
 	total := 0.0
 	sum := f.weights[len(f.weights)-1]
@@ -175,8 +174,9 @@
 	return over / total
 }
 
-// play plays hot runs that change every four seconds.
-func (f *fleetLoad) play(seconds int) (excess, moves float64) {
+// run simulates hot runs that change every four seconds, and returns the mean excess
+// and the moves per second.
+func (f *fleetSim) run(seconds int) (excess, moves float64) {
 	steps := 0
 	for s := range seconds {
 		if s%4 == 0 {
@@ -193,23 +193,23 @@
 	return excess / float64(steps), float64(f.moves) / float64(seconds)
 }
 
-// Hot runs come to one owner and change every four seconds, on servers whose speeds
-// differ by more than two. Left where they are, a quarter of the work waits for
-// servers that can't do it, beside others with room; given away without measure,
-// keys go back and forth and no server is warm.
+// Hot runs change every four seconds, on servers whose speeds differ by more than a
+// factor of two. Without moves, a quarter of the work waits for overloaded servers
+// while others have spare capacity; with too many, keys move back and forth and no
+// server is warm.
 func TestHotRunsAreSpreadWithFewMoves(t *testing.T) {
 	for _, test := range []struct {
 		servers     int
 		utilization float64
-		excess      float64 // part of the work beyond its server's slots, at most
-		moves       float64 // a second, at most
+		excess      float64 // maximum fraction of the work beyond its server's slots
+		moves       float64 // maximum per second
 	}{
 		{5, 0.8, 0.08, 2},
 		{39, 0.8, 0.08, 16},
 		{39, 1.0, 0.14, 22},
 	} {
-		f := newFleetLoad(1, test.servers, test.utilization)
-		excess, moves := f.play(24)
+		f := newFleetSim(1, test.servers, test.utilization)
+		excess, moves := f.run(24)
 		t.Logf("%d servers at %.1f: excess %.3f, %.1f moves a second, %d ranges", test.servers, test.utilization, excess, moves, len(f.table.Ranges))
 		assert.Assert(t, excess <= test.excess, "%d servers: excess %.3f", test.servers, excess)
 		assert.Assert(t, moves <= test.moves, "%d servers: %.1f moves a second", test.servers, moves)
--- a/core/mtrange/transfer.go
+++ b/core/mtrange/transfer.go
@@ -5,45 +5,46 @@
 	"magnoliaturn/core/mtwire"
 )
 
-// Transfer is a change of owner of some keys that is to be written.
+// Transfer is a change of the owner of some keys that is yet to be written.
 type Transfer struct {
 	From      Owner
-	Epoch     mtid.Epoch // under which From had the keys when the transfer began
+	Epoch     mtid.Epoch // under which From owned the keys when the transfer began
 	Low, High mtid.Number
 	To        Owner
 	Warmth    string
 }
 
-// Stands reports whether the keys of a transfer still have the owner and epoch that they
-// had when it began. Where they don't, it has landed, or others have taken the keys.
+// Stands reports whether the keys of a transfer still have the owner and epoch that
+// they had when it began. If not, the transfer has been written, or the keys have
+// been reassigned.
 func (t *Table) Stands(tr Transfer) bool {
 	at, _ := t.Lookup(tr.Low)
 	return at.Owner == tr.From && at.Epoch == tr.Epoch
 }
 
-// Batch is what one daemon wants written in one step.
+// Batch is a group of transfers that one daemon requests to be written in one step.
 type Batch struct {
 	Service mtid.Service
 	Daemon  mtid.Daemon
-	// Record is the version of the daemon's record, under the condition of which alone
-	// the transfers may be written: a next life of the daemon writes its record before it
-	// grants anything.
+	// Record is the version of the daemon's record. The transfers may only be
+	// written while the record has this version: the daemon's next incarnation
+	// writes its record before it grants anything.
 	Record mtid.Version
-	// Known is the next epoch of the assignment that the daemon knows, so that it is told
-	// all that has changed since.
+	// Known is the next epoch of the assignment that the daemon has, so that the
+	// reply can include everything that has changed since.
 	Known     mtid.Epoch
 	Transfers []Transfer
 }
 
-// Outcome is what is known of a write.
+// Outcome is the known result of a write.
 type Outcome int
 
-// The outcomes.
+// Outcomes of a write.
 const (
-	Refused Outcome = iota // it has not been written and never will be
-	Beaten                 // the same, since another one was written first
+	Refused Outcome = iota // not written, and never will be
+	Beaten                 // not written, and never will be: a conflicting write won
 	Written
-	Doubtful // it may have been written, or may be later
+	Doubtful // unknown: it may have been written, or may be later
 )
 
 // Wire returns the form of b that daemons exchange.
@@ -62,7 +63,7 @@
 	b := Batch{Service: mtid.Service(w.GetService()), Daemon: mtid.Daemon(w.GetDaemon()), Record: mtid.Version(w.GetRecord()), Known: mtid.Epoch(w.GetKnown())}
 	for _, t := range w.GetTransfers() {
 		if t.GetLow() > t.GetHigh() || t.GetHigh() > uint32(mtid.LastNumber) {
-			return Batch{}, &DecodeError{Reason: "a transfer names no run of keys"}
+			return Batch{}, &DecodeError{Reason: "transfer with an invalid key range"}
 		}
 		b.Transfers = append(b.Transfers, Transfer{
 			From: readOwner(t.GetFrom()), Epoch: mtid.Epoch(t.GetEpoch()), Low: mtid.Number(t.GetLow()), High: mtid.Number(t.GetHigh()),
@@ -70,7 +71,7 @@
 		})
 	}
 	if b.Daemon == "" || b.Record == 0 {
-		return Batch{}, &DecodeError{Reason: "a batch names no record of a daemon"}
+		return Batch{}, &DecodeError{Reason: "batch without a daemon or the version of its record"}
 	}
 	return b, nil
 }
--- a/core/mtrange/transfer_test.go
+++ b/core/mtrange/transfer_test.go
@@ -12,8 +12,8 @@
 	"magnoliaturn/core/mtwire"
 )
 
-// A daemon that is asked to write for another one reads a batch of bytes. It gets what was
-// meant, or an error, whatever the bytes are.
+// A daemon decodes a batch that another one asks it to write. Any input must yield
+// either an error or a batch that encodes to the same batch again.
 func FuzzBatch(f *testing.F) {
 	whole, err := proto.Marshal(mtrange.Batch{
 		Service: "maps", Daemon: "a", Record: 7, Known: 5,
@@ -32,9 +32,9 @@
 			return
 		}
 		b, err := mtrange.ReadBatch(w)
-		var unread *mtrange.DecodeError
+		var invalid *mtrange.DecodeError
 		if err != nil {
-			assert.Assert(t, errors.As(err, &unread))
+			assert.Assert(t, errors.As(err, &invalid))
 			return
 		}
 		for _, tr := range b.Transfers {
@@ -46,19 +46,19 @@
 	})
 }
 
-// A transfer stands only while its keys have the owner and the epoch that they had when it
-// began: they may have come back to the same owner since.
-func TestATransferStandsUnderItsEpochOnly(t *testing.T) {
+// A transfer stands only while its keys have the owner and epoch that they had when it
+// began: the keys may have returned to the same owner under a new epoch.
+func TestTransferStandsUnderItsEpochOnly(t *testing.T) {
 	a, b := mtrange.Owner{Daemon: "a"}, mtrange.Owner{Daemon: "b"}
 	table, err := mtrange.Spread("maps", []mtrange.Owner{a, b})
 	assert.NilError(t, err)
 	r := table.Owned(a)[0]
 	tr := mtrange.Transfer{From: a, Epoch: r.Epoch, Low: r.Low, High: r.High, To: b}
 	assert.Assert(t, table.Stands(tr))
-	away, err := table.Move(r.Low, r.High, b, "")
+	moved, err := table.Move(r.Low, r.High, b, "")
 	assert.NilError(t, err)
-	assert.Assert(t, !away.Stands(tr))
-	back, err := away.Move(r.Low, r.High, a, "")
+	assert.Assert(t, !moved.Stands(tr))
+	returned, err := moved.Move(r.Low, r.High, a, "")
 	assert.NilError(t, err)
-	assert.Assert(t, !back.Stands(tr))
+	assert.Assert(t, !returned.Stands(tr))
 }
