--- a/core/mtbackend/mtbackend.go
+++ b/core/mtbackend/mtbackend.go
@@ -1,17 +1,16 @@
-// Package mtbackend describes a backend server as the daemon beside it knows
-// it: which life of it runs, for which service, and whether it takes work.
+// Package mtbackend describes a backend server as seen by the daemon beside it:
+// which incarnation of it runs, for which service, and whether it accepts work.
 //
-// The daemon writes the record under its own name into the platform's store,
-// with a lease. A record that has lapsed says nothing of the server; only a
-// record that names another server, or none, proves that the former one has
-// ended.
+// The daemon writes the record under its own name into the platform's store, with
+// a lease. An expired record reveals nothing about the server; only a record that
+// contains another server, or none, proves that the previous one has terminated.
 //
 // # Usage
 //
 //	value, err := record.Encode()
 //	record, err := mtbackend.Decode(value)
 //
-// Records are values.
+// Records are values and can be copied.
 package mtbackend
 
 import (
@@ -26,18 +25,18 @@
 	"magnoliaturn/core/mtrange"
 )
 
-// State says whether a backend server takes new work.
+// State describes whether a backend server accepts new work.
 type State string
 
-// The states of a backend server, as its daemon knows them.
+// States of a backend server, as reported by its daemon.
 const (
-	Unknown  State = "unknown"  // the daemon has just started and hasn't heard of it
-	Ready    State = "ready"    // takes work
-	Draining State = "draining" // finishes what it has
-	Ended    State = "ended"    // its process is gone; it holds no keys
+	Unknown  State = "unknown"  // the daemon has just started and received no heartbeat yet
+	Ready    State = "ready"    // accepts work
+	Draining State = "draining" // finishes the work it has
+	Ended    State = "ended"    // its process has terminated; it holds no keys
 )
 
-// known reports whether s is a state that daemons write.
+// known reports whether s is one of the states that daemons write.
 func (s State) known() bool {
 	return s == Unknown || s == Ready || s == Draining || s == Ended
 }
@@ -45,26 +44,26 @@
 // Rate is a bandwidth, in Mbit/s.
 type Rate float64
 
-// Record is what a daemon publishes.
+// Record is the description of a backend server that its daemon publishes.
 type Record struct {
 	Daemon  mtid.Daemon  `json:"daemon"`
 	Address string       `json:"address"` // of the daemon, for other daemons
 	Zone    mtid.Zone    `json:"zone"`
 	Service mtid.Service `json:"service"`
-	Life    mtid.Life    `json:"-"` // the present life, or the last one if it has ended
+	Life    mtid.Life    `json:"-"` // the current incarnation, or the last one if it has terminated
 	Slots   int          `json:"slots"`
 	State   State        `json:"state"`
-	// Link is the bandwidth of the VM's own link. Those with the widest ones tell
-	// the others what changes.
+	// Link is the bandwidth of the VM's network link. The daemons with the fastest
+	// links distribute updates to the others.
 	Link Rate `json:"link"`
-	// Leaving says that the daemon itself shuts down, so that nothing should be
-	// sent to it although its server lives on.
+	// Leaving reports that the daemon itself shuts down, so that nothing should be
+	// sent to it although its server keeps running.
 	Leaving bool `json:"leaving"`
-	// Suspects are the requests that may have crashed the server when it was lost last.
+	// Suspects are the requests that may have caused the last crash of the server.
 	Suspects mtpoison.Suspects `json:"suspects,omitempty"`
 }
 
-// Beat is what a backend server says of itself to the daemon beside it, about
+// Beat is the heartbeat that a backend server sends to the daemon beside it, about
 // once a second.
 type Beat struct {
 	Life     mtid.Life
@@ -72,58 +71,60 @@
 	Service  mtid.Service
 	Slots    int
 	Draining bool
-	// Sequence grows with each beat of one life, so that a late one shows.
+	// Sequence grows with each heartbeat of an incarnation, so that a late one is
+	// recognized.
 	Sequence uint64
-	// Cold is how much longer the server is slow after its start.
+	// Cold is the remaining time for which the server is slow after its start.
 	Cold time.Duration
-	// Connected is when the connection on which it came was accepted: its sender was
-	// alive then, however late the beat itself is. Zero if that is not known.
+	// Connected is when the connection that carried the heartbeat was accepted. Its
+	// sender was alive then, however late the heartbeat is. Zero if unknown.
 	Connected mtclock.Instant
 }
 
-// Owner returns the life of the server as an owner of keys.
+// Owner returns the incarnation of the server as an owner of keys.
 func (r Record) Owner() mtrange.Owner { return mtrange.Owner{Daemon: r.Daemon, Life: r.Life} }
 
-// Takes reports whether new work may be sent to the server.
+// Takes reports whether the server accepts new work.
 func (r Record) Takes() bool { return r.State == Ready && !r.Leaving }
 
-// Runs reports whether the record proves that this life of the server may still
-// hold keys: it is the one that the daemon knows, or the daemon knows none yet.
-func (r Record) Runs(life mtid.Life) bool {
+// Runs reports whether, by this record, an incarnation of the server may still hold
+// keys: it is the one that the daemon knows, or the daemon knows none yet.
+func (r Record) Runs(incarnation mtid.Life) bool {
 	if r.State == Unknown {
 		return true
 	}
-	return r.Life == life && r.State != Ended
+	return r.Life == incarnation && r.State != Ended
 }
 
-// DecodeError says that a stored record can't be read.
+// DecodeError reports that a stored record is invalid.
 type DecodeError struct{ Err error }
 
 // Error implements error.
-func (e *DecodeError) Error() string { return "backend: record can't be read: " + e.Err.Error() }
+func (e *DecodeError) Error() string { return "backend: decode record: " + e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of the JSON decoder or the one that names the invalid field.
 func (e *DecodeError) Unwrap() error { return e.Err }
 
-// stored is the form in which a record lies in the platform's store.
-type stored struct {
+// storedRecord is the JSON form of a record in the platform's store.
+type storedRecord struct {
 	Record
 	Server mtid.Server `json:"server"`
 	Born   mtid.Birth  `json:"born,omitempty"`
 }
 
-// Encode returns the stored form of r.
+// Encode returns the storedRecord form of r.
 func (r Record) Encode() ([]byte, error) {
-	return json.Marshal(stored{Record: r, Server: r.Life.Server, Born: r.Life.Born})
+	return json.Marshal(storedRecord{Record: r, Server: r.Life.Server, Born: r.Life.Born})
 }
 
 // Decode reads a stored record. It fails with a *DecodeError.
 //
-// Somebody else may have written under a daemon's name. Taken at its word, such an
-// entry could name a server to send work to, or make the keys of one that lives
-// look free. So whatever no daemon writes is no record: the last good one holds.
+// Another program may have written under a daemon's name. If such an entry were
+// trusted, it could direct work to a wrong server, or make the keys of a running
+// server look free. So an entry that no daemon would write is rejected, and the last
+// valid record remains in effect.
 func Decode(value []byte) (Record, error) {
-	var s stored
+	var s storedRecord
 	if err := json.Unmarshal(value, &s); err != nil {
 		return Record{}, &DecodeError{Err: err}
 	}
@@ -135,7 +136,7 @@
 	return r, nil
 }
 
-// check returns what no daemon writes into a record, or nil.
+// check returns an error if a field has a value that no daemon writes.
 func (r Record) check() error {
 	switch {
 	case r.Daemon == "":
@@ -147,7 +148,7 @@
 	case !r.State.known():
 		return &fieldError{field: "state", value: string(r.State)}
 	case (r.State == Ready || r.State == Draining) && r.Life.Server == "":
-		// A daemon that never heard of its server may say that it has ended.
+		// A daemon that never received a heartbeat may report that its server has ended.
 		return &fieldError{field: "server"}
 	case r.State == Ready && r.Slots <= 0:
 		return &fieldError{field: "slots", value: strconv.Itoa(r.Slots)}
@@ -155,13 +156,13 @@
 	return nil
 }
 
-// fieldError says which field of a record holds what no daemon writes.
+// fieldError reports an invalid field of a record.
 type fieldError struct{ field, value string }
 
 // Error implements error.
 func (e *fieldError) Error() string {
 	if e.value == "" {
-		return fmt.Sprintf("%q is empty", e.field)
+		return fmt.Sprintf("field %q is empty", e.field)
 	}
-	return fmt.Sprintf("%q can't be %q", e.field, e.value)
+	return fmt.Sprintf("field %q has the invalid value %q", e.field, e.value)
 }
--- a/core/mtbackend/slowness_test.go
+++ b/core/mtbackend/slowness_test.go
@@ -11,8 +11,8 @@
 	"magnoliaturn/core/mtclock"
 )
 
-// A machine is slow for a moment: its word counts at once, and fades.
-func TestAWordOfSlownessFades(t *testing.T) {
+// A machine is slow for a moment: the report takes effect at once, and then decays.
+func TestSlownessDecays(t *testing.T) {
 	var s mtbackend.Slowness
 	assert.Equal(t, s.Now(0), 1.0)
 	now := mtclock.Instant(time.Second)
@@ -25,11 +25,11 @@
 	assert.Assert(t, s.Now(now.Add(5*time.Second)) < 1.1)
 }
 
-// Words that no machine can mean change nothing.
-func TestWordsThatCannotBeAreNoSlowness(t *testing.T) {
+// Reports that are not finite and positive must be ignored.
+func TestSlownessIgnoresInvalidReports(t *testing.T) {
 	var s mtbackend.Slowness
-	for _, word := range []float64{0, -1, math.NaN(), math.Inf(1)} {
-		s.Note(1, word)
+	for _, report := range []float64{0, -1, math.NaN(), math.Inf(1)} {
+		s.Note(1, report)
 		assert.Equal(t, s.Now(1), 1.0)
 	}
 }
--- a/core/mtbackend/warmth.go
+++ b/core/mtbackend/warmth.go
@@ -6,63 +6,65 @@
 	"magnoliaturn/core/mtclock"
 )
 
-// Warmth is what a daemon knows of how warm its server is. A server that has just started,
-// or stood without work, takes few requests a second, and crashes under many.
+// Warmth tracks whether a server is warm. A server that has just started, or was idle,
+// can handle only few requests a second and crashes under many.
 //
-// How long it stays cold is told by its beats, about one a second, which may be late. So
-// whenever it may have become cold since the last one, it is taken for cold until it says
-// otherwise: a second of little work costs less than a crash.
+// The server reports how long it stays cold with its heartbeats, about one a second,
+// which may arrive late. So whenever it may have become cold since the last one, it is
+// treated as cold until it reports otherwise: a second of little work costs less than a
+// crash.
 //
-// Times are those of a clock that never runs ahead, but for that of a doubt, which goes by
-// the clock that stamps connections. The zero value is that of a server that nothing is
-// known of. A Warmth isn't safe for concurrent use.
+// Times are of a clock that never jumps ahead, except the one passed to Doubt, which
+// is of the clock that timestamps connections. The zero value is for a server of which
+// nothing is known. A Warmth is not safe for concurrent use.
 type Warmth struct {
-	heard   bool            // a beat has told since the last doubt
-	doubted mtclock.Instant // connections of before prove nothing
-	until   mtclock.Instant // cold until then, by the beats
+	confirmed   bool            // a heartbeat arrived since the server last became possibly cold
+	uncertainAt mtclock.Instant // heartbeats on connections made up to then prove nothing
+	until       mtclock.Instant // end of the cold time, by the heartbeats
 }
 
-// Doubt notes that the server may have become cold by the instant at.
-func (w *Warmth) Doubt(at mtclock.Instant) { w.heard, w.doubted = false, at }
+// Doubt records that the server may have become cold by the given time.
+func (w *Warmth) Doubt(at mtclock.Instant) { w.confirmed, w.uncertainAt = false, at }
 
-// Hear takes in a beat that arrives now. Its time is counted from the arrival: a late one
-// makes the server pass for cold for too long, never for too short.
+// Hear processes a heartbeat that arrives now. Its remaining cold time is counted from
+// the arrival, so a late heartbeat makes the server count as cold for too long, but
+// never for too short.
 //
-// A beat that was on its way when the doubt arose may have been sent before the server
-// became cold. It ends the doubt only if its connection was made later, or nobody knows
-// when it was.
+// A heartbeat that was in transit when the server became possibly cold may have been
+// sent before that. It confirms the state only if its connection was made later, or if
+// the time of its connection is unknown.
 func (w *Warmth) Hear(now mtclock.Instant, b Beat) {
-	until := now.Add(b.Cold)
-	if b.Connected != 0 && !b.Connected.After(w.doubted) {
-		w.until = max(w.until, until)
+	coldUntil := now.Add(b.Cold)
+	if b.Connected != 0 && !b.Connected.After(w.uncertainAt) {
+		w.until = max(w.until, coldUntil)
 		return
 	}
-	w.heard, w.until = true, until
+	w.confirmed, w.until = true, coldUntil
 }
 
-// Cold reports whether the server is cold, or may be.
-func (w *Warmth) Cold(now mtclock.Instant) bool { return !w.heard || now.Before(w.until) }
+// Cold reports whether the server is cold or possibly cold.
+func (w *Warmth) Cold(now mtclock.Instant) bool { return !w.confirmed || now.Before(w.until) }
 
-// Left returns how much longer the server is cold by its own word.
+// Left returns the remaining cold time that the server has reported.
 func (w *Warmth) Left(now mtclock.Instant) time.Duration { return max(w.until.Sub(now), 0) }
 
-// Allowance is by how much the rate of a cold server may be exceeded in any one second.
-// The zero value allows nothing.
+// Allowance defines by how much the rate of a cold server may be exceeded within any
+// one second. The zero value allows no excess.
 type Allowance struct {
-	Factor float64 // of the rate; below one it counts as one
-	Extra  float64 // requests
+	Factor float64 // multiple of the rate; values below one count as one
+	Extra  float64 // additional requests
 }
 
-// spared is the part of what is allowed that is left free, for requests that reach the
-// server closer to each other than they were sent.
-const spared = 0.1
+// reserve is the fraction of the allowed requests that is kept free, for requests that
+// arrive at the server closer together than they were sent.
+const reserve = 0.1
 
-// Most returns how many requests a cold server that takes a rate, in requests a second, is
-// given in any one second. Zero is no limit.
+// Most returns the maximum number of requests in any one second for a cold server with
+// the given rate, in requests per second. Zero means no limit.
 func (a Allowance) Most(rate float64) int {
 	if rate <= 0 {
 		return 0
 	}
 	allowed := rate*max(a.Factor, 1) + a.Extra
-	return max(int(allowed*(1-spared)), 1)
+	return max(int(allowed*(1-reserve)), 1)
 }
