--- a/core/mtsilence/mtsilence.go
+++ b/core/mtsilence/mtsilence.go
@@ -1,26 +1,26 @@
-// Package mtsilence decides when a daemon that does not answer is passed over, and
-// when it is asked whether it is back.
+// Package mtsilence detects daemons that do not respond, so that no calls are sent to
+// them, and decides when they are probed.
 //
-// A daemon that is frozen, powerless or cut off refuses nothing: a call that is sent
-// to it hangs until its deadline. So each call waits for a sign of its arrival, and
-// when there is none for longer than this daemon usually takes, the next calls are
-// refused at once or go elsewhere. Whether it is back is asked by probes and never by
-// calls: while a third of the VMs was cut off for twelve seconds, every call that
-// tried again after a second of silence was lost with all that followed it for 0.6 s,
-// more than a third of the calls to them.
+// A daemon that is frozen, without power or disconnected refuses nothing: a call sent
+// to it hangs until its deadline. So each call waits for an acknowledgment, and when
+// none arrives within the usual time of this daemon, the next calls are refused at once
+// or go elsewhere. Only probes, never calls, find out whether the daemon is available
+// again. When calls retried after one second without a response, while a third of the
+// VMs was disconnected for twelve seconds, each retry was lost with all calls that
+// followed within 0.6 s: more than a third of the calls to these VMs.
 //
-// The time goes by what was seen of the daemon, as TCP does it: a few milliseconds
-// are usual, but a narrow link that is full takes hundreds.
+// The timeout adapts to the response times of the daemon, like the retransmission timer
+// of TCP: a few milliseconds are usual, but a saturated slow link takes hundreds.
 //
 // # Usage
 //
-//	silences := mtsilence.New()
-//	silences.Answered(address, took) // a call or a probe has arrived there
-//	if silences.Suspect(now, address) { ... } // none has for Patience(address): probe it
-//	if silences.Silent(now, address) { ... } // send no call there
-//	pause, more := silences.Missed(now, address) // a probe was not answered either
+//	detector := mtsilence.New()
+//	detector.Answered(address, took) // a call or a probe was acknowledged
+//	if detector.Suspect(now, address) { ... } // no response for Patience(address): probe it
+//	if detector.Silent(now, address) { ... } // send no calls there
+//	pause, more := detector.Missed(now, address) // a probe was not acknowledged either
 //
-// A Silences isn't safe for concurrent use.
+// A Silences is not safe for concurrent use.
 package mtsilence
 
 import (
@@ -30,36 +30,37 @@
 )
 
 const (
-	// leastPatience is how long a sign of arrival may take at least: a lost packet
-	// is sent again after 200 ms, and one loss proves nothing.
-	leastPatience = 250 * time.Millisecond
-	// mostPatience bounds it: two packets in a row that are lost take 600 ms.
-	mostPatience = 600 * time.Millisecond
-	// deviations is by how many mean deviations a sign may be later than usual; TCP
-	// takes four for its own timer.
-	deviations = 4
-	// firstPause is between the first two probes, and mostPause between later ones:
-	// the one bounds how long a daemon that is back stays without calls after a
-	// short cut, the other what probing one costs that is gone.
-	firstPause = 100 * time.Millisecond
-	mostPause  = 400 * time.Millisecond
-	// unasked is how long after the last call for it a silent daemon is probed.
-	unasked = 3 * time.Second
+	// minTimeout is the minimum time to wait for an acknowledgment. A lost packet is
+	// retransmitted after 200 ms, and a single loss proves nothing.
+	minTimeout = 250 * time.Millisecond
+	// maxTimeout bounds the wait. Two lost packets in a row take 600 ms.
+	maxTimeout = 600 * time.Millisecond
+	// timeoutDeviations is the number of mean deviations that an acknowledgment may be
+	// later than the mean. TCP uses four for its retransmission timer.
+	timeoutDeviations = 4
+	// minProbePause is the pause between the first two probes, and maxProbePause the
+	// limit for later ones. The former bounds how long a daemon gets no calls after a
+	// short disconnection, the latter the cost of probing a terminated one.
+	minProbePause = 100 * time.Millisecond
+	maxProbePause = 400 * time.Millisecond
+	// probeIdleLimit is how long an unresponsive daemon is probed after the last call
+	// that was intended for it.
+	probeIdleLimit = 3 * time.Second
 )
 
-// peer is what is known of one daemon.
+// peer holds the response times and the state of one daemon.
 type peer struct {
-	mean      time.Duration
-	deviation time.Duration
-	silent    bool
-	pause     time.Duration   // before the next probe
-	asked     mtclock.Instant // last call that was meant for it while it was silent
+	mean         time.Duration
+	deviation    time.Duration
+	unresponsive bool
+	pause        time.Duration   // before the next probe
+	lastCall     mtclock.Instant // last call intended for it while it was unresponsive
 }
 
-// Silences is what one daemon knows of the others, by address.
+// Silences tracks which of the other daemons respond, by address.
 type Silences struct{ peers map[string]*peer }
 
-// New returns a Silences that knows nobody.
+// New returns a detector to which all daemons are unknown.
 func New() *Silences { return &Silences{peers: make(map[string]*peer)} }
 
 func (s *Silences) at(address string) *peer {
@@ -71,60 +72,60 @@
 	return p
 }
 
-// Answered notes that a sign came from a daemon after so long.
+// Answered records that a daemon acknowledged a call or a probe after the given time.
 func (s *Silences) Answered(address string, took time.Duration) {
 	p := s.at(address)
-	p.silent = false
+	p.unresponsive = false
 	if p.mean == 0 {
 		p.mean, p.deviation = took, took/2
 		return
 	}
-	off := took - p.mean
-	p.mean += off / 8
-	p.deviation += (max(off, -off) - p.deviation) / 4
+	diff := took - p.mean
+	p.mean += diff / 8
+	p.deviation += (max(diff, -diff) - p.deviation) / 4
 }
 
-// Patience returns how long to wait for a sign from a daemon.
+// Patience returns how long to wait for an acknowledgment from a daemon.
 func (s *Silences) Patience(address string) time.Duration {
 	p, ok := s.peers[address]
 	if !ok {
-		return mostPatience
+		return maxTimeout
 	}
-	return min(max(p.mean+deviations*p.deviation, leastPatience), mostPatience)
+	return min(max(p.mean+timeoutDeviations*p.deviation, minTimeout), maxTimeout)
 }
 
-// Suspect notes that no sign came in time, and reports whether the daemon has to be
-// probed from now on: it was not silent before.
+// Suspect records that no acknowledgment arrived in time. It returns true if the daemon
+// was not unresponsive before, so that the caller has to start probing it.
 func (s *Silences) Suspect(now mtclock.Instant, address string) bool {
 	p := s.at(address)
-	if p.silent {
+	if p.unresponsive {
 		return false
 	}
-	p.silent, p.pause, p.asked = true, firstPause, now
+	p.unresponsive, p.pause, p.lastCall = true, minProbePause, now
 	return true
 }
 
-// Silent reports whether a daemon is passed over. It is called for each call that is
-// meant for it.
+// Silent reports whether a daemon is unresponsive, so that no calls should be sent to
+// it. It must be called for each call intended for the daemon.
 func (s *Silences) Silent(now mtclock.Instant, address string) bool {
 	p, ok := s.peers[address]
-	if !ok || !p.silent {
+	if !ok || !p.unresponsive {
 		return false
 	}
-	p.asked = now
+	p.lastCall = now
 	return true
 }
 
-// Missed notes that a probe was not answered, and returns the pause before the next
-// one, or false if nobody has asked for the daemon for a while. What is known of it
-// is forgotten then, and the next call finds out.
+// Missed records that a probe was not acknowledged, and returns the pause before the
+// next one. It returns false if no call has been intended for the daemon for a while;
+// its state is dropped then, and the next call goes through.
 func (s *Silences) Missed(now mtclock.Instant, address string) (time.Duration, bool) {
 	p, ok := s.peers[address]
-	if !ok || !p.silent || now.Sub(p.asked) > unasked {
+	if !ok || !p.unresponsive || now.Sub(p.lastCall) > probeIdleLimit {
 		delete(s.peers, address)
 		return 0, false
 	}
 	pause := p.pause
-	p.pause = min(2*p.pause, mostPause)
+	p.pause = min(2*p.pause, maxProbePause)
 	return pause, true
 }
--- a/core/mtsilence/mtsilence_test.go
+++ b/core/mtsilence/mtsilence_test.go
@@ -10,77 +10,77 @@
 	"magnoliaturn/core/mtsilence"
 )
 
-// A VM is cut off for twelve seconds, and every 10 ms a call is meant for its keys.
-// Each call waits for a sign for as long as it is allowed to, and its caller hears
-// nothing meanwhile. Were calls to find out whether it is back, a third of them hung.
-func TestACutOffDaemonCostsOnlyTheCallsOfTheFirstMoment(t *testing.T) {
+// A VM is disconnected for twelve seconds, with a call for its keys every 10 ms. Calls
+// hang until an acknowledgment is overdue. If calls instead of probes had to find out
+// whether the VM is available again, a third of them would hang.
+func TestDisconnectedDaemonDelaysOnlyTheFirstCalls(t *testing.T) {
 	const (
-		every = 10 * time.Millisecond
-		cut   = 12 * time.Second
-		usual = 4 * time.Millisecond
-		far   = "peer"
+		every   = 10 * time.Millisecond
+		cut     = 12 * time.Second
+		usual   = 4 * time.Millisecond
+		address = "peer"
 	)
-	s := mtsilence.New()
+	d := mtsilence.New()
 	for range 50 {
-		s.Answered(far, usual)
+		d.Answered(address, usual)
 	}
-	hung, refused, back := 0, 0, time.Duration(0)
+	hung, refused, recovered := 0, 0, time.Duration(0)
 	var suspected, probe mtclock.Instant
 	for now := time.Duration(0); now < cut+time.Second; now += every {
 		at := mtclock.Instant(time.Hour + now)
 		reachable := now >= cut
 		if suspected != 0 && !at.Before(probe) {
 			if reachable {
-				s.Answered(far, usual)
-			} else if pause, more := s.Missed(at, far); more {
-				probe = at.Add(leastOf(s, far) + pause)
+				d.Answered(address, usual)
+			} else if pause, more := d.Missed(at, address); more {
+				probe = at.Add(probeTimeout(d, address) + pause)
 			}
 		}
 		switch {
-		case s.Silent(at, far):
+		case d.Silent(at, address):
 			refused++
 		case reachable:
-			back = now - cut
+			recovered = now - cut
 			now = cut + time.Second
 		default:
 			hung++
-			if now >= s.Patience(far) && s.Suspect(at, far) {
+			if now >= d.Patience(address) && d.Suspect(at, address) {
 				suspected, probe = at, at
 			}
 		}
 	}
-	t.Logf("%d calls hung, %d were refused at once, served again after %s", hung, refused, back)
+	t.Logf("%d calls hung, %d were refused at once, recovered after %s", hung, refused, recovered)
 	assert.Assert(t, hung <= 26, "%d calls hung", hung)
 	assert.Assert(t, refused > 1100)
-	assert.Assert(t, back <= 700*time.Millisecond, "served again after %s", back)
+	assert.Assert(t, recovered <= 700*time.Millisecond, "recovered after %s", recovered)
 }
 
-// leastOf is how long a probe waits.
-func leastOf(s *mtsilence.Silences, address string) time.Duration { return s.Patience(address) }
+// probeTimeout returns how long a probe waits for an acknowledgment.
+func probeTimeout(d *mtsilence.Silences, address string) time.Duration { return d.Patience(address) }
 
-// A narrow link is full: signs take half a second, and the daemon behind it works.
-// Passed over for it, its keys would be refused while it serves them.
-func TestASlowLinkIsNoSilence(t *testing.T) {
-	s := mtsilence.New()
+// On a saturated slow link, acknowledgments take half a second although the daemon
+// works. If it counted as unresponsive, calls for its keys would be refused.
+func TestTimeoutAdaptsToSlowLink(t *testing.T) {
+	d := mtsilence.New()
 	for range 30 {
-		s.Answered("narrow", 480*time.Millisecond)
-		s.Answered("wide", 3*time.Millisecond)
+		d.Answered("narrow", 480*time.Millisecond)
+		d.Answered("wide", 3*time.Millisecond)
 	}
-	assert.Assert(t, s.Patience("narrow") >= 480*time.Millisecond)
-	assert.Equal(t, s.Patience("wide"), 250*time.Millisecond)
-	assert.Equal(t, s.Patience("never heard of"), 600*time.Millisecond)
+	assert.Assert(t, d.Patience("narrow") >= 480*time.Millisecond)
+	assert.Equal(t, d.Patience("wide"), 250*time.Millisecond)
+	assert.Equal(t, d.Patience("unknown address"), 600*time.Millisecond)
 }
 
-// Nobody asks for a daemon that is gone for good. It is not probed for ever, and what
-// was known of it says nothing of one that comes to its address later.
-func TestADaemonThatNobodyAsksForIsForgotten(t *testing.T) {
-	s := mtsilence.New()
+// No call is intended any more for a terminated daemon. Probing must stop, and its
+// state must not be applied to a daemon that gets the same address later.
+func TestDaemonWithoutCallsIsNoLongerProbed(t *testing.T) {
+	d := mtsilence.New()
 	now := mtclock.Instant(time.Hour)
-	assert.Assert(t, s.Suspect(now, "gone"))
-	assert.Assert(t, !s.Suspect(now, "gone"), "probed twice")
+	assert.Assert(t, d.Suspect(now, "gone"))
+	assert.Assert(t, !d.Suspect(now, "gone"), "probed twice")
 	probes := 0
 	for {
-		pause, more := s.Missed(now, "gone")
+		pause, more := d.Missed(now, "gone")
 		if !more {
 			break
 		}
@@ -88,5 +88,5 @@
 		now = now.Add(pause)
 	}
 	assert.Assert(t, probes < 12, "%d probes", probes)
-	assert.Assert(t, !s.Silent(now, "gone"))
+	assert.Assert(t, !d.Silent(now, "gone"))
 }
