--- a/core/mtring/mtring.go
+++ b/core/mtring/mtring.go
@@ -1,5 +1,5 @@
-// Package mtring joins duties by bounded rings: one duty puts, another takes,
-// and neither can grow the memory of the process without limit.
+// Package mtring provides bounded queues between goroutines, which limit the
+// memory that a slow consumer can cause the process to use.
 //
 // # Usage
 //
@@ -12,18 +12,18 @@
 
 import "sync/atomic"
 
-// Ring is a bounded queue between duties.
+// Ring is a bounded FIFO queue.
 type Ring[T any] struct {
 	items   chan T
 	put     atomic.Uint64
 	dropped atomic.Uint64
 }
 
-// Counts are the counters of a ring, for metrics.
+// Counts holds the counters of a ring, for metrics.
 type Counts struct {
-	Put     uint64 // items that went in
-	Dropped uint64 // items that found the ring full
-	Waiting int    // items in it now
+	Put     uint64 // items added
+	Dropped uint64 // items dropped because the ring was full
+	Waiting int    // items in the ring now
 	Size    int
 }
 
@@ -45,7 +45,8 @@
 	}
 }
 
-// PutWait adds v, waiting for room, and returns false if stop closes first.
+// PutWait adds v, waiting while the ring is full. It returns false if stop is closed
+// first.
 func (r *Ring[T]) PutWait(v T, stop <-chan struct{}) bool {
 	select {
 	case r.items <- v:
@@ -56,7 +57,8 @@
 	}
 }
 
-// Take waits for an item, or returns false once stop is closed.
+// Take removes the oldest item, waiting for one if the ring is empty. It returns false
+// if stop is closed first.
 func (r *Ring[T]) Take(stop <-chan struct{}) (T, bool) {
 	select {
 	case v := <-r.items:
@@ -67,11 +69,11 @@
 	}
 }
 
-// Items returns the channel that Take reads, for a duty that waits for several
-// things at once.
+// Items returns the channel that Take receives from, for a goroutine that selects from
+// several channels.
 func (r *Ring[T]) Items() <-chan T { return r.items }
 
-// Counts returns the counters.
+// Counts returns the current values of the counters.
 func (r *Ring[T]) Counts() Counts {
 	return Counts{Put: r.put.Load(), Dropped: r.dropped.Load(), Waiting: len(r.items), Size: cap(r.items)}
 }
--- a/core/mtring/mtring_test.go
+++ b/core/mtring/mtring_test.go
@@ -9,8 +9,8 @@
 	"magnoliaturn/core/mtring"
 )
 
-// A duty is slower than the one that feeds it. Its ring must not grow, and what
-// finds no room must be counted, or a loss would never show.
+// A consumer is slower than its producer. The ring must not grow, and items that do not
+// fit must be counted, so that the loss shows in the metrics.
 func TestFullRingDropsAndCounts(t *testing.T) {
 	r := mtring.New[int](2)
 	for i := range 5 {
@@ -28,20 +28,20 @@
 	assert.Assert(t, !ok)
 }
 
-// An outcome that a duty waits for must not be dropped: whoever brings it waits
-// for room, or for the stop.
-func TestPutWaitWaitsForRoom(t *testing.T) {
+// Items that must not be dropped, such as the outcome of a call, are added with PutWait.
+// It must block until there is capacity or the stop channel is closed.
+func TestPutWaitBlocksWhileFull(t *testing.T) {
 	r := mtring.New[int](1)
 	stop := make(chan struct{})
 	assert.Assert(t, r.PutWait(1, stop))
-	var putting sync.WaitGroup
-	putting.Go(func() { assert.Check(t, r.PutWait(2, stop)) })
+	var producer sync.WaitGroup
+	producer.Go(func() { assert.Check(t, r.PutWait(2, stop)) })
 	for want := 1; want <= 2; want++ {
 		got, ok := r.Take(stop)
 		assert.Assert(t, ok)
 		assert.Equal(t, got, want)
 	}
-	putting.Wait()
+	producer.Wait()
 	assert.Assert(t, r.PutWait(3, stop))
 	close(stop)
 	assert.Assert(t, !r.PutWait(4, stop))
