--- a/core/mtbackend/mtbackend.go
+++ b/core/mtbackend/mtbackend.go
@@ -41,21 +41,21 @@
 	return s == Unknown || s == Ready || s == Draining || s == Ended
 }
 
-// Rate is a bandwidth, in Mbit/s.
-type Rate float64
+// Bandwidth is the capacity of a network link, in Mbit/s.
+type Bandwidth float64
 
 // Record is the description of a backend server that its daemon publishes.
 type Record struct {
-	Daemon  mtid.Daemon  `json:"daemon"`
-	Address string       `json:"address"` // of the daemon, for other daemons
-	Zone    mtid.Zone    `json:"zone"`
-	Service mtid.Service `json:"service"`
-	Life    mtid.Life    `json:"-"` // the current incarnation, or the last one if it has terminated
-	Slots   int          `json:"slots"`
-	State   State        `json:"state"`
+	Daemon      mtid.Daemon  `json:"daemon"`
+	Address     string       `json:"address"` // of the daemon, for other daemons
+	Zone        mtid.Zone    `json:"zone"`
+	Service     mtid.Service `json:"service"`
+	Incarnation mtid.Life    `json:"-"` // the current incarnation, or the last one if it has terminated
+	Slots       int          `json:"slots"`
+	State       State        `json:"state"`
 	// Link is the bandwidth of the VM's network link. The daemons with the fastest
 	// links distribute updates to the others.
-	Link Rate `json:"link"`
+	Link Bandwidth `json:"link"`
 	// Leaving reports that the daemon itself shuts down, so that nothing should be
 	// sent to it although its server keeps running.
 	Leaving bool `json:"leaving"`
@@ -63,14 +63,14 @@
 	Suspects mtpoison.Suspects `json:"suspects,omitempty"`
 }
 
-// Beat is the heartbeat that a backend server sends to the daemon beside it, about
+// Heartbeat is the status that a backend server reports to the daemon beside it, about
 // once a second.
-type Beat struct {
-	Life     mtid.Life
-	Address  string // host:port of its HTTP listener
-	Service  mtid.Service
-	Slots    int
-	Draining bool
+type Heartbeat struct {
+	Incarnation mtid.Life
+	Address     string // host:port of its HTTP listener
+	Service     mtid.Service
+	Slots       int
+	Draining    bool
 	// Sequence grows with each heartbeat of an incarnation, so that a late one is
 	// recognized.
 	Sequence uint64
@@ -82,18 +82,20 @@
 }
 
 // Owner returns the incarnation of the server as an owner of keys.
-func (r Record) Owner() mtrange.Owner { return mtrange.Owner{Daemon: r.Daemon, Life: r.Life} }
+func (r Record) Owner() mtrange.Owner {
+	return mtrange.Owner{Daemon: r.Daemon, Incarnation: r.Incarnation}
+}
 
-// Takes reports whether the server accepts new work.
-func (r Record) Takes() bool { return r.State == Ready && !r.Leaving }
+// AcceptsWork reports whether the server accepts new work.
+func (r Record) AcceptsWork() bool { return r.State == Ready && !r.Leaving }
 
-// Runs reports whether, by this record, an incarnation of the server may still hold
+// MayHoldKeys reports whether, by this record, an incarnation of the server may still hold
 // keys: it is the one that the daemon knows, or the daemon knows none yet.
-func (r Record) Runs(incarnation mtid.Life) bool {
+func (r Record) MayHoldKeys(incarnation mtid.Life) bool {
 	if r.State == Unknown {
 		return true
 	}
-	return r.Life == incarnation && r.State != Ended
+	return r.Incarnation == incarnation && r.State != Ended
 }
 
 // DecodeError reports that a stored record is invalid.
@@ -114,7 +116,7 @@
 
 // Encode returns the storedRecord form of r.
 func (r Record) Encode() ([]byte, error) {
-	return json.Marshal(storedRecord{Record: r, Server: r.Life.Server, Born: r.Life.Born})
+	return json.Marshal(storedRecord{Record: r, Server: r.Incarnation.Server, Born: r.Incarnation.Born})
 }
 
 // Decode reads a stored record. It fails with a *DecodeError.
@@ -129,7 +131,7 @@
 		return Record{}, &DecodeError{Err: err}
 	}
 	r := s.Record
-	r.Life = mtid.Life{Server: s.Server, Born: s.Born}
+	r.Incarnation = mtid.Life{Server: s.Server, Born: s.Born}
 	if err := r.check(); err != nil {
 		return Record{}, &DecodeError{Err: err}
 	}
@@ -147,7 +149,7 @@
 		return &fieldError{field: "service"}
 	case !r.State.known():
 		return &fieldError{field: "state", value: string(r.State)}
-	case (r.State == Ready || r.State == Draining) && r.Life.Server == "":
+	case (r.State == Ready || r.State == Draining) && r.Incarnation.Server == "":
 		// A daemon that never received a heartbeat may report that its server has ended.
 		return &fieldError{field: "server"}
 	case r.State == Ready && r.Slots <= 0:
--- a/core/mtbackend/slowness.go
+++ b/core/mtbackend/slowness.go
@@ -27,9 +27,9 @@
 	mean float64
 }
 
-// Note adds a report that arrives now. Values that are not finite and positive are
+// Observe adds a report that arrives now. Values that are not finite and positive are
 // ignored.
-func (s *Slowness) Note(now mtclock.Instant, multiple float64) {
+func (s *Slowness) Observe(now mtclock.Instant, multiple float64) {
 	if !(multiple > 0) || math.IsInf(multiple, 0) {
 		return
 	}
@@ -40,8 +40,8 @@
 	s.last, s.at = multiple, now
 }
 
-// Now returns how much longer work takes now than on average, as a factor.
-func (s *Slowness) Now(now mtclock.Instant) float64 {
+// Factor returns how much longer work takes now than on average, as a multiple.
+func (s *Slowness) Factor(now mtclock.Instant) float64 {
 	if s.mean == 0 {
 		return 1
 	}
--- a/core/mtbackend/warmth.go
+++ b/core/mtbackend/warmth.go
@@ -6,34 +6,34 @@
 	"magnoliaturn/core/mtclock"
 )
 
-// Warmth tracks whether a server is warm. A server that has just started, or was idle,
-// can handle only few requests a second and crashes under many.
+// WarmupTracker tracks whether a server is warm. A server that has just started, or was
+// idle, can handle only few requests a second and crashes under many.
 //
 // The server reports how long it stays cold with its heartbeats, about one a second,
 // which may arrive late. So whenever it may have become cold since the last one, it is
 // treated as cold until it reports otherwise: a second of little work costs less than a
 // crash.
 //
-// Times are of a clock that never jumps ahead, except the one passed to Doubt, which
-// is of the clock that timestamps connections. The zero value is for a server of which
-// nothing is known. A Warmth is not safe for concurrent use.
-type Warmth struct {
+// Times are of a clock that never jumps ahead, except the one passed to
+// MarkPossiblyCold, which is of the clock that timestamps connections. The zero value
+// is for a server of which nothing is known. A WarmupTracker is not safe for concurrent use.
+type WarmupTracker struct {
 	confirmed   bool            // a heartbeat arrived since the server last became possibly cold
 	uncertainAt mtclock.Instant // heartbeats on connections made up to then prove nothing
 	until       mtclock.Instant // end of the cold time, by the heartbeats
 }
 
-// Doubt records that the server may have become cold by the given time.
-func (w *Warmth) Doubt(at mtclock.Instant) { w.confirmed, w.uncertainAt = false, at }
+// MarkPossiblyCold records that the server may have become cold by the given time.
+func (w *WarmupTracker) MarkPossiblyCold(at mtclock.Instant) { w.confirmed, w.uncertainAt = false, at }
 
-// Hear processes a heartbeat that arrives now. Its remaining cold time is counted from
-// the arrival, so a late heartbeat makes the server count as cold for too long, but
+// ObserveHeartbeat processes a heartbeat that arrives now. Its remaining cold time is
+// counted from the arrival, so a late heartbeat makes the server count as cold for too long, but
 // never for too short.
 //
 // A heartbeat that was in transit when the server became possibly cold may have been
 // sent before that. It confirms the state only if its connection was made later, or if
 // the time of its connection is unknown.
-func (w *Warmth) Hear(now mtclock.Instant, b Beat) {
+func (w *WarmupTracker) ObserveHeartbeat(now mtclock.Instant, b Heartbeat) {
 	coldUntil := now.Add(b.Cold)
 	if b.Connected != 0 && !b.Connected.After(w.uncertainAt) {
 		w.until = max(w.until, coldUntil)
@@ -43,10 +43,10 @@
 }
 
 // Cold reports whether the server is cold or possibly cold.
-func (w *Warmth) Cold(now mtclock.Instant) bool { return !w.confirmed || now.Before(w.until) }
+func (w *WarmupTracker) Cold(now mtclock.Instant) bool { return !w.confirmed || now.Before(w.until) }
 
-// Left returns the remaining cold time that the server has reported.
-func (w *Warmth) Left(now mtclock.Instant) time.Duration { return max(w.until.Sub(now), 0) }
+// Remaining returns how much longer the server stays cold by its own report.
+func (w *WarmupTracker) Remaining(now mtclock.Instant) time.Duration { return max(w.until.Sub(now), 0) }
 
 // Allowance defines by how much the rate of a cold server may be exceeded within any
 // one second. The zero value allows no excess.
@@ -59,9 +59,9 @@
 // arrive at the server closer together than they were sent.
 const reserve = 0.1
 
-// Most returns the maximum number of requests in any one second for a cold server with
+// Limit returns the maximum number of requests in any one second for a cold server with
 // the given rate, in requests per second. Zero means no limit.
-func (a Allowance) Most(rate float64) int {
+func (a Allowance) Limit(rate float64) int {
 	if rate <= 0 {
 		return 0
 	}
--- a/core/mtbackend/warmth_test.go
+++ b/core/mtbackend/warmth_test.go
@@ -16,31 +16,31 @@
 // while it is cold.
 func TestPossiblyColdServerIsNeverTreatedAsWarm(t *testing.T) {
 	type sent struct {
-		heartbeat mtbackend.Beat
+		heartbeat mtbackend.Heartbeat
 		arrives   mtclock.Instant
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		var tracker mtbackend.Warmth
+		var tracker mtbackend.WarmupTracker
 		var now, warmAt mtclock.Instant
-		tracker.Doubt(now)
+		tracker.MarkPossiblyCold(now)
 		var inTransit []sent
 		for range 80 {
 			now = now.Add(time.Duration(rapid.IntRange(1, 400).Draw(t, "pause")) * time.Millisecond)
 			for len(inTransit) > 0 && !inTransit[0].arrives.After(now) {
-				tracker.Hear(inTransit[0].arrives, inTransit[0].heartbeat)
+				tracker.ObserveHeartbeat(inTransit[0].arrives, inTransit[0].heartbeat)
 				inTransit = inTransit[1:]
 			}
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0: // it becomes cold, and is marked as possibly cold
 				warmAt = now.Add(3 * time.Second)
-				tracker.Doubt(now)
+				tracker.MarkPossiblyCold(now)
 			case 1, 2:
 				late := time.Duration(rapid.IntRange(0, 900).Draw(t, "late")) * time.Millisecond
 				arrives := now.Add(late)
 				if len(inTransit) > 0 {
 					arrives = max(arrives, inTransit[len(inTransit)-1].arrives)
 				}
-				inTransit = append(inTransit, sent{mtbackend.Beat{Cold: max(warmAt.Sub(now), 0), Connected: now}, arrives})
+				inTransit = append(inTransit, sent{mtbackend.Heartbeat{Cold: max(warmAt.Sub(now), 0), Connected: now}, arrives})
 			}
 			if now.Before(warmAt) {
 				assert.Assert(t, tracker.Cold(now), "cold until %s, now %s", time.Duration(warmAt), time.Duration(now))
@@ -52,17 +52,17 @@
 // A heartbeat that was in transit when the server became possibly cold must not confirm
 // that it is warm; the next one does.
 func TestHeartbeatInTransitDoesNotConfirmWarmth(t *testing.T) {
-	var tracker mtbackend.Warmth
-	tracker.Doubt(100)
-	tracker.Hear(200, mtbackend.Beat{Connected: 90})
+	var tracker mtbackend.WarmupTracker
+	tracker.MarkPossiblyCold(100)
+	tracker.ObserveHeartbeat(200, mtbackend.Heartbeat{Connected: 90})
 	assert.Assert(t, tracker.Cold(200))
-	tracker.Hear(300, mtbackend.Beat{Connected: 290, Cold: 50})
+	tracker.ObserveHeartbeat(300, mtbackend.Heartbeat{Connected: 290, Cold: 50})
 	assert.Assert(t, tracker.Cold(349) && !tracker.Cold(350))
 }
 
 func TestAllowance(t *testing.T) {
 	a := mtbackend.Allowance{Factor: 1.5, Extra: 8}
-	assert.Equal(t, a.Most(0), 0)
-	assert.Assert(t, a.Most(8.5) <= 20 && a.Most(8.5) >= 15, "%d", a.Most(8.5))
-	assert.Equal(t, mtbackend.Allowance{}.Most(0.5), 1)
+	assert.Equal(t, a.Limit(0), 0)
+	assert.Assert(t, a.Limit(8.5) <= 20 && a.Limit(8.5) >= 15, "%d", a.Limit(8.5))
+	assert.Equal(t, mtbackend.Allowance{}.Limit(0.5), 1)
 }
--- a/core/mtrange/codec.go
+++ b/core/mtrange/codec.go
@@ -113,20 +113,20 @@
 		w.Highs = append(w.Highs, uint32(r.High))
 		w.Owner = append(w.Owner, index)
 		w.Epochs = append(w.Epochs, uint64(r.Epoch))
-		if r.Warmth != "" {
-			w.Warmths = append(w.Warmths, &mtwire.RangeWarmth{Place: uint32(i), Text: r.Warmth})
+		if r.WarmupState != "" {
+			w.Warmths = append(w.Warmths, &mtwire.RangeWarmth{Place: uint32(i), Text: r.WarmupState})
 		}
 	}
 	return proto.MarshalOptions{Deterministic: true}.Marshal(w)
 }
 
 func wireOwner(o Owner) *mtwire.RangeOwner {
-	return &mtwire.RangeOwner{Daemon: string(o.Daemon), Server: string(o.Life.Server), Born: int64(o.Life.Born)}
+	return &mtwire.RangeOwner{Daemon: string(o.Daemon), Server: string(o.Incarnation.Server), Born: int64(o.Incarnation.Born)}
 }
 
 func readOwner(w *mtwire.RangeOwner) Owner {
 	incarnation := mtid.Life{Server: mtid.Server(w.GetServer()), Born: mtid.Birth(w.GetBorn())}
-	return Owner{Daemon: mtid.Daemon(w.GetDaemon()), Life: incarnation}
+	return Owner{Daemon: mtid.Daemon(w.GetDaemon()), Incarnation: incarnation}
 }
 
 // Decode reads a stored table. It fails with a *DecodeError if the ranges do not
@@ -206,7 +206,7 @@
 		if int(warmup.GetPlace()) >= n {
 			return nil, nil, &DecodeError{Reason: "warm-up state of a range that does not exist"}
 		}
-		ranges[warmup.GetPlace()].Warmth = warmup.GetText()
+		ranges[warmup.GetPlace()].WarmupState = warmup.GetText()
 	}
 	return w, slices.Clip(ranges), nil
 }
--- a/core/mtrange/meter.go
+++ b/core/mtrange/meter.go
@@ -82,8 +82,8 @@
 // NewMeter returns a meter without any arrivals.
 func NewMeter(now mtclock.Instant) *Meter { return &Meter{at: now, scale: 1} }
 
-// Arrive records a request for a key with its expected service time.
-func (m *Meter) Arrive(now mtclock.Instant, key mtid.Number, serviceTime time.Duration) {
+// RecordArrival records a request for a key with its expected service time.
+func (m *Meter) RecordArrival(now mtclock.Instant, key mtid.Number, serviceTime time.Duration) {
 	m.decay(now)
 	m.work[key] += float32(serviceTime.Seconds() / m.scale)
 	m.sum += serviceTime.Seconds()
@@ -92,9 +92,9 @@
 	}
 }
 
-// Gain records that the server has just acquired a range of keys, for which
+// AddKeys records that the server has just acquired a range of keys, for which
 // nothing has been measured yet.
-func (m *Meter) Gain(now mtclock.Instant, low, high mtid.Number) {
+func (m *Meter) AddKeys(now mtclock.Instant, low, high mtid.Number) {
 	m.Forget(now, low, high)
 	m.recent = slices.DeleteFunc(m.recent, func(s *recentRange) bool { return now.Sub(s.since) > settledAge })
 	m.recent = append(m.recent, &recentRange{low: low, high: high, since: now, at: now})
@@ -121,8 +121,8 @@
 	return sum / MeterMemory.Seconds()
 }
 
-// Of returns the offered work of one key, in slots.
-func (m *Meter) Of(now mtclock.Instant, key mtid.Number) float64 {
+// KeyDemand returns the offered work of one key, in slots.
+func (m *Meter) KeyDemand(now mtclock.Instant, key mtid.Number) float64 {
 	m.decay(now)
 	work := float64(m.work[key]) * m.scale / MeterMemory.Seconds()
 	if work == 0 {
--- a/core/mtrange/mtrange.go
+++ b/core/mtrange/mtrange.go
@@ -27,8 +27,8 @@
 
 // Owner identifies an incarnation of a backend server and the daemon beside it.
 type Owner struct {
-	Daemon mtid.Daemon
-	Life   mtid.Life
+	Daemon      mtid.Daemon
+	Incarnation mtid.Life
 }
 
 // IsZero reports whether o names no server.
@@ -36,7 +36,7 @@
 
 // Compare orders owners by daemon, then by incarnation of the server.
 func (o Owner) Compare(other Owner) int {
-	return cmp.Or(cmp.Compare(o.Daemon, other.Daemon), o.Life.Compare(other.Life))
+	return cmp.Or(cmp.Compare(o.Daemon, other.Daemon), o.Incarnation.Compare(other.Incarnation))
 }
 
 // Range is a run of adjacent keys with one owner. Both ends are inclusive.
@@ -45,10 +45,10 @@
 	High  mtid.Number
 	Owner Owner
 	Epoch mtid.Epoch
-	// Warmth is the warm-up state that the previous owner handed over, so that
+	// WarmupState is the warm-up state that the previous owner handed over, so that
 	// the new owner starts warm. It is opaque, and empty if the previous owner
 	// was lost.
-	Warmth string
+	WarmupState string
 }
 
 // Keys returns the number of keys in the range.
@@ -154,8 +154,8 @@
 	return n
 }
 
-// Shares returns the number of keys of each owner.
-func (t *Table) Shares() map[Owner]int {
+// KeyCounts returns the number of keys of each owner.
+func (t *Table) KeyCounts() map[Owner]int {
 	shares := make(map[Owner]int)
 	for _, r := range t.Ranges {
 		shares[r.Owner] += r.Keys()
@@ -181,7 +181,7 @@
 	whole := t.Ranges[i]
 	next := &Table{Service: t.Service, Next: t.Next + 1}
 	before, after := whole.remainder(low, high)
-	moved := Range{Low: low, High: high, Owner: to, Epoch: t.Next, Warmth: warmupState}
+	moved := Range{Low: low, High: high, Owner: to, Epoch: t.Next, WarmupState: warmupState}
 	next.Ranges = slices.Concat(t.Ranges[:i], before, []Range{moved}, after, t.Ranges[i+1:])
 	return next, nil
 }
@@ -208,19 +208,19 @@
 // the table stays small when many servers are lost one after another.
 const maxPieces = 8
 
-// Take assigns all ranges of lost owners to the survivors. If a new incarnation of
+// TakeOver assigns all ranges of lost owners to the survivors. If a new incarnation of
 // the same server is among them it gets all its former ranges, since these were
 // balanced by load before; otherwise the survivors with the fewest keys get the
 // most. Without the preference for the same server, the first server to come up
 // after a power loss of all VMs was assigned every key.
 //
 // It fails with a *RangeError if there are no survivors.
-func (t *Table) Take(lost func(Owner) bool, survivors []Owner) (*Table, error) {
+func (t *Table) TakeOver(lost func(Owner) bool, survivors []Owner) (*Table, error) {
 	if len(survivors) == 0 {
 		return nil, &RangeError{High: mtid.LastNumber, Reason: "no surviving server to take over the keys"}
 	}
 	next := &Table{Service: t.Service, Next: t.Next}
-	shares := t.Shares()
+	shares := t.KeyCounts()
 	keys := make(map[Owner]int, len(survivors))
 	successors := make(map[mtid.Daemon]Owner, len(survivors))
 	for _, s := range survivors {
--- a/core/mtrange/mtrange_test.go
+++ b/core/mtrange/mtrange_test.go
@@ -15,7 +15,7 @@
 )
 
 func owner(n int) mtrange.Owner {
-	return mtrange.Owner{Daemon: mtid.Daemon("d" + strconv.Itoa(n)), Life: mtid.Life{Server: mtid.Server("s" + strconv.Itoa(n)), Born: mtid.Birth(n)}}
+	return mtrange.Owner{Daemon: mtid.Daemon("d" + strconv.Itoa(n)), Incarnation: mtid.Life{Server: mtid.Server("s" + strconv.Itoa(n)), Born: mtid.Birth(n)}}
 }
 
 func owners(n int) []mtrange.Owner {
@@ -56,7 +56,7 @@
 	}
 	lost := rapid.SampledFrom(table.Owners()).Draw(t, "lost")
 	survivors := slices.DeleteFunc(owners(13), func(o mtrange.Owner) bool { return o == lost })
-	next, err := table.Take(func(o mtrange.Owner) bool { return o == lost }, survivors)
+	next, err := table.TakeOver(func(o mtrange.Owner) bool { return o == lost }, survivors)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +91,7 @@
 	for n := range 50 {
 		lost := owner(n)
 		survivors := owners(n + 7)[n+1:]
-		table, err = table.Take(func(o mtrange.Owner) bool { return o == lost }, survivors)
+		table, err = table.TakeOver(func(o mtrange.Owner) bool { return o == lost }, survivors)
 		assert.NilError(t, err)
 	}
 	assert.Assert(t, len(table.Ranges) < 60, "%d ranges", len(table.Ranges))
@@ -107,22 +107,22 @@
 	meter := mtrange.NewMeter(now)
 	for key := range mtid.Number(200) {
 		for range 3 {
-			meter.Arrive(now, 1000+key, 100*time.Millisecond)
+			meter.RecordArrival(now, 1000+key, 100*time.Millisecond)
 		}
 	}
 	demand := meter.Demand(now)
-	self := mtrange.Standing{Owner: owner(0), Slots: 12, Demand: demand, Service: 100 * time.Millisecond, Keys: 5000, Known: true}
-	other := mtrange.Standing{Owner: owner(1), Slots: 12, Demand: 2, Service: 100 * time.Millisecond, Keys: 5000, Known: true}
-	offloads := mtrange.Relief(self, []mtrange.Standing{other})
+	self := mtrange.LoadReport{Owner: owner(0), Slots: 12, Demand: demand, ServiceTime: 100 * time.Millisecond, Keys: 5000, Known: true}
+	other := mtrange.LoadReport{Owner: owner(1), Slots: 12, Demand: 2, ServiceTime: 100 * time.Millisecond, Keys: 5000, Known: true}
+	offloads := mtrange.PlanOffload(self, []mtrange.LoadReport{other})
 	assert.Equal(t, len(offloads), 1)
 	assert.Equal(t, offloads[0].To, owner(1))
 	amount := offloads[0].Amount
 	assert.Assert(t, amount > 0.4*(demand-2) && amount < 0.6*(demand-2), "amount %.1f of %.1f", amount, demand)
-	low, high, ok := mtrange.Cut(now, []mtrange.Range{{Low: 0, High: 4999, Owner: owner(0)}}, meter, amount)
+	low, high, ok := mtrange.SelectKeys(now, []mtrange.Range{{Low: 0, High: 4999, Owner: owner(0)}}, meter, amount)
 	assert.Assert(t, ok)
 	moved := 0.0
 	for key := low; ; key++ {
-		moved += meter.Of(now, key)
+		moved += meter.KeyDemand(now, key)
 		if key == high {
 			break
 		}
@@ -131,28 +131,28 @@
 }
 
 func TestOffloadDecision(t *testing.T) {
-	report := func(n int, demand float64, keys int) mtrange.Standing {
-		return mtrange.Standing{Owner: owner(n), Slots: 10, Demand: demand, Service: time.Second, Keys: keys, Known: true}
+	report := func(n int, demand float64, keys int) mtrange.LoadReport {
+		return mtrange.LoadReport{Owner: owner(n), Slots: 10, Demand: demand, ServiceTime: time.Second, Keys: keys, Known: true}
 	}
 	unknown := report(1, 0, 100)
 	unknown.Known = false
 	slow := report(1, 2, 100)
-	slow.Service = 2 * time.Second
+	slow.ServiceTime = 2 * time.Second
 	for _, test := range []struct {
 		name   string
-		self   mtrange.Standing
-		others []mtrange.Standing
+		self   mtrange.LoadReport
+		others []mtrange.LoadReport
 		want   bool
 	}{
 		{"no other server", report(0, 20, 100), nil, false},
-		{"others as loaded", report(0, 20, 100), []mtrange.Standing{report(1, 19, 100)}, false},
-		{"own slots are free", report(0, 4, 100), []mtrange.Standing{report(1, 0, 100)}, false},
-		{"overloaded", report(0, 15, 100), []mtrange.Standing{report(1, 5, 100)}, true},
-		{"the other is slow", report(0, 15, 100), []mtrange.Standing{slow}, true},
-		{"no report of the other", report(0, 15, 100), []mtrange.Standing{unknown}, false},
-		{"empty server", report(0, 4, 100), []mtrange.Standing{{Owner: owner(1), Slots: 10}}, true},
+		{"others as loaded", report(0, 20, 100), []mtrange.LoadReport{report(1, 19, 100)}, false},
+		{"own slots are free", report(0, 4, 100), []mtrange.LoadReport{report(1, 0, 100)}, false},
+		{"overloaded", report(0, 15, 100), []mtrange.LoadReport{report(1, 5, 100)}, true},
+		{"the other is slow", report(0, 15, 100), []mtrange.LoadReport{slow}, true},
+		{"no report of the other", report(0, 15, 100), []mtrange.LoadReport{unknown}, false},
+		{"empty server", report(0, 4, 100), []mtrange.LoadReport{{Owner: owner(1), Slots: 10}}, true},
 	} {
-		got := len(mtrange.Relief(test.self, test.others)) > 0
+		got := len(mtrange.PlanOffload(test.self, test.others)) > 0
 		assert.Equal(t, got, test.want, test.name)
 	}
 }
@@ -166,21 +166,21 @@
 	meter := mtrange.NewMeter(now)
 	for range 12 {
 		for key := range mtid.Number(60) {
-			meter.Arrive(now, 3000+key, 200*time.Millisecond)
+			meter.RecordArrival(now, 3000+key, 200*time.Millisecond)
 		}
 	}
-	self := mtrange.Standing{Owner: owner(0), Slots: 9, Demand: meter.Demand(now), Service: 200 * time.Millisecond, Keys: 5000, Known: true}
-	var others []mtrange.Standing
+	self := mtrange.LoadReport{Owner: owner(0), Slots: 9, Demand: meter.Demand(now), ServiceTime: 200 * time.Millisecond, Keys: 5000, Known: true}
+	var others []mtrange.LoadReport
 	for n := range 12 {
 		service := 200 * time.Millisecond
 		if n%2 == 0 {
 			service = 330 * time.Millisecond
 		}
-		others = append(others, mtrange.Standing{Owner: owner(n + 1), Slots: 9, Demand: 3, Service: service, Keys: 5000, Known: true})
+		others = append(others, mtrange.LoadReport{Owner: owner(n + 1), Slots: 9, Demand: 3, ServiceTime: service, Keys: 5000, Known: true})
 	}
-	offloads := mtrange.Relief(self, others)
+	offloads := mtrange.PlanOffload(self, others)
 	assert.Equal(t, len(offloads), 8)
-	runs := mtrange.CutAll(now, []mtrange.Range{{Low: 0, High: 4999, Owner: owner(0)}}, meter, offloads)
+	runs := mtrange.SelectMoves(now, []mtrange.Range{{Low: 0, High: 4999, Owner: owner(0)}}, meter, offloads)
 	assert.Assert(t, len(runs) >= 6, "%d runs", len(runs))
 	left := self.Demand
 	covered := make(map[mtid.Number]bool)
@@ -188,7 +188,7 @@
 		for key := r.Low; key <= r.High; key++ {
 			assert.Assert(t, !covered[key], "key %d moves to two servers", key)
 			covered[key] = true
-			left -= meter.Of(now, key)
+			left -= meter.KeyDemand(now, key)
 		}
 	}
 	assert.Assert(t, left < 0.5*self.Demand, "%.1f of %.1f slots remain", left, self.Demand)
@@ -201,8 +201,8 @@
 	table, err := mtrange.Spread("maps", owners(6))
 	assert.NilError(t, err)
 	next := owner(2)
-	next.Life.Born++
-	after, err := table.Take(func(o mtrange.Owner) bool { return o == owner(2) }, []mtrange.Owner{owner(0), next, owner(5)})
+	next.Incarnation.Born++
+	after, err := table.TakeOver(func(o mtrange.Owner) bool { return o == owner(2) }, []mtrange.Owner{owner(0), next, owner(5)})
 	assert.NilError(t, err)
 	assert.Equal(t, after.Keys(next), table.Keys(owner(2)))
 	assert.Equal(t, len(after.Ranges), len(table.Ranges))
@@ -212,27 +212,27 @@
 	now := second
 	meter := mtrange.NewMeter(now)
 	for range 100 {
-		meter.Arrive(now, 500, time.Second)
+		meter.RecordArrival(now, 500, time.Second)
 	}
-	meter.Arrive(now, 10, time.Second)
-	meter.Arrive(now, 900, time.Second)
-	low, high, ok := mtrange.Cut(now, []mtrange.Range{{Low: 0, High: 999}}, meter, 5)
+	meter.RecordArrival(now, 10, time.Second)
+	meter.RecordArrival(now, 900, time.Second)
+	low, high, ok := mtrange.SelectKeys(now, []mtrange.Range{{Low: 0, High: 999}}, meter, 5)
 	assert.Assert(t, ok)
 	assert.Assert(t, high < 500 || low > 500, "cut %d to %d moves the hot key", low, high)
 }
 
 func TestMeterForgetsMovedAndOldWork(t *testing.T) {
 	meter := mtrange.NewMeter(0)
-	meter.Arrive(second, 7, time.Second)
-	meter.Arrive(second, 8, time.Second)
+	meter.RecordArrival(second, 7, time.Second)
+	meter.RecordArrival(second, 8, time.Second)
 	before := meter.Demand(second)
 	meter.Forget(second, 7, 7)
 	assert.Assert(t, meter.Demand(second) < 0.6*before)
-	assert.Equal(t, meter.Of(second, 7), 0.0)
+	assert.Equal(t, meter.KeyDemand(second, 7), 0.0)
 	later := second + mtclock.Instant(20*mtrange.MeterMemory)
 	assert.Assert(t, meter.Demand(later) < 1e-6)
-	meter.Arrive(later, 9, time.Second)
-	assert.Assert(t, meter.Of(later, 9) > 0.3, "precision is lost after a long idle time")
+	meter.RecordArrival(later, 9, time.Second)
+	assert.Assert(t, meter.KeyDemand(later, 9) > 0.3, "precision is lost after a long idle time")
 }
 
 // A server received a hot run half a second ago. Without extrapolation its reported
@@ -240,17 +240,17 @@
 func TestRecentlyAcquiredKeysAreExtrapolated(t *testing.T) {
 	meter := mtrange.NewMeter(0)
 	now := 60 * second
-	meter.Gain(now, 100, 199)
+	meter.AddKeys(now, 100, 199)
 	const gap = 10 * time.Millisecond
 	for range 50 {
 		now = now.Add(gap)
-		meter.Arrive(now, 150, 50*time.Millisecond) // five slots
+		meter.RecordArrival(now, 150, 50*time.Millisecond) // five slots
 	}
 	assert.Assert(t, meter.Demand(now) > 4 && meter.Demand(now) < 6, "%.1f slots", meter.Demand(now))
-	assert.Assert(t, meter.Of(now, 150) > 4 && meter.Of(now, 150) < 6, "%.1f slots", meter.Of(now, 150))
+	assert.Assert(t, meter.KeyDemand(now, 150) > 4 && meter.KeyDemand(now, 150) < 6, "%.1f slots", meter.KeyDemand(now, 150))
 	for range 2000 {
 		now = now.Add(gap)
-		meter.Arrive(now, 150, 50*time.Millisecond)
+		meter.RecordArrival(now, 150, 50*time.Millisecond)
 	}
 	assert.Assert(t, meter.Demand(now) > 4.5 && meter.Demand(now) < 5.5, "%.1f slots", meter.Demand(now))
 	meter.Forget(now, 100, 199)
@@ -261,15 +261,15 @@
 // one's work is too little for a move, so without a special case the server would
 // stay idle.
 func TestEmptyServerAmongManyReceivesWork(t *testing.T) {
-	var owned []mtrange.Standing
+	var owned []mtrange.LoadReport
 	for n := range 40 {
-		owned = append(owned, mtrange.Standing{Owner: owner(n), Slots: 9, Demand: 6, Service: time.Second, Keys: 1600, Known: true})
+		owned = append(owned, mtrange.LoadReport{Owner: owner(n), Slots: 9, Demand: 6, ServiceTime: time.Second, Keys: 1600, Known: true})
 	}
-	empty := mtrange.Standing{Owner: owner(40), Slots: 9}
+	empty := mtrange.LoadReport{Owner: owner(40), Slots: 9}
 	offloaded := 0.0
 	for n, self := range owned {
-		others := append([]mtrange.Standing{empty}, owned[:n]...)
-		for _, g := range mtrange.Relief(self, append(others, owned[n+1:]...)) {
+		others := append([]mtrange.LoadReport{empty}, owned[:n]...)
+		for _, g := range mtrange.PlanOffload(self, append(others, owned[n+1:]...)) {
 			assert.Equal(t, g.To, empty.Owner)
 			offloaded += g.Amount
 		}
--- a/core/mtrange/relief.go
+++ b/core/mtrange/relief.go
@@ -33,41 +33,41 @@
 	// once, so that one wrong measurement does not scatter its keys over all of
 	// them.
 	maxReceivers = 8
-	// MovePause is the minimum time between the end of one owner's moves and its
+	// MoveCooldown is the minimum time between the end of one owner's moves and its
 	// next ones. The effect of the previous moves has to show in the load first.
-	MovePause = 700 * time.Millisecond
+	MoveCooldown = 700 * time.Millisecond
 )
 
-// Standing is what an owner knows about the load of a server of its service.
-type Standing struct {
-	Owner   Owner
-	Slots   int
-	Demand  float64       // offered work, in slots
-	Service time.Duration // service time of a standard request; 0 if not known
-	Keys    int           // number of keys that it owns
-	Known   bool          // whether a recent report of the load is available
+// LoadReport is what an owner knows about the load of a server of its service.
+type LoadReport struct {
+	Owner       Owner
+	Slots       int
+	Demand      float64       // offered work, in slots
+	ServiceTime time.Duration // service time of a standard request; 0 if not known
+	Keys        int           // number of keys that it owns
+	Known       bool          // whether a recent report of the load is available
 }
 
-func (s Standing) slots() float64 { return float64(max(s.Slots, 1)) }
+func (s LoadReport) slots() float64 { return float64(max(s.Slots, 1)) }
 
 // load returns the offered work relative to the slots.
-func (s Standing) load() float64 { return s.Demand / s.slots() }
+func (s LoadReport) load() float64 { return s.Demand / s.slots() }
 
 // empty reports whether the server owns no keys. No report of its load is needed
 // then.
-func (s Standing) empty() bool { return s.Keys == 0 }
+func (s LoadReport) empty() bool { return s.Keys == 0 }
 
 // Overloaded reports whether the server may have to offload work, so that it is
 // worth querying the load of others.
-func (s Standing) Overloaded() bool { return s.load() >= busyLoad }
+func (s LoadReport) Overloaded() bool { return s.load() >= busyLoad }
 
-// Gift is an amount of work that an owner offloads to another server.
-type Gift struct {
+// Offload is an amount of work that an owner offloads to another server.
+type Offload struct {
 	To     Owner
 	Amount float64 // in slots of the current owner
 }
 
-// Relief decides which servers of the same service an owner offloads work to, and
+// PlanOffload decides which servers of the same service an owner offloads work to, and
 // how much. It handles a key, or a run of adjacent keys, that attracts much of the
 // traffic within a second: its owner gets the work of several servers while the
 // others have spare capacity. So the owner offloads to several servers at once, as
@@ -76,24 +76,24 @@
 // spread.
 //
 // The largest offload comes first.
-func Relief(self Standing, others []Standing) []Gift {
-	var receivers []Standing
+func PlanOffload(self LoadReport, others []LoadReport) []Offload {
+	var receivers []LoadReport
 	for _, o := range others {
 		if o.empty() || (o.Known && self.load() >= busyLoad && o.load() < self.load()) {
 			receivers = append(receivers, o)
 		}
 	}
 	level := min(balancedLoad(self, receivers), maxReceiverLoad)
-	var offloads []Gift
+	var offloads []Offload
 	for _, o := range receivers {
 		if !o.empty() && self.load()-level < minLoadGap {
 			continue
 		}
 		if amount := o.offloadAmount(self, level, len(others)); amount >= minOffload {
-			offloads = append(offloads, Gift{To: o.Owner, Amount: amount})
+			offloads = append(offloads, Offload{To: o.Owner, Amount: amount})
 		}
 	}
-	slices.SortFunc(offloads, func(a, b Gift) int {
+	slices.SortFunc(offloads, func(a, b Offload) int {
 		return cmp.Or(cmp.Compare(b.Amount, a.Amount), a.To.Compare(b.To))
 	})
 	return offloads[:min(len(offloads), maxReceivers)]
@@ -101,7 +101,7 @@
 
 // balancedLoad returns the load that the owner and all receivers have once the
 // owner has offloaded everything above it.
-func balancedLoad(self Standing, receivers []Standing) float64 {
+func balancedLoad(self LoadReport, receivers []LoadReport) float64 {
 	low, high := 0.0, self.load()
 	for range bisections {
 		mid := (low + high) / 2
@@ -123,12 +123,12 @@
 const bisections = 10
 
 // spareCapacity returns how much of the owner's work brings the server up to a load.
-func (s Standing) spareCapacity(owner Standing, level float64) float64 {
-	return max(level-s.load(), 0) * s.slots() / costRatio(s.Service, owner.Service)
+func (s LoadReport) spareCapacity(owner LoadReport, level float64) float64 {
+	return max(level-s.load(), 0) * s.slots() / costRatio(s.ServiceTime, owner.ServiceTime)
 }
 
 // offloadAmount returns how much of the owner's work is offloaded to the server.
-func (s Standing) offloadAmount(owner Standing, level float64, others int) float64 {
+func (s LoadReport) offloadAmount(owner LoadReport, level float64, others int) float64 {
 	spare := s.spareCapacity(owner, level)
 	if !s.empty() {
 		return spare
@@ -146,7 +146,7 @@
 // pairDraw returns a pseudo-random number from 0 to 1, always the same for a pair
 // of owners.
 func pairDraw(a, b Owner) float64 {
-	sum := xxhash.Sum64String(a.Life.String() + "\x00" + b.Life.String())
+	sum := xxhash.Sum64String(a.Incarnation.String() + "\x00" + b.Incarnation.String())
 	return float64(sum) / math.MaxUint64
 }
 
@@ -159,22 +159,22 @@
 	return min(max(float64(there)/float64(here), 0.3), 3)
 }
 
-// Run is a run of adjacent keys that moves to another server.
-type Run struct {
+// KeyMove is a run of adjacent keys that moves to another server.
+type KeyMove struct {
 	Low, High mtid.Number
 	To        Owner
 }
 
-// CutAll finds a run of keys for each offload, as Cut does. The runs do not
+// SelectMoves finds a run of keys for each offload, as SelectKeys does. The runs do not
 // overlap. Offloads without a suitable run are left out.
-func CutAll(now mtclock.Instant, ranges []Range, meter *Meter, offloads []Gift) []Run {
-	var runs []Run
+func SelectMoves(now mtclock.Instant, ranges []Range, meter *Meter, offloads []Offload) []KeyMove {
+	var runs []KeyMove
 	for _, g := range offloads {
-		low, high, ok := Cut(now, ranges, meter, g.Amount)
+		low, high, ok := SelectKeys(now, ranges, meter, g.Amount)
 		if !ok {
 			continue
 		}
-		runs = append(runs, Run{Low: low, High: high, To: g.To})
+		runs = append(runs, KeyMove{Low: low, High: high, To: g.To})
 		i := slices.IndexFunc(ranges, func(r Range) bool { return r.Covers(low) })
 		before, after := ranges[i].remainder(low, high)
 		ranges = slices.Concat(ranges[:i], before, after, ranges[i+1:])
@@ -187,9 +187,9 @@
 // moves the overload.
 const maxOvershoot = 1.3
 
-// Cut finds the run of keys with the most work, up to about amount, at either end of
+// SelectKeys finds the run of keys with the most work, up to about amount, at either end of
 // one of the ranges. It may cut off a whole range, but never the only one.
-func Cut(now mtclock.Instant, ranges []Range, meter *Meter, amount float64) (low, high mtid.Number, ok bool) {
+func SelectKeys(now mtclock.Instant, ranges []Range, meter *Meter, amount float64) (low, high mtid.Number, ok bool) {
 	bestWork := 0.0
 	for _, r := range ranges {
 		for _, fromLow := range []bool{true, false} {
@@ -219,7 +219,7 @@
 		if !fromLow {
 			key = r.High - mtid.Number(n)
 		}
-		next := work + meter.Of(now, key)
+		next := work + meter.KeyDemand(now, key)
 		if next > amount*maxOvershoot {
 			return n, work
 		}
--- a/core/mtrange/spill.go
+++ b/core/mtrange/spill.go
@@ -14,8 +14,9 @@
 // assignment.
 const spillPieces = 6
 
-// Turn is the position of a server among those that spill their keys at the same time.
-type Turn struct{ Place, Of int }
+// SpillPosition is the index of a server among those that spill their keys at the same
+// time, with their total number.
+type SpillPosition struct{ Index, Total int }
 
 // Spill distributes all keys of a server over others, the hottest run first. It is
 // used when a whole zone goes out of service and all its keys move within a second
@@ -27,32 +28,32 @@
 // would choose the same few. So they assign their runs round-robin, in an order of
 // the receivers that they share. Overloaded receivers are left out, unless most are
 // overloaded.
-func Spill(now mtclock.Instant, ranges []Range, meter *Meter, position Turn, others []Standing) []Run {
+func Spill(now mtclock.Instant, ranges []Range, meter *Meter, position SpillPosition, others []LoadReport) []KeyMove {
 	receivers := receiverOrder(others)
 	if len(receivers) == 0 {
 		return nil
 	}
 	pieces := cutEqual(now, ranges, meter, min(spillPieces, len(receivers)))
 	slices.SortStableFunc(pieces, func(a, b piece) int { return cmp.Compare(b.work, a.work) })
-	runs := make([]Run, len(pieces))
+	runs := make([]KeyMove, len(pieces))
 	for i, p := range pieces {
-		at := position.Place + i*max(position.Of, 1)
+		at := position.Index + i*max(position.Total, 1)
 		// Each round is shifted by one. Otherwise, if the number of spilling servers
 		// divides the number of receivers, each server would reach the same few
 		// receivers in every round.
 		at += at / len(receivers)
-		runs[i] = Run{Low: p.low, High: p.high, To: receivers[at%len(receivers)].Owner}
+		runs[i] = KeyMove{Low: p.low, High: p.high, To: receivers[at%len(receivers)].Owner}
 	}
 	return runs
 }
 
 // receiverOrder returns the receivers in the order that all spilling servers share.
-func receiverOrder(others []Standing) []Standing {
-	receivers := slices.DeleteFunc(slices.Clone(others), func(s Standing) bool { return s.Known && s.Overloaded() })
+func receiverOrder(others []LoadReport) []LoadReport {
+	receivers := slices.DeleteFunc(slices.Clone(others), func(s LoadReport) bool { return s.Known && s.Overloaded() })
 	if len(receivers)*2 < len(others) {
 		receivers = slices.Clone(others)
 	}
-	slices.SortFunc(receivers, func(a, b Standing) int { return a.Owner.Compare(b.Owner) })
+	slices.SortFunc(receivers, func(a, b LoadReport) int { return a.Owner.Compare(b.Owner) })
 	return receivers
 }
 
@@ -68,7 +69,7 @@
 	total := 0.0
 	for _, r := range ranges {
 		for key := int(r.Low); key <= int(r.High); key++ {
-			total += meter.Of(now, mtid.Number(key))
+			total += meter.KeyDemand(now, mtid.Number(key))
 		}
 	}
 	count := min(limit, int(math.Ceil(total/minOffload)))
@@ -88,7 +89,7 @@
 	var pieces []piece
 	p := piece{low: r.Low}
 	for key := int(r.Low); key <= int(r.High); key++ {
-		p.work += meter.Of(now, mtid.Number(key))
+		p.work += meter.KeyDemand(now, mtid.Number(key))
 		p.high = mtid.Number(key)
 		if p.work >= share && key < int(r.High) {
 			pieces = append(pieces, p)
--- a/core/mtrange/spill_test.go
+++ b/core/mtrange/spill_test.go
@@ -16,15 +16,15 @@
 // them with a hot run. Moving whole ranges would double the load of ten others.
 func TestSpillOfAZoneIsEven(t *testing.T) {
 	owner := func(i int) mtrange.Owner {
-		return mtrange.Owner{Daemon: mtid.Daemon(fmt.Sprintf("vm-%d", i)), Life: mtid.Life{Server: mtid.Server(fmt.Sprintf("s-%d", i))}}
+		return mtrange.Owner{Daemon: mtid.Daemon(fmt.Sprintf("vm-%d", i)), Incarnation: mtid.Life{Server: mtid.Server(fmt.Sprintf("s-%d", i))}}
 	}
 	now := mtclock.Instant(time.Minute)
 	const slots, usual, each = 9, 5.0, 1600
 	loads := make(map[mtrange.Owner]float64)
-	var others []mtrange.Standing
+	var others []mtrange.LoadReport
 	for i := 10; i < 40; i++ {
 		loads[owner(i)] = usual
-		others = append(others, mtrange.Standing{Owner: owner(i), Slots: slots, Demand: usual, Keys: each, Known: true})
+		others = append(others, mtrange.LoadReport{Owner: owner(i), Slots: slots, Demand: usual, Keys: each, Known: true})
 	}
 	for i := range 10 {
 		work := usual
@@ -34,16 +34,16 @@
 		meter := mtrange.NewMeter(0)
 		r := mtrange.Range{Low: mtid.Number(i * each), High: mtid.Number((i+1)*each - 1), Owner: owner(i)}
 		for key := int(r.Low); key <= int(r.High); key += 16 {
-			meter.Arrive(now, mtid.Number(key), time.Duration(work*float64(mtrange.MeterMemory)/100))
+			meter.RecordArrival(now, mtid.Number(key), time.Duration(work*float64(mtrange.MeterMemory)/100))
 		}
 		total := 0.0
 		covered := make(map[mtid.Number]bool)
-		for _, run := range mtrange.Spill(now, []mtrange.Range{r}, meter, mtrange.Turn{Place: i, Of: 10}, others) {
+		for _, run := range mtrange.Spill(now, []mtrange.Range{r}, meter, mtrange.SpillPosition{Index: i, Total: 10}, others) {
 			for key := int(run.Low); key <= int(run.High); key++ {
 				assert.Assert(t, !covered[mtid.Number(key)], "key %d moves to two servers", key)
 				covered[mtid.Number(key)] = true
-				loads[run.To] += meter.Of(now, mtid.Number(key))
-				total += meter.Of(now, mtid.Number(key))
+				loads[run.To] += meter.KeyDemand(now, mtid.Number(key))
+				total += meter.KeyDemand(now, mtid.Number(key))
 			}
 		}
 		assert.Equal(t, len(covered), each, "not every key moves")
@@ -57,5 +57,5 @@
 // With all zones out of service, no receivers are left and the keys stay.
 func TestSpillWithoutReceivers(t *testing.T) {
 	r := mtrange.Range{Low: 0, High: 99}
-	assert.Equal(t, len(mtrange.Spill(0, []mtrange.Range{r}, mtrange.NewMeter(0), mtrange.Turn{}, nil)), 0)
+	assert.Equal(t, len(mtrange.Spill(0, []mtrange.Range{r}, mtrange.NewMeter(0), mtrange.SpillPosition{}, nil)), 0)
 }
--- a/core/mtrange/spread_test.go
+++ b/core/mtrange/spread_test.go
@@ -37,7 +37,7 @@
 
 type pendingMove struct {
 	at   mtclock.Instant
-	run  mtrange.Run
+	run  mtrange.KeyMove
 	from mtrange.Range
 }
 
@@ -58,7 +58,7 @@
 	for i, o := range f.owners {
 		f.speed[o] = []float64{0.6, 1, 1.4}[i%3]
 		f.meters[o] = mtrange.NewMeter(f.now)
-		f.meters[o].Gain(f.now, 0, mtid.LastNumber)
+		f.meters[o].AddKeys(f.now, 0, mtid.LastNumber)
 	}
 	f.rate = utilization * float64(servers*simSlots) / simWork.Seconds()
 	sum := 0.0
@@ -86,10 +86,10 @@
 	return mtid.Number(low)
 }
 
-func (f *fleetSim) report(o mtrange.Owner) mtrange.Standing {
-	return mtrange.Standing{
+func (f *fleetSim) report(o mtrange.Owner) mtrange.LoadReport {
+	return mtrange.LoadReport{
 		Owner: o, Slots: simSlots, Demand: f.meters[o].Demand(f.now),
-		Service: time.Duration(float64(simWork) / f.speed[o]), Keys: f.table.Keys(o), Known: true,
+		ServiceTime: time.Duration(float64(simWork) / f.speed[o]), Keys: f.table.Keys(o), Known: true,
 	}
 }
 
@@ -101,11 +101,11 @@
 		key := f.randomKey()
 		r, _ := f.table.Lookup(key)
 		work := f.random.ExpFloat64()*0.3 + 0.7
-		f.meters[r.Owner].Arrive(f.now, key, time.Duration(work*float64(simWork)/f.speed[r.Owner]))
+		f.meters[r.Owner].RecordArrival(f.now, key, time.Duration(work*float64(simWork)/f.speed[r.Owner]))
 	}
 	f.applyMoves()
 	for _, o := range f.owners {
-		if f.now.Sub(f.last[o]) >= mtrange.MovePause && !f.now.Before(f.movingUntil[o]) {
+		if f.now.Sub(f.last[o]) >= mtrange.MoveCooldown && !f.now.Before(f.movingUntil[o]) {
 			f.decide(o)
 		}
 	}
@@ -114,18 +114,18 @@
 // decide makes an owner offload work if it is overloaded.
 func (f *fleetSim) decide(o mtrange.Owner) {
 	f.last[o] = f.now
-	var others []mtrange.Standing
+	var others []mtrange.LoadReport
 	for _, i := range f.random.Perm(len(f.owners))[:min(12, len(f.owners))] {
 		if f.owners[i] != o {
 			others = append(others, f.report(f.owners[i]))
 		}
 	}
-	offloads := mtrange.Relief(f.report(o), others)
-	for _, run := range mtrange.CutAll(f.now, f.table.Owned(o), f.meters[o], offloads) {
+	offloads := mtrange.PlanOffload(f.report(o), others)
+	for _, run := range mtrange.SelectMoves(f.now, f.table.Owned(o), f.meters[o], offloads) {
 		r, _ := f.table.Lookup(run.Low)
 		duration := time.Duration(f.random.ExpFloat64() * float64(300*time.Millisecond))
 		f.pending = append(f.pending, pendingMove{at: f.now.Add(duration), run: run, from: r})
-		f.movingUntil[o] = max(f.movingUntil[o], f.now.Add(duration+mtrange.MovePause))
+		f.movingUntil[o] = max(f.movingUntil[o], f.now.Add(duration+mtrange.MoveCooldown))
 		f.moves++
 	}
 }
@@ -144,7 +144,7 @@
 		}
 		f.table = next
 		f.meters[p.from.Owner].Forget(f.now, p.run.Low, p.run.High)
-		f.meters[p.run.To].Gain(f.now, p.run.Low, p.run.High)
+		f.meters[p.run.To].AddKeys(f.now, p.run.Low, p.run.High)
 	}
 	f.pending = notDue
 }
--- a/core/mtrange/transfer.go
+++ b/core/mtrange/transfer.go
@@ -7,17 +7,17 @@
 
 // Transfer is a change of the owner of some keys that is yet to be written.
 type Transfer struct {
-	From      Owner
-	Epoch     mtid.Epoch // under which From owned the keys when the transfer began
-	Low, High mtid.Number
-	To        Owner
-	Warmth    string
+	From        Owner
+	Epoch       mtid.Epoch // under which From owned the keys when the transfer began
+	Low, High   mtid.Number
+	To          Owner
+	WarmupState string
 }
 
-// Stands reports whether the keys of a transfer still have the owner and epoch that
+// CanApply reports whether the keys of a transfer still have the owner and epoch that
 // they had when it began. If not, the transfer has been written, or the keys have
 // been reassigned.
-func (t *Table) Stands(tr Transfer) bool {
+func (t *Table) CanApply(tr Transfer) bool {
 	at, _ := t.Lookup(tr.Low)
 	return at.Owner == tr.From && at.Epoch == tr.Epoch
 }
@@ -26,14 +26,14 @@
 type Batch struct {
 	Service mtid.Service
 	Daemon  mtid.Daemon
-	// Record is the version of the daemon's record. The transfers may only be
+	// RecordVersion is the version of the daemon's record. The transfers may only be
 	// written while the record has this version: the daemon's next incarnation
 	// writes its record before it grants anything.
-	Record mtid.Version
-	// Known is the next epoch of the assignment that the daemon has, so that the
+	RecordVersion mtid.Version
+	// KnownEpoch is the next epoch of the assignment that the daemon has, so that the
 	// reply can include everything that has changed since.
-	Known     mtid.Epoch
-	Transfers []Transfer
+	KnownEpoch mtid.Epoch
+	Transfers  []Transfer
 }
 
 // Outcome is the known result of a write.
@@ -41,18 +41,18 @@
 
 // Outcomes of a write.
 const (
-	Refused Outcome = iota // not written, and never will be
-	Beaten                 // not written, and never will be: a conflicting write won
+	Refused    Outcome = iota // not written, and never will be
+	Conflicted                // not written, and never will be: a conflicting write won
 	Written
-	Doubtful // unknown: it may have been written, or may be later
+	OutcomeUnknown // unknown: it may have been written, or may be later
 )
 
 // Wire returns the form of b that daemons exchange.
 func (b Batch) Wire() *mtwire.RangeBatch {
-	w := &mtwire.RangeBatch{Service: string(b.Service), Daemon: string(b.Daemon), Record: uint64(b.Record), Known: uint64(b.Known)}
+	w := &mtwire.RangeBatch{Service: string(b.Service), Daemon: string(b.Daemon), Record: uint64(b.RecordVersion), Known: uint64(b.KnownEpoch)}
 	for _, t := range b.Transfers {
 		w.Transfers = append(w.Transfers, &mtwire.RangeTransfer{
-			From: wireOwner(t.From), Epoch: uint64(t.Epoch), Low: uint32(t.Low), High: uint32(t.High), To: wireOwner(t.To), Warmth: t.Warmth,
+			From: wireOwner(t.From), Epoch: uint64(t.Epoch), Low: uint32(t.Low), High: uint32(t.High), To: wireOwner(t.To), Warmth: t.WarmupState,
 		})
 	}
 	return w
@@ -60,17 +60,17 @@
 
 // ReadBatch reads the form of a Batch that daemons exchange. It fails with a *DecodeError.
 func ReadBatch(w *mtwire.RangeBatch) (Batch, error) {
-	b := Batch{Service: mtid.Service(w.GetService()), Daemon: mtid.Daemon(w.GetDaemon()), Record: mtid.Version(w.GetRecord()), Known: mtid.Epoch(w.GetKnown())}
+	b := Batch{Service: mtid.Service(w.GetService()), Daemon: mtid.Daemon(w.GetDaemon()), RecordVersion: mtid.Version(w.GetRecord()), KnownEpoch: mtid.Epoch(w.GetKnown())}
 	for _, t := range w.GetTransfers() {
 		if t.GetLow() > t.GetHigh() || t.GetHigh() > uint32(mtid.LastNumber) {
 			return Batch{}, &DecodeError{Reason: "transfer with an invalid key range"}
 		}
 		b.Transfers = append(b.Transfers, Transfer{
 			From: readOwner(t.GetFrom()), Epoch: mtid.Epoch(t.GetEpoch()), Low: mtid.Number(t.GetLow()), High: mtid.Number(t.GetHigh()),
-			To: readOwner(t.GetTo()), Warmth: t.GetWarmth(),
+			To: readOwner(t.GetTo()), WarmupState: t.GetWarmth(),
 		})
 	}
-	if b.Daemon == "" || b.Record == 0 {
+	if b.Daemon == "" || b.RecordVersion == 0 {
 		return Batch{}, &DecodeError{Reason: "batch without a daemon or the version of its record"}
 	}
 	return b, nil
--- a/core/mtrange/transfer_test.go
+++ b/core/mtrange/transfer_test.go
@@ -16,10 +16,10 @@
 // either an error or a batch that encodes to the same batch again.
 func FuzzBatch(f *testing.F) {
 	whole, err := proto.Marshal(mtrange.Batch{
-		Service: "maps", Daemon: "a", Record: 7, Known: 5,
+		Service: "maps", Daemon: "a", RecordVersion: 7, KnownEpoch: 5,
 		Transfers: []mtrange.Transfer{{
-			From: mtrange.Owner{Daemon: "a", Life: mtid.Life{Server: "s", Born: 3}}, Epoch: 4, Low: 10, High: mtid.LastNumber,
-			To: mtrange.Owner{Daemon: "b", Life: mtid.Life{Server: "t"}}, Warmth: "warm",
+			From: mtrange.Owner{Daemon: "a", Incarnation: mtid.Life{Server: "s", Born: 3}}, Epoch: 4, Low: 10, High: mtid.LastNumber,
+			To: mtrange.Owner{Daemon: "b", Incarnation: mtid.Life{Server: "t"}}, WarmupState: "warm",
 		}},
 	}.Wire())
 	assert.NilError(f, err)
@@ -46,19 +46,19 @@
 	})
 }
 
-// A transfer stands only while its keys have the owner and epoch that they had when it
+// A transfer can be applied only while its keys have the owner and epoch that they had when it
 // began: the keys may have returned to the same owner under a new epoch.
-func TestTransferStandsUnderItsEpochOnly(t *testing.T) {
+func TestTransferAppliesUnderItsEpochOnly(t *testing.T) {
 	a, b := mtrange.Owner{Daemon: "a"}, mtrange.Owner{Daemon: "b"}
 	table, err := mtrange.Spread("maps", []mtrange.Owner{a, b})
 	assert.NilError(t, err)
 	r := table.Owned(a)[0]
 	tr := mtrange.Transfer{From: a, Epoch: r.Epoch, Low: r.Low, High: r.High, To: b}
-	assert.Assert(t, table.Stands(tr))
+	assert.Assert(t, table.CanApply(tr))
 	moved, err := table.Move(r.Low, r.High, b, "")
 	assert.NilError(t, err)
-	assert.Assert(t, !moved.Stands(tr))
+	assert.Assert(t, !moved.CanApply(tr))
 	returned, err := moved.Move(r.Low, r.High, a, "")
 	assert.NilError(t, err)
-	assert.Assert(t, !returned.Stands(tr))
+	assert.Assert(t, !returned.CanApply(tr))
 }
--- a/core/mtsilence/mtsilence.go
+++ b/core/mtsilence/mtsilence.go
@@ -16,11 +16,11 @@
 //
 //	detector := mtsilence.New()
 //	detector.Answered(address, took) // a call or a probe was acknowledged
-//	if detector.Suspect(now, address) { ... } // no response for Patience(address): probe it
-//	if detector.Silent(now, address) { ... } // send no calls there
-//	pause, more := detector.Missed(now, address) // a probe was not acknowledged either
+//	if detector.Suspect(now, address) { ... } // no response for Timeout(address): probe it
+//	if detector.Unresponsive(now, address) { ... } // send no calls there
+//	pause, more := detector.ProbeFailed(now, address) // a probe was not acknowledged either
 //
-// A Silences is not safe for concurrent use.
+// A Detector is not safe for concurrent use.
 package mtsilence
 
 import (
@@ -57,13 +57,13 @@
 	lastCall     mtclock.Instant // last call intended for it while it was unresponsive
 }
 
-// Silences tracks which of the other daemons respond, by address.
-type Silences struct{ peers map[string]*peer }
+// Detector tracks which of the other daemons respond, by address.
+type Detector struct{ peers map[string]*peer }
 
 // New returns a detector to which all daemons are unknown.
-func New() *Silences { return &Silences{peers: make(map[string]*peer)} }
+func New() *Detector { return &Detector{peers: make(map[string]*peer)} }
 
-func (s *Silences) at(address string) *peer {
+func (s *Detector) at(address string) *peer {
 	p, ok := s.peers[address]
 	if !ok {
 		p = &peer{}
@@ -73,7 +73,7 @@
 }
 
 // Answered records that a daemon acknowledged a call or a probe after the given time.
-func (s *Silences) Answered(address string, took time.Duration) {
+func (s *Detector) Answered(address string, took time.Duration) {
 	p := s.at(address)
 	p.unresponsive = false
 	if p.mean == 0 {
@@ -85,8 +85,8 @@
 	p.deviation += (max(diff, -diff) - p.deviation) / 4
 }
 
-// Patience returns how long to wait for an acknowledgment from a daemon.
-func (s *Silences) Patience(address string) time.Duration {
+// Timeout returns how long to wait for an acknowledgment from a daemon.
+func (s *Detector) Timeout(address string) time.Duration {
 	p, ok := s.peers[address]
 	if !ok {
 		return maxTimeout
@@ -96,7 +96,7 @@
 
 // Suspect records that no acknowledgment arrived in time. It returns true if the daemon
 // was not unresponsive before, so that the caller has to start probing it.
-func (s *Silences) Suspect(now mtclock.Instant, address string) bool {
+func (s *Detector) Suspect(now mtclock.Instant, address string) bool {
 	p := s.at(address)
 	if p.unresponsive {
 		return false
@@ -105,9 +105,9 @@
 	return true
 }
 
-// Silent reports whether a daemon is unresponsive, so that no calls should be sent to
+// Unresponsive reports whether a daemon is unresponsive, so that no calls should be sent to
 // it. It must be called for each call intended for the daemon.
-func (s *Silences) Silent(now mtclock.Instant, address string) bool {
+func (s *Detector) Unresponsive(now mtclock.Instant, address string) bool {
 	p, ok := s.peers[address]
 	if !ok || !p.unresponsive {
 		return false
@@ -116,10 +116,10 @@
 	return true
 }
 
-// Missed records that a probe was not acknowledged, and returns the pause before the
+// ProbeFailed records that a probe was not acknowledged, and returns the pause before the
 // next one. It returns false if no call has been intended for the daemon for a while;
 // its state is dropped then, and the next call goes through.
-func (s *Silences) Missed(now mtclock.Instant, address string) (time.Duration, bool) {
+func (s *Detector) ProbeFailed(now mtclock.Instant, address string) (time.Duration, bool) {
 	p, ok := s.peers[address]
 	if !ok || !p.unresponsive || now.Sub(p.lastCall) > probeIdleLimit {
 		delete(s.peers, address)
--- a/core/mtsilence/mtsilence_test.go
+++ b/core/mtsilence/mtsilence_test.go
@@ -32,19 +32,19 @@
 		if suspected != 0 && !at.Before(probe) {
 			if reachable {
 				d.Answered(address, usual)
-			} else if pause, more := d.Missed(at, address); more {
+			} else if pause, more := d.ProbeFailed(at, address); more {
 				probe = at.Add(probeTimeout(d, address) + pause)
 			}
 		}
 		switch {
-		case d.Silent(at, address):
+		case d.Unresponsive(at, address):
 			refused++
 		case reachable:
 			recovered = now - cut
 			now = cut + time.Second
 		default:
 			hung++
-			if now >= d.Patience(address) && d.Suspect(at, address) {
+			if now >= d.Timeout(address) && d.Suspect(at, address) {
 				suspected, probe = at, at
 			}
 		}
@@ -56,7 +56,7 @@
 }
 
 // probeTimeout returns how long a probe waits for an acknowledgment.
-func probeTimeout(d *mtsilence.Silences, address string) time.Duration { return d.Patience(address) }
+func probeTimeout(d *mtsilence.Detector, address string) time.Duration { return d.Timeout(address) }
 
 // On a saturated slow link, acknowledgments take half a second although the daemon
 // works. If it counted as unresponsive, calls for its keys would be refused.
@@ -66,9 +66,9 @@
 		d.Answered("narrow", 480*time.Millisecond)
 		d.Answered("wide", 3*time.Millisecond)
 	}
-	assert.Assert(t, d.Patience("narrow") >= 480*time.Millisecond)
-	assert.Equal(t, d.Patience("wide"), 250*time.Millisecond)
-	assert.Equal(t, d.Patience("unknown address"), 600*time.Millisecond)
+	assert.Assert(t, d.Timeout("narrow") >= 480*time.Millisecond)
+	assert.Equal(t, d.Timeout("wide"), 250*time.Millisecond)
+	assert.Equal(t, d.Timeout("unknown address"), 600*time.Millisecond)
 }
 
 // No call is intended any more for a terminated daemon. Probing must stop, and its
@@ -80,7 +80,7 @@
 	assert.Assert(t, !d.Suspect(now, "gone"), "probed twice")
 	probes := 0
 	for {
-		pause, more := d.Missed(now, "gone")
+		pause, more := d.ProbeFailed(now, "gone")
 		if !more {
 			break
 		}
@@ -88,5 +88,5 @@
 		now = now.Add(pause)
 	}
 	assert.Assert(t, probes < 12, "%d probes", probes)
-	assert.Assert(t, !d.Silent(now, "gone"))
+	assert.Assert(t, !d.Unresponsive(now, "gone"))
 }
--- a/core/mtspread/mtspread.go
+++ b/core/mtspread/mtspread.go
@@ -35,7 +35,7 @@
 	Daemon  mtid.Daemon
 	Zone    mtid.Zone
 	Address string // for other daemons
-	Link    mtbackend.Rate
+	Link    mtbackend.Bandwidth
 }
 
 // sources is how many daemons watch the store: one may be lost or cut off.
--- a/core/mtspread/mtspread_test.go
+++ b/core/mtspread/mtspread_test.go
@@ -24,7 +24,7 @@
 			Daemon:  mtid.Daemon(fmt.Sprintf("vm-%03d", i)),
 			Zone:    mtid.Zone(fmt.Sprintf("zone-%d", i%zones)),
 			Address: fmt.Sprintf("10.0.0.1:%d", i),
-			Link:    mtbackend.Rate(10 + 190*(i%7/6)),
+			Link:    mtbackend.Bandwidth(10 + 190*(i%7/6)),
 		})
 	}
 	return out
--- a/io/mtcommit/mtcommit.go
+++ b/io/mtcommit/mtcommit.go
@@ -100,7 +100,7 @@
 	// daemon dies now, its next life writes the record before it grants anything, and a
 	// write that is still on its way never lands: it would give keys away that the next
 	// life has granted again.
-	condition := mtstore.Condition{Name: mtstore.BackendName(b.Daemon), Version: b.Record}
+	condition := mtstore.Condition{Name: mtstore.BackendName(b.Daemon), Version: b.RecordVersion}
 	for _, t := range b.Transfers {
 		batch = append(batch, &pending{Transfer: t, condition: condition, result: make(chan mtrange.Outcome, 1)})
 	}
@@ -117,7 +117,7 @@
 		case outcome := <-p.result:
 			outcomes = append(outcomes, outcome)
 		case <-ctx.Done():
-			outcomes = append(outcomes, mtrange.Doubtful)
+			outcomes = append(outcomes, mtrange.OutcomeUnknown)
 		}
 	}
 	return outcomes
@@ -193,7 +193,7 @@
 			})
 			continue
 		}
-		if outcome == mtrange.Beaten && try < tries {
+		if outcome == mtrange.Conflicted && try < tries {
 			batch = ready
 			continue
 		}
@@ -223,11 +223,11 @@
 func (c *Committer) apply(table *mtrange.Table, batch []*pending) (next *mtrange.Table, ready []*pending) {
 	next = table
 	for _, p := range batch {
-		if table == nil || !table.Stands(p.Transfer) {
+		if table == nil || !table.CanApply(p.Transfer) {
 			p.result <- mtrange.Refused
 			continue
 		}
-		moved, err := next.Move(p.Low, p.High, p.To, p.Warmth)
+		moved, err := next.Move(p.Low, p.High, p.To, p.WarmupState)
 		if err != nil {
 			c.Log.Error("move does not fit the assignment", "low", p.Low, "high", p.High, "error", err)
 			p.result <- mtrange.Refused
@@ -283,14 +283,14 @@
 	c.Log.Warn("assignment not written", "why", why, "expected", uint64(expected), "error", err)
 	var unknown *mtstore.UnknownError
 	if errors.As(err, &unknown) {
-		return mtrange.Doubtful, ""
+		return mtrange.OutcomeUnknown, ""
 	}
 	var conflict *mtstore.ConflictError
 	if errors.As(err, &conflict) && conflict.Name != name {
 		return mtrange.Refused, conflict.Name
 	}
 	if conflict != nil && c.adopt(next.Service, conflict.Current) {
-		return mtrange.Beaten, ""
+		return mtrange.Conflicted, ""
 	}
 	return mtrange.Refused, ""
 }
--- a/io/mtcommit/mtcommit_test.go
+++ b/io/mtcommit/mtcommit_test.go
@@ -41,12 +41,12 @@
 func name(i int) mtid.Daemon { return mtid.Daemon(fmt.Sprintf("vm-%02d", i)) }
 
 func owner(i int) mtrange.Owner {
-	return mtrange.Owner{Daemon: name(i), Life: mtid.Life{Server: mtid.Server(name(i))}}
+	return mtrange.Owner{Daemon: name(i), Incarnation: mtid.Life{Server: mtid.Server(name(i))}}
 }
 
 func (f *fleet) record(i int) mtid.Version {
 	value, err := mtbackend.Record{
-		Daemon: name(i), Address: "x:1", Service: service, Life: owner(i).Life, Slots: 10, State: mtbackend.Ready,
+		Daemon: name(i), Address: "x:1", Service: service, Incarnation: owner(i).Incarnation, Slots: 10, State: mtbackend.Ready,
 	}.Encode()
 	assert.NilError(f.t, err)
 	entry, err := f.store.Get(context.Background(), mtstore.BackendName(name(i)))
@@ -97,7 +97,7 @@
 // batch gives the lowest key of a daemon's server to the next one.
 func (f *fleet) batch(i int) mtrange.Batch {
 	r := f.directory.Now().Assignments[service].Owned(owner(i))[0]
-	return mtrange.Batch{Service: service, Daemon: name(i), Record: f.records[i], Transfers: []mtrange.Transfer{
+	return mtrange.Batch{Service: service, Daemon: name(i), RecordVersion: f.records[i], Transfers: []mtrange.Transfer{
 		{From: r.Owner, Epoch: r.Epoch, Low: r.Low, High: r.Low, To: owner((i + 1) % owners)},
 	}}
 }
@@ -184,9 +184,9 @@
 		}
 		return nil
 	})
-	assert.DeepEqual(t, f.committer.Commit(context.Background(), f.batch(5)), []mtrange.Outcome{mtrange.Doubtful})
+	assert.DeepEqual(t, f.committer.Commit(context.Background(), f.batch(5)), []mtrange.Outcome{mtrange.OutcomeUnknown})
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
 	outcome := f.committer.Gather(gone, f.batch(6))[0]
-	assert.Assert(t, outcome == mtrange.Doubtful, "%v", outcome)
+	assert.Assert(t, outcome == mtrange.OutcomeUnknown, "%v", outcome)
 }
--- a/io/mtdirectory/foreign_test.go
+++ b/io/mtdirectory/foreign_test.go
@@ -89,8 +89,8 @@
 	f.Add([]byte(`{}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		r, err := mtbackend.Decode(text)
-		if err == nil && r.Takes() {
-			assert.Assert(t, r.Life.Server != "" && r.Service != "" && r.Address != "" && r.Slots > 0 && r.Daemon != mtid.Daemon(""))
+		if err == nil && r.AcceptsWork() {
+			assert.Assert(t, r.Incarnation.Server != "" && r.Service != "" && r.Address != "" && r.Slots > 0 && r.Daemon != mtid.Daemon(""))
 		}
 	})
 }
--- a/io/mtdirectory/keeper.go
+++ b/io/mtdirectory/keeper.go
@@ -258,7 +258,7 @@
 				k.standing.Store(uint64(version))
 			}
 			k.newest.Store(uint64(version))
-			k.Log.Info("own record written", "state", wanted.State, "server", wanted.Life.String(), "leaving", wanted.Leaving, "version", uint64(version))
+			k.Log.Info("own record written", "state", wanted.State, "server", wanted.Incarnation.String(), "leaving", wanted.Leaving, "version", uint64(version))
 			return nil
 		case errors.As(err, &conflict):
 			// What stands there, or that nothing does, was not known here: the record
--- a/io/mtdirectory/member.go
+++ b/io/mtdirectory/member.go
@@ -89,7 +89,7 @@
 			return
 		}
 		v.Members[name] = m.lapse(now, e.Revision)
-		d.Log.Info("record of backend server gone", "peer", name, "server", m.Life.String(), "known", ok, "revision", uint64(e.Revision))
+		d.Log.Info("record of backend server gone", "peer", name, "server", m.Incarnation.String(), "known", ok, "revision", uint64(e.Revision))
 		return
 	}
 	old, known := v.Members[name]
@@ -110,7 +110,7 @@
 		return
 	}
 	if !known || old.Record != record || old.Lapsed {
-		d.Log.Info("backend server", "peer", name, "server", record.Life.String(), "service", record.Service,
+		d.Log.Info("backend server", "peer", name, "server", record.Incarnation.String(), "service", record.Service,
 			"state", record.State, "leaving", record.Leaving, "version", uint64(e.Version))
 	}
 	v.Members[name] = Member{Record: record, Version: e.Version}
--- a/io/mtdirectory/mtdirectory.go
+++ b/io/mtdirectory/mtdirectory.go
@@ -104,7 +104,7 @@
 func (v *View) Serving(service mtid.Service) []Member {
 	var serving []Member
 	for _, m := range v.Members {
-		if m.Service == service && m.Takes() && !m.Lapsed && !v.Out.Has(m.Zone) {
+		if m.Service == service && m.AcceptsWork() && !m.Lapsed && !v.Out.Has(m.Zone) {
 			serving = append(serving, m)
 		}
 	}
--- a/io/mtforward/mtforward.go
+++ b/io/mtforward/mtforward.go
@@ -108,7 +108,7 @@
 	probes  sync.WaitGroup
 	mu      sync.Mutex
 	reports map[mtid.Daemon]Report
-	silent  *mtsilence.Silences
+	silent  *mtsilence.Detector
 }
 
 // NewClient returns a client and its clean-up function.
@@ -167,7 +167,7 @@
 			return
 		}
 		c.mu.Lock()
-		pause, more := c.silent.Missed(c.clock.Now(), address)
+		pause, more := c.silent.ProbeFailed(c.clock.Now(), address)
 		c.mu.Unlock()
 		if !more || !mtduty.Sleep(c.ctx, pause) {
 			return
@@ -179,14 +179,14 @@
 func (c *Client) Silent(address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.silent.Silent(c.clock.Now(), address)
+	return c.silent.Unresponsive(c.clock.Now(), address)
 }
 
 // patience returns how long to wait for a sign from a daemon.
 func (c *Client) patience(address string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.silent.Patience(address)
+	return c.silent.Timeout(address)
 }
 
 // answered notes that a sign came from a daemon.
@@ -302,7 +302,7 @@
 	}
 	outcomes := make([]mtrange.Outcome, len(b.Transfers))
 	for i := range outcomes {
-		outcomes[i] = mtrange.Doubtful
+		outcomes[i] = mtrange.OutcomeUnknown
 		if i < len(w.GetOutcomes()) {
 			outcomes[i] = mtrange.Outcome(w.GetOutcomes()[i])
 		}
--- a/io/mtgrant/move.go
+++ b/io/mtgrant/move.go
@@ -23,7 +23,7 @@
 	record, _ := g.Host.Record()
 	owner := record.Owner()
 	assignment, ok := g.Directory.Now().Assignments[g.Service]
-	if !ok || owner.Life.IsZero() {
+	if !ok || owner.Incarnation.IsZero() {
 		return
 	}
 	owned := assignment.Owned(owner)
@@ -39,7 +39,7 @@
 		// before its end, its keys are warm at the next owner.
 	case g.Directory.Now().Out.Has(record.Zone):
 		g.spill(ctx, owner, owned)
-	case record.Takes():
+	case record.AcceptsWork():
 		g.relieve(ctx, owned)
 	}
 }
@@ -52,9 +52,9 @@
 		g.Log.Warn("leaving server keeps its keys: no other takes them", "ranges", len(owned))
 		return
 	}
-	var runs []mtrange.Run
+	var runs []mtrange.KeyMove
 	for i, r := range owned {
-		runs = append(runs, mtrange.Run{Low: r.Low, High: r.High, To: survivors[i%len(survivors)]})
+		runs = append(runs, mtrange.KeyMove{Low: r.Low, High: r.High, To: survivors[i%len(survivors)]})
 	}
 	g.moveAll(ctx, owned, runs, "server is leaving")
 }
@@ -73,16 +73,16 @@
 
 // turn returns the place of this server among those of its service that give all their keys
 // away, as their zones are out of service.
-func (g *Grants) turn(owner mtrange.Owner) mtrange.Turn {
+func (g *Grants) turn(owner mtrange.Owner) mtrange.SpillPosition {
 	view := g.Directory.Now()
-	var turn mtrange.Turn
+	var turn mtrange.SpillPosition
 	for _, m := range view.Members {
 		if m.Service != g.Service || !view.Out.Has(m.Zone) {
 			continue
 		}
-		turn.Of++
+		turn.Total++
 		if m.Owner().Compare(owner) < 0 {
-			turn.Place++
+			turn.Index++
 		}
 	}
 	return turn
@@ -103,7 +103,7 @@
 		g.Survey(ctx)
 		self, others = g.Standings()
 	}
-	runs := g.Host.Cut(owned, mtrange.Relief(self, others))
+	runs := g.Host.Cut(owned, mtrange.PlanOffload(self, others))
 	g.mu.Lock()
 	g.moved = now
 	g.relieving = len(runs) > 0
@@ -116,7 +116,7 @@
 	if len(runs) == 0 {
 		return
 	}
-	g.Log.Info("relief", "demand", self.Demand, "slots", self.Slots, "service", self.Service.String(), "runs", len(runs), "others", len(others))
+	g.Log.Info("relief", "demand", self.Demand, "slots", self.Slots, "service", self.ServiceTime.String(), "runs", len(runs), "others", len(others))
 	g.reliefs.Go(func() {
 		g.moveAll(ctx, owned, runs, "relief")
 		g.mu.Lock()
@@ -134,11 +134,11 @@
 // nobody had room. Each asks a dozen others first; where all are overloaded, they would ask
 // each other all the time.
 func reliefPause(inVain int) time.Duration {
-	return min(mtrange.MovePause*time.Duration(1+inVain), maxReliefPause)
+	return min(mtrange.MoveCooldown*time.Duration(1+inVain), maxReliefPause)
 }
 
 // moveAll moves runs of the owned ranges, all at the same time.
-func (g *Grants) moveAll(ctx context.Context, owned []mtrange.Range, runs []mtrange.Run, why string) {
+func (g *Grants) moveAll(ctx context.Context, owned []mtrange.Range, runs []mtrange.KeyMove, why string) {
 	var moves sync.WaitGroup
 	for _, run := range runs {
 		i := slices.IndexFunc(owned, func(r mtrange.Range) bool { return r.Covers(run.Low) })
@@ -192,9 +192,9 @@
 func (g *Grants) hand(r mtrange.Range, low, high mtid.Number, to mtrange.Owner, warmth string) bool {
 	ctx := g.stopping
 	doubt, direct := false, false
-	wanted := mtrange.Transfer{From: r.Owner, Epoch: r.Epoch, Low: low, High: high, To: to, Warmth: warmth}
+	wanted := mtrange.Transfer{From: r.Owner, Epoch: r.Epoch, Low: low, High: high, To: to, WarmupState: warmth}
 	for tries := 0; ctx.Err() == nil; tries++ {
-		if !g.Directory.Now().Assignments[g.Service].Stands(wanted) {
+		if !g.Directory.Now().Assignments[g.Service].CanApply(wanted) {
 			return true // this move has landed, or another daemon has taken the keys
 		}
 		if tries >= conflicts && !doubt {
@@ -208,10 +208,10 @@
 				return true
 			}
 			doubt, direct = true, true
-		case mtrange.Doubtful:
+		case mtrange.OutcomeUnknown:
 			// Who was to write it may be gone, and may write it yet.
 			doubt, direct = true, true
-		case mtrange.Beaten:
+		case mtrange.Conflicted:
 			pause = conflictPause
 			g.mu.Lock()
 			g.beaten++
@@ -248,7 +248,7 @@
 	defer cancel()
 	for {
 		changed := g.Directory.Changed()
-		if !g.Directory.Now().Assignments[g.Service].Stands(wanted) {
+		if !g.Directory.Now().Assignments[g.Service].CanApply(wanted) {
 			return true
 		}
 		select {
--- a/io/mtgrant/mtgrant.go
+++ b/io/mtgrant/mtgrant.go
@@ -92,8 +92,8 @@
 	Stop(low, high mtid.Number)
 	Resume(low, high mtid.Number)
 	Release(low, high mtid.Number)
-	Cut(ranges []mtrange.Range, gifts []mtrange.Gift) []mtrange.Run
-	Spill(ranges []mtrange.Range, turn mtrange.Turn, others []mtrange.Standing) []mtrange.Run
+	Cut(ranges []mtrange.Range, gifts []mtrange.Offload) []mtrange.KeyMove
+	Spill(ranges []mtrange.Range, turn mtrange.SpillPosition, others []mtrange.LoadReport) []mtrange.KeyMove
 	Forget(low, high mtid.Number)
 	Gain(low, high mtid.Number)
 	Suspect(life mtid.Life)
@@ -116,7 +116,7 @@
 	Log       *slog.Logger
 	// Standings returns what is known of the load of this server and the others
 	// of its service.
-	Standings func() (self mtrange.Standing, others []mtrange.Standing)
+	Standings func() (self mtrange.LoadReport, others []mtrange.LoadReport)
 	// Inform tells a daemon of an assignment that gives it keys, as far as it differs
 	// from the one at an epoch. It must not block, and may be nil.
 	Inform func(to mtid.Daemon, a mtdirectory.Assignment, since mtid.Epoch)
@@ -239,7 +239,7 @@
 		return &mtreply.RefusedError{Cause: mtreply.CauseNoOwner, RetryAfter: grantRetry}
 	}
 	r, _ := assignment.Lookup(key)
-	if r.Owner == (mtrange.Owner{Daemon: g.Self, Life: life}) {
+	if r.Owner == (mtrange.Owner{Daemon: g.Self, Incarnation: life}) {
 		return g.ungranted(g.Clock.Now())
 	}
 	return &mtreply.RefusedError{Cause: mtreply.CauseStaleRoute, Owner: r.Owner.Daemon, Epoch: assignment.Next}
@@ -274,7 +274,7 @@
 	record, address := g.Host.Record()
 	owner := record.Owner()
 	g.catchUp(g.Clock.Now())
-	if owner.Life.IsZero() || record.State == mtbackend.Ended || record.State == mtbackend.Unknown {
+	if owner.Incarnation.IsZero() || record.State == mtbackend.Ended || record.State == mtbackend.Unknown {
 		return
 	}
 	assignment, ok := g.Directory.Now().Assignments[g.Service]
@@ -310,7 +310,7 @@
 		return &UnreadError{}
 	}
 	assignment, ok := view.Assignments[g.Service]
-	if !g.Keyed() || !ok || len(assignment.Owned(mtrange.Owner{Daemon: g.Self, Life: life})) > 0 {
+	if !g.Keyed() || !ok || len(assignment.Owned(mtrange.Owner{Daemon: g.Self, Incarnation: life})) > 0 {
 		return nil
 	}
 	for g.orders() {
@@ -340,11 +340,11 @@
 	defer g.mu.Unlock()
 	var next []*grant
 	for _, r := range owned {
-		next = append(next, g.known(owner.Life, r)...)
+		next = append(next, g.known(owner.Incarnation, r)...)
 	}
 	for _, held := range g.grants {
 		still := slices.ContainsFunc(next, func(n *grant) bool { return n.Epoch == held.Epoch && n.Covers(held.Low) })
-		if !still && !held.moving && held.ordered && held.life == owner.Life {
+		if !still && !held.moving && held.ordered && held.life == owner.Incarnation {
 			dropped = append(dropped, held)
 		}
 		if !still && held.moving {
--- a/io/mtgrant/mtgrant_test.go
+++ b/io/mtgrant/mtgrant_test.go
@@ -84,22 +84,22 @@
 func (h *host) Bound(mtid.Life) bool           { return !h.unbound.Load() }
 
 // Spill gives each range to one of the others, in turn.
-func (*host) Spill(ranges []mtrange.Range, _ mtrange.Turn, others []mtrange.Standing) []mtrange.Run {
-	var runs []mtrange.Run
+func (*host) Spill(ranges []mtrange.Range, _ mtrange.SpillPosition, others []mtrange.LoadReport) []mtrange.KeyMove {
+	var runs []mtrange.KeyMove
 	for i, r := range ranges {
 		if len(others) > 0 {
-			runs = append(runs, mtrange.Run{Low: r.Low, High: r.High, To: others[i%len(others)].Owner})
+			runs = append(runs, mtrange.KeyMove{Low: r.Low, High: r.High, To: others[i%len(others)].Owner})
 		}
 	}
 	return runs
 }
 
 // Cut gives a hundred keys for each gift.
-func (*host) Cut(ranges []mtrange.Range, gifts []mtrange.Gift) []mtrange.Run {
-	var runs []mtrange.Run
+func (*host) Cut(ranges []mtrange.Range, gifts []mtrange.Offload) []mtrange.KeyMove {
+	var runs []mtrange.KeyMove
 	low := ranges[0].Low
 	for _, g := range gifts {
-		runs = append(runs, mtrange.Run{Low: low, High: low + 99, To: g.To})
+		runs = append(runs, mtrange.KeyMove{Low: low, High: low + 99, To: g.To})
 		low += 100
 	}
 	return runs
@@ -163,8 +163,8 @@
 
 	mu       sync.Mutex
 	inform   func(to mtid.Daemon, a mtdirectory.Assignment, since mtid.Epoch)
-	standing mtrange.Standing
-	others   []mtrange.Standing
+	standing mtrange.LoadReport
+	others   []mtrange.LoadReport
 	// surveys counts how often others were asked for their load.
 	surveys atomic.Int64
 	// source is where daemon a hears of changes; nil is the store.
@@ -178,11 +178,11 @@
 }
 
 func record(daemon mtid.Daemon, s mtbackend.State) mtbackend.Record {
-	return mtbackend.Record{Daemon: daemon, Address: string(daemon) + ":1", Service: service, Life: lifeOf(daemon), Slots: 10, State: s}
+	return mtbackend.Record{Daemon: daemon, Address: string(daemon) + ":1", Service: service, Incarnation: lifeOf(daemon), Slots: 10, State: s}
 }
 
 func ownerOf(daemon mtid.Daemon) mtrange.Owner {
-	return mtrange.Owner{Daemon: daemon, Life: lifeOf(daemon)}
+	return mtrange.Owner{Daemon: daemon, Incarnation: lifeOf(daemon)}
 }
 
 func (f *fleet) write(r mtbackend.Record) {
@@ -223,7 +223,7 @@
 	grants, closeGrants := mtgrant.New(mtgrant.Config{
 		Self: "a", Service: service, Keyed: func() bool { return true }, Hold: hold, Directory: directory,
 		Store: f.store, Host: f.host, Port: f.port, Clock: f.clock, Log: slog.New(slog.DiscardHandler),
-		Standings: func() (mtrange.Standing, []mtrange.Standing) {
+		Standings: func() (mtrange.LoadReport, []mtrange.LoadReport) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			return f.standing, f.others
@@ -323,12 +323,12 @@
 		}
 		return nil
 	})
-	free := func(d mtid.Daemon) mtrange.Standing {
-		return mtrange.Standing{Owner: ownerOf(d), Slots: 10, Demand: 1, Service: time.Second, Keys: 100, Known: true}
+	free := func(d mtid.Daemon) mtrange.LoadReport {
+		return mtrange.LoadReport{Owner: ownerOf(d), Slots: 10, Demand: 1, ServiceTime: time.Second, Keys: 100, Known: true}
 	}
 	f.mu.Lock()
-	f.standing = mtrange.Standing{Owner: ownerOf("a"), Slots: 10, Demand: 40, Service: time.Second, Keys: 100, Known: true}
-	f.others = []mtrange.Standing{free("b"), free("c"), free("d")}
+	f.standing = mtrange.LoadReport{Owner: ownerOf("a"), Slots: 10, Demand: 40, ServiceTime: time.Second, Keys: 100, Known: true}
+	f.others = []mtrange.LoadReport{free("b"), free("c"), free("d")}
 	f.mu.Unlock()
 	f.until("three runs have gone", func() bool {
 		return f.owner(0) != "a" && f.owner(100) != "a" && f.owner(200) != "a"
@@ -399,8 +399,8 @@
 func TestKeysOfAnEndedServerAreTakenAtOnce(t *testing.T) {
 	for name, change := range map[string]func(r *mtbackend.Record){
 		"ended":                     func(r *mtbackend.Record) { r.State = mtbackend.Ended },
-		"another life":              func(r *mtbackend.Record) { r.Life.Server = "next" },
-		"another life of that name": func(r *mtbackend.Record) { r.Life.Born++ },
+		"another life":              func(r *mtbackend.Record) { r.Incarnation.Server = "next" },
+		"another life of that name": func(r *mtbackend.Record) { r.Incarnation.Born++ },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, "a", "b")
@@ -589,7 +589,7 @@
 		if batch.CompareAndSwap(nil, &b) {
 			close(asked)
 		}
-		return []mtrange.Outcome{mtrange.Doubtful}, true
+		return []mtrange.Outcome{mtrange.OutcomeUnknown}, true
 	}
 	f.start()
 	f.until("own range is granted", func() bool { return f.port.count("grant") == 1 })
@@ -609,7 +609,7 @@
 	away.Store(false)
 	f.until("the move has landed", func() bool { return f.owner(0) == "b" })
 	assert.Equal(t, f.port.count("grant"), 1)
-	assert.Assert(t, !f.directory.Now().Assignments[service].Stands(batch.Load().Transfers[0]))
+	assert.Assert(t, !f.directory.Now().Assignments[service].CanApply(batch.Load().Transfers[0]))
 }
 
 // Every server has more than it can do. Each owner asked a dozen others every 0.7 s whether
@@ -617,24 +617,24 @@
 // room it is still found.
 func TestAnOwnerAsksSeldomForRoomThatNobodyHas(t *testing.T) {
 	f := newFleet(t, "a", "b")
-	busy := mtrange.Standing{Owner: ownerOf("b"), Slots: 10, Demand: 30, Keys: 100, Known: true}
-	f.standing = mtrange.Standing{Owner: ownerOf("a"), Slots: 10, Demand: 30, Keys: 100, Known: true}
-	f.others = []mtrange.Standing{busy}
+	busy := mtrange.LoadReport{Owner: ownerOf("b"), Slots: 10, Demand: 30, Keys: 100, Known: true}
+	f.standing = mtrange.LoadReport{Owner: ownerOf("a"), Slots: 10, Demand: 30, Keys: 100, Known: true}
+	f.others = []mtrange.LoadReport{busy}
 	f.start()
 	f.until("own range is granted", func() bool { return f.port.count("grant") == 1 })
 	const looks = 20
 	for range looks {
-		f.clock.advance(mtrange.MovePause)
+		f.clock.advance(mtrange.MoveCooldown)
 		time.Sleep(250 * time.Millisecond) // the duty looks once at least, or the test asks for less
 	}
 	assert.Assert(t, f.surveys.Load() <= looks/2, "asked %d times", f.surveys.Load())
 	idle := busy
 	idle.Demand = 1
 	f.mu.Lock()
-	f.others = []mtrange.Standing{idle}
+	f.others = []mtrange.LoadReport{idle}
 	f.mu.Unlock()
 	f.until("keys have gone to the other server", func() bool {
-		f.clock.advance(mtrange.MovePause)
+		f.clock.advance(mtrange.MoveCooldown)
 		return f.port.count("release") > 0
 	})
 }
@@ -668,11 +668,11 @@
 		assert.Check(t, err)
 		table, err := mtrange.Decode(entry.Value)
 		assert.Check(t, err)
-		if !table.Stands(b.Transfers[0]) {
+		if !table.CanApply(b.Transfers[0]) {
 			return []mtrange.Outcome{mtrange.Refused}, true
 		}
 		tr := b.Transfers[0]
-		next, err := table.Move(tr.Low, tr.High, tr.To, tr.Warmth)
+		next, err := table.Move(tr.Low, tr.High, tr.To, tr.WarmupState)
 		assert.Check(t, err)
 		value, err := next.Encode()
 		assert.Check(t, err)
@@ -684,11 +684,11 @@
 	f.start()
 	f.until("own range is granted", func() bool { return f.port.count("grant") == 1 })
 	f.mu.Lock()
-	f.standing = mtrange.Standing{Owner: ownerOf("a"), Slots: 10, Demand: 30, Keys: 100, Known: true}
-	f.others = []mtrange.Standing{{Owner: ownerOf("b"), Slots: 10, Demand: 1, Keys: 100, Known: true}}
+	f.standing = mtrange.LoadReport{Owner: ownerOf("a"), Slots: 10, Demand: 30, Keys: 100, Known: true}
+	f.others = []mtrange.LoadReport{{Owner: ownerOf("b"), Slots: 10, Demand: 1, Keys: 100, Known: true}}
 	f.mu.Unlock()
 	watch.deaf.Store(true)
-	f.clock.advance(mtrange.MovePause)
+	f.clock.advance(mtrange.MoveCooldown)
 	<-wrote
 	f.turns()
 	for _, order := range f.port.seen() {
@@ -709,15 +709,15 @@
 		f.delegate = func(ctx context.Context, _ mtrange.Batch) ([]mtrange.Outcome, bool) {
 			told()
 			<-ctx.Done()
-			return []mtrange.Outcome{mtrange.Doubtful}, true
+			return []mtrange.Outcome{mtrange.OutcomeUnknown}, true
 		}
 		f.start()
 		f.until("own range is granted", func() bool { return f.port.count("grant") == 1 })
 		f.mu.Lock()
-		f.standing = mtrange.Standing{Owner: ownerOf("a"), Slots: 10, Demand: 30, Keys: 100, Known: true}
-		f.others = []mtrange.Standing{{Owner: ownerOf("b"), Slots: 10, Demand: 1, Keys: 100, Known: true}}
+		f.standing = mtrange.LoadReport{Owner: ownerOf("a"), Slots: 10, Demand: 30, Keys: 100, Known: true}
+		f.others = []mtrange.LoadReport{{Owner: ownerOf("b"), Slots: 10, Demand: 1, Keys: 100, Known: true}}
 		f.mu.Unlock()
-		f.clock.advance(mtrange.MovePause)
+		f.clock.advance(mtrange.MoveCooldown)
 		<-asked
 		before := f.port.count("grant")
 		f.closeGrants()
@@ -735,8 +735,8 @@
 	f.store.Fail(func(op, _ string) error { return &mtstore.UnavailableError{Op: op, Err: errors.New("away")} })
 	f.until("the outage is noticed", func() bool { return !f.directory.Answers() })
 	f.mu.Lock()
-	f.standing = mtrange.Standing{Owner: ownerOf("a"), Slots: 10, Demand: 25, Keys: 32768, Known: true}
-	f.others = []mtrange.Standing{{Owner: ownerOf("b"), Slots: 10, Demand: 1, Keys: 32768, Known: true}}
+	f.standing = mtrange.LoadReport{Owner: ownerOf("a"), Slots: 10, Demand: 25, Keys: 32768, Known: true}
+	f.others = []mtrange.LoadReport{{Owner: ownerOf("b"), Slots: 10, Demand: 1, Keys: 32768, Known: true}}
 	f.mu.Unlock()
 	f.turns()
 	assert.Equal(t, f.port.count("release"), 0)
@@ -766,8 +766,8 @@
 	f.until("the keys are granted", func() bool { return f.port.count("grant") >= 1 })
 	granted := f.port.count("grant")
 	f.mu.Lock()
-	f.standing = mtrange.Standing{Owner: ownerOf("a"), Slots: 10, Demand: 25, Keys: 32768, Known: true}
-	f.others = []mtrange.Standing{{Owner: ownerOf("b"), Slots: 10, Demand: 1, Keys: 32768, Known: true}}
+	f.standing = mtrange.LoadReport{Owner: ownerOf("a"), Slots: 10, Demand: 25, Keys: 32768, Known: true}
+	f.others = []mtrange.LoadReport{{Owner: ownerOf("b"), Slots: 10, Demand: 1, Keys: 32768, Known: true}}
 	f.mu.Unlock()
 	<-refused
 	f.turns()
--- a/io/mtgrant/order.go
+++ b/io/mtgrant/order.go
@@ -149,7 +149,7 @@
 	held.granted = sent
 	if first {
 		g.Host.Gain(r.Low, r.High)
-		g.Log.Info("granted", "server", held.life.String(), "low", r.Low, "high", r.High, "epoch", uint64(r.Epoch), "hold", g.Hold, "warm", r.Warmth != "")
+		g.Log.Info("granted", "server", held.life.String(), "low", r.Low, "high", r.High, "epoch", uint64(r.Epoch), "hold", g.Hold, "warm", r.WarmupState != "")
 	}
 }
 
--- a/io/mtgrant/take.go
+++ b/io/mtgrant/take.go
@@ -128,7 +128,7 @@
 	g.roll, g.stand = view.Roll, true
 	for _, owner := range g.owners {
 		m, known := view.Members[owner.Daemon]
-		g.stand = g.stand && known && !m.Lapsed && m.Runs(owner.Life)
+		g.stand = g.stand && known && !m.Lapsed && m.MayHoldKeys(owner.Incarnation)
 	}
 	return g.stand
 }
@@ -142,7 +142,7 @@
 		case view.Foreign[owner.Daemon]:
 			// Somebody wrote over the record; its daemon may live and hold keys.
 		case known && !m.Lapsed:
-			if !m.Runs(owner.Life) {
+			if !m.MayHoldKeys(owner.Incarnation) {
 				lost = append(lost, owner)
 			}
 		case now.Sub(up) < settle:
@@ -172,7 +172,7 @@
 // that their records are as they were when that was decided: a daemon that came
 // back in the meantime has written its record before it grants anything.
 func (g *Grants) takeOver(ctx context.Context, view *mtdirectory.View, a mtdirectory.Assignment, lost, survivors []mtrange.Owner) {
-	next, err := a.Take(func(o mtrange.Owner) bool { return slices.Contains(lost, o) }, survivors)
+	next, err := a.TakeOver(func(o mtrange.Owner) bool { return slices.Contains(lost, o) }, survivors)
 	if err != nil {
 		g.Log.Warn("no takeover", "service", g.Service, "lost", len(lost), "error", err)
 		return
@@ -188,7 +188,7 @@
 		}
 	}
 	for _, owner := range lost {
-		g.Log.Warn("taking over keys of a lost server", "owner", owner.Daemon, "server", owner.Life.String(), "keys", a.Keys(owner), "survivors", len(survivors))
+		g.Log.Warn("taking over keys of a lost server", "owner", owner.Daemon, "server", owner.Incarnation.String(), "keys", a.Keys(owner), "survivors", len(survivors))
 	}
 	g.Committer.Write(ctx, conditions, next, a.Version, "takeover")
 }
--- a/io/mthost/crash.go
+++ b/io/mthost/crash.go
@@ -64,7 +64,7 @@
 		return
 	}
 	h.record.Suspects = suspects
-	h.Log.Warn("requests in flight when the server was lost are suspected", "server", h.record.Life.String(), "suspects", string(suspects))
+	h.Log.Warn("requests in flight when the server was lost are suspected", "server", h.record.Incarnation.String(), "suspects", string(suspects))
 }
 
 // Heard takes in what another daemon suspects, by its record.
--- a/io/mthost/end.go
+++ b/io/mthost/end.go
@@ -24,7 +24,7 @@
 // life that is in service here; that of another may be over already.
 func (h *Host) acknowledge(life mtid.Life, now mtclock.Instant) {
 	at := now
-	if h.record.Life != life || h.record.State != mtbackend.Ready {
+	if h.record.Incarnation != life || h.record.State != mtbackend.Ready {
 		at = now.Add(-h.Drain)
 	}
 	if known, ok := h.leaving[life]; ok && known <= at {
@@ -44,11 +44,11 @@
 // leave. Calls without a key go elsewhere from now on; keyed ones are served until their
 // keys have moved, but not for long. It is called with mu held.
 func (h *Host) leave(now mtclock.Instant, why string) {
-	at, leaves := h.leaving[h.record.Life]
+	at, leaves := h.leaving[h.record.Incarnation]
 	if !leaves || h.record.State == mtbackend.Draining || h.record.State == mtbackend.Ended {
 		return
 	}
-	h.Log.Info("server is leaving", "server", h.record.Life.String(), "why", why, "since", now.Sub(at))
+	h.Log.Info("server is leaving", "server", h.record.Incarnation.String(), "why", why, "since", now.Sub(at))
 	h.drains = at.Add(time.Duration(float64(h.Drain) * drainPart))
 	if !now.Before(h.drains) {
 		h.drains = 0
@@ -63,16 +63,16 @@
 func (h *Host) Leave(life mtid.Life) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if life.Born == 0 && life.Server == h.record.Life.Server {
-		life = h.record.Life
+	if life.Born == 0 && life.Server == h.record.Incarnation.Server {
+		life = h.record.Incarnation
 	}
-	if life.Before(h.record.Life) {
+	if life.Before(h.record.Incarnation) {
 		h.over[life] = true
 		return
 	}
 	now := h.Clock.Now()
 	h.acknowledge(life, now)
-	if h.record.Life == life && h.record.State == mtbackend.Ready {
+	if h.record.Incarnation == life && h.record.State == mtbackend.Ready {
 		h.leave(now, "deregistered")
 	}
 }
@@ -86,12 +86,12 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.over[r.Life] || r.Life.Before(h.record.Life) {
+	if h.over[r.Incarnation] || r.Incarnation.Before(h.record.Incarnation) {
 		return
 	}
 	now := h.Clock.Now()
-	h.leaving[r.Life] = now.Add(-h.Drain)
-	if h.record.Life == r.Life && h.record.State == mtbackend.Ready {
+	h.leaving[r.Incarnation] = now.Add(-h.Drain)
+	if h.record.Incarnation == r.Incarnation && h.record.State == mtbackend.Ready {
 		h.leave(now, "as a former daemon knew")
 	}
 }
@@ -127,7 +127,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.record.Life == life {
+	if h.record.Incarnation == life {
 		h.denied[key] = true
 	}
 }
@@ -160,7 +160,7 @@
 func (h *Host) check(life mtid.Life) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.checking || h.record.Life != life || h.record.State == mtbackend.Ended {
+	if h.checking || h.record.Incarnation != life || h.record.State == mtbackend.Ended {
 		return
 	}
 	h.checking = true
@@ -171,7 +171,7 @@
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		h.checking = false
-		if !gone || h.record.Life != life {
+		if !gone || h.record.Incarnation != life {
 			return
 		}
 		if h.record.State != mtbackend.Ready && !h.idle(h.Clock.Now()) {
--- a/io/mthost/end_test.go
+++ b/io/mthost/end_test.go
@@ -128,7 +128,7 @@
 // started again. The record of before says that the server leaves; since nobody knows
 // for how long it has, it gets no new work at all.
 func TestALeavingThatAFormerDaemonAcknowledgedBinds(t *testing.T) {
-	former := mtbackend.Record{Daemon: "a", Life: mtid.Life{Server: "life"}, State: mtbackend.Draining}
+	former := mtbackend.Record{Daemon: "a", Incarnation: mtid.Life{Server: "life"}, State: mtbackend.Draining}
 	for name, order := range map[string]func(s *stand){
 		"known before the server": func(s *stand) {
 			s.host.Former(former)
@@ -164,7 +164,7 @@
 	b := s.beat("life", 1)
 	b.Address = address
 	s.hear(b)
-	s.until("the server is ready", func(r mtbackend.Record) bool { return r.Takes() })
+	s.until("the server is ready", func(r mtbackend.Record) bool { return r.AcceptsWork() })
 	s.server.answer = func(context.Context) (*mtcall.Answer, error) {
 		return nil, &mtreply.RefusedError{Cause: mtreply.CauseNoServer}
 	}
@@ -258,7 +258,7 @@
 	fenced := make(chan mtid.Number, 8)
 	s.host.Fenced = func(key mtid.Number) { fenced <- key }
 	s.hear(s.born(100, 1))
-	s.until("the server is ready", func(r mtbackend.Record) bool { return r.Takes() })
+	s.until("the server is ready", func(r mtbackend.Record) bool { return r.AcceptsWork() })
 	s.server.mu.Lock()
 	s.server.answer = func(context.Context) (*mtcall.Answer, error) {
 		return nil, &mtreply.RefusedError{Cause: mtreply.CauseFenced}
@@ -270,7 +270,7 @@
 	assert.Equal(t, len(fenced), 1)
 	assert.Equal(t, s.cause(true), mtreply.CauseFenced)
 	s.hear(s.born(200, 1))
-	s.until("the new life is known", func(r mtbackend.Record) bool { return r.Life.Born == 200 })
+	s.until("the new life is known", func(r mtbackend.Record) bool { return r.Incarnation.Born == 200 })
 	assert.Equal(t, len(fenced), 1, "the new life was granted what the former one had")
 }
 
--- a/io/mthost/life.go
+++ b/io/mthost/life.go
@@ -14,7 +14,7 @@
 func (h *Host) listen(now mtclock.Instant) {
 	h.mu.Lock()
 	silent := now.Sub(h.beaten) > silence && now.Sub(h.checked) > silence
-	life, state := h.record.Life, h.record.State
+	life, state := h.record.Incarnation, h.record.State
 	if silent {
 		h.checked = now
 	}
@@ -42,20 +42,20 @@
 // runs look free, and they would be given to another server.
 //
 // It fails with a *ForeignError if the beat names a service that nobody knows.
-func (h *Host) Beat(b mtbackend.Beat) error {
+func (h *Host) Beat(b mtbackend.Heartbeat) error {
 	if b.Service != h.Service && !h.Named(b.Service) {
 		return &ForeignError{Service: b.Service}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.over[b.Life] || b.Life.Before(h.record.Life) {
-		h.Log.Info("beat of a former life passed over", "server", b.Life.String(), "sequence", b.Sequence)
+	if h.over[b.Incarnation] || b.Incarnation.Before(h.record.Incarnation) {
+		h.Log.Info("beat of a former life passed over", "server", b.Incarnation.String(), "sequence", b.Sequence)
 		return nil
 	}
 	if b.Draining {
-		h.acknowledge(b.Life, h.Clock.Now())
+		h.acknowledge(b.Incarnation, h.Clock.Now())
 	}
-	if h.record.Life == b.Life {
+	if h.record.Incarnation == b.Incarnation {
 		h.take(b)
 	} else {
 		h.identify(b)
@@ -65,10 +65,10 @@
 
 // identify finds out whether the sender of a beat is the life that runs. If the
 // server can't be asked, a second beat of the same life shows it too.
-func (h *Host) identify(b mtbackend.Beat) {
+func (h *Host) identify(b mtbackend.Heartbeat) {
 	former := h.stranger
 	h.stranger, h.strange = b, h.Clock.Now()
-	if former.Life == b.Life && b.Sequence > former.Sequence {
+	if former.Incarnation == b.Incarnation && b.Sequence > former.Sequence {
 		h.begin(b)
 		return
 	}
@@ -89,7 +89,7 @@
 // ask asks the server which life runs, if there is one to ask about. It is called
 // with mu held.
 func (h *Host) ask(now mtclock.Instant) {
-	if h.stranger.Life.IsZero() || h.identifying || now.Before(h.askAgain) || now.Sub(h.strange) > askFor {
+	if h.stranger.Incarnation.IsZero() || h.identifying || now.Before(h.askAgain) || now.Sub(h.strange) > askFor {
 		return
 	}
 	path := h.Health()
@@ -107,24 +107,24 @@
 		h.identifying = false
 		switch {
 		case err != nil || server == "":
-			h.Log.Info("server could not be asked which life runs", "beat", beat.Life.String(), "error", err)
-		case h.stranger.Life.IsZero():
+			h.Log.Info("server could not be asked which life runs", "beat", beat.Incarnation.String(), "error", err)
+		case h.stranger.Incarnation.IsZero():
 			// A second beat has shown it meanwhile.
-		case server == h.stranger.Life.Server:
+		case server == h.stranger.Incarnation.Server:
 			// Of two lives with this name the one that was born later runs, and
 			// no earlier one is asked about.
 			h.begin(h.stranger)
-		case h.record.Life.Server == server:
+		case h.record.Incarnation.Server == server:
 			// The known life runs, and the beat is an old one.
 		default:
-			h.Log.Warn("beat of another life than the one that runs", "beat", beat.Life.String(), "server", server)
-			h.stranger = mtbackend.Beat{}
+			h.Log.Warn("beat of another life than the one that runs", "beat", beat.Incarnation.String(), "server", server)
+			h.stranger = mtbackend.Heartbeat{}
 		}
 	}()
 }
 
 // take takes in a beat of the present life.
-func (h *Host) take(b mtbackend.Beat) {
+func (h *Host) take(b mtbackend.Heartbeat) {
 	now := h.Clock.Now()
 	h.beaten = now
 	if b.Sequence < h.sequence {
@@ -137,7 +137,7 @@
 	if h.tether != nil && h.tether.opened.Before(b.Connected) {
 		h.confirm(h.tether)
 	}
-	h.warmth.Hear(h.Clock.Steady(), b)
+	h.warmth.ObserveHeartbeat(h.Clock.Steady(), b)
 	h.fitWarmth()
 	h.sequence = b.Sequence
 	h.address = b.Address
@@ -158,7 +158,7 @@
 // daemon takes it for the former life, and renews that life's grants: the new one
 // obeys. Were the new life told at once, others would take the former one's keys
 // over, and two servers would hold them.
-func (h *Host) clear(b mtbackend.Beat) {
+func (h *Host) clear(b mtbackend.Heartbeat) {
 	h.uncleared = b
 	if h.clearing {
 		return
@@ -168,19 +168,19 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), clearTimeout)
 		defer cancel()
-		err := h.Clear(ctx, b.Life, b.Address)
+		err := h.Clear(ctx, b.Incarnation, b.Address)
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		h.clearing = false
 		if err != nil {
-			h.Log.Warn("new life of the server could not be cleared", "server", b.Life.String(), "error", err)
+			h.Log.Warn("new life of the server could not be cleared", "server", b.Incarnation.String(), "error", err)
 			return
 		}
-		h.uncleared = mtbackend.Beat{}
-		if h.record.Life != b.Life || h.record.State != mtbackend.Unknown {
+		h.uncleared = mtbackend.Heartbeat{}
+		if h.record.Incarnation != b.Incarnation || h.record.State != mtbackend.Unknown {
 			return
 		}
-		if _, leaves := h.leaving[b.Life]; leaves {
+		if _, leaves := h.leaving[b.Incarnation]; leaves {
 			h.leave(h.Clock.Now(), "before it was in service")
 			return
 		}
@@ -194,7 +194,7 @@
 	defer h.mu.Unlock()
 	h.ask(now)
 	h.tie(now)
-	unsettled := !h.uncleared.Life.IsZero() && h.uncleared.Life == h.record.Life && h.record.State == mtbackend.Unknown
+	unsettled := !h.uncleared.Incarnation.IsZero() && h.uncleared.Incarnation == h.record.Incarnation && h.record.State == mtbackend.Unknown
 	if unsettled && !now.Before(h.clearAgain) {
 		h.clear(h.uncleared)
 	}
@@ -204,20 +204,20 @@
 const clearTimeout = time.Second
 
 // begin starts a new life of the server.
-func (h *Host) begin(b mtbackend.Beat) {
-	if !h.record.Life.IsZero() {
-		if !h.over[h.record.Life] {
+func (h *Host) begin(b mtbackend.Heartbeat) {
+	if !h.record.Incarnation.IsZero() {
+		if !h.over[h.record.Incarnation] {
 			h.lost()
 		}
-		h.over[h.record.Life] = true
-		h.Log.Info("server has another life", "former", h.record.Life.String(), "server", b.Life.String())
+		h.over[h.record.Incarnation] = true
+		h.Log.Info("server has another life", "former", h.record.Incarnation.String(), "server", b.Incarnation.String())
 		h.door.Drain()
 		h.door, h.shut = h.newDoor(), false
 	}
-	h.warmth = mtbackend.Warmth{}
+	h.warmth = mtbackend.WarmupTracker{}
 	h.fitZone(h.Clock.Now())
-	h.stranger = mtbackend.Beat{}
-	h.record.Life = b.Life
+	h.stranger = mtbackend.Heartbeat{}
+	h.record.Incarnation = b.Incarnation
 	h.record.Service = b.Service
 	h.record.State = mtbackend.Unknown
 	h.sequence = 0
@@ -230,7 +230,7 @@
 
 // state changes the state and tells all daemons.
 func (h *Host) state(s mtbackend.State) {
-	h.Log.Info("server state", "server", h.record.Life.String(), "from", h.record.State, "to", s, "slots", h.record.Slots, "sequence", h.sequence)
+	h.Log.Info("server state", "server", h.record.Incarnation.String(), "from", h.record.State, "to", s, "slots", h.record.Slots, "sequence", h.sequence)
 	h.record.State = s
 	h.Publish(h.record)
 	h.Changed()
--- a/io/mthost/load.go
+++ b/io/mthost/load.go
@@ -26,7 +26,7 @@
 	defer h.meterMu.Unlock()
 	takes := h.expected(call.Route)
 	if call.Keyed && !call.Repeat && !call.Late(now, takes) {
-		h.meter.Arrive(now, call.Key, takes)
+		h.meter.RecordArrival(now, call.Key, takes)
 	}
 }
 
@@ -56,7 +56,7 @@
 		return
 	}
 	h.meterMu.Lock()
-	h.slowness.Note(now, multiple)
+	h.slowness.Observe(now, multiple)
 	h.meterMu.Unlock()
 	h.slowGate(now)
 }
@@ -64,7 +64,7 @@
 // slowGate lets the gate judge by how slow the server is now.
 func (h *Host) slowGate(now mtclock.Instant) {
 	h.meterMu.Lock()
-	slow := h.slowness.Now(now)
+	slow := h.slowness.Factor(now)
 	h.meterMu.Unlock()
 	h.gate().Slow(slow)
 }
@@ -74,7 +74,7 @@
 // many short ones. It is called with meterMu held.
 func (h *Host) service(now mtclock.Instant) time.Duration {
 	const tenth = 100 * time.Millisecond
-	return time.Duration(h.pace * h.slowness.Now(now) * float64(tenth))
+	return time.Duration(h.pace * h.slowness.Factor(now) * float64(tenth))
 }
 
 // average returns the moving average with one more value in it.
@@ -89,21 +89,21 @@
 func (h *Host) Gain(low, high mtid.Number) {
 	h.meterMu.Lock()
 	defer h.meterMu.Unlock()
-	h.meter.Gain(h.Clock.Now(), low, high)
+	h.meter.AddKeys(h.Clock.Now(), low, high)
 }
 
 // Cut finds runs of keys in the ranges whose work comes closest to the gifts.
-func (h *Host) Cut(ranges []mtrange.Range, gifts []mtrange.Gift) []mtrange.Run {
+func (h *Host) Cut(ranges []mtrange.Range, gifts []mtrange.Offload) []mtrange.KeyMove {
 	if len(gifts) == 0 {
 		return nil
 	}
 	h.meterMu.Lock()
 	defer h.meterMu.Unlock()
-	return mtrange.CutAll(h.Clock.Now(), ranges, h.meter, gifts)
+	return mtrange.SelectMoves(h.Clock.Now(), ranges, h.meter, gifts)
 }
 
 // Spill divides all work of the ranges among other servers.
-func (h *Host) Spill(ranges []mtrange.Range, turn mtrange.Turn, others []mtrange.Standing) []mtrange.Run {
+func (h *Host) Spill(ranges []mtrange.Range, turn mtrange.SpillPosition, others []mtrange.LoadReport) []mtrange.KeyMove {
 	h.meterMu.Lock()
 	defer h.meterMu.Unlock()
 	return mtrange.Spill(h.Clock.Now(), ranges, h.meter, turn, others)
--- a/io/mthost/mthost.go
+++ b/io/mthost/mthost.go
@@ -84,7 +84,7 @@
 type Config struct {
 	Daemon  mtid.Daemon
 	Zone    mtid.Zone
-	Link    mtbackend.Rate
+	Link    mtbackend.Bandwidth
 	Service mtid.Service // of the server on this VM
 	Address string       // of the server, as the settings name it
 	Peer    string       // of this daemon, for other daemons
@@ -135,11 +135,11 @@
 	drains   mtclock.Instant // Draining: no new work from then on; zero if not draining
 	checking bool
 	clearing bool
-	stranger mtbackend.Beat  // the last beat of a life that is not known here
-	strange  mtclock.Instant // when it came
-	askAgain mtclock.Instant // not asked before which life runs
+	stranger mtbackend.Heartbeat // the last beat of a life that is not known here
+	strange  mtclock.Instant     // when it came
+	askAgain mtclock.Instant     // not asked before which life runs
 	// uncleared is the last beat of a life that still has to be cleared.
-	uncleared  mtbackend.Beat
+	uncleared  mtbackend.Heartbeat
 	clearAgain mtclock.Instant
 	// identifying says that the server is being asked which life runs.
 	identifying bool
@@ -152,7 +152,7 @@
 	denied      map[mtid.Number]bool // keys that the server said not to hold, since its last beat
 	zone        mtzone.Door
 	shut        bool // the gate is closed for the zone
-	warmth      mtbackend.Warmth
+	warmth      mtbackend.WarmupTracker
 	most        mtgate.Pace     // while the server is cold; zero is no limit
 	cold        bool            // the gate is limited to it
 	awake       mtclock.Instant // this process ran then
@@ -195,7 +195,7 @@
 	h.door = h.newDoor()
 	// The process before this one may have sent requests until just now.
 	h.door.Unseen()
-	h.warmth.Doubt(h.beaten)
+	h.warmth.MarkPossiblyCold(h.beaten)
 	h.awake = h.beaten
 	config.Publish(h.record)
 	stop := mtduty.Every(lookEvery, func(context.Context) { h.tick(h.Clock.Now()) })
@@ -326,7 +326,7 @@
 	record, _ := u.host.Record()
 	attrs := []slog.Attr{
 		slog.String("id", string(u.call.ID)), slog.String("route", string(u.call.Route)),
-		slog.String("server", record.Life.String()), slog.String("state", string(record.State)),
+		slog.String("server", record.Incarnation.String()), slog.String("state", string(record.State)),
 		slog.Int("running", load.Running), slog.Int("waiting", load.Waiting), slog.Int("slots", load.Slots),
 		slog.String("service", load.Service.String()),
 		slog.String("left", u.call.Deadline.Sub(u.host.Clock.Now()).String()), slog.String("error", u.err.Error()),
@@ -361,7 +361,7 @@
 	defer end()
 	// What held on arrival may have changed while the call waited.
 	if call.Keyed {
-		if err := h.Holds(record.Life, call.Key); err != nil {
+		if err := h.Holds(record.Incarnation, call.Key); err != nil {
 			return nil, err
 		}
 	}
@@ -372,10 +372,10 @@
 	defer h.track(call.ID)()
 	_, address := h.Record()
 	h.began(mark)
-	answer, err := h.Client.Do(ctx, iobackend.Target{Address: address, Server: record.Life.Server}, call)
+	answer, err := h.Client.Do(ctx, iobackend.Target{Address: address, Server: record.Incarnation.Server}, call)
 	h.ended(mark, err)
 	if err != nil {
-		h.failed(record.Life, call, err)
+		h.failed(record.Incarnation, call, err)
 		return nil, err
 	}
 	answer.Queued = started.Sub(arrived)
@@ -447,7 +447,7 @@
 		return record, nil, &mtreply.RefusedError{Cause: mtreply.CauseZoneOut, RetryAfter: elsewhereRetry}
 	}
 	if call.Keyed {
-		if err := h.Holds(record.Life, call.Key); err != nil {
+		if err := h.Holds(record.Incarnation, call.Key); err != nil {
 			return record, nil, err
 		}
 	}
--- a/io/mthost/mthost_test.go
+++ b/io/mthost/mthost_test.go
@@ -113,7 +113,7 @@
 }
 
 // hear lets the host hear a beat.
-func (s *stand) hear(b mtbackend.Beat) {
+func (s *stand) hear(b mtbackend.Heartbeat) {
 	s.t.Helper()
 	assert.NilError(s.t, s.host.Beat(b))
 }
@@ -134,8 +134,8 @@
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(2*time.Millisecond))
 }
 
-func (s *stand) beat(server mtid.Server, sequence uint64) mtbackend.Beat {
-	return mtbackend.Beat{Life: mtid.Life{Server: server}, Address: "server", Service: "maps", Slots: 2, Sequence: sequence}
+func (s *stand) beat(server mtid.Server, sequence uint64) mtbackend.Heartbeat {
+	return mtbackend.Heartbeat{Incarnation: mtid.Life{Server: server}, Address: "server", Service: "maps", Slots: 2, Sequence: sequence}
 }
 
 // ready brings a life of the server into service.
@@ -144,7 +144,7 @@
 	s.server.runs = life
 	s.server.mu.Unlock()
 	s.hear(s.beat(life, 1))
-	s.until("the server is ready", func(r mtbackend.Record) bool { return r.Life.Server == life && r.Takes() })
+	s.until("the server is ready", func(r mtbackend.Record) bool { return r.Incarnation.Server == life && r.AcceptsWork() })
 }
 
 func (s *stand) call(keyed bool) *mtcall.Call {
@@ -169,9 +169,9 @@
 	s.server.runs = "new"
 	s.hear(s.beat("old", 9))
 	s.hear(s.beat("new", 1))
-	s.until("the life that runs is known", func(r mtbackend.Record) bool { return r.Life.Server == "new" })
+	s.until("the life that runs is known", func(r mtbackend.Record) bool { return r.Incarnation.Server == "new" })
 	s.hear(s.beat("old", 9))
-	assert.Equal(t, s.record().Life.Server, mtid.Server("new"))
+	assert.Equal(t, s.record().Incarnation.Server, mtid.Server("new"))
 }
 
 // The server can't be asked. Two beats of one life, the second a later one, show
@@ -180,10 +180,10 @@
 	s := newStand(t, "127.0.0.1:1")
 	s.hear(s.beat("old", 9))
 	s.hear(s.beat("old", 9))
-	assert.Equal(t, s.record().Life.Server, mtid.Server(""))
+	assert.Equal(t, s.record().Incarnation.Server, mtid.Server(""))
 	s.hear(s.beat("new", 1))
 	s.hear(s.beat("new", 2))
-	s.until("the server is ready", func(r mtbackend.Record) bool { return r.Life.Server == "new" && r.Takes() })
+	s.until("the server is ready", func(r mtbackend.Record) bool { return r.Incarnation.Server == "new" && r.AcceptsWork() })
 }
 
 // All VMs come back at once after a loss of power. The server's first beat comes
@@ -210,10 +210,10 @@
 	s.mu.Unlock()
 	s.until("the life is known", func(_ mtbackend.Record) bool {
 		known, _ := s.host.Record()
-		return known.Life.Server == "one" && known.State == mtbackend.Unknown
+		return known.Incarnation.Server == "one" && known.State == mtbackend.Unknown
 	})
 	unread.Store(false)
-	s.until("the server is ready", func(r mtbackend.Record) bool { return r.Life.Server == "one" && r.Takes() })
+	s.until("the server is ready", func(r mtbackend.Record) bool { return r.Incarnation.Server == "one" && r.AcceptsWork() })
 }
 
 // Callers that were refused ask again, and again. Counted each time, a server with a
@@ -277,9 +277,9 @@
 }
 
 // born returns a beat of a life that says when it was born.
-func (s *stand) born(born mtid.Birth, sequence uint64) mtbackend.Beat {
+func (s *stand) born(born mtid.Birth, sequence uint64) mtbackend.Heartbeat {
 	b := s.beat("one", sequence)
-	b.Life.Born = born
+	b.Incarnation.Born = born
 	return b
 }
 
@@ -298,19 +298,19 @@
 	s.mu.Unlock()
 	first, second := mtid.Life{Server: "one", Born: 100}, mtid.Life{Server: "one", Born: 200}
 	s.hear(s.born(100, 50))
-	s.until("the first life is ready", func(r mtbackend.Record) bool { return r.Life == first && r.Takes() })
+	s.until("the first life is ready", func(r mtbackend.Record) bool { return r.Incarnation == first && r.AcceptsWork() })
 	s.hear(s.born(200, 1))
-	s.until("the second life is ready", func(r mtbackend.Record) bool { return r.Life == second && r.Takes() })
+	s.until("the second life is ready", func(r mtbackend.Record) bool { return r.Incarnation == second && r.AcceptsWork() })
 	assert.Equal(t, cleared.Load(), int64(2), "the new life was cleared of what it may have been granted")
-	assert.Assert(t, !s.record().Runs(first))
+	assert.Assert(t, !s.record().MayHoldKeys(first))
 	for sequence := range uint64(3) {
 		late := s.born(100, 51+sequence)
 		late.Draining = true
 		s.hear(late)
 	}
 	s.host.Leave(first)
-	assert.Equal(t, s.record().Life, second)
-	assert.Assert(t, s.record().Takes())
+	assert.Equal(t, s.record().Incarnation, second)
+	assert.Assert(t, s.record().AcceptsWork())
 }
 
 // The same with a daemon that has just started and hears the late beat first.
@@ -326,11 +326,11 @@
 	s.path = "/health"
 	s.mu.Unlock()
 	want := mtid.Life{Server: "one", Born: 200}
-	s.until("the later life runs", func(r mtbackend.Record) bool { return r.Life == want && r.Takes() })
+	s.until("the later life runs", func(r mtbackend.Record) bool { return r.Incarnation == want && r.AcceptsWork() })
 	s.hear(s.born(100, 51))
 	s.hear(s.born(100, 52))
 	known, _ := s.host.Record()
-	assert.Equal(t, known.Life, want)
+	assert.Equal(t, known.Incarnation, want)
 }
 
 // A beat names a service that no configuration declares. It is not this VM's server.
@@ -341,7 +341,7 @@
 	b.Service = "nobody's"
 	var foreign *mthost.ForeignError
 	assert.Assert(t, errors.As(s.host.Beat(b), &foreign))
-	assert.Assert(t, s.record().Life.IsZero())
+	assert.Assert(t, s.record().Incarnation.IsZero())
 	b.Service = "desk" // declared
 	assert.NilError(t, s.host.Beat(b))
 }
@@ -397,9 +397,9 @@
 		time.Sleep(20 * time.Millisecond)
 		s.hear(s.beat("new", 2+sequence))
 		r := s.record()
-		assert.Assert(t, r.Runs(mtid.Life{Server: "old"}), "the end of the former life was told: %+v", r)
+		assert.Assert(t, r.MayHoldKeys(mtid.Life{Server: "old"}), "the end of the former life was told: %+v", r)
 	}
 	cleared.Store(true)
 	s.hear(s.beat("new", 9))
-	s.until("the new life is ready", func(r mtbackend.Record) bool { return r.Life.Server == "new" && r.Takes() })
+	s.until("the new life is ready", func(r mtbackend.Record) bool { return r.Incarnation.Server == "new" && r.AcceptsWork() })
 }
--- a/io/mthost/tether.go
+++ b/io/mthost/tether.go
@@ -49,7 +49,7 @@
 // tie opens the connection if there is none, or the present one is old. It is
 // called with mu held.
 func (h *Host) tie(now mtclock.Instant) {
-	life := h.record.Life
+	life := h.record.Incarnation
 	fresh := h.tether != nil && h.tether.life == life && now.Sub(h.tether.opened) < tieFor
 	if life.IsZero() || h.over[life] || fresh || h.tying || now.Before(h.tieAgain) {
 		return
@@ -75,7 +75,7 @@
 // tied puts a new connection in the place of the former one. While that one stands,
 // both lead to the same process. It is called with mu held.
 func (h *Host) tied(t, former *tether) {
-	if t.life != h.record.Life || h.tether != former {
+	if t.life != h.record.Incarnation || h.tether != former {
 		_ = t.conn.Close()
 		return
 	}
--- a/io/mthost/tether_test.go
+++ b/io/mthost/tether_test.go
@@ -85,7 +85,7 @@
 			s := newStand(t, p.address())
 			life := mtid.Life{Server: "one", Born: born}
 			s.server.runs = "one"
-			beat := func(sequence uint64) mtbackend.Beat {
+			beat := func(sequence uint64) mtbackend.Heartbeat {
 				b := s.born(born, sequence)
 				b.Address, b.Connected = p.address(), s.clock.Now()
 				return b
@@ -120,7 +120,7 @@
 	s := newStand(t, first.address())
 	s.server.runs = "one"
 	former := mtid.Life{Server: "one", Born: 100}
-	beat := func(born mtid.Birth, sequence uint64) mtbackend.Beat {
+	beat := func(born mtid.Birth, sequence uint64) mtbackend.Heartbeat {
 		b := s.born(born, sequence)
 		b.Address = first.address()
 		return b
--- a/io/mthost/zone.go
+++ b/io/mthost/zone.go
@@ -59,23 +59,23 @@
 // otherwise. It is asked at once, where that matters: its next beat takes up to a second.
 // It is called with mu held.
 func (h *Host) doubtWarmth() {
-	h.warmth.Doubt(h.Clock.Now())
+	h.warmth.MarkPossiblyCold(h.Clock.Now())
 	h.fitWarmth()
 	path := h.Health()
 	if h.most <= 0 || path == "" {
 		return
 	}
-	life, address := h.record.Life, h.address
+	life, address := h.record.Incarnation, h.address
 	go func() {
 		connected := h.Clock.Now() // at the earliest
 		health, err := h.Client.Identify(context.Background(), address, path)
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		if err != nil || health.Server != life.Server || h.record.Life != life {
+		if err != nil || health.Server != life.Server || h.record.Incarnation != life {
 			h.Log.Info("server could not be asked whether it is cold", "server", life.String(), "answers", string(health.Server), "error", err)
 			return
 		}
-		h.warmth.Hear(h.Clock.Steady(), mtbackend.Beat{Cold: health.Cold, Connected: connected})
+		h.warmth.ObserveHeartbeat(h.Clock.Steady(), mtbackend.Heartbeat{Cold: health.Cold, Connected: connected})
 		h.fitWarmth()
 	}()
 }
@@ -119,7 +119,7 @@
 		return
 	}
 	h.cold = cold
-	h.Log.Info("server's warmth", "server", h.record.Life.String(), "cold", cold, "left", h.warmth.Left(now), "most", int(h.most))
+	h.Log.Info("server's warmth", "server", h.record.Incarnation.String(), "cold", cold, "left", h.warmth.Remaining(now), "most", int(h.most))
 }
 
 // Status is how the server does, for operators.
@@ -134,5 +134,5 @@
 func (h *Host) Status() Status {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return Status{Server: h.record.Life.String(), State: string(h.record.State), Cold: h.cold, ZoneOut: h.zone.Closed()}
+	return Status{Server: h.record.Incarnation.String(), State: string(h.record.State), Cold: h.cold, ZoneOut: h.zone.Closed()}
 }
--- a/io/mthost/zone_test.go
+++ b/io/mthost/zone_test.go
@@ -112,7 +112,7 @@
 	cold := s.beat("i-1", 1)
 	cold.Cold, cold.Connected = 3*time.Second, s.clock.Now()
 	s.hear(cold)
-	s.until("the server is ready", func(r mtbackend.Record) bool { return r.Takes() })
+	s.until("the server is ready", func(r mtbackend.Record) bool { return r.AcceptsWork() })
 	assert.Assert(t, s.burst(12, 500*time.Millisecond) <= 3)
 	warm := s.beat("i-1", 2)
 	warm.Connected = s.clock.Now()
--- a/io/mtingress/send.go
+++ b/io/mtingress/send.go
@@ -371,7 +371,7 @@
 
 // usable reports whether calls may be sent to a member.
 func (s *Sender) usable(m mtdirectory.Member, now mtclock.Instant) bool {
-	if !m.Takes() {
+	if !m.AcceptsWork() {
 		return false
 	}
 	if !m.Lapsed {
--- a/io/mtmesh/commit.go
+++ b/io/mtmesh/commit.go
@@ -31,7 +31,7 @@
 func (m *Mesh) delegate(ctx context.Context, b mtrange.Batch) ([]mtrange.Outcome, bool) {
 	peers := mtkernel.Need[*mtforward.Client](m.kernel, NamePeers)
 	writer, ok := m.learner.tree().First()
-	if !ok || writer.Daemon == m.config.Daemon || b.Record == 0 || peers.Silent(writer.Address) {
+	if !ok || writer.Daemon == m.config.Daemon || b.RecordVersion == 0 || peers.Silent(writer.Address) {
 		return nil, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, delegateTimeout)
@@ -48,7 +48,7 @@
 	}
 	doubtful := make([]mtrange.Outcome, len(b.Transfers))
 	for i := range doubtful {
-		doubtful[i] = mtrange.Doubtful
+		doubtful[i] = mtrange.OutcomeUnknown
 	}
 	return doubtful, true
 }
@@ -60,7 +60,7 @@
 	if !ok {
 		return outcomes, mtstore.Entry{}
 	}
-	entry, err := patchEntry(assignment, min(b.Known, assignment.Next))
+	entry, err := patchEntry(assignment, min(b.KnownEpoch, assignment.Next))
 	if err != nil {
 		m.config.Log.Error("word of an assignment can't be encoded", "service", b.Service, "error", err)
 	}
--- a/io/mtmesh/mtmesh.go
+++ b/io/mtmesh/mtmesh.go
@@ -75,11 +75,11 @@
 type Config struct {
 	Daemon  mtid.Daemon
 	Zone    mtid.Zone
-	Link    mtbackend.Rate // of this VM
-	Service mtid.Service   // of the backend server on this VM
-	Server  string         // address of the backend server
-	Callers string         // where callers on this VM send requests
-	Peers   string         // where other daemons send calls
+	Link    mtbackend.Bandwidth // of this VM
+	Service mtid.Service        // of the backend server on this VM
+	Server  string              // address of the backend server
+	Callers string              // where callers on this VM send requests
+	Peers   string              // where other daemons send calls
 	Store   mtstore.Guarded
 	Port    mtgrant.Port
 	Names   mtheader.Names
--- a/io/mtmesh/standing.go
+++ b/io/mtmesh/standing.go
@@ -30,28 +30,28 @@
 )
 
 // standings returns what is known of the servers of this VM's service.
-func (m *Mesh) standings() (self mtrange.Standing, others []mtrange.Standing) {
+func (m *Mesh) standings() (self mtrange.LoadReport, others []mtrange.LoadReport) {
 	view := mtkernel.Need[*mtdirectory.Directory](m.kernel, NameDirectory).Now()
 	peers := mtkernel.Need[*mtforward.Client](m.kernel, NamePeers)
 	now := mtkernel.Need[*mttime.Clock](m.kernel, NameClock).Now()
 	var shares map[mtrange.Owner]int
 	if assignment := view.Assignments[m.config.Service]; assignment.Table != nil {
-		shares = assignment.Shares()
+		shares = assignment.KeyCounts()
 	}
 	for _, member := range view.Serving(m.config.Service) {
-		s := mtrange.Standing{
+		s := mtrange.LoadReport{
 			Owner: member.Owner(),
 			Slots: member.Slots,
 			Keys:  shares[member.Owner()],
 		}
 		if member.Daemon == m.config.Daemon {
 			load := m.Host().Load()
-			s.Demand, s.Service, s.Known = load.Demand, load.Service, true
+			s.Demand, s.ServiceTime, s.Known = load.Demand, load.Service, true
 			self = s
 			continue
 		}
 		if r, ok := peers.Report(member.Daemon); ok && now.Sub(r.At) < reportLife {
-			s.Demand, s.Service, s.Known = r.Demand, r.Service, true
+			s.Demand, s.ServiceTime, s.Known = r.Demand, r.Service, true
 		}
 		others = append(others, s)
 	}
--- a/io/mtsetting/mesh.go
+++ b/io/mtsetting/mesh.go
@@ -19,7 +19,7 @@
 type Mesh struct {
 	Name    mtid.Daemon
 	Zone    mtid.Zone
-	Link    mtbackend.Rate
+	Link    mtbackend.Bandwidth
 	Service mtid.Service // of the backend server
 	Host    string       // address of the VM, without port
 	Server  string       // address of the backend server
@@ -66,7 +66,7 @@
 	s.Name = mtid.Daemon(daemon.Name("name"))
 	s.Zone = mtid.Zone(daemon.Name("zone"))
 	s.Service = mtid.Service(daemon.Name("service"))
-	s.Link = mtbackend.Rate(daemon.Float("link", defaultLink, 0, maxLink))
+	s.Link = mtbackend.Bandwidth(daemon.Float("link", defaultLink, 0, maxLink))
 	s.Host = host(daemon)
 	s.Server = daemon.Address("server")
 	listen := f.Only("listen")
--- a/io/mtsetting/mesh_test.go
+++ b/io/mtsetting/mesh_test.go
@@ -97,5 +97,5 @@
 	got, faults := mtsetting.ParseMesh("daemon.ini", []byte(text))
 	assert.Equal(t, len(faults), 0, "%v", faults)
 	assert.Equal(t, got.Close, 5*time.Second)
-	assert.Equal(t, got.Warmup.Most(10), 9)
+	assert.Equal(t, got.Warmup.Limit(10), 9)
 }
