--- a/core/mtplan/baseline.go
+++ b/core/mtplan/baseline.go
@@ -9,11 +9,11 @@
 	"magnoliaturn/core/mtshard"
 )
 
-// Rendezvous is the plain baseline: each shard belongs to the serving server
-// with the highest rank for it, whatever the load.
+// Rendezvous is a baseline policy: each shard belongs to the non-leaving server
+// with the highest rendezvous rank for it, whatever the load.
 type Rendezvous struct{}
 
-// NewRendezvous returns the baseline.
+// NewRendezvous returns the rendezvous-hashing baseline.
 func NewRendezvous() *Rendezvous { return &Rendezvous{} }
 
 // Name implements Policy.
@@ -21,28 +21,28 @@
 
 // Plan implements Policy.
 func (*Rendezvous) Plan(_ mtclock.Instant, state *State) Plan {
-	serving := staying(state)
-	return wish(state, func(s *Shard) int {
-		holder := mtshard.Choose(s.Low, serving)
-		return place(state, holder)
+	candidates := remaining(state)
+	return movesTo(state, func(s *Shard) int {
+		holder := mtshard.Choose(s.Low, candidates)
+		return serverIndex(state, holder)
 	})
 }
 
-// Bounded is consistent hashing with bounded loads: a shard goes to the first
-// server clockwise from it whose load stays within Factor times the mean. It
-// sees the same measured loads as the planner.
+// Bounded is a baseline policy, consistent hashing with bounded loads: a shard
+// goes to the first server clockwise from it whose load stays within Factor
+// times the mean. It uses the same measured loads as Planner.
 type Bounded struct {
-	// Factor is how far a server's load per slot may exceed the mean.
+	// Factor limits the load per slot of a server, as a multiple of the mean.
 	Factor float64
 }
 
-// BoundedFactor is the factor that is usually chosen.
+// BoundedFactor is the factor in common use for bounded loads.
 const BoundedFactor = 1.25
 
-// replicas is how many places each server has on the ring.
-const replicas = 64
+// virtualNodes is the number of points that each server has on the ring.
+const virtualNodes = 64
 
-// NewBounded returns the baseline with the usual factor.
+// NewBounded returns a Bounded policy with BoundedFactor.
 func NewBounded() *Bounded { return &Bounded{Factor: BoundedFactor} }
 
 // Name implements Policy.
@@ -56,8 +56,8 @@
 	}
 	limit := state.Mean() * b.Factor
 	load := make([]float64, len(state.Servers))
-	return wish(state, func(s *Shard) int {
-		start := firstFrom(ring, mix(s.Low))
+	return movesTo(state, func(s *Shard) int {
+		start := firstAtOrAfter(ring, scatter(s.Low))
 		for i := range ring {
 			server := ring[(start+i)%len(ring)].server
 			if load[server]+s.Load <= limit*state.Servers[server].Slots {
@@ -71,45 +71,47 @@
 	})
 }
 
-// ringPlace is one place of a server on the ring.
-type ringPlace struct {
+// virtualNode is one point of a server on the ring.
+type virtualNode struct {
 	at     mtid.Point
 	server int
 }
 
-func newRing(state *State) []ringPlace {
-	var ring []ringPlace
+func newRing(state *State) []virtualNode {
+	var ring []virtualNode
 	for i := range state.Servers {
 		server := &state.Servers[i]
 		if server.Leaving {
 			continue
 		}
-		for k := range replicas {
-			ring = append(ring, ringPlace{at: mtid.Point(mtid.Rank(server.Holder.Daemon, mtid.Point(k))), server: i})
+		for k := range virtualNodes {
+			ring = append(ring, virtualNode{at: mtid.Point(mtid.Rank(server.Holder.Daemon, mtid.Point(k))), server: i})
 		}
 	}
-	slices.SortFunc(ring, func(a, b ringPlace) int {
+	slices.SortFunc(ring, func(a, b virtualNode) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.server, b.server))
 	})
 	return ring
 }
 
-// firstFrom returns the first place at or after p.
-func firstFrom(ring []ringPlace, p mtid.Point) int {
-	i, _ := slices.BinarySearchFunc(ring, p, func(r ringPlace, p mtid.Point) int { return cmp.Compare(r.at, p) })
+// firstAtOrAfter returns the index of the first virtual node at or after p,
+// wrapping around at the end of the ring.
+func firstAtOrAfter(ring []virtualNode, p mtid.Point) int {
+	i, _ := slices.BinarySearchFunc(ring, p, func(r virtualNode, p mtid.Point) int { return cmp.Compare(r.at, p) })
 	return i % len(ring)
 }
 
-// mix spreads neighbouring lows over the ring, since a server would otherwise
-// get runs of neighbouring shards.
-func mix(p mtid.Point) mtid.Point { return mtid.Point(mtid.Rank("", p)) }
+// scatter hashes the low of a shard to a point on the ring. Unhashed,
+// neighbouring shards would go to the same server in long runs.
+func scatter(p mtid.Point) mtid.Point { return mtid.Point(mtid.Rank("", p)) }
 
-// wish returns moves of all shards whose owner is not the wanted one.
-func wish(state *State, want func(*Shard) int) Plan {
+// movesTo returns a move for each shard whose owner differs from the one that
+// target returns.
+func movesTo(state *State, target func(*Shard) int) Plan {
 	var plan Plan
 	for i := range state.Shards {
 		s := &state.Shards[i]
-		to := want(s)
+		to := target(s)
 		if to < 0 || s.Owner < 0 || to == s.Owner {
 			continue
 		}
@@ -122,8 +124,8 @@
 	return plan
 }
 
-// staying returns the holders that are not leaving.
-func staying(state *State) []mtid.Holder {
+// remaining returns the holders that are not leaving.
+func remaining(state *State) []mtid.Holder {
 	var found []mtid.Holder
 	for i := range state.Servers {
 		if !state.Servers[i].Leaving {
@@ -133,8 +135,8 @@
 	return found
 }
 
-// place returns where holder is among the servers, or -1.
-func place(state *State, holder mtid.Holder) int {
+// serverIndex returns the index of the holder's server, or -1.
+func serverIndex(state *State, holder mtid.Holder) int {
 	i, ok := slices.BinarySearchFunc(state.Servers, holder, func(s Server, h mtid.Holder) int {
 		return s.Holder.Compare(h)
 	})
--- a/core/mtplan/create.go
+++ b/core/mtplan/create.go
@@ -12,19 +12,20 @@
 	"magnoliaturn/core/mtshard"
 )
 
-// Bounds of the wait before a first table is laid.
+// Bounds of the wait before the first table of a service is created.
 const (
-	// SettleTime is how long the set of servers must have stayed the same. A
-	// fleet that starts announces itself over a second or two, and a table
-	// laid for the first server alone would have to be moved apart again.
+	// SettleTime is how long the set of servers must have stayed the same. The
+	// servers of a starting fleet register over a second or two, and a table
+	// created for the first server alone would have to be redistributed.
 	SettleTime = time.Second
-	// SettleLimit is when the table is laid in any case, so that servers that
-	// keep joining can't put the service off for ever.
+	// SettleLimit is when the table is created in any case, so that servers
+	// that keep joining cannot delay the service indefinitely.
 	SettleLimit = 4 * time.Second
 )
 
-// Creation decides when and how the chunks of a new keyed service are laid. The
-// zero value is ready. It is not safe for concurrent use.
+// Creation decides when the set of servers of a new keyed service has settled,
+// so that its chunks can be created. The zero value is ready to use. It is not
+// safe for concurrent use.
 type Creation struct {
 	seen    []mtid.Holder
 	first   mtclock.Instant
@@ -32,101 +33,102 @@
 	begun   bool
 }
 
-// Ready reports whether the servers have settled by now. It is called with the
-// present serving holders, in any order, as long as the table does not exist.
-func (c *Creation) Ready(now mtclock.Instant, serving []mtid.Holder) bool {
+// Ready reports whether the set of servers has settled by now. The caller
+// passes the current serving holders, in any order, as long as the table does
+// not exist.
+func (d *Creation) Ready(now mtclock.Instant, serving []mtid.Holder) bool {
 	if len(serving) == 0 {
-		*c = Creation{}
+		*d = Creation{}
 		return false
 	}
 	set := slices.Clone(serving)
 	slices.SortFunc(set, mtid.Holder.Compare)
-	if !c.begun {
-		c.begun = true
-		c.first = now
+	if !d.begun {
+		d.begun = true
+		d.first = now
 	}
-	if !slices.Equal(set, c.seen) {
-		c.seen = set
-		c.changed = now
+	if !slices.Equal(set, d.seen) {
+		d.seen = set
+		d.changed = now
 	}
-	if now.Sub(c.first) >= SettleLimit {
+	if now.Sub(d.first) >= SettleLimit {
 		return true
 	}
-	return now.Sub(c.changed) >= SettleTime
+	return now.Sub(d.changed) >= SettleTime
 }
 
-// Member is a server that a new table is laid over.
+// Member is a server among those that share a new table.
 type Member struct {
 	Holder mtid.Holder
 	Zone   mtid.Zone
 	Slots  float64
 }
 
-// Lay returns the ops that lay each chunk of a service which begins with that
-// many shards in all chunks together. Each chunk gets at least one shard, and
-// each server shards in proportion to its slots.
+// Lay returns, for each chunk, the ops that create it. shards is the initial
+// number of shards of the service over all chunks. Each chunk gets at least one
+// shard, and each server a number of shards in proportion to its slots.
 //
-// A server's shards lie in as few chunks as can be: the servers stand in a row,
-// the zones taking turns, each as wide as its slots, and a chunk is laid over
-// those that stand in its part of the row. The loss of a server or a hot key on
-// it then touches one or two chunks of a large table, not as many as the server
-// has shards.
+// The shards of a server lie in as few chunks as possible. The servers are
+// lined up with alternating zones, each as wide as its slots, and a chunk is
+// divided among the servers in its section of the line. The loss of a server,
+// or a hot key on it, then affects one or two chunks of a large table rather
+// than as many as the server has shards.
 //
-// Create spreads a chunk by rendezvous rank, which is uneven. The moves that
-// even it out are part of the step that lays the chunk: nobody has served a key
-// of it yet, so there is no owner to ask.
+// Create distributes a chunk by rendezvous rank, which is uneven. The moves
+// that even it out are part of the same write that creates the chunk: no server
+// has served any of its keys yet, so there is no owner to ask.
 func Lay(shards, chunks int, members []Member) [][]mtshard.Op {
-	row := lineUp(members)
+	line := interleaveZones(members)
 	total := 0.0
-	for _, m := range row {
+	for _, m := range line {
 		total += m.Slots
 	}
 	each := max(1, (shards+chunks-1)/chunks)
-	laid := make([][]mtshard.Op, chunks)
-	for chunk := range laid {
+	layout := make([][]mtshard.Op, chunks)
+	for chunk := range layout {
 		from := total * float64(chunk) / float64(chunks)
 		to := total * float64(chunk+1) / float64(chunks)
-		among, quota := share(row, from, to, each)
+		among, quota := section(line, from, to, each)
 		create := mtshard.Create{Shards: each, Among: among}
 		table, err := mtshard.New(mtid.Ref{}, chunk, chunks).Apply(mtroster.Stamp{}, create)
 		if err != nil {
 			return nil
 		}
-		laid[chunk] = append([]mtshard.Op{create}, even(table, among, quota)...)
+		layout[chunk] = append([]mtshard.Op{create}, rebalance(table, among, quota)...)
 	}
-	return laid
+	return layout
 }
 
-// lineUp returns the members with the zones taking turns.
-func lineUp(members []Member) []Member {
+// interleaveZones returns the members ordered so that the zones alternate.
+func interleaveZones(members []Member) []Member {
 	set := slices.Clone(members)
 	slices.SortFunc(set, func(a, b Member) int { return a.Holder.Compare(b.Holder) })
-	turns := make(map[mtid.Zone]int)
-	turn := make(map[mtid.Holder]int, len(set))
+	zoneCounts := make(map[mtid.Zone]int)
+	rankInZone := make(map[mtid.Holder]int, len(set))
 	for _, m := range set {
-		turn[m.Holder] = turns[m.Zone]
-		turns[m.Zone]++
+		rankInZone[m.Holder] = zoneCounts[m.Zone]
+		zoneCounts[m.Zone]++
 	}
-	slices.SortStableFunc(set, func(a, b Member) int { return cmp.Compare(turn[a.Holder], turn[b.Holder]) })
+	slices.SortStableFunc(set, func(a, b Member) int { return cmp.Compare(rankInZone[a.Holder], rankInZone[b.Holder]) })
 	return set
 }
 
-// share returns the members that stand between from and to in the row, and how
-// many of count shards each of them takes. Shares are rounded along the row, so
-// that they add up to count.
-func share(row []Member, from, to float64, count int) ([]mtid.Holder, map[mtid.Holder]int) {
+// section returns the members between from and to in the line, and how many of
+// count shards each of them gets. Rounding is cumulative along the line, so
+// that the shares add up to count.
+func section(line []Member, from, to float64, count int) ([]mtid.Holder, map[mtid.Holder]int) {
 	var among []mtid.Holder
 	quota := make(map[mtid.Holder]int)
 	perSlot := float64(count) / (to - from)
-	at, given := 0.0, 0
-	for i, m := range row {
+	at, assigned := 0.0, 0
+	for i, m := range line {
 		end := at + m.Slots
-		if low, high := max(at, from), min(end, to); high > low || (i+1 == len(row) && len(among) == 0) {
+		if low, high := max(at, from), min(end, to); high > low || (i+1 == len(line) && len(among) == 0) {
 			until := int(math.Round((high - from) * perSlot))
-			if until > given {
+			if until > assigned {
 				among = append(among, m.Holder)
-				quota[m.Holder] = until - given
-				given = until
+				quota[m.Holder] = until - assigned
+				assigned = until
 			}
 		}
 		at = end
@@ -134,21 +136,22 @@
 	return among, quota
 }
 
-// even returns moves of the shards that exceed their owner's quota, each to the
-// first in rank that has room.
-func even(table *mtshard.Table, among []mtid.Holder, quota map[mtid.Holder]int) []mtshard.Op {
+// rebalance returns moves for the shards that exceed the quota of their owner.
+// Each goes to the server with the highest rendezvous rank among those below
+// their quota.
+func rebalance(table *mtshard.Table, among []mtid.Holder, quota map[mtid.Holder]int) []mtshard.Op {
 	var ops []mtshard.Op
-	var over []mtid.Point
+	var surplus []mtid.Point
 	for _, s := range table.Shards {
 		if quota[s.Owner] == 0 {
-			over = append(over, s.Low)
+			surplus = append(surplus, s.Low)
 			continue
 		}
 		quota[s.Owner]--
 	}
-	for _, low := range over {
-		open := slices.DeleteFunc(slices.Clone(among), func(h mtid.Holder) bool { return quota[h] == 0 })
-		to := mtshard.Choose(low, open)
+	for _, low := range surplus {
+		available := slices.DeleteFunc(slices.Clone(among), func(h mtid.Holder) bool { return quota[h] == 0 })
+		to := mtshard.Choose(low, available)
 		if to.IsZero() {
 			continue
 		}
--- a/core/mtplan/create_test.go
+++ b/core/mtplan/create_test.go
@@ -15,20 +15,21 @@
 
 func holder(name mtid.Daemon) mtid.Holder { return mtid.Holder{Daemon: name, Incarnation: 1} }
 
-// Six servers start one after another. A table laid for the first one alone
-// gives it every key, and five sixths of them have to move at once when the
-// others come; so the table waits until the set has settled, but not for ever.
-func TestCreationWaitsForServers(t *testing.T) {
+// Six servers start one after another. A table created for the first one alone
+// gives it every key, and five sixths of them must move at once when the others
+// join. The table must wait until the set of servers settles, but not
+// indefinitely.
+func TestLayoutWaitsUntilServersSettle(t *testing.T) {
 	a, b, c := holder("a"), holder("b"), holder("c")
 	tests := []struct {
 		name string
-		sets [][]mtid.Holder // one each half second
+		sets [][]mtid.Holder // one every half second
 		want []bool
 	}{
 		{"settled", [][]mtid.Holder{{a, b}, {b, a}, {a, b}}, []bool{false, false, true}},
-		{"joined meanwhile", [][]mtid.Holder{{a}, {a, b}, {a, b}, {a, b}}, []bool{false, false, false, true}},
+		{"joined during the wait", [][]mtid.Holder{{a}, {a, b}, {a, b}, {a, b}}, []bool{false, false, false, true}},
 		{"none", [][]mtid.Holder{{}, {}, {}, {}}, []bool{false, false, false, false}},
-		{"all lost and back", [][]mtid.Holder{{a}, {a}, {}, {a}, {a}, {a}}, []bool{false, false, false, false, false, true}},
+		{"all lost and available again", [][]mtid.Holder{{a}, {a}, {}, {a}, {a}, {a}}, []bool{false, false, false, false, false, true}},
 		{
 			"never settles",
 			[][]mtid.Holder{{a}, {b}, {c}, {a}, {b}, {c}, {a}, {b}, {c}},
@@ -37,10 +38,10 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var creation mtplan.Creation
+			var detector mtplan.Creation
 			var now mtclock.Instant
 			for i, set := range tt.sets {
-				got := creation.Ready(now, set)
+				got := detector.Ready(now, set)
 				assert.Equal(t, got, tt.want[i], "at step %d", i)
 				now = now.Add(500 * time.Millisecond)
 			}
@@ -48,10 +49,10 @@
 	}
 }
 
-// Rendezvous rank alone gives some of many servers half as many shards again as
-// others, and a service that starts under load is out of balance until dozens
-// of moves are through. Each server must begin with its share.
-func TestLayGivesEachServerItsShare(t *testing.T) {
+// With rendezvous rank alone, some of many servers get half as many shards
+// again as others, and a service that starts under load stays unbalanced until
+// dozens of moves are done. Each server must start with its share.
+func TestInitialLayoutIsProportionalToSlots(t *testing.T) {
 	tests := []struct {
 		name           string
 		shards, chunks int
@@ -71,11 +72,11 @@
 				members = append(members, mtplan.Member{Holder: holder(mtid.Daemon(rune('a' + i))), Slots: slots})
 				total += slots
 			}
-			laid := mtplan.Lay(tt.shards, tt.chunks, members)
-			assert.Equal(t, len(laid), tt.chunks)
+			layout := mtplan.Lay(tt.shards, tt.chunks, members)
+			assert.Equal(t, len(layout), tt.chunks)
 			counts := make(map[mtid.Holder]int)
 			all := 0
-			for chunk, ops := range laid {
+			for chunk, ops := range layout {
 				table, err := mtshard.New(mtid.Ref{}, chunk, tt.chunks).Apply(mtroster.Stamp{}, ops...)
 				assert.NilError(t, err)
 				assert.Assert(t, len(table.Shards) > 0)
--- a/core/mtplan/mtplan.go
+++ b/core/mtplan/mtplan.go
@@ -1,12 +1,12 @@
-// Package mtplan decides how the shards of a keyed service are spread over its
-// servers: when a table is laid, which shards are split or merged, and which
-// ones should move where.
+// Package mtplan decides how the shards of a keyed service are distributed over
+// its servers: when the first table is created, which shards are split or
+// merged, and which shards move to which server.
 //
-// A Policy looks at a State (tables, servers, estimated loads, weights) and
-// returns a Plan: ops that the planner writes itself since they change no owner
-// (split and merge), and moves that it asks the present owners to carry out.
-// Planner is the policy in use. Rendezvous and Bounded are the plain ways that
-// it is measured against.
+// A Policy takes a State (tables, servers, estimated loads, weights) and
+// returns a Plan: ops that the planning daemon writes itself because they
+// change no owner (split and merge), and moves that it requests from the
+// current owners. Planner is the policy in production use. Rendezvous and
+// Bounded are the baselines that it is compared with.
 //
 // # Usage
 //
@@ -15,9 +15,9 @@
 //	for chunk, ops := range plan.Ops { ... }
 //	for _, move := range plan.Moves { ... }
 //
-// Everything here is deterministic and does no I/O. Policies keep what they
-// have asked for between rounds, so one value serves one service; none of them
-// is safe for concurrent use.
+// Everything in this package is deterministic and does no I/O. Policies
+// remember the moves that they requested between rounds, so each service needs
+// its own value. No policy is safe for concurrent use.
 package mtplan
 
 import (
@@ -25,13 +25,14 @@
 	"magnoliaturn/core/mtshard"
 )
 
-// Leader returns the holder that plans for a service: the first by rendezvous
-// rank among its live holders, or the zero holder if there are none. Daemons
-// that differ about who is live may name two; the store's order of writes makes
-// that harmless.
+// Leader returns the holder that plans for a service: the one with the highest
+// rendezvous rank among its live holders, or the zero holder if there are none.
+// Daemons with different views of who is live may choose different leaders;
+// this is harmless, since the store orders their writes.
 func Leader(ref mtid.Ref, live []mtid.Holder) mtid.Holder {
 	return mtshard.Choose(ref.Point(leaderKey), live)
 }
 
-// leaderKey is the key whose point on the ring ranks the planners.
+// leaderKey is the key whose point on the ring determines the rank of each
+// candidate for leader.
 const leaderKey = "planner"
--- a/core/mtplan/planner.go
+++ b/core/mtplan/planner.go
@@ -10,92 +10,96 @@
 	"magnoliaturn/core/mtid"
 )
 
-// Bounds and times of the planner.
+// Limits and intervals of the planner.
 const (
-	// MaxMoves bounds the moves asked for in one round.
+	// MaxMoves bounds the moves requested in one round.
 	MaxMoves = 256
-	// maxOps bounds the splits and merges written in one round.
+	// maxOps bounds the splits and merges of one round.
 	maxOps = 64
-	// askLife is how long a move that was asked for counts as under way.
-	askLife = 15 * time.Second
-	// restTime is how long a shard that moved stays where it is, unless its
+	// moveTimeout is how long a requested move counts as pending.
+	moveTimeout = 15 * time.Second
+	// moveCooldown is how long a shard that moved stays where it is, unless its
 	// server leaves.
-	restTime = 30 * time.Second
-	// mergeAge is how long a shard that was split off stays apart.
-	mergeAge = time.Minute
-	// patience is how long a server must be out of the band before it is
-	// relieved, so that a short swing moves nothing.
-	patience = 4 * time.Second
-	// urgent is the load per slot, in means, from which there is no waiting
-	// and no budget. With the change that reports may leave out it lies below
-	// the 1.15 that the policy is held to.
-	urgent = 1.10
-	// idle is the share of the mean below which a server counts as one that
-	// has just joined, to be filled without waiting.
-	idle = 0.5
-	// trimRate is the share of all load that may move each minute for the sake
-	// of balance inside the urgent bound, and trimBurst what may be saved up.
-	trimRate  = 0.008
-	trimBurst = 0.01
-	// intakeShare bounds what a server is given between two of its reports, as
-	// a share of its fair load: one that wrongly reports itself idle gets a
-	// little, and then shows whether its load rises.
+	moveCooldown = 30 * time.Second
+	// mergeDelay is how long a shard stays unmerged after a split.
+	mergeDelay = time.Minute
+	// bandDelay is how long a server must be outside the band before load is
+	// moved, so that short fluctuations move nothing.
+	bandDelay = 4 * time.Second
+	// urgentFactor is the load per slot, as a multiple of the mean, above which
+	// load is moved without delay and outside the budget. Together with the
+	// largest change that reports may omit it stays below the 1.15 that the
+	// policy must meet.
+	urgentFactor = 1.10
+	// idleShare is the share of the mean below which a server counts as having
+	// just joined and is filled without delay.
+	idleShare = 0.5
+	// budgetRate is the share of the total load that may move each minute for
+	// balance within the urgent bound. budgetBurst is how much of it may
+	// accumulate.
+	budgetRate  = 0.008
+	budgetBurst = 0.01
+	// intakeShare bounds the load that a server receives between two of its
+	// reports, as a share of its fair load. A server that wrongly reports
+	// itself idle receives little before its reports must show a rise in load.
 	intakeShare = 0.6
-	// intakeTime is how long a server that stays silent counts as not having
-	// reported what it was given. Silence for longer means that little changed.
+	// intakeTime is how long an intake counts while the server sends no report.
+	// If none follows for longer than that, its load changed little.
 	intakeTime = 15 * time.Second
-	// hotShare is the share of a server's fair load from which a key gets a
-	// shard to itself when its server is above the band.
+	// hotShare is the share of a server's fair load above which a key gets a
+	// shard of its own if the server is above the band.
 	hotShare = 0.08
-	// minUtil is the mean load per slot below which balance isn't worth a move.
-	minUtil = 0.005
-	// shardsPerServer bounds the splits: a table has at most Target plus this
-	// many times the servers.
-	shardsPerServer = 16
-	// zonePull is how much a zone's load counts, beside the server's own, in
-	// the choice of where to move a shard.
-	zonePull = 0.3
+	// minMeanUtil is the mean load per slot below which no shard is moved for
+	// balance.
+	minMeanUtil = 0.005
+	// extraShardsPerServer bounds the splits: a table has at most State.Target
+	// shards plus this many per server.
+	extraShardsPerServer = 16
+	// zoneWeight is the weight of the zone's load, relative to the server's
+	// own, in the choice of a recipient.
+	zoneWeight = 0.3
 )
 
-// Planner is the policy in use. It keeps every server's load per slot within a
-// band around the mean and moves the least load that does so.
+// Planner is the policy in production use. It keeps the load per slot of every
+// server within a band around the mean and moves the least load that achieves
+// this.
 //
-// Three things keep it from oscillating under late or wrong reports: loads
-// belong to shards, so a move counts at once at both ends; a move under way
-// counts as done; and a shard that moved rests.
+// Three rules prevent oscillation under late or wrong reports: loads belong to
+// shards, so that a move counts at both ends at once; a pending move counts as
+// done; and a shard that moved stays where it is for a cooldown period.
 type Planner struct {
-	asked map[mtid.Point]request
-	moved map[mtid.Point]mtclock.Instant
-	born  map[mtid.Point]mtclock.Instant
-	above map[mtid.Holder]mtclock.Instant
-	below map[mtid.Holder]mtclock.Instant
-	given map[mtid.Holder]intake
-	trim  float64 // load that may be moved inside the urgent bound
-	last  mtclock.Instant
+	pending    map[mtid.Point]pendingMove
+	movedAt    map[mtid.Point]mtclock.Instant
+	splitAt    map[mtid.Point]mtclock.Instant
+	aboveSince map[mtid.Holder]mtclock.Instant
+	belowSince map[mtid.Holder]mtclock.Instant
+	intakes    map[mtid.Holder]intake
+	budget     float64 // load that may still move within the urgent bound
+	lastRound  mtclock.Instant
 }
 
-// request is a move that was asked for and has not been seen in the table.
-type request struct {
+// pendingMove is a move that was requested and does not show in the table yet.
+type pendingMove struct {
 	from, to mtid.Holder
 	until    mtclock.Instant
 }
 
-// intake is what a server was given since its last report.
+// intake is the load that a server received since its last report.
 type intake struct {
-	heard mtclock.Instant
-	since mtclock.Instant
-	load  float64
+	reportedAt mtclock.Instant
+	since      mtclock.Instant
+	load       float64
 }
 
-// NewPlanner returns the policy with no memory.
+// NewPlanner returns a Planner without pending moves or cooldowns.
 func NewPlanner() *Planner {
 	return &Planner{
-		asked: make(map[mtid.Point]request),
-		moved: make(map[mtid.Point]mtclock.Instant),
-		born:  make(map[mtid.Point]mtclock.Instant),
-		above: make(map[mtid.Holder]mtclock.Instant),
-		below: make(map[mtid.Holder]mtclock.Instant),
-		given: make(map[mtid.Holder]intake),
+		pending:    make(map[mtid.Point]pendingMove),
+		movedAt:    make(map[mtid.Point]mtclock.Instant),
+		splitAt:    make(map[mtid.Point]mtclock.Instant),
+		aboveSince: make(map[mtid.Holder]mtclock.Instant),
+		belowSince: make(map[mtid.Holder]mtclock.Instant),
+		intakes:    make(map[mtid.Holder]intake),
 	}
 }
 
@@ -104,31 +108,33 @@
 
 // Plan implements Policy.
 func (p *Planner) Plan(now mtclock.Instant, state *State) Plan {
-	r := p.survey(now, state)
+	r := p.newRound(now, state)
 	r.evacuate()
-	if r.mean > minUtil {
-		r.relieve()
-		r.fill()
+	if r.mean > minMeanUtil {
+		r.offloadOverloaded()
+		r.fillUnderloaded()
 	}
 	r.merge()
 	return r.plan
 }
 
-// Refused tells the planner that an owner would not carry out a move, so that
-// it no longer counts as under way. The shard rests before it is asked again.
+// Refused notifies the planner that an owner refused a move, so that it no
+// longer counts as pending. The shard is not requested again before its
+// cooldown ends.
 func (p *Planner) Refused(now mtclock.Instant, low mtid.Point) {
-	delete(p.asked, low)
-	p.moved[low] = now
+	delete(p.pending, low)
+	p.movedAt[low] = now
 }
 
-// band is how far from the mean a server may be, in shares of the mean.
+// band is how far the load per slot of a server may differ from the mean, in
+// shares of the mean.
 type band struct {
-	enter float64 // beyond this it is relieved or filled
-	exit  float64 // until it is within this
+	enter float64 // beyond this, load is moved off or onto the server
+	exit  float64 // until the server is within this
 }
 
-// bandOf returns the band that the weights ask for: narrow for a business that
-// weighs imbalance most, wider for one that would rather not have keys moved.
+// bandOf returns the band for the weights: narrow for a business that weights
+// imbalance most, wider for one that prefers fewer key moves.
 func bandOf(w mtbundle.Weights) band {
 	const narrowest, widest, exitPart = 0.06, 0.12, 0.35
 	share := 1.0 / 3
@@ -139,7 +145,7 @@
 	return band{enter: enter, exit: enter * exitPart}
 }
 
-// round is the working state of one Plan.
+// round is the working state of one call of Plan.
 type round struct {
 	p     *Planner
 	now   mtclock.Instant
@@ -147,98 +153,99 @@
 	band  band
 	plan  Plan
 
-	total  float64
-	mean   float64   // load per usable slot
-	owner  []int     // of each shard, moves under way counted as done
-	owned  [][]int   // shards of each server
-	load   []float64 // of each server
-	room   []float64 // usable slots of each server; 0 if it leaves
-	zone   []int     // of each server
-	zones  []zoneLoad
-	hot    []bool // shards that hold a hot key; never merged
-	ops    int
-	shards int // that the table will have
+	total    float64
+	mean     float64   // load per usable slot
+	owner    []int     // of each shard, pending moves counted as done
+	owned    [][]int   // shards of each server
+	load     []float64 // of each server
+	capacity []float64 // usable slots of each server; 0 if it leaves
+	zone     []int     // of each server
+	zones    []zoneLoad
+	hot      []bool // shards that hold a hot key; never merged
+	ops      int
+	shards   int // number of shards after the ops of this round
 }
 
-type zoneLoad struct{ load, room float64 }
+type zoneLoad struct{ load, capacity float64 }
 
 func (z zoneLoad) util() float64 {
-	if z.room == 0 {
+	if z.capacity == 0 {
 		return 0
 	}
-	return z.load / z.room
+	return z.load / z.capacity
 }
 
-// survey starts a round: it settles what was asked for before and adds up.
-func (p *Planner) survey(now mtclock.Instant, state *State) *round {
+// newRound starts a round: it drops expired and completed moves and sums up the
+// loads.
+func (p *Planner) newRound(now mtclock.Instant, state *State) *round {
 	p.expire(now)
 	n := len(state.Servers)
 	r := &round{
 		p: p, now: now, state: state,
-		band:   bandOf(state.Weights),
-		owner:  make([]int, len(state.Shards)),
-		owned:  make([][]int, n),
-		load:   make([]float64, n),
-		room:   make([]float64, n),
-		zone:   make([]int, n),
-		shards: len(state.Shards),
+		band:     bandOf(state.Weights),
+		owner:    make([]int, len(state.Shards)),
+		owned:    make([][]int, n),
+		load:     make([]float64, n),
+		capacity: make([]float64, n),
+		zone:     make([]int, n),
+		shards:   len(state.Shards),
 	}
 	r.mean = state.Mean()
 	r.addServers()
 	r.addShards()
-	r.addUnknown()
-	r.addHot()
-	p.refill(now, r.total)
-	r.watch()
+	r.addUnreported()
+	r.markHotShards()
+	p.refillBudget(now, r.total)
+	r.trackBand()
 	return r
 }
 
-// expire drops what is no longer needed.
+// expire drops timed-out moves, cooldowns that have ended and old split times.
 func (p *Planner) expire(now mtclock.Instant) {
-	for low, a := range p.asked {
+	for low, a := range p.pending {
 		if now.After(a.until) {
 			p.Refused(now, low)
 		}
 	}
-	for low, at := range p.moved {
-		if now.Sub(at) > restTime {
-			delete(p.moved, low)
+	for low, at := range p.movedAt {
+		if now.Sub(at) > moveCooldown {
+			delete(p.movedAt, low)
 		}
 	}
-	for low, at := range p.born {
-		if now.Sub(at) > mergeAge {
-			delete(p.born, low)
+	for low, at := range p.splitAt {
+		if now.Sub(at) > mergeDelay {
+			delete(p.splitAt, low)
 		}
 	}
 }
 
-// refill lets the budget of small corrections grow.
-func (p *Planner) refill(now mtclock.Instant, total float64) {
-	if p.last != 0 {
-		p.trim += total * trimRate * now.Sub(p.last).Minutes()
+// refillBudget adds the elapsed time to the budget for small corrections.
+func (p *Planner) refillBudget(now mtclock.Instant, total float64) {
+	if p.lastRound != 0 {
+		p.budget += total * budgetRate * now.Sub(p.lastRound).Minutes()
 	}
-	p.last = now
-	p.trim = min(p.trim, total*trimBurst)
+	p.lastRound = now
+	p.budget = min(p.budget, total*budgetBurst)
 }
 
 func (r *round) addServers() {
-	places := make(map[mtid.Zone]int)
+	indexes := make(map[mtid.Zone]int)
 	for i := range r.state.Servers {
 		server := &r.state.Servers[i]
-		zone, ok := places[server.Zone]
+		zone, ok := indexes[server.Zone]
 		if !ok {
 			zone = len(r.zones)
-			places[server.Zone] = zone
+			indexes[server.Zone] = zone
 			r.zones = append(r.zones, zoneLoad{})
 		}
 		r.zone[i] = zone
 		if !server.Leaving {
-			r.room[i] = server.Slots * server.Warm
-			r.zones[zone].room += r.room[i]
+			r.capacity[i] = server.Slots * server.Warm
+			r.zones[zone].capacity += r.capacity[i]
 		}
-		given := r.p.given[server.Holder]
-		if given.heard != server.HeardAt || r.now.Sub(given.since) > intakeTime {
-			r.p.given[server.Holder] = intake{heard: server.HeardAt, since: r.now}
+		given := r.p.intakes[server.Holder]
+		if given.reportedAt != server.HeardAt || r.now.Sub(given.since) > intakeTime {
+			r.p.intakes[server.Holder] = intake{reportedAt: server.HeardAt, since: r.now}
 		}
 	}
 }
@@ -246,7 +253,7 @@
 func (r *round) addShards() {
 	for i := range r.state.Shards {
 		s := &r.state.Shards[i]
-		r.owner[i] = r.settle(s)
+		r.owner[i] = r.countedOwner(s)
 		r.total += s.Load
 		if r.owner[i] < 0 {
 			continue
@@ -257,50 +264,50 @@
 	}
 }
 
-// addUnknown takes servers that have never reported for loaded like the mean.
-// Their shards count for nothing yet, and a server that leaves would be emptied
-// onto one of them.
-func (r *round) addUnknown() {
+// addUnreported counts servers that have never reported as loaded like the
+// mean. Their shards have no known load yet; without this, a leaving server
+// would be evacuated onto one of them.
+func (r *round) addUnreported() {
 	for i := range r.state.Servers {
 		if r.state.Servers[i].HeardAt != 0 {
 			continue
 		}
-		missing := max(0, r.fair(i)-r.load[i])
+		missing := max(0, r.fairLoad(i)-r.load[i])
 		r.load[i] += missing
 		r.zones[r.zone[i]].load += missing
 	}
 }
 
-// settle returns the owner that a shard is counted for, and forgets a move that
-// is done or overtaken.
-func (r *round) settle(s *Shard) int {
-	a, ok := r.p.asked[s.Low]
+// countedOwner returns the owner that a shard's load counts for. It forgets a
+// pending move that is completed or obsolete.
+func (r *round) countedOwner(s *Shard) int {
+	a, ok := r.p.pending[s.Low]
 	if !ok || s.Owner < 0 {
 		return s.Owner
 	}
 	if r.state.Servers[s.Owner].Holder != a.from {
-		delete(r.p.asked, s.Low)
-		r.p.moved[s.Low] = r.now
+		delete(r.p.pending, s.Low)
+		r.p.movedAt[s.Low] = r.now
 		return s.Owner
 	}
-	if to := place(r.state, a.to); to >= 0 {
+	if to := serverIndex(r.state, a.to); to >= 0 {
 		return to
 	}
-	delete(r.p.asked, s.Low)
+	delete(r.p.pending, s.Low)
 	return s.Owner
 }
 
-// addHot marks the shards that hold a hot key.
-func (r *round) addHot() {
+// markHotShards marks the shards that hold a hot key.
+func (r *round) markHotShards() {
 	r.hot = make([]bool, len(r.state.Shards))
 	for _, point := range r.state.Points {
-		if i := r.shardAt(point.Point); i >= 0 && point.Load > hotShare/4*r.fair(r.owner[i]) {
+		if i := r.shardAt(point.Point); i >= 0 && point.Load > hotShare/4*r.fairLoad(r.owner[i]) {
 			r.hot[i] = true
 		}
 	}
 }
 
-// shardAt returns the place of the shard that covers p.
+// shardAt returns the index of the shard that covers p.
 func (r *round) shardAt(p mtid.Point) int {
 	i, ok := slices.BinarySearchFunc(r.state.Shards, p, func(s Shard, p mtid.Point) int { return cmp.Compare(s.Low, p) })
 	if ok {
@@ -309,32 +316,32 @@
 	return i - 1
 }
 
-// fair returns the load that a server would have at the mean.
-func (r *round) fair(server int) float64 {
+// fairLoad returns the load of a server at the mean load per slot.
+func (r *round) fairLoad(server int) float64 {
 	if server < 0 {
 		return 0
 	}
-	return r.mean * r.room[server]
+	return r.mean * r.capacity[server]
 }
 
 // util returns a server's load per usable slot.
 func (r *round) util(server int) float64 {
-	if r.room[server] == 0 {
+	if r.capacity[server] == 0 {
 		return 0
 	}
-	return r.load[server] / r.room[server]
+	return r.load[server] / r.capacity[server]
 }
 
-// watch notes since when each server has been out of the band.
-func (r *round) watch() {
+// trackBand records since when each server has been outside the band.
+func (r *round) trackBand() {
 	for i := range r.state.Servers {
 		holder := r.state.Servers[i].Holder
-		note(r.p.above, holder, r.now, r.room[i] > 0 && r.util(i) > r.mean*(1+r.band.enter))
-		note(r.p.below, holder, r.now, r.room[i] > 0 && r.util(i) < r.mean*(1-r.band.enter))
+		trackSince(r.p.aboveSince, holder, r.now, r.capacity[i] > 0 && r.util(i) > r.mean*(1+r.band.enter))
+		trackSince(r.p.belowSince, holder, r.now, r.capacity[i] > 0 && r.util(i) < r.mean*(1-r.band.enter))
 	}
 }
 
-func note(since map[mtid.Holder]mtclock.Instant, holder mtid.Holder, now mtclock.Instant, out bool) {
+func trackSince(since map[mtid.Holder]mtclock.Instant, holder mtid.Holder, now mtclock.Instant, out bool) {
 	if !out {
 		delete(since, holder)
 		return
@@ -344,35 +351,36 @@
 	}
 }
 
-// lasting reports whether a server has been out of the band for long enough.
-func (r *round) lasting(since map[mtid.Holder]mtclock.Instant, server int) bool {
+// outOfBandLongEnough reports whether a server has been outside the band for at
+// least bandDelay.
+func (r *round) outOfBandLongEnough(since map[mtid.Holder]mtclock.Instant, server int) bool {
 	at, ok := since[r.state.Servers[server].Holder]
-	return ok && r.now.Sub(at) >= patience
+	return ok && r.now.Sub(at) >= bandDelay
 }
 
-// full reports whether the round has asked for all that it may.
+// full reports whether the round has reached its limit of moves.
 func (r *round) full() bool { return len(r.plan.Moves) >= MaxMoves }
 
-// movable reports whether a shard may be moved for the sake of balance.
+// movable reports whether a shard may be moved for balance.
 func (r *round) movable(i int) bool {
 	s := &r.state.Shards[i]
 	if s.Pinned {
 		return false
 	}
-	if _, ok := r.p.asked[s.Low]; ok {
+	if _, ok := r.p.pending[s.Low]; ok {
 		return false
 	}
-	_, ok := r.p.moved[s.Low]
+	_, ok := r.p.movedAt[s.Low]
 	return !ok
 }
 
-// move asks for shard i to go to a server, and counts it as done.
+// move requests a move of shard i to a server and counts it as done.
 func (r *round) move(i, to int) {
 	s := &r.state.Shards[i]
 	from := r.owner[i]
-	request := request{from: r.state.Servers[s.Owner].Holder, to: r.state.Servers[to].Holder, until: r.now.Add(askLife)}
-	r.p.asked[s.Low] = request
-	r.plan.Moves = append(r.plan.Moves, Move{Low: s.Low, From: request.from, To: request.to})
+	pending := pendingMove{from: r.state.Servers[s.Owner].Holder, to: r.state.Servers[to].Holder, until: r.now.Add(moveTimeout)}
+	r.p.pending[s.Low] = pending
+	r.plan.Moves = append(r.plan.Moves, Move{Low: s.Low, From: pending.from, To: pending.to})
 	r.load[from] -= s.Load
 	r.load[to] += s.Load
 	r.zones[r.zone[from]].load -= s.Load
@@ -381,36 +389,37 @@
 	k := slices.Index(r.owned[from], i)
 	r.owned[from] = slices.Delete(r.owned[from], k, k+1)
 	r.owned[to] = append(r.owned[to], i)
-	given := r.p.given[request.to]
+	given := r.p.intakes[pending.to]
 	given.load += s.Load
-	r.p.given[request.to] = given
+	r.p.intakes[pending.to] = given
 }
 
-// open reports whether a server may be given load: it stays, its load is known,
-// and it has not been given much since it last reported.
-func (r *round) open(server int, load float64) bool {
+// accepts reports whether a server may receive load: it is not leaving, its
+// load is known, and it has not received much since its last report.
+func (r *round) accepts(server int, load float64) bool {
 	s := &r.state.Servers[server]
-	if r.room[server] == 0 || !s.Heard {
+	if r.capacity[server] == 0 || !s.Heard {
 		return false
 	}
-	given := r.p.given[s.Holder].load
-	return given == 0 || given+load <= intakeShare*r.fair(server)
+	given := r.p.intakes[s.Holder].load
+	return given == 0 || given+load <= intakeShare*r.fairLoad(server)
 }
 
-// recipient returns where a shard of that load fits best with no server above
-// limit, or -1. Between servers alike it goes to the zone with the least load,
-// so that the loss of any zone gives the others the least to take over.
+// recipient returns the server that fits a shard of that load best without
+// exceeding limit, or -1. Among similar servers it prefers the zone with the
+// least load, so that the loss of any zone leaves the others the least to take
+// over.
 func (r *round) recipient(from int, load, limit float64) int {
 	best, bestScore := -1, 0.0
 	for i := range r.state.Servers {
-		if i == from || r.room[i] == 0 {
+		if i == from || r.capacity[i] == 0 {
 			continue
 		}
-		after := (r.load[i] + load) / r.room[i]
-		if after > limit || !r.open(i, load) {
+		after := (r.load[i] + load) / r.capacity[i]
+		if after > limit || !r.accepts(i, load) {
 			continue
 		}
-		score := after + zonePull*r.zones[r.zone[i]].util()
+		score := after + zoneWeight*r.zones[r.zone[i]].util()
 		if best < 0 || score < bestScore {
 			best, bestScore = i, score
 		}
@@ -418,8 +427,8 @@
 	return best
 }
 
-// evacuate asks for everything to leave the servers that leave, the heaviest
-// shards first. No budget and no rest holds it up.
+// evacuate requests moves of all shards off the leaving servers, the heaviest
+// first. Neither the budget nor a cooldown delays it.
 func (r *round) evacuate() {
 	var leaving []int
 	for i := range r.state.Shards {
@@ -432,26 +441,28 @@
 		if r.full() {
 			return
 		}
-		if _, ok := r.p.asked[r.state.Shards[i].Low]; ok && r.state.Shards[i].Owner != r.owner[i] {
-			// Under way to a server that leaves too: wait for it to end.
+		if _, ok := r.p.pending[r.state.Shards[i].Low]; ok && r.state.Shards[i].Owner != r.owner[i] {
+			// The shard has a pending move to a server that is also leaving:
+			// wait for it to end.
 			continue
 		}
-		if to := r.refuge(i); to >= 0 {
+		if to := r.evacuationTarget(i); to >= 0 {
 			r.move(i, to)
 		}
 	}
 }
 
-// refuge returns where a shard of a leaving server goes: where it fits, or
-// failing that to the least loaded server, known or not.
-func (r *round) refuge(i int) int {
+// evacuationTarget returns the server for a shard of a leaving server: the best
+// recipient, or if there is none the least loaded server, even if its load is
+// unknown.
+func (r *round) evacuationTarget(i int) int {
 	load := r.state.Shards[i].Load
 	if to := r.recipient(r.owner[i], load, r.mean*(1+r.band.enter)); to >= 0 {
 		return to
 	}
 	best := -1
 	for k := range r.state.Servers {
-		if r.room[k] == 0 {
+		if r.capacity[k] == 0 {
 			continue
 		}
 		if best < 0 || r.util(k) < r.util(best) {
--- a/core/mtplan/planner_test.go
+++ b/core/mtplan/planner_test.go
@@ -22,9 +22,9 @@
 
 var start = mtclock.Instant(time.Hour)
 
-// state returns a state of servers with shards of the given loads, laid one
-// after another on the ring.
-func state(loads ...[]float64) *mtplan.State {
+// newState returns a state of servers with shards of the given loads,
+// contiguous on the ring.
+func newState(loads ...[]float64) *mtplan.State {
 	s := &mtplan.State{}
 	count := 0
 	for _, l := range loads {
@@ -52,11 +52,11 @@
 	return s
 }
 
-// many returns n shards of a load.
-func many(n int, load float64) []float64 { return slices.Repeat([]float64{load}, n) }
+// repeat returns n shards of the same load.
+func repeat(n int, load float64) []float64 { return slices.Repeat([]float64{load}, n) }
 
-// after returns the load of each server once a plan's moves are done.
-func after(t require, s *mtplan.State, plan mtplan.Plan) []float64 {
+// loadsAfter returns the load of each server once a plan's moves are done.
+func loadsAfter(t testingT, s *mtplan.State, plan mtplan.Plan) []float64 {
 	t.Helper()
 	loads := make([]float64, len(s.Servers))
 	to := make(map[mtid.Point]mtid.Holder)
@@ -80,13 +80,13 @@
 	return loads
 }
 
-// require is what testing.T and rapid.T have in common.
-type require interface {
+// testingT is the common subset of testing.T and rapid.T.
+type testingT interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-func moves(plan mtplan.Plan, s *mtplan.State) (load float64) {
+func movedLoad(plan mtplan.Plan, s *mtplan.State) (load float64) {
 	for _, m := range plan.Moves {
 		for _, shard := range s.Shards {
 			if shard.Low == m.Low {
@@ -97,35 +97,35 @@
 	return load
 }
 
-func TestPlannerRelieves(t *testing.T) {
+func TestPlannerKeepsLoadsWithinTheBand(t *testing.T) {
 	tests := []struct {
 		name  string
 		loads [][]float64
-		worst float64 // load per slot over the mean, after the moves
-		moved float64 // at most, in shares of all load
+		worst float64 // highest load per slot after the moves, as a multiple of the mean
+		moved float64 // largest share of the total load that may move
 	}{
-		{"even", [][]float64{many(20, 0.2), many(20, 0.2), many(20, 0.2)}, 1.001, 0},
-		{"within the band", [][]float64{many(21, 0.2), many(20, 0.2), many(19, 0.2)}, 1.06, 0},
-		{"one overloaded", [][]float64{many(30, 0.2), many(15, 0.2), many(15, 0.2)}, 1.06, 0.17},
-		{"one idle, until it reports again", [][]float64{many(30, 0.2), many(30, 0.2), nil}, 1.41, 0.21},
-		{"a heavy shard among light ones", [][]float64{append(many(10, 0.2), 3), many(10, 0.2), many(10, 0.2)}, 1.15, 0.24},
+		{"even", [][]float64{repeat(20, 0.2), repeat(20, 0.2), repeat(20, 0.2)}, 1.001, 0},
+		{"within the band", [][]float64{repeat(21, 0.2), repeat(20, 0.2), repeat(19, 0.2)}, 1.06, 0},
+		{"one overloaded", [][]float64{repeat(30, 0.2), repeat(15, 0.2), repeat(15, 0.2)}, 1.06, 0.17},
+		{"one idle, limited by intakeShare", [][]float64{repeat(30, 0.2), repeat(30, 0.2), nil}, 1.41, 0.21},
+		{"one heavy shard among light ones", [][]float64{append(repeat(10, 0.2), 3), repeat(10, 0.2), repeat(10, 0.2)}, 1.15, 0.24},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := state(tt.loads...)
+			s := newState(tt.loads...)
 			plan := mtplan.NewPlanner().Plan(start, s)
-			worst := slices.Max(after(t, s, plan)) / slots / s.Mean()
+			worst := slices.Max(loadsAfter(t, s, plan)) / slots / s.Mean()
 			assert.Assert(t, worst <= tt.worst, "got %.3f, want at most %.3f", worst, tt.worst)
-			got := moves(plan, s) / s.Total
+			got := movedLoad(plan, s) / s.Total
 			assert.Assert(t, got <= tt.moved, "got %.3f of the load moved, want at most %.3f", got, tt.moved)
 		})
 	}
 }
 
-// A hot key shares its shard and its server with others. It must be cut out at
-// both ends, in the chunk that it lies in, and nothing else be cut.
+// A hot key shares its shard and its server with others. It must be split out
+// at both ends, in the chunk that it lies in, and no other shard may be split.
 func TestPlannerIsolatesAHotKey(t *testing.T) {
-	s := state(append(many(10, 0.2), 4), many(10, 0.2), many(10, 0.2))
+	s := newState(append(repeat(10, 0.2), 4), repeat(10, 0.2), repeat(10, 0.2))
 	shard := s.Shards[10]
 	hot := shard.Low + 1000
 	s.Points = []mtload.PointLoad{{Point: hot, Load: 3.8}}
@@ -136,25 +136,25 @@
 	}
 }
 
-// Two hot keys met on one server, and no other has room for a whole one. One of
-// them must go to a server that can give small shards away.
-func TestPlannerPartsHotKeys(t *testing.T) {
-	s := state([]float64{3, 3}, many(50, 0.09), many(50, 0.09), many(50, 0.09))
+// Two hot keys are on one server, and no other server has spare capacity for a
+// whole one. One of them must move to a server that can offload small shards.
+func TestPlannerSeparatesHotKeys(t *testing.T) {
+	s := newState([]float64{3, 3}, repeat(50, 0.09), repeat(50, 0.09), repeat(50, 0.09))
 	p := mtplan.NewPlanner()
 	plan := p.Plan(start, s)
-	assert.Equal(t, len(plan.Moves), 0, "a first glimpse is no reason for that many moves")
+	assert.Equal(t, len(plan.Moves), 0, "an exchange takes many moves and must wait for exchangeDelay")
 	plan = p.Plan(start.Add(15*time.Second), s)
-	worst := slices.Max(after(t, s, plan)) / slots / s.Mean()
+	worst := slices.Max(loadsAfter(t, s, plan)) / slots / s.Mean()
 	assert.Assert(t, worst < 1.1, "got %.3f", worst)
-	parted := slices.ContainsFunc(plan.Moves, func(m mtplan.Move) bool { return m.Low == s.Shards[0].Low }) !=
+	separated := slices.ContainsFunc(plan.Moves, func(m mtplan.Move) bool { return m.Low == s.Shards[0].Low }) !=
 		slices.ContainsFunc(plan.Moves, func(m mtplan.Move) bool { return m.Low == s.Shards[1].Low })
-	assert.Assert(t, parted, "one of the two moves, not both")
+	assert.Assert(t, separated, "exactly one of the two hot shards must move")
 }
 
-// A business that weighs imbalance most is relieved from a smaller excess than
-// one that would rather not have its keys moved.
+// A business that weights imbalance most is rebalanced at a smaller excess than
+// one that prefers fewer key moves.
 func TestWeightsSetTheBand(t *testing.T) {
-	loads := [][]float64{many(109, 0.04), many(97, 0.04), many(97, 0.04), many(97, 0.04)}
+	loads := [][]float64{repeat(109, 0.04), repeat(97, 0.04), repeat(97, 0.04), repeat(97, 0.04)}
 	tests := []struct {
 		name    string
 		weights mtbundle.Weights
@@ -166,7 +166,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := state(loads...)
+			s := newState(loads...)
 			s.Weights = tt.weights
 			p := mtplan.NewPlanner()
 			moved := 0
@@ -178,11 +178,11 @@
 	}
 }
 
-// A planner has just taken over and has heard one server of four. It must not
-// take that one for overloaded because the others' load is unknown, nor empty a
-// leaving server onto one of the unknown.
-func TestUnknownLoadIsNotNoLoad(t *testing.T) {
-	s := state(many(20, 0.2), many(20, 0), many(20, 0), many(20, 0))
+// A planner has just taken over and has reports of one server out of four. It
+// must not consider that one overloaded because the load of the others is
+// unknown, nor evacuate a leaving server onto one of the others.
+func TestUnknownLoadIsNotCountedAsZero(t *testing.T) {
+	s := newState(repeat(20, 0.2), repeat(20, 0), repeat(20, 0), repeat(20, 0))
 	for i := range s.Servers[1:] {
 		s.Servers[i+1].Heard, s.Servers[i+1].HeardAt = false, 0
 	}
@@ -192,28 +192,29 @@
 		assert.Equal(t, len(plan.Moves)+len(plan.Ops), 0)
 	}
 	s.Servers[0].Leaving = true
-	got := after(t, s, mtplan.NewPlanner().Plan(start, s))
-	assert.Assert(t, slices.Max(got) < 2, "got %v, want the load spread over three", got)
+	got := loadsAfter(t, s, mtplan.NewPlanner().Plan(start, s))
+	assert.Assert(t, slices.Max(got) < 2, "got loads %v, want the load spread over three servers", got)
 }
 
 // The owner is slow to carry out a move, and the reports still show the old
-// load. Asking for more in each round would empty the server and fill another.
-func TestPlannerCountsMovesUnderWay(t *testing.T) {
-	s := state(many(30, 0.2), many(15, 0.2), many(15, 0.2))
+// load. Requesting more moves in each round would empty the server and overload
+// another.
+func TestPlannerCountsPendingMoves(t *testing.T) {
+	s := newState(repeat(30, 0.2), repeat(15, 0.2), repeat(15, 0.2))
 	p := mtplan.NewPlanner()
 	first := p.Plan(start, s)
 	assert.Assert(t, len(first.Moves) > 0)
 	second := p.Plan(start.Add(5*time.Second), s)
 	assert.Equal(t, len(second.Moves), 0)
-	lapsed := p.Plan(start.Add(50*time.Second), s)
+	afterTimeout := p.Plan(start.Add(50*time.Second), s)
 	third := p.Plan(start.Add(90*time.Second), s)
-	assert.Assert(t, len(lapsed.Moves)+len(third.Moves) > 0, "a wish that nobody carried out lapses")
+	assert.Assert(t, len(afterTimeout.Moves)+len(third.Moves) > 0, "a move that was not carried out must be requested again after moveTimeout")
 }
 
-// A shard has just moved, and at once its old server looks emptier than its new
-// one. It must rest, or it goes back and forth.
-func TestMovedShardsRest(t *testing.T) {
-	s := state([]float64{2, 2, 2, 2}, []float64{1, 1}, []float64{1, 1})
+// A shard has just moved, and its old server immediately appears less loaded
+// than its new one. Without a cooldown the shard would move back and forth.
+func TestMovedShardsStayDuringCooldown(t *testing.T) {
+	s := newState([]float64{2, 2, 2, 2}, []float64{1, 1}, []float64{1, 1})
 	p := mtplan.NewPlanner()
 	first := p.Plan(start, s)
 	assert.Assert(t, len(first.Moves) > 0)
@@ -233,32 +234,32 @@
 	}
 }
 
-// A server leaves. All its shards must go, pinned and resting ones too, and
-// none to another that leaves.
+// A server leaves. All its shards must move, including pinned ones and ones in
+// cooldown, and none to another leaving server.
 func TestLeavingServersAreEmptied(t *testing.T) {
-	s := state(many(20, 0.2), many(20, 0.2), many(20, 0.2), many(20, 0.2))
+	s := newState(repeat(20, 0.2), repeat(20, 0.2), repeat(20, 0.2), repeat(20, 0.2))
 	s.Servers[0].Leaving, s.Servers[1].Leaving = true, true
 	s.Servers[2].Heard = false
 	s.Shards[3].Pinned = true
 	plan := mtplan.NewPlanner().Plan(start, s)
-	got := after(t, s, plan)
+	got := loadsAfter(t, s, plan)
 	assert.Equal(t, got[0]+got[1], 0.0)
 	assert.Equal(t, len(plan.Moves), 40)
 }
 
-// A request crashes each server that runs it. Its shard loses two owners one
-// after another. The planner must leave it where it is, whatever its load, since
-// each move offers the request another server to crash.
-func TestShardThatLosesOwnersStays(t *testing.T) {
+// A request crashes each server that runs it, and its shard loses two owners in
+// a row. The planner must leave the shard where it is, whatever its load, since
+// each move would let the request crash another server.
+func TestShardThatLostSeveralOwnersIsPinned(t *testing.T) {
 	var losses mtplan.Losses
-	s := state(many(20, 0.2), append(many(10, 0.2), 5), many(20, 0.2))
+	s := newState(repeat(20, 0.2), append(repeat(10, 0.2), 5), repeat(20, 0.2))
 	poisoned := s.Shards[30].Low
 	for _, shard := range s.Shards[:20] {
 		losses.Lost(start, shard.Low)
 	}
 	losses.Lost(start, poisoned)
 	losses.Pin(start, s.Shards)
-	assert.Assert(t, !s.Shards[30].Pinned, "one loss is no suspicion")
+	assert.Assert(t, !s.Shards[30].Pinned, "a single loss must not pin a shard")
 	losses.Lost(start.Add(time.Minute), poisoned)
 	losses.Pin(start.Add(time.Minute), s.Shards)
 	assert.Assert(t, s.Shards[30].Pinned)
@@ -273,11 +274,11 @@
 	assert.Assert(t, !s.Shards[3].Pinned)
 }
 
-// Two zones are lost within minutes. Their shards all lost two owners, but no
-// key crashed them; planning must go on.
-func TestOutagesPinNothing(t *testing.T) {
+// Two zones are lost within minutes. All their shards lost two owners, but not
+// because of a poison key. Planning must continue.
+func TestOutagesPinNoShards(t *testing.T) {
 	var losses mtplan.Losses
-	s := state(many(20, 0.2), many(20, 0.2))
+	s := newState(repeat(20, 0.2), repeat(20, 0.2))
 	for range 2 {
 		for _, shard := range s.Shards[:20] {
 			losses.Lost(start, shard.Low)
@@ -289,11 +290,11 @@
 	}
 }
 
-// A hot key has cooled, and its three shards are cold. They must become one
-// again, or tables grow with each day's peaks; but not within a minute of the
-// split, and not while the key is hot.
+// A hot key has cooled, and its three shards are cold. They must be merged, or
+// tables grow with the peaks of each day; but not within a minute of the split,
+// and not while the key is hot.
 func TestColdShardsMerge(t *testing.T) {
-	s := state(many(10, 0.2), many(10, 0.2))
+	s := newState(repeat(10, 0.2), repeat(10, 0.2))
 	s.Target = 19
 	s.Shards[4].Load, s.Shards[5].Load = 0.01, 0.01
 	plan := mtplan.NewPlanner().Plan(start, s)
@@ -304,10 +305,10 @@
 	assert.Equal(t, len(plan.Ops), 0)
 }
 
-// Whatever the state, a plan must fit it: every op applies to the chunk as it
-// is, every move starts at the present owner and ends at a server that stays,
-// and no shard is both moved and split or merged.
-func TestPlansFitTheTable(t *testing.T) {
+// For any state, a plan must apply to the tables: every op applies to its
+// chunk, every move starts at the current owner and ends at a server that is
+// not leaving, and no shard is both moved and split or merged.
+func TestPlansApplyToTheTables(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const chunks = 2
 		n := rapid.IntRange(1, 6).Draw(t, "servers")
@@ -335,11 +336,11 @@
 			tables = append(tables, table)
 		}
 		p := mtplan.NewPlanner()
-		book := mtload.NewBook()
+		estimates := mtload.NewBook()
 		now := start
 		for range rapid.IntRange(1, 6).Draw(t, "rounds") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 90).Draw(t, "wait")) * time.Second)
-			s := &mtplan.State{Servers: servers, Shards: mtplan.Survey(now, tables, servers, book), Target: rapid.IntRange(1, 30).Draw(t, "target")}
+			s := &mtplan.State{Servers: servers, Shards: mtplan.Survey(now, tables, servers, estimates), Target: rapid.IntRange(1, 30).Draw(t, "target")}
 			for i := range s.Shards {
 				s.Shards[i].Load = rapid.SampledFrom([]float64{0, 0.01, 0.1, 1, 5}).Draw(t, "load")
 				s.Shards[i].Pinned = rapid.IntRange(0, 9).Draw(t, "pinned") == 0
@@ -348,13 +349,13 @@
 					s.Points = append(s.Points, mtload.PointLoad{Point: s.Shards[i].Low + (s.Shards[i].High-s.Shards[i].Low)/3, Load: s.Shards[i].Load})
 				}
 			}
-			tables = carryOut(t, tables, s, p.Plan(now, s))
+			tables = applyPlan(t, tables, s, p.Plan(now, s))
 		}
 	})
 }
 
-// carryOut applies a plan and checks that it fits.
-func carryOut(t *rapid.T, tables []*mtshard.Table, s *mtplan.State, plan mtplan.Plan) []*mtshard.Table {
+// applyPlan applies a plan and checks that it fits the tables.
+func applyPlan(t *rapid.T, tables []*mtshard.Table, s *mtplan.State, plan mtplan.Plan) []*mtshard.Table {
 	assert.Assert(t, len(plan.Moves) <= mtplan.MaxMoves)
 	next := slices.Clone(tables)
 	for chunk, ops := range plan.Ops {
@@ -370,7 +371,7 @@
 		assert.Assert(t, m.From != m.To)
 		highBefore, _ := tables[chunk].High(m.Low)
 		highAfter, ok := next[chunk].High(m.Low)
-		assert.Assert(t, ok && highBefore == highAfter, "a shard is moved and changed in one round")
+		assert.Assert(t, ok && highBefore == highAfter, "a shard was moved and also split or merged in one round")
 		to := slices.IndexFunc(s.Servers, func(v mtplan.Server) bool { return v.Holder == m.To })
 		assert.Assert(t, to >= 0 && !s.Servers[to].Leaving)
 	}
@@ -386,25 +387,25 @@
 	return next
 }
 
-func TestBaselines(t *testing.T) {
-	s := state(many(20, 0.2), many(20, 0.2), many(20, 0.2))
+func TestBaselinesAreStableAndEvacuate(t *testing.T) {
+	s := newState(repeat(20, 0.2), repeat(20, 0.2), repeat(20, 0.2))
 	s.Servers[0].Leaving = true
 	for _, policy := range []mtplan.Policy{mtplan.NewRendezvous(), mtplan.NewBounded()} {
 		t.Run(policy.Name(), func(t *testing.T) {
 			plan := policy.Plan(start, s)
-			got := after(t, s, plan)
+			got := loadsAfter(t, s, plan)
 			assert.Equal(t, got[0], 0.0)
 			again := policy.Plan(start, s)
 			assert.DeepEqual(t, again, plan)
 		})
 	}
-	bounded := after(t, s, mtplan.NewBounded().Plan(start, s))
+	bounded := loadsAfter(t, s, mtplan.NewBounded().Plan(start, s))
 	worst := slices.Max(bounded) / slots / s.Mean()
 	assert.Assert(t, worst <= mtplan.BoundedFactor, "got %v", worst)
 }
 
-// BenchmarkRound is one round for 480 servers and 25,000 shards, from the
-// tables to the plan, with a tenth of the servers out of the band.
+// BenchmarkRound measures one round for 480 servers and 25,000 shards, from the
+// tables to the plan, with a tenth of the servers outside the band.
 func BenchmarkRound(b *testing.B) {
 	const servers, shards, chunks = 480, 25000, 64
 	var members []mtplan.Member
@@ -420,8 +421,8 @@
 		assert.NilError(b, err)
 		tables = append(tables, table)
 	}
-	book := mtload.NewBook()
-	mtplan.Survey(start, tables, list, book)
+	estimates := mtload.NewBook()
+	mtplan.Survey(start, tables, list, estimates)
 	for i, s := range list {
 		load := 4.0
 		if i%10 == 0 {
@@ -431,11 +432,11 @@
 		for _, table := range tables {
 			owned = append(owned, table.Owned(s.Holder)...)
 		}
-		book.Take(start, &mtload.Report{From: s.Holder, Sequence: 1, Load: load}, owned)
+		estimates.Take(start, &mtload.Report{From: s.Holder, Sequence: 1, Load: load}, owned)
 	}
 	b.ResetTimer()
 	for range b.N {
-		s := &mtplan.State{Servers: list, Shards: mtplan.Survey(start, tables, list, book), Target: shards, Total: book.Total()}
+		s := &mtplan.State{Servers: list, Shards: mtplan.Survey(start, tables, list, estimates), Target: shards, Total: estimates.Total()}
 		plan := mtplan.NewPlanner().Plan(start, s)
 		assert.Assert(b, len(plan.Moves) > 0)
 	}
--- a/core/mtplan/state.go
+++ b/core/mtplan/state.go
@@ -11,107 +11,111 @@
 	"magnoliaturn/core/mtshard"
 )
 
-// Policy decides on the shards of one service, round after round.
+// Policy plans the shards of one service, round after round.
 type Policy interface {
-	// Name is how reports call the policy.
+	// Name identifies the policy in reports.
 	Name() string
-	// Plan decides one round. It may keep what it asked for, and must not keep
-	// or change the state.
+	// Plan decides one round. It may remember the moves that it requested, but
+	// must neither retain nor change the state.
 	Plan(now mtclock.Instant, state *State) Plan
 }
 
-// Plan is what a policy decided in one round.
+// Plan is the decision of a policy for one round.
 type Plan struct {
-	// Ops are splits and merges, by chunk, in the order to apply them.
+	// Ops are splits and merges by chunk, in the order in which to apply them.
 	Ops map[int][]mtshard.Op
-	// Moves are wishes to the owners, the most urgent first.
+	// Moves are requested from the owners, the most urgent first.
 	Moves []Move
 }
 
-// Move is a wish that one holder hand a shard to another.
+// Move requests that one holder hand over a shard to another.
 type Move struct {
 	Low  mtid.Point
 	From mtid.Holder
 	To   mtid.Holder
 }
 
-// Server is one server of the service, as policies see it.
+// Server is what a policy knows about one server of the service.
 type Server struct {
 	Holder mtid.Holder
 	Zone   mtid.Zone
 	Slots  float64
-	// Warm is the share of its slots that a cold server can use yet, 0 to 1.
+	// Warm is the share of its slots that the server can use so far, 0 to 1. It
+	// is below 1 for a cold server.
 	Warm    float64
 	Leaving bool
-	// Heard says whether the load of its shards is known.
+	// Heard is whether the current load of its shards is known.
 	Heard bool
-	// HeardAt is when its last new measurement came in, or zero for never.
+	// HeardAt is when its last new measurement arrived, or zero if none has.
 	HeardAt mtclock.Instant
 }
 
-// Shard is one shard, as policies see it.
+// Shard is what a policy knows about one shard.
 type Shard struct {
 	Low, High mtid.Point
 	Chunk     int
-	Owner     int // place in State.Servers, or -1 for one that is not there
+	Owner     int // index into State.Servers, or -1 if the owner is not among them
 	Load      float64
-	// Pinned says that the shard's owners were lost one after another: it
-	// stays where it is, lest it take the fleet down server by server.
+	// Pinned is whether several owners of the shard were lost in a row. Such a
+	// shard stays where it is, since moving it could crash one server after
+	// another.
 	Pinned bool
 }
 
-// Single reports whether the shard holds one point only.
+// Single reports whether the shard holds only one point.
 func (s *Shard) Single() bool { return s.Low == s.High }
 
-// State is what a policy decides from.
+// State is the input of a policy.
 type State struct {
-	Servers []Server // by holder
-	Shards  []Shard  // by low, covering the ring
+	Servers []Server // sorted by holder
+	Shards  []Shard  // sorted by low, covering the ring
 	Points  []mtload.PointLoad
-	// Total is the load of all shards as last reported. It may be less than
-	// the sum of their estimates, which fall slowly.
+	// Total is the load of all shards as last reported. It may be less than the
+	// sum of the estimates, which decay slowly.
 	Total   float64
 	Weights mtbundle.Weights
-	Target  int // shards that the service is meant to have at rest
+	Target  int // intended number of shards in steady state
 }
 
-// Losses remembers which shards lost their owners without a planned move. The
-// zero value is ready.
+// Losses records which shards lost their owner other than by a planned move.
+// The zero value is ready to use.
 type Losses struct {
-	marks []mark
+	events []lossEvent
 }
 
-type mark struct {
+type lossEvent struct {
 	low mtid.Point
 	at  mtclock.Instant
 }
 
-// Bounds of the suspicion that a shard crashes its owners.
+// Bounds for suspecting that a shard crashes its owners.
 const (
 	// PoisonLosses is how many owners a shard must lose within PoisonWindow to
 	// be pinned.
 	PoisonLosses = 2
 	PoisonWindow = 10 * time.Minute
-	// poisonShare is the largest share of shards that may be pinned. More than
-	// that is an outage of many servers, not a poisoned key.
-	poisonShare = 0.01
-	maxMarks    = 1 << 16
+	// maxPinnedShare is the largest share of shards that may be pinned. A
+	// larger share indicates an outage of many servers rather than a poison
+	// key.
+	maxPinnedShare = 0.01
+	maxEvents      = 1 << 16
 )
 
-// Lost notes that the shard that begins at low lost its owner. It is called for
-// each shard that a failover gave away.
+// Lost records that the shard that begins at low lost its owner. Call it for
+// each shard that a failover reassigned.
 func (l *Losses) Lost(now mtclock.Instant, low mtid.Point) {
-	l.marks = append(l.marks, mark{low: low, at: now})
-	if len(l.marks) > maxMarks {
-		l.marks = slices.Delete(l.marks, 0, len(l.marks)/2)
+	l.events = append(l.events, lossEvent{low: low, at: now})
+	if len(l.events) > maxEvents {
+		l.events = slices.Delete(l.events, 0, len(l.events)/2)
 	}
 }
 
-// Pin marks the shards whose owners were lost one after another.
+// Pin sets Pinned on the shards that lost at least PoisonLosses owners within
+// PoisonWindow. It pins none if more than maxPinnedShare of them qualify.
 func (l *Losses) Pin(now mtclock.Instant, shards []Shard) {
-	l.marks = slices.DeleteFunc(l.marks, func(m mark) bool { return now.Sub(m.at) > PoisonWindow })
+	l.events = slices.DeleteFunc(l.events, func(m lossEvent) bool { return now.Sub(m.at) > PoisonWindow })
 	counts := make(map[mtid.Point]int)
-	for _, m := range l.marks {
+	for _, m := range l.events {
 		counts[m.low]++
 	}
 	suspects := 0
@@ -120,7 +124,7 @@
 			suspects++
 		}
 	}
-	if suspects == 0 || float64(suspects) > max(1, poisonShare*float64(len(shards))) {
+	if suspects == 0 || float64(suspects) > max(1, maxPinnedShare*float64(len(shards))) {
 		return
 	}
 	for i := range shards {
@@ -128,33 +132,34 @@
 	}
 }
 
-// WarmTime is how long a server that has just joined is taken for cold.
+// WarmTime is how long a server that has just joined counts as cold.
 const WarmTime = 45 * time.Second
 
-// coldShare is what a server is given at once when it joins.
-const coldShare = 0.25
+// initialWarmShare is the share of its slots that counts as usable when a
+// server joins.
+const initialWarmShare = 0.25
 
-// Warmth returns the share of its slots that a server can use, that long after
-// it joined.
+// Warmth returns the share of its slots that a server can use at the given time
+// after it joined.
 func Warmth(age time.Duration) float64 {
 	if age >= WarmTime {
 		return 1
 	}
-	return coldShare + (1-coldShare)*max(0, float64(age))/float64(WarmTime)
+	return initialWarmShare + (1-initialWarmShare)*max(0, float64(age))/float64(WarmTime)
 }
 
-// SortServers puts servers in the order that a State has them in.
+// SortServers sorts servers by holder, the order that State requires.
 func SortServers(servers []Server) {
 	slices.SortFunc(servers, func(a, b Server) int { return a.Holder.Compare(b.Holder) })
 }
 
-// Survey lays out the shards of tables, which must be all chunks in order, with
-// their owners' places among servers and the loads from book. The book is
-// brought in line with the tables.
-func Survey(now mtclock.Instant, tables []*mtshard.Table, servers []Server, book *mtload.Book) []Shard {
-	places := make(map[mtid.Holder]int, len(servers))
+// Survey returns the shards of tables, with the index of their owner in servers
+// and the load estimate from book. tables must hold all chunks in order. Survey
+// synchronizes book with the tables.
+func Survey(now mtclock.Instant, tables []*mtshard.Table, servers []Server, estimates *mtload.Book) []Shard {
+	indexes := make(map[mtid.Holder]int, len(servers))
 	for i := range servers {
-		places[servers[i].Holder] = i
+		indexes[servers[i].Holder] = i
 	}
 	count := 0
 	for _, t := range tables {
@@ -164,27 +169,28 @@
 	lows := make([]mtid.Point, 0, count)
 	for _, t := range tables {
 		for _, s := range t.Shards {
-			place, ok := places[s.Owner]
+			index, ok := indexes[s.Owner]
 			if !ok {
-				place = -1
+				index = -1
 			}
 			if n := len(shards); n > 0 {
 				shards[n-1].High = s.Low - 1
 			}
-			shards = append(shards, Shard{Low: s.Low, High: ^mtid.Point(0), Chunk: t.Chunk, Owner: place})
+			shards = append(shards, Shard{Low: s.Low, High: ^mtid.Point(0), Chunk: t.Chunk, Owner: index})
 			lows = append(lows, s.Low)
 		}
 	}
-	book.Sync(lows)
-	for i, load := range book.Loads(now, make([]float64, 0, count)) {
+	estimates.Sync(lows)
+	for i, load := range estimates.Loads(now, make([]float64, 0, count)) {
 		shards[i].Load = load
 	}
 	return shards
 }
 
-// Mean returns the load per usable slot over the servers that stay and have ever
-// reported. A planner that has just begun knows the load of a few; set against
-// the slots of all, they would seem overloaded.
+// Mean returns the load per usable slot over the servers that are not leaving
+// and have reported at least once. A planner that has just started knows the
+// load of only a few servers; relative to the slots of all servers, these few
+// would appear overloaded.
 func (s *State) Mean() float64 {
 	slots := 0.0
 	for i := range s.Servers {
