--- a/core/mtload/audit.go
+++ b/core/mtload/audit.go
@@ -9,74 +9,76 @@
 	"magnoliaturn/core/mtid"
 )
 
-// Bounds of the comparison of claims.
+// Bounds for comparing the loads that successive owners report for a shard.
 const (
-	// testWait is how long a new owner's meter is given to see a shard's load,
-	// and testAge how old the former owner's claim may be.
-	testWait = 10 * time.Second
-	testAge  = 90 * time.Second
-	// testLoad is the load in slots below which claims differ by chance, and
-	// testLimit the one above which a shard may owe it to a key that cools.
-	testLoad  = 0.03
-	testLimit = 0.5
-	// kept is how many comparisons are kept for a server, needed how many make
-	// a verdict.
-	kept   = 15
-	needed = 5
-	// honest is how far the middle one of a server's comparisons may be off,
-	// as a factor, before its reports are corrected, and maxFactor the most
-	// that they are corrected by.
-	honest    = 1.5
-	maxFactor = 5
+	// compareDelay is how long the new owner's meter gets to measure the
+	// shard's load. maxCompareAge is how old the previous owner's report may
+	// be.
+	compareDelay  = 10 * time.Second
+	maxCompareAge = 90 * time.Second
+	// minComparedLoad is the load in slots below which reports differ by
+	// chance. Above maxComparedLoad, the load may come from a single hot key
+	// that cools.
+	minComparedLoad = 0.03
+	maxComparedLoad = 0.5
+	// maxComparisons is how many comparisons are retained for a server.
+	// minComparisons is how many are required to correct its reports.
+	maxComparisons = 15
+	minComparisons = 5
+	// tolerance is the factor by which the median of a server's comparisons may
+	// be off before its reports are corrected. maxCorrection limits the
+	// correction factor.
+	tolerance     = 1.5
+	maxCorrection = 5
 )
 
-// audit compares what successive owners of the same shard say of its load. A
-// server whose measure is wrong by some factor disagrees with most of those it
-// exchanges shards with, and a truthful one only with that server: so the
-// middle one of a server's comparisons tells which of the two is off. What is
-// off is told from the middle one of all servers, since comparisons alone fix
-// no common scale.
-type audit struct {
-	values  map[mtid.Holder][]float64 // logarithms of the factors needed
-	middles map[mtid.Holder]float64   // of those with enough values
-	base    float64
+// calibration compares the loads that successive owners report for the same
+// shard. A server whose measurements are wrong by some factor disagrees with
+// most servers that it exchanges shards with, and an accurate server only with
+// that one. So the median of a server's comparisons shows which of the two is
+// wrong. Deviations are measured from the median over all servers, since
+// comparisons alone define no common scale.
+type calibration struct {
+	logFactors map[mtid.Holder][]float64 // logarithms of the required correction factors
+	medians    map[mtid.Holder]float64   // of the servers with at least minComparisons values
+	baseline   float64
 }
 
-func newAudit() audit {
-	return audit{values: make(map[mtid.Holder][]float64), middles: make(map[mtid.Holder]float64)}
+func newCalibration() calibration {
+	return calibration{logFactors: make(map[mtid.Holder][]float64), medians: make(map[mtid.Holder]float64)}
 }
 
-// add notes that before claimed load was for a shard, and after then claimed
-// is. Both are corrected already, so what is kept is the factor that would
-// still be needed on top.
-func (a *audit) add(before, after mtid.Holder, was, is float64) {
-	ratio := math.Log(was / max(is, testLoad/maxFactor))
-	toAfter := ratio + math.Log(a.factor(after))
-	toBefore := -ratio + math.Log(a.factor(before))
-	a.push(after, toAfter)
-	a.push(before, toBefore)
-	a.base = middle(slices.Collect(maps.Values(a.middles)))
+// add records that before reported load was for a shard, and its next owner
+// after reported load is. Both loads are already corrected, so the current
+// factor is added back to obtain the total factor required.
+func (c *calibration) add(before, after mtid.Holder, was, is float64) {
+	ratio := math.Log(was / max(is, minComparedLoad/maxCorrection))
+	toAfter := ratio + math.Log(c.factor(after))
+	toBefore := -ratio + math.Log(c.factor(before))
+	c.push(after, toAfter)
+	c.push(before, toBefore)
+	c.baseline = lowerMedian(slices.Collect(maps.Values(c.medians)))
 }
 
-func (a *audit) push(holder mtid.Holder, value float64) {
-	values := append(a.values[holder], value)
-	if len(values) > kept {
+func (c *calibration) push(holder mtid.Holder, value float64) {
+	values := append(c.logFactors[holder], value)
+	if len(values) > maxComparisons {
 		values = values[1:]
 	}
-	a.values[holder] = values
-	if len(values) >= needed {
-		a.middles[holder] = middle(values)
+	c.logFactors[holder] = values
+	if len(values) >= minComparisons {
+		c.medians[holder] = lowerMedian(values)
 	}
 }
 
-// forget drops what is known of a server.
-func (a *audit) forget(holder mtid.Holder) {
-	delete(a.values, holder)
-	delete(a.middles, holder)
+// forget removes the comparisons of a server.
+func (c *calibration) forget(holder mtid.Holder) {
+	delete(c.logFactors, holder)
+	delete(c.medians, holder)
 }
 
-// middle returns the lower median, or 0 for no values.
-func middle(values []float64) float64 {
+// lowerMedian returns the lower median, or 0 for no values.
+func lowerMedian(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
 	}
@@ -84,11 +86,11 @@
 	return sorted[(len(sorted)-1)/2]
 }
 
-// factor returns what a server's reports are multiplied by.
-func (a *audit) factor(holder mtid.Holder) float64 {
-	value, ok := a.middles[holder]
-	if !ok || math.Abs(value-a.base) < math.Log(honest) {
+// factor returns the correction factor for a server's reports.
+func (c *calibration) factor(holder mtid.Holder) float64 {
+	value, ok := c.medians[holder]
+	if !ok || math.Abs(value-c.baseline) < math.Log(tolerance) {
 		return 1
 	}
-	return min(max(math.Exp(value-a.base), 1.0/maxFactor), maxFactor)
+	return min(max(math.Exp(value-c.baseline), 1.0/maxCorrection), maxCorrection)
 }
--- a/core/mtload/mtload.go
+++ b/core/mtload/mtload.go
@@ -1,23 +1,24 @@
-// Package mtload measures the load of shards at the gates and carries it to the
-// daemon that plans for the service, within a few bytes a second.
+// Package mtload measures the load of shards at the gates and reports it to the
+// daemon that plans for the service, using a few bytes per second.
 //
-// Load is offered work in slots: arrivals a second, refused ones included,
-// times the mean time that a request keeps a slot of the backend server. It
-// keeps growing past the server's slots, where the work done would not, so a
-// key that is too hot for its server is seen in full. What a server says of its
-// own load is not used.
+// Load is offered work in slots: arrivals per second, including refused ones,
+// times the mean time that a request occupies a slot of the backend server.
+// Unlike completed work, it keeps growing beyond the server's slots, so that
+// the load of a key that is too hot for its server is known in full. The load
+// that a server reports about itself is not used.
 //
 // Meter counts at the gate. Pace decides when a daemon reports: at once when
-// its load leaves the band around the fleet's mean, seldom otherwise, so that
-// silence means "in the band" and the planner's daemon isn't flooded. Book
-// keeps what was reported and follows shards as they split, merge and move.
+// its load leaves the band around the mean of the fleet, and rarely otherwise.
+// The absence of reports thus means that the load is within the band, and the
+// planning daemon is not flooded. Book holds the reported loads and follows
+// shards as they split, merge and move.
 //
 // # Usage
 //
 //	meter.Arrive(now, shard.Low, point)
-//	meter.Finish(now, busy)
-//	report := meter.Report(now, self, ref)
-//	if pace.Due(now, report.Load/slots) { ... send report ... }
+//	meter.Finish(occupied)
+//	report := meter.Report(now, self, ref, owns)
+//	if pace.Due(now, self, leader, report.Load/slots, spread) { ... send report ... }
 //	book.Take(now, report, owned)
 //
 // Meter is safe for concurrent use; Pace and Book are not.
@@ -32,7 +33,7 @@
 	"magnoliaturn/core/mtwire"
 )
 
-// Bounds of a report. With them its wire form stays under MaxReport bytes for
+// Limits of a report. They keep its encoded form under MaxReport bytes with
 // names of up to 64 bytes.
 const (
 	MaxShards = 16
@@ -40,44 +41,45 @@
 	MaxReport = 560
 )
 
-// MaxLoad is the largest load that a report can state, in slots. Larger ones
-// are stated as this.
+// MaxLoad is the largest load in slots that a report can hold. Larger loads are
+// reported as MaxLoad.
 const MaxLoad = 1e6
 
-// MaxMean is the largest mean that a reply can state.
+// MaxMean is the largest mean that a reply can hold.
 const MaxMean = 1000
 
-// meanUnits is the resolution of the mean on the wire.
+// meanUnits is the number of wire units per unit of the mean.
 const meanUnits = 1e6
 
-// unitsPerSlot is the resolution of loads on the wire.
+// unitsPerSlot is the number of wire units per slot of load.
 const unitsPerSlot = 1000
 
-// ShardLoad is the load of one shard.
+// ShardLoad is the load of the shard that begins at Low.
 type ShardLoad struct {
 	Low  mtid.Point
-	Load float64 // slots
+	Load float64 // in slots
 }
 
-// PointLoad is the load of one key.
+// PointLoad is the load of the key at Point.
 type PointLoad struct {
 	Point mtid.Point
-	Load  float64 // slots
+	Load  float64 // in slots
 }
 
-// Report is what one daemon says of its shards of one service.
+// Report is the load that one daemon measured on its shards of one service.
 type Report struct {
 	From    mtid.Holder
 	Service mtid.Ref
-	// Sequence grows with each measurement. A report that repeats it tells
-	// nothing new: its sender's measuring has stopped.
+	// Sequence increases with each measurement. A report with the same Sequence
+	// as the last one holds no new measurement: its sender has stopped
+	// measuring.
 	Sequence uint64
-	Load     float64     // of all shards, slots
-	Shards   []ShardLoad // the heaviest, heaviest first
+	Load     float64     // of all shards, in slots
+	Shards   []ShardLoad // the heaviest shards, heaviest first
 	Points   []PointLoad // the heaviest keys, heaviest first
 }
 
-// Wire returns the form of r that is sent, cut to the bounds.
+// Wire returns the wire form of r, truncated to the limits.
 func (r *Report) Wire() *mtwire.LoadReport {
 	w := &mtwire.LoadReport{
 		From:     mtroster.WireHolder(r.From),
@@ -97,22 +99,22 @@
 	return w
 }
 
-// FieldError says that a report breaks its bounds.
+// FieldError reports a field of a load report that violates its limits.
 type FieldError struct {
 	Field  string
 	Accept string
 }
 
-// Error implements error.
-func (e *FieldError) Error() string { return "load: " + e.Field + " must be " + e.Accept }
+// Error names the field and the values that it accepts.
+func (e *FieldError) Error() string { return "load report: " + e.Field + " must be " + e.Accept }
 
-// Read returns the report that w stands for. It fails with a *FieldError.
+// Read decodes a load report. It fails with a *FieldError.
 func Read(w *mtwire.LoadReport) (*Report, error) {
 	if len(w.GetLows()) > MaxShards || len(w.GetLows()) != len(w.GetLoads()) {
-		return nil, &FieldError{Field: "shards", Accept: "two equal columns of at most 16"}
+		return nil, &FieldError{Field: "shards", Accept: "two columns of equal length, at most 16"}
 	}
 	if len(w.GetPoints()) > MaxPoints || len(w.GetPoints()) != len(w.GetPointLoads()) {
-		return nil, &FieldError{Field: "points", Accept: "two equal columns of at most 8"}
+		return nil, &FieldError{Field: "points", Accept: "two columns of equal length, at most 8"}
 	}
 	r := &Report{
 		From:     mtroster.ReadHolder(w.GetFrom()),
@@ -121,7 +123,7 @@
 		Load:     slots(w.GetLoad()),
 	}
 	if r.From.IsZero() {
-		return nil, &FieldError{Field: "from", Accept: "a holder"}
+		return nil, &FieldError{Field: "from", Accept: "a non-zero holder"}
 	}
 	for i, low := range w.GetLows() {
 		r.Shards = append(r.Shards, ShardLoad{Low: mtid.Point(low), Load: slots(w.GetLoads()[i])})
@@ -138,14 +140,14 @@
 
 func slots(units uint32) float64 { return float64(units) / unitsPerSlot }
 
-// Reply is a planner's answer to a report.
+// Reply is the planner's reply to a report.
 type Reply struct {
 	Mean  float64       // load per slot over all servers
-	Pause time.Duration // least time until the next report
-	Again bool          // whether another report is wanted soon in any case
+	Pause time.Duration // minimum time until the next report
+	Again bool          // whether the planner needs another report soon in any case
 }
 
-// Wire returns the form of r that is sent.
+// Wire returns the wire form of r.
 func (r Reply) Wire() *mtwire.LoadReply {
 	return &mtwire.LoadReply{
 		Mean:    uint32(math.Round(min(max(r.Mean, 0), MaxMean) * meanUnits)),
@@ -155,8 +157,8 @@
 	}
 }
 
-// ReadReply returns the reply that w stands for, or false if its sender does
-// not plan for the service.
+// ReadReply decodes a reply, or returns false if its sender does not plan for
+// the service.
 func ReadReply(w *mtwire.LoadReply) (Reply, bool) {
 	if !w.GetLeader() {
 		return Reply{}, false
--- a/core/mtload/mtload_test.go
+++ b/core/mtload/mtload_test.go
@@ -31,10 +31,11 @@
 	assert.Assert(t, math.Abs(got-want) <= 0.03*max(1, want), "got %v, want %v", got, want)
 }
 
-// A key wants twice what its server can do. The server runs at its slots, and
-// the gate sheds the rest. The report must state the whole of it, or the
-// planner sees a server that is merely full.
-func TestMeterCountsShedWork(t *testing.T) {
+// A key receives twice the load that its server can process. The server runs at
+// its slots, and the gate sheds the rest. The report must include all of the
+// load; otherwise the planner cannot distinguish the server from one that is
+// just full.
+func TestMeterIncludesShedRequests(t *testing.T) {
 	m := mtload.NewMeter()
 	m.Finish(100 * time.Millisecond)
 	now := at(0)
@@ -48,9 +49,9 @@
 	assert.Equal(t, r.Points[0].Point, mtid.Point(12))
 }
 
-// A shard has been handed over. Its counts fade over seconds; they must not
-// show as load of the shards that stayed.
-func TestMeterLeavesOutShardsThatMoved(t *testing.T) {
+// A shard has been handed over, and its counts decay over seconds. They must
+// not be reported as load of the remaining shards.
+func TestMeterOmitsShardsThatMoved(t *testing.T) {
 	m := mtload.NewMeter()
 	m.Finish(10 * time.Millisecond)
 	now := at(0)
@@ -64,7 +65,7 @@
 	assert.Equal(t, len(r.Shards), 1)
 }
 
-func TestReportFitsItsBound(t *testing.T) {
+func TestReportIsTruncatedToMaxReport(t *testing.T) {
 	r := &mtload.Report{
 		From:     mtid.Holder{Daemon: mtid.Daemon(strings.Repeat("d", 64)), Incarnation: math.MaxUint64},
 		Service:  mtid.Ref{Business: mtid.Business(strings.Repeat("b", 64)), Service: mtid.Service(strings.Repeat("s", 64))},
@@ -104,90 +105,92 @@
 	})
 }
 
-func TestPace(t *testing.T) {
+func TestReportIsDue(t *testing.T) {
 	tests := []struct {
 		name string
 		load float64
 		at   time.Duration // after a report of load 1 with a mean of 1
 		want bool
 	}{
-		{"a little change", 1.04, 2 * time.Minute, false},
-		{"changed, in the planner's pause", 1.08, 29 * time.Second, false},
-		{"changed, after it", 1.08, 30 * time.Second, true},
-		{"fell, after it", 0.9, 30 * time.Second, true},
-		{"jumped, in the pause", 1.3, 5 * time.Second, true},
-		{"fell far, in the pause", 0.7, 5 * time.Second, true},
-		{"jumped, too soon", 1.3, 4 * time.Second, false},
+		{"small change", 1.04, 2 * time.Minute, false},
+		{"changed, during the planner's pause", 1.08, 29 * time.Second, false},
+		{"changed, after the pause", 1.08, 30 * time.Second, true},
+		{"fell, after the pause", 0.9, 30 * time.Second, true},
+		{"jumped, during the pause", 1.3, 5 * time.Second, true},
+		{"fell far, during the pause", 0.7, 5 * time.Second, true},
+		{"jumped, before MinPause", 1.3, 4 * time.Second, false},
 		{"refresh", 1, 10 * time.Minute, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var pace mtload.Pace
-			assert.Assert(t, pace.Due(at(0), a, b, 1, 0), "the first report is due at once")
-			pace.Sent(at(0), 1)
-			pace.Heard(1, 30*time.Second, false)
-			got := pace.Due(at(tt.at), a, b, tt.load, 0)
+			var scheduler mtload.Pace
+			assert.Assert(t, scheduler.Due(at(0), a, b, 1, 0), "the first report must be due at once")
+			scheduler.Sent(at(0), 1)
+			scheduler.Heard(1, 30*time.Second, false)
+			got := scheduler.Due(at(tt.at), a, b, tt.load, 0)
 			assert.Equal(t, got, tt.want)
 		})
 	}
 }
 
-// A shard leaves an overloaded server while a hot key on it still grows, so that
-// its total stays the same. The planner believes that it fell, and must be told.
-func TestPaceReportsAfterAMove(t *testing.T) {
-	var pace mtload.Pace
-	pace.Shards(1)
-	pace.Due(at(0), a, b, 1.2, 0)
-	pace.Sent(at(0), 1.2)
-	pace.Heard(1, mtload.MaxPause, false)
-	assert.Assert(t, !pace.Due(at(60*time.Second), a, b, 1.2, 0), "nothing has changed")
-	pace.Shards(2)
-	assert.Assert(t, pace.Due(at(60*time.Second), a, b, 1.2, 0))
-	pace.Sent(at(60*time.Second), 1.2)
-	assert.Assert(t, !pace.Due(at(64*time.Second), a, b, 1.2, 0))
+// A shard moves off an overloaded server while a hot key on the server still
+// grows, so that its total load stays the same. The planner assumes that it
+// fell, so another report must be due.
+func TestReportIsDueAfterAMove(t *testing.T) {
+	var scheduler mtload.Pace
+	scheduler.Shards(1)
+	scheduler.Due(at(0), a, b, 1.2, 0)
+	scheduler.Sent(at(0), 1.2)
+	scheduler.Heard(1, mtload.MaxPause, false)
+	assert.Assert(t, !scheduler.Due(at(60*time.Second), a, b, 1.2, 0), "due although nothing has changed")
+	scheduler.Shards(2)
+	assert.Assert(t, scheduler.Due(at(60*time.Second), a, b, 1.2, 0))
+	scheduler.Sent(at(60*time.Second), 1.2)
+	assert.Assert(t, !scheduler.Due(at(64*time.Second), a, b, 1.2, 0))
 }
 
-// A report or its reply is lost. It must go out again, even if nothing has
-// changed since, or the planner works from an old figure for minutes.
-func TestPaceRepeatsAnUnansweredReport(t *testing.T) {
-	var pace mtload.Pace
-	pace.Due(at(0), a, b, 1, 0)
-	pace.Sent(at(0), 1)
-	pace.Heard(1, mtload.MinPause, false)
-	pace.Sent(at(10*time.Second), 1.1)
-	assert.Assert(t, !pace.Due(at(14*time.Second), a, b, 1.1, 0))
-	assert.Assert(t, pace.Due(at(15*time.Second), a, b, 1.1, 0))
-	pace.Sent(at(15*time.Second), 1.1)
-	pace.Heard(1, mtload.MinPause, false)
-	assert.Assert(t, !pace.Due(at(60*time.Second), a, b, 1.1, 0))
-	pace.Sent(at(15*time.Second), 1.1)
-	pace.Heard(1, mtload.MinPause, true)
-	assert.Assert(t, !pace.Due(at(26*time.Second), a, b, 1.1, 0))
-	assert.Assert(t, pace.Due(at(27*time.Second), a, b, 1.1, 0), "the planner wants another one")
+// A report or its reply is lost. The report must be sent again even if the load
+// has not changed since; otherwise the planner uses an old load for minutes.
+func TestUnansweredReportIsSentAgain(t *testing.T) {
+	var scheduler mtload.Pace
+	scheduler.Due(at(0), a, b, 1, 0)
+	scheduler.Sent(at(0), 1)
+	scheduler.Heard(1, mtload.MinPause, false)
+	scheduler.Sent(at(10*time.Second), 1.1)
+	assert.Assert(t, !scheduler.Due(at(14*time.Second), a, b, 1.1, 0))
+	assert.Assert(t, scheduler.Due(at(15*time.Second), a, b, 1.1, 0))
+	scheduler.Sent(at(15*time.Second), 1.1)
+	scheduler.Heard(1, mtload.MinPause, false)
+	assert.Assert(t, !scheduler.Due(at(60*time.Second), a, b, 1.1, 0))
+	scheduler.Sent(at(15*time.Second), 1.1)
+	scheduler.Heard(1, mtload.MinPause, true)
+	assert.Assert(t, !scheduler.Due(at(26*time.Second), a, b, 1.1, 0))
+	assert.Assert(t, scheduler.Due(at(27*time.Second), a, b, 1.1, 0), "not due although the planner requested another report")
 }
 
-// The planner's daemon is lost and another leads. Reports of the whole fleet at
-// once would break its budget; but who is overloaded must not wait.
-func TestPaceSpreadsReportsToANewLeader(t *testing.T) {
+// The planning daemon is lost and another becomes the leader. Reports of the
+// whole fleet at once would exceed its budget; but overloaded daemons must not
+// wait.
+func TestReportsToANewLeaderAreSpread(t *testing.T) {
 	const spread = time.Minute
 	early := 0
 	for i := range 100 {
 		self := mtid.Holder{Daemon: mtid.Daemon(rune('a' + i)), Incarnation: 1}
-		var pace mtload.Pace
-		pace.Due(at(0), self, b, 1, 0)
-		pace.Sent(at(0), 1)
-		pace.Heard(1, mtload.MinPause, false)
-		if pace.Due(at(30*time.Second), self, a, 1, spread) {
+		var scheduler mtload.Pace
+		scheduler.Due(at(0), self, b, 1, 0)
+		scheduler.Sent(at(0), 1)
+		scheduler.Heard(1, mtload.MinPause, false)
+		if scheduler.Due(at(30*time.Second), self, a, 1, spread) {
 			early++
 		}
-		assert.Assert(t, pace.Due(at(30*time.Second), self, a, 1.5, spread), "an overloaded daemon reports at once")
-		assert.Assert(t, pace.Due(at(91*time.Second), self, a, 1, spread), "each reports within the spread")
+		assert.Assert(t, scheduler.Due(at(30*time.Second), self, a, 1.5, spread), "the report of an overloaded daemon must be due at once")
+		assert.Assert(t, scheduler.Due(at(91*time.Second), self, a, 1, spread), "every report must be due within the spread")
 	}
-	assert.Assert(t, early <= 5, "got %d of 100 at once", early)
+	assert.Assert(t, early <= 5, "got %d of 100 reports due at once, want at most 5", early)
 }
 
-// Half of a fleet of 240 leaves the band in the same second. The pauses that
-// they are told must bring their reports under the planner's rates.
+// Half of a fleet of 240 leaves the band in the same second. The pauses in the
+// replies must limit the reports to the rates of the planner.
 func TestThrottleBoundsTheRate(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -234,27 +237,27 @@
 	return &mtload.Report{From: from, Service: ref, Sequence: sequence, Load: load, Shards: listed}
 }
 
-func TestBookFollowsShards(t *testing.T) {
-	book := mtload.NewBook()
-	book.Sync([]mtid.Point{0, 1 << 62, 2 << 62})
+func TestEstimatesFollowSplitsAndMerges(t *testing.T) {
+	estimates := mtload.NewBook()
+	estimates.Sync([]mtid.Point{0, 1 << 62, 2 << 62})
 	r := report(a, 1, 10, mtload.ShardLoad{Low: 0, Load: 6})
 	r.Points = []mtload.PointLoad{{Point: 77, Load: 5}}
-	book.Take(at(0), r, shards(a, 0, 1<<62, 2<<62))
-	assert.DeepEqual(t, book.Loads(0, nil), []float64{6, 2, 2})
+	estimates.Take(at(0), r, shards(a, 0, 1<<62, 2<<62))
+	assert.DeepEqual(t, estimates.Loads(0, nil), []float64{6, 2, 2})
 
-	book.Sync([]mtid.Point{0, 77, 78, 1 << 62, 2 << 62})
-	got := book.Loads(0, nil)
+	estimates.Sync([]mtid.Point{0, 77, 78, 1 << 62, 2 << 62})
+	got := estimates.Loads(0, nil)
 	near(t, got[0]+got[2], 1)
 	near(t, got[1], 5)
 
-	book.Sync([]mtid.Point{0, 1 << 62})
-	got = book.Loads(0, nil)
+	estimates.Sync([]mtid.Point{0, 1 << 62})
+	got = estimates.Loads(0, nil)
 	near(t, got[0], 6)
 	near(t, got[1], 4)
 }
 
-// Whatever splits and merges happen, no load appears or vanishes in the book.
-func TestBookKeepsTheTotal(t *testing.T) {
+// Splits and merges must neither add nor lose load.
+func TestSplitsAndMergesPreserveTheTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lows := func(label string) []mtid.Point {
 			cuts := rapid.SliceOfNDistinct(rapid.Uint64Min(1), 0, 20, rapid.ID[uint64]).Draw(t, label)
@@ -265,9 +268,9 @@
 			sortPoints(points)
 			return points
 		}
-		book := mtload.NewBook()
+		estimates := mtload.NewBook()
 		first := lows("first")
-		book.Sync(first)
+		estimates.Sync(first)
 		r := report(a, 1, 30)
 		for i := range rapid.IntRange(0, 8).Draw(t, "points") {
 			r.Points = append(r.Points, mtload.PointLoad{
@@ -275,11 +278,11 @@
 				Load:  float64(i) * rapid.Float64Range(0, 2).Draw(t, "load"),
 			})
 		}
-		book.Take(at(0), r, shards(a, first...))
+		estimates.Take(at(0), r, shards(a, first...))
 		for range 3 {
-			book.Sync(lows("next"))
+			estimates.Sync(lows("next"))
 			total := 0.0
-			for _, load := range book.Loads(0, nil) {
+			for _, load := range estimates.Loads(0, nil) {
 				assert.Assert(t, load >= -1e-9)
 				total += load
 			}
@@ -296,107 +299,111 @@
 	}
 }
 
-// A server's daemon stops measuring and sends the same figures again and again.
-// The book must say that its load is not known, until it measures again.
-func TestBookKnowsRepeatedReports(t *testing.T) {
-	book := mtload.NewBook()
-	book.Sync([]mtid.Point{0})
-	assert.Assert(t, !book.Heard(at(0), a))
-	book.Take(at(0), report(a, 1, 3), shards(a, 0))
-	assert.Assert(t, book.Heard(at(time.Second), a))
-	book.Take(at(5*time.Second), report(a, 1, 3), shards(a, 0))
-	assert.Assert(t, !book.Heard(at(5*time.Second), a))
-	book.Take(at(10*time.Second), report(a, 2, 3), shards(a, 0))
-	assert.Assert(t, book.Heard(at(10*time.Second), a))
-	assert.Assert(t, !book.Heard(at(10*time.Second+3*mtload.Refresh), a))
+// A daemon stops measuring and sends the same loads repeatedly. Its load must
+// count as unknown until it sends a new measurement.
+func TestRepeatedReportsMakeTheLoadUnknown(t *testing.T) {
+	estimates := mtload.NewBook()
+	estimates.Sync([]mtid.Point{0})
+	assert.Assert(t, !estimates.Heard(at(0), a))
+	estimates.Take(at(0), report(a, 1, 3), shards(a, 0))
+	assert.Assert(t, estimates.Heard(at(time.Second), a))
+	estimates.Take(at(5*time.Second), report(a, 1, 3), shards(a, 0))
+	assert.Assert(t, !estimates.Heard(at(5*time.Second), a))
+	estimates.Take(at(10*time.Second), report(a, 2, 3), shards(a, 0))
+	assert.Assert(t, estimates.Heard(at(10*time.Second), a))
+	assert.Assert(t, !estimates.Heard(at(10*time.Second+3*mtload.Refresh), a))
 }
 
-// A shard's owner at once reports that it is idle. The estimate must fall over
-// several rounds, not within one, else the owner is given more and more.
-func TestBookFallsSlowly(t *testing.T) {
-	book := mtload.NewBook()
-	book.Sync([]mtid.Point{0})
-	book.Take(at(0), report(a, 1, 8), shards(a, 0))
-	book.Take(at(3*time.Second), report(a, 2, 0), shards(a, 0))
-	near(t, book.Loads(at(3*time.Second), nil)[0], 8)
-	near(t, book.Loads(at(7*time.Second), nil)[0], 4)
-	near(t, book.Total(), 0)
-	book.Take(at(10*time.Second), report(a, 3, 9), shards(a, 0))
-	near(t, book.Loads(at(10*time.Second), nil)[0], 9)
+// The owner of a shard suddenly reports no load. The estimate must decay over
+// several rounds; otherwise the owner immediately receives more and more
+// shards.
+func TestEstimatesDecaySlowly(t *testing.T) {
+	estimates := mtload.NewBook()
+	estimates.Sync([]mtid.Point{0})
+	estimates.Take(at(0), report(a, 1, 8), shards(a, 0))
+	estimates.Take(at(3*time.Second), report(a, 2, 0), shards(a, 0))
+	near(t, estimates.Loads(at(3*time.Second), nil)[0], 8)
+	near(t, estimates.Loads(at(7*time.Second), nil)[0], 4)
+	near(t, estimates.Total(), 0)
+	estimates.Take(at(10*time.Second), report(a, 3, 9), shards(a, 0))
+	near(t, estimates.Loads(at(10*time.Second), nil)[0], 9)
 }
 
-// A shard moves from a to b, and a report of b from before the move comes late.
-// It leaves the shard out. The former owner's figure must stand until b has had
-// time to report the shard, or b looks emptier than it is and is given more.
-func TestBookPassesOverReportsFromBeforeAMove(t *testing.T) {
-	book := mtload.NewBook()
-	book.Sync([]mtid.Point{0, 100})
-	book.Take(at(0), report(a, 1, 8, mtload.ShardLoad{Low: 0, Load: 8}), shards(a, 0))
-	book.Take(at(0), report(b, 1, 2, mtload.ShardLoad{Low: 100, Load: 2}), shards(b, 100))
+// A shard moves from a to b, and a report of b that was measured before the
+// move arrives late and omits the shard. The previous owner's load must remain
+// valid until b has had time to report the shard; otherwise b appears less
+// loaded than it is and receives more shards.
+func TestReportFromBeforeAMoveKeepsThePreviousLoad(t *testing.T) {
+	estimates := mtload.NewBook()
+	estimates.Sync([]mtid.Point{0, 100})
+	estimates.Take(at(0), report(a, 1, 8, mtload.ShardLoad{Low: 0, Load: 8}), shards(a, 0))
+	estimates.Take(at(0), report(b, 1, 2, mtload.ShardLoad{Low: 100, Load: 2}), shards(b, 100))
 	both := shards(b, 0, 100)
-	book.Take(at(5*time.Second), report(b, 2, 2, mtload.ShardLoad{Low: 100, Load: 2}), both)
-	assert.DeepEqual(t, book.Loads(at(5*time.Second), nil), []float64{8, 2})
-	book.Take(at(30*time.Second), report(b, 3, 2, mtload.ShardLoad{Low: 100, Load: 2}), both)
-	got := book.Loads(at(time.Minute), nil)[0]
-	assert.Assert(t, got < 1, "got %v, want b's word by now", got)
+	estimates.Take(at(5*time.Second), report(b, 2, 2, mtload.ShardLoad{Low: 100, Load: 2}), both)
+	assert.DeepEqual(t, estimates.Loads(at(5*time.Second), nil), []float64{8, 2})
+	estimates.Take(at(30*time.Second), report(b, 3, 2, mtload.ShardLoad{Low: 100, Load: 2}), both)
+	got := estimates.Loads(at(time.Minute), nil)[0]
+	assert.Assert(t, got < 1, "got %v, want the load from b's report", got)
 }
 
-// A hot key is split off, and for some seconds its owner's meter still files its
-// past requests under the shard that it was in. They must not count twice.
-func TestBookCountsWhatWasSplitOffOnce(t *testing.T) {
-	book := mtload.NewBook()
-	book.Sync([]mtid.Point{0})
+// A hot key is split off, and for some seconds the meter of its owner still
+// counts its past requests under its former shard. They must not count twice.
+func TestSplitOffLoadCountsOnce(t *testing.T) {
+	estimates := mtload.NewBook()
+	estimates.Sync([]mtid.Point{0})
 	hot := report(a, 1, 10)
 	hot.Points = []mtload.PointLoad{{Point: 50, Load: 9}}
-	book.Take(at(0), hot, shards(a, 0))
+	estimates.Take(at(0), hot, shards(a, 0))
 	lows := []mtid.Point{0, 50, 51}
-	book.Sync(lows)
+	estimates.Sync(lows)
 	mixed := report(a, 2, 14, mtload.ShardLoad{Low: 0, Load: 7}, mtload.ShardLoad{Low: 50, Load: 7})
-	book.Take(at(5*time.Second), mixed, shards(a, lows...))
-	got := book.Loads(at(5*time.Second), nil)
-	assert.Assert(t, got[0] < 1, "got %v for the rest, want what was left of it", got[0])
-	assert.Assert(t, got[1] >= 7, "got %v for the hot key", got[1])
+	estimates.Take(at(5*time.Second), mixed, shards(a, lows...))
+	got := estimates.Loads(at(5*time.Second), nil)
+	assert.Assert(t, got[0] < 1, "got %v for the former shard, want the rest without the hot key", got[0])
+	assert.Assert(t, got[1] >= 7, "got %v for the hot key, want at least 7", got[1])
 }
 
-// One server's reports state a third of its load, whatever the cause. It looks
-// empty and is given shard after shard. Each shard that reaches it seems to
-// shrink to a third, and no other server's do: its reports are corrected, and
-// those of its truthful peers are left alone.
-func TestBookCorrectsAServerThatIsAlwaysOff(t *testing.T) {
-	book := mtload.NewBook()
-	liar := mtid.Holder{Daemon: "liar", Incarnation: 1}
+// The reports of one server hold a third of its load, for any reason. It
+// appears empty and receives one shard after another. Each shard that moves to
+// it seems to shrink to a third, while shards that move between other servers
+// do not. Its reports must be corrected, and those of accurate servers left
+// alone.
+func TestInaccurateServerIsCorrected(t *testing.T) {
+	estimates := mtload.NewBook()
+	inaccurate := mtid.Holder{Daemon: "liar", Incarnation: 1}
 	var lows []mtid.Point
 	for i := range 20 {
 		lows = append(lows, mtid.Point(i*100))
 	}
-	book.Sync(lows)
+	estimates.Sync(lows)
 	sequence := uint64(0)
-	say := func(d time.Duration, from mtid.Holder, load float64, low mtid.Point) {
+	addReport := func(d time.Duration, from mtid.Holder, load float64, low mtid.Point) {
 		sequence++
-		book.Take(at(d), report(from, sequence, load, mtload.ShardLoad{Low: low, Load: load}), shards(from, low))
+		estimates.Take(at(d), report(from, sequence, load, mtload.ShardLoad{Low: low, Load: load}), shards(from, low))
 	}
 	for i, low := range lows[:12] {
 		now := time.Duration(i) * time.Minute
-		to, claim := liar, 0.1
+		to, reported := inaccurate, 0.1
 		if i%2 == 1 {
-			to, claim = mtid.Holder{Daemon: "honest", Incarnation: 1}, 0.3
+			to, reported = mtid.Holder{Daemon: "honest", Incarnation: 1}, 0.3
 		}
-		say(now, a, 0.3, low)
-		say(now+2*time.Second, to, claim, low)
-		say(now+20*time.Second, to, claim, low)
+		addReport(now, a, 0.3, low)
+		addReport(now+2*time.Second, to, reported, low)
+		addReport(now+20*time.Second, to, reported, low)
 	}
 	last := 20 * time.Minute
-	say(last, liar, 1, lows[18])
-	say(last, a, 1, lows[19])
-	got := book.Loads(at(last), nil)
-	assert.Assert(t, math.Abs(got[18]-3) < 0.5, "got %v for the liar's shard, want 3", got[18])
-	assert.Assert(t, math.Abs(got[19]-1) < 0.01, "got %v for the truthful one's, want 1", got[19])
+	addReport(last, inaccurate, 1, lows[18])
+	addReport(last, a, 1, lows[19])
+	got := estimates.Loads(at(last), nil)
+	assert.Assert(t, math.Abs(got[18]-3) < 0.5, "got %v for the shard of the inaccurate server, want 3", got[18])
+	assert.Assert(t, math.Abs(got[19]-1) < 0.01, "got %v for the shard of the accurate server, want 1", got[19])
 }
 
-// A service has twenty slow requests a second, and their chance arrivals swing
-// its short average by a tenth. What is reported must hardly swing, or shards
-// move after noise; but a load that doubles must show within seconds.
-func TestMeterIsSteadyUnderSlowRequests(t *testing.T) {
+// A service has twenty slow requests per second, and their random arrivals make
+// the short-term average fluctuate by 10%. The reported load must be nearly
+// constant, or shards move because of noise; but a load that doubles must show
+// within seconds.
+func TestMeterSmoothsSlowRequests(t *testing.T) {
 	source := rand.New(rand.NewPCG(1, 1))
 	m := mtload.NewMeter()
 	m.Finish(200 * time.Millisecond)
@@ -412,7 +419,7 @@
 	for range 60 {
 		arrive(20, time.Second)
 		got := m.Report(now, a, ref, all).Load
-		assert.Assert(t, got > 4*0.88 && got < 4*1.12, "got %v at rest, want about 4", got)
+		assert.Assert(t, got > 4*0.88 && got < 4*1.12, "got %v under constant load, want about 4", got)
 	}
 	arrive(40, 8*time.Second)
 	got := m.Report(now, a, ref, all).Load
--- a/core/mtload/pace.go
+++ b/core/mtload/pace.go
@@ -8,121 +8,125 @@
 	"magnoliaturn/core/mtid"
 )
 
-// Times and bounds of reporting.
+// Intervals and thresholds of reporting.
 const (
-	// MinPause is the least time between two reports of a daemon.
+	// MinPause is the minimum time between two reports of a daemon.
 	MinPause = 5 * time.Second
-	// MaxPause is the most that a planner may ask for.
+	// MaxPause is the longest pause that a planner may request.
 	MaxPause = 2 * time.Minute
-	// Refresh is the time after which a daemon reports though nothing changed.
+	// Refresh is the time after which a daemon reports even if nothing changed.
 	Refresh = 10 * time.Minute
-	// AgainPause is the least pause before a report that the planner asked for
-	// although nothing may have changed.
+	// AgainPause is the minimum pause before a report that the planner
+	// requested even if nothing changed.
 	AgainPause = 12 * time.Second
-	// Band is how far above the fleet's mean the load per slot may lie, as a
-	// share of it, before the daemon's reports go ahead of others'.
+	// Band is how far above the mean of the fleet the load per slot may lie, as
+	// a share of the mean, before the reports of the daemon take precedence
+	// over those of others.
 	Band = 0.08
-	// Change is how far it may move from what was last reported before it is
-	// reported again, and Jump how far before the planner's pause is passed
-	// over, both in shares of the mean.
+	// Change is how far the load per slot may deviate from the last report
+	// before it is reported again. Jump is how far it may deviate before the
+	// daemon ignores the pause that the planner requested. Both are shares of
+	// the mean.
 	Change = 0.05
 	Jump   = 0.1
 )
 
-// Times over which the reports to a new planner are spread: a second for each
-// server, up to a bound.
+// Reports to a new planner are spread over spreadPerServer for each server, up
+// to maxSpread.
 const (
-	spreadEach = time.Second
-	maxSpread  = 4 * time.Minute
+	spreadPerServer = time.Second
+	maxSpread       = 4 * time.Minute
 )
 
 // Spread returns the time over which the reports of that many servers to a new
 // planner are spread, so that they stay within its share of the control budget.
 func Spread(servers int) time.Duration {
-	return min(spreadEach*time.Duration(servers), maxSpread)
+	return min(spreadPerServer*time.Duration(servers), maxSpread)
 }
 
 // Pace decides when a daemon reports to the planner of one service. The zero
-// value is ready.
+// value is ready to use.
 type Pace struct {
-	leader   mtid.Holder
-	until    mtclock.Instant // no report before, as the planner asked
-	sent     mtclock.Instant
-	said     float64 // load per slot last reported
-	mean     float64 // load per slot of the fleet, as last told
-	reported bool    // whether anything was ever sent
-	answered bool    // whether the last report was, and no other is wanted
-	mark     uint64  // of the shards that the daemon has
-	saidMark uint64  // of those that it had when it last reported
-	known    bool    // whether the present leader has had a report
-	told     bool    // whether any planner has told the mean
+	leader          mtid.Holder
+	notBefore       mtclock.Instant // no report before then, as the planner requested
+	sentAt          mtclock.Instant
+	sentLoad        float64 // load per slot in the last report
+	mean            float64 // load per slot of the fleet, from the last reply
+	reported        bool    // whether any report was sent
+	answered        bool    // whether the last report was answered and no other was requested
+	fingerprint     uint64  // of the shards that the daemon owns
+	sentFingerprint uint64  // of the shards that it owned at its last report
+	leaderAnswered  bool    // whether the current leader has answered a report
+	meanKnown       bool    // whether any planner has sent the mean
 }
 
-// Shards notes which shards the daemon has, by any mark that differs when they
-// do. It is called before Due. The planner counts a shard that moved at its new
-// owner at once; if another grew meanwhile, the owner's total is what it last
-// said, and yet the planner takes it for less.
-func (p *Pace) Shards(mark uint64) { p.mark = mark }
+// Shards sets the fingerprint of the shards that the daemon owns; it must
+// differ when the shards do. Call it before Due. The planner counts a shard
+// that moved for its new owner at once. If another shard of the previous owner
+// grew meanwhile, its total load is the same as it last reported, but the
+// planner assumes that it fell.
+func (s *Pace) Shards(fingerprint uint64) { s.fingerprint = fingerprint }
 
-// Due reports whether to send now, given the load per slot. It is called once a
-// second or so with the planner as the daemon sees it.
+// Due reports whether to send a report now, given the load per slot. Call it
+// about once a second with the planner that the daemon currently sees.
 //
-// A planner that takes over knows nothing. Reports to it are spread over spread
-// by the daemon's own rank, lest several hundred arrive at once; who lies above
-// the band reports first, since those are the ones to relieve.
-func (p *Pace) Due(now mtclock.Instant, self, leader mtid.Holder, load float64, spread time.Duration) bool {
-	if leader != p.leader {
-		p.leader = leader
-		p.known = false
-		p.until = now.Add(spreadOf(self, leader, spread))
+// A planner that takes over has no reports. Reports to it are spread over
+// spread by the daemon's rank, so that several hundred do not arrive at once.
+// Daemons above the band report first, since the planner has to offload these.
+func (s *Pace) Due(now mtclock.Instant, self, leader mtid.Holder, load float64, spread time.Duration) bool {
+	if leader != s.leader {
+		s.leader = leader
+		s.leaderAnswered = false
+		s.notBefore = now.Add(spreadOffset(self, leader, spread))
 	}
-	if p.reported && now.Sub(p.sent) < MinPause {
+	if s.reported && now.Sub(s.sentAt) < MinPause {
 		return false
 	}
-	change := math.Abs(load - p.said)
-	if p.known && change > Jump*p.mean {
+	change := math.Abs(load - s.sentLoad)
+	if s.leaderAnswered && change > Jump*s.mean {
 		return true
 	}
-	above := p.told && load > p.mean*(1+Band)
-	moved := p.mark != p.saidMark && now.Sub(p.sent) >= AgainPause
-	if p.known && above && moved {
+	above := s.meanKnown && load > s.mean*(1+Band)
+	moved := s.fingerprint != s.sentFingerprint && now.Sub(s.sentAt) >= AgainPause
+	if s.leaderAnswered && above && moved {
 		return true
 	}
-	if !p.known && above {
+	if !s.leaderAnswered && above {
 		return true
 	}
-	if now.Before(p.until) {
+	if now.Before(s.notBefore) {
 		return false
 	}
-	return !p.known || !p.answered || moved || now.Sub(p.sent) >= Refresh || change > Change*p.mean
+	return !s.leaderAnswered || !s.answered || moved || now.Sub(s.sentAt) >= Refresh || change > Change*s.mean
 }
 
-// Sent notes that a report with that load per slot went out, whether or not it
-// arrived. A lost one is made good after the pause if it still matters.
-func (p *Pace) Sent(now mtclock.Instant, load float64) {
-	p.sent = now
-	p.said = load
-	p.saidMark = p.mark
-	p.reported = true
-	p.answered = false
-	p.until = now.Add(MinPause)
+// Sent records that a report with that load per slot was sent, whether or not
+// it arrived. A lost report is sent again after the pause.
+func (s *Pace) Sent(now mtclock.Instant, load float64) {
+	s.sentAt = now
+	s.sentLoad = load
+	s.sentFingerprint = s.fingerprint
+	s.reported = true
+	s.answered = false
+	s.notBefore = now.Add(MinPause)
 }
 
-// Heard notes the planner's reply; again says that it wants another report soon
-// in any case: until it has come, the planner counts a load twice or not at all.
-func (p *Pace) Heard(mean float64, pause time.Duration, again bool) {
-	p.known = true
-	p.told = true
-	p.answered = !again
-	p.mean = mean
+// Heard records the reply of the planner. again is whether the planner requests
+// another report soon in any case: until that arrives, it counts some load
+// twice or not at all.
+func (s *Pace) Heard(mean float64, pause time.Duration, again bool) {
+	s.leaderAnswered = true
+	s.meanKnown = true
+	s.answered = !again
+	s.mean = mean
 	if again {
 		pause = AgainPause
 	}
-	p.until = p.sent.Add(min(max(pause, MinPause), MaxPause))
+	s.notBefore = s.sentAt.Add(min(max(pause, MinPause), MaxPause))
 }
 
-// spreadOf returns this daemon's place within spread.
-func spreadOf(self, leader mtid.Holder, spread time.Duration) time.Duration {
+// spreadOffset returns the offset of this daemon within spread.
+func spreadOffset(self, leader mtid.Holder, spread time.Duration) time.Duration {
 	if spread <= 0 {
 		return 0
 	}
@@ -133,38 +137,40 @@
 	return time.Duration(mtid.Rank(self.Daemon, seed) % uint64(spread))
 }
 
-// Throttle is the planner's side: it asks reporters for longer pauses as long as
-// more reports come in than it bears. The zero value is ready.
+// Throttle limits the reports that a planner receives: it requests longer
+// pauses from reporters while reports arrive faster than the planner's rates.
+// The zero value is ready to use.
 type Throttle struct {
-	above backlog // of overloaded reporters
-	other backlog
+	above backlog // reports from overloaded daemons
+	other backlog // all other reports
 }
 
-// backlog is how many reports came in above a rate.
+// backlog counts the reports in excess of a rate.
 type backlog struct {
 	count float64
 	last  mtclock.Instant
 }
 
-// Rates of reports that a planner bears, a second. Together with ReportCost
-// they are the planner's share of the control budget. The overloaded have a
-// rate of their own, so that the many that changed a little don't keep the few
-// that need relief waiting.
+// Reports per second that a planner handles. Together with ReportCost they are
+// the planner's share of the control budget. Overloaded daemons have a rate of
+// their own, so that the many daemons with small changes do not delay the few
+// that must be offloaded.
 const (
 	AboveRate = 1.25
 	OtherRate = 1.0
-	// burst is the backlog that is let pass.
+	// burst is the backlog up to which pauses stay at MinPause.
 	burst = 16
-	// ReportCost is what a report costs its receiver in bytes, both directions
-	// with headers: see docs/PLACEMENT.md.
+	// ReportCost is the cost of a report to its receiver in bytes, both
+	// directions with headers: see docs/PLACEMENT.md.
 	ReportCost = 760
-	// ReportHeaders is the part of it that does not depend on the report.
+	// ReportHeaders is the part of ReportCost that does not depend on the
+	// report.
 	ReportHeaders = 460
 )
 
-// Arrived counts a report and returns the pause to ask its sender for. above
-// says that the sender lies above the band. No pause is longer than MaxPause,
-// so past MaxPause times the rate reporters the rate can't be kept.
+// Arrived counts a report and returns the pause to request from its sender.
+// above is whether the sender is above the band. No pause exceeds MaxPause, so
+// with more reporters than rate times MaxPause the rate is exceeded.
 func (t *Throttle) Arrived(now mtclock.Instant, above bool) time.Duration {
 	if above {
 		return t.above.add(now, AboveRate)
@@ -172,8 +178,8 @@
 	return t.other.add(now, OtherRate)
 }
 
-// add counts a report. The backlog grows until the pauses that follow from it
-// bring the reports down to the rate.
+// add counts a report. The backlog grows until the resulting pauses bring the
+// reports down to the rate.
 func (b *backlog) add(now mtclock.Instant, rate float64) time.Duration {
 	b.count = max(0, b.count-rate*now.Sub(b.last).Seconds()) + 1
 	b.count = min(b.count, burst+rate*MaxPause.Seconds())
