--- a/core/mtspread/mtspread.go
+++ b/core/mtspread/mtspread.go
@@ -1,21 +1,24 @@
-// Package mtspread decides who hears of the store's changes from whom, so that the
-// calls to the store don't grow with the number of daemons.
+// Package mtspread decides from which daemon each daemon receives changes of
+// the store, so that the number of calls to the store does not grow with the
+// number of daemons.
 //
-// Two sources watch the store, and the first of them asks it for the configuration. In each
-// availability zone one daemon, the first, learns from a source, and the others learn from the first
-// of their zone. Sources are firsts too, of two zones where there are that many. The
-// first of a zone is the one with the widest link, since it tells everything to all
-// others of its zone.
+// Two daemons, the watchers, watch the store, and the first of them regularly
+// polls it for the configuration. In each availability zone one daemon, the
+// distributor, pulls updates from a watcher, and the other daemons of the zone
+// pull from their distributor. The watchers are themselves distributors, of two
+// zones if there are that many. The distributor of a zone is the daemon with
+// the fastest link, since it sends every update to all others of its zone.
 //
-// Each daemon decides by its own view of who is there. Where two views differ, two
-// daemons may take each other for a source: whoever teaches must know that it hears
-// from the store itself, or from one that does.
+// Each daemon builds the tree from its own view of the live daemons. Where two
+// views differ, two daemons may each take the other for a watcher. A daemon that
+// passes updates on must therefore know that it receives them from the store, or
+// from a daemon that does.
 //
 // # Usage
 //
 //	tree := mtspread.New(nodes)
-//	for _, teacher := range tree.Teachers(self, zone) { ... } // none: watch the store
-//	certainty.Ask(now, tree.Turn(self))
+//	for _, upstream := range tree.Teachers(self, zone) { ... } // none: watch the store
+//	turn := tree.Turn(self) // when to poll the store
 //
 // A Tree is immutable and safe for concurrent use.
 package mtspread
@@ -30,92 +33,97 @@
 	"magnoliaturn/core/mtroute"
 )
 
-// Node is a daemon that takes part.
+// Node is a daemon that receives changes of the store.
 type Node struct {
 	Daemon  mtid.Daemon
 	Zone    mtid.Zone
-	Address string // for other daemons
+	Address string // where other daemons reach it
 	Link    mtbackend.Rate
 }
 
-// sources is how many daemons watch the store: one may be lost or cut off.
-const sources = 2
+// watcherCount is how many daemons watch the store, so that one of them may be
+// lost or disconnected.
+const watcherCount = 2
 
-// Tree says who hears from whom. See the package comment.
+// Tree defines which daemon receives updates from which; see the package
+// documentation.
 type Tree struct {
-	sources []Node
-	firsts  []Node // by availability zone
+	watchers     []Node
+	distributors []Node // one for each availability zone, sorted by zone
 }
 
-// New returns the Tree of the daemons that are there.
+// New returns the Tree of the live daemons.
 func New(nodes []Node) *Tree {
 	best := make(map[mtid.Zone][]Node)
 	for _, n := range nodes {
-		best[n.Zone] = lead(best[n.Zone], n)
+		best[n.Zone] = insertBest(best[n.Zone], n)
 	}
 	t := &Tree{}
 	for _, zone := range slices.Sorted(maps.Keys(best)) {
-		t.firsts = append(t.firsts, best[zone][0])
+		t.distributors = append(t.distributors, best[zone][0])
 	}
-	for _, n := range t.firsts {
-		t.sources = lead(t.sources, n)
+	for _, n := range t.distributors {
+		t.watchers = insertBest(t.watchers, n)
 	}
-	if len(t.firsts) == 1 {
-		t.sources = best[t.firsts[0].Zone]
+	if len(t.distributors) == 1 {
+		t.watchers = best[t.distributors[0].Zone]
 	}
 	return t
 }
 
-// lead adds a node to the leading ones, the first of which goes ahead of all others.
-func lead(nodes []Node, n Node) []Node {
-	i, _ := slices.BinarySearchFunc(nodes, n, ahead)
-	if i >= sources {
+// insertBest inserts n into nodes, which holds the best watcherCount daemons in
+// the order of compareNodes.
+func insertBest(nodes []Node, n Node) []Node {
+	i, _ := slices.BinarySearchFunc(nodes, n, compareNodes)
+	if i >= watcherCount {
 		return nodes
 	}
 	nodes = slices.Insert(nodes, i, n)
-	return nodes[:min(len(nodes), sources)]
+	return nodes[:min(len(nodes), watcherCount)]
 }
 
-// ahead orders the daemons by how well they can tell others.
-func ahead(a, b Node) int {
+// compareNodes orders daemons by link rate, the fastest first, and by name.
+func compareNodes(a, b Node) int {
 	return cmp.Or(cmp.Compare(b.Link, a.Link), cmp.Compare(a.Daemon, b.Daemon))
 }
 
-// Turn returns when it is a daemon's turn to ask the store for the configuration.
+// Turn returns the schedule by which a daemon polls the store for the
+// configuration.
 func (t *Tree) Turn(self mtid.Daemon) mtroute.Turn {
 	switch {
-	case t.Source(self) && t.sources[0].Daemon == self:
+	case t.Source(self) && t.watchers[0].Daemon == self:
 		return mtroute.Regular
-	case t.Source(self) || holds(t.firsts, self):
+	case t.Source(self) || contains(t.distributors, self):
 		return mtroute.Relaying
 	}
 	return mtroute.Last
 }
 
-// Source reports whether a daemon watches the store for others.
-func (t *Tree) Source(self mtid.Daemon) bool { return holds(t.sources, self) }
+// Source reports whether a daemon watches the store on behalf of others.
+func (t *Tree) Source(self mtid.Daemon) bool { return contains(t.watchers, self) }
 
-// First returns the first source, or false if nobody is there.
+// First returns the first watcher, or false if there are no daemons.
 func (t *Tree) First() (Node, bool) {
-	if len(t.sources) == 0 {
+	if len(t.watchers) == 0 {
 		return Node{}, false
 	}
-	return t.sources[0], true
+	return t.watchers[0], true
 }
 
-// Teachers returns the daemons to learn from, the best one first. There are none for a
-// source, and for a daemon in whose zone nobody is known.
+// Teachers returns the daemons to pull updates from, the best one first. There
+// are none for a watcher, and none for a daemon in whose zone no daemon is
+// known.
 func (t *Tree) Teachers(self mtid.Daemon, zone mtid.Zone) []Node {
-	own := slices.IndexFunc(t.firsts, func(n Node) bool { return n.Zone == zone })
+	own := slices.IndexFunc(t.distributors, func(n Node) bool { return n.Zone == zone })
 	switch {
 	case own < 0 || t.Source(self):
 		return nil
-	case t.firsts[own].Daemon == self:
-		return t.sources
+	case t.distributors[own].Daemon == self:
+		return t.watchers
 	}
-	return append([]Node{t.firsts[own]}, slices.Delete(slices.Clone(t.firsts), own, own+1)...)
+	return append([]Node{t.distributors[own]}, slices.Delete(slices.Clone(t.distributors), own, own+1)...)
 }
 
-func holds(nodes []Node, daemon mtid.Daemon) bool {
+func contains(nodes []Node, daemon mtid.Daemon) bool {
 	return slices.ContainsFunc(nodes, func(n Node) bool { return n.Daemon == daemon })
 }
--- a/core/mtspread/mtspread_test.go
+++ b/core/mtspread/mtspread_test.go
@@ -16,7 +16,7 @@
 	"magnoliaturn/core/mtspread"
 )
 
-// nodes returns so many daemons, dealt to availability zones in turn.
+// nodes returns size daemons, assigned to the availability zones in rotation.
 func nodes(size, zones int) []mtspread.Node {
 	var out []mtspread.Node
 	for i := range size {
@@ -30,18 +30,19 @@
 	return out
 }
 
-// Whoever is there, two watch the store, and everybody else is at most two hops from one
-// of them. The order in which the daemons are known makes no difference.
-func TestEverybodyHearsFromTwoSources(t *testing.T) {
+// For any set of daemons, two watch the store, and all others are at most two
+// hops from a watcher. The order in which the daemons are listed does not
+// matter.
+func TestAllDaemonsAreWithinTwoHopsOfAWatcher(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 60).Draw(t, "size")
 		all := nodes(size, rapid.IntRange(1, 7).Draw(t, "zones"))
 		tree := mtspread.New(rapid.Permutation(all).Draw(t, "order"))
-		var sources []mtid.Daemon
+		var watchers []mtid.Daemon
 		var regular int
 		for _, n := range all {
 			if tree.Source(n.Daemon) {
-				sources = append(sources, n.Daemon)
+				watchers = append(watchers, n.Daemon)
 				assert.Equal(t, len(tree.Teachers(n.Daemon, n.Zone)), 0)
 				assert.Assert(t, tree.Turn(n.Daemon) != mtroute.Last)
 			}
@@ -49,47 +50,47 @@
 				regular++
 			}
 		}
-		assert.Equal(t, len(sources), min(size, 2))
+		assert.Equal(t, len(watchers), min(size, 2))
 		assert.Equal(t, regular, 1)
 		for _, n := range all {
-			teachers := tree.Teachers(n.Daemon, n.Zone)
-			if slices.Contains(sources, n.Daemon) {
+			upstreams := tree.Teachers(n.Daemon, n.Zone)
+			if slices.Contains(watchers, n.Daemon) {
 				continue
 			}
-			assert.Assert(t, len(teachers) > 0)
-			for _, teacher := range teachers {
-				assert.Assert(t, teacher.Daemon != n.Daemon)
-				turn := tree.Turn(teacher.Daemon)
+			assert.Assert(t, len(upstreams) > 0)
+			for _, upstream := range upstreams {
+				assert.Assert(t, upstream.Daemon != n.Daemon)
+				turn := tree.Turn(upstream.Daemon)
 				assert.Assert(t, turn != mtroute.Last)
 				if tree.Turn(n.Daemon) == mtroute.Relaying {
-					assert.Assert(t, tree.Source(teacher.Daemon))
+					assert.Assert(t, tree.Source(upstream.Daemon))
 				}
 			}
 			if tree.Turn(n.Daemon) == mtroute.Last {
-				assert.Equal(t, teachers[0].Zone, n.Zone)
+				assert.Equal(t, upstreams[0].Zone, n.Zone)
 			}
 		}
 	})
 }
 
-// A daemon that is not in its own view yet, and in whose zone it knows nobody, has to
-// watch the store itself.
-func TestAStrangerInItsZoneLearnsFromNobody(t *testing.T) {
+// A daemon that is not in its own view yet, and knows no other daemon of its
+// zone, must watch the store itself.
+func TestDaemonInUnknownZoneHasNoUpstreams(t *testing.T) {
 	tree := mtspread.New(nodes(12, 3))
 	assert.Equal(t, len(tree.Teachers("new", "elsewhere")), 0)
 	assert.Equal(t, len(mtspread.New(nil).Teachers("new", "zone-0")), 0)
 }
 
-// daemon is one of a played fleet.
+// daemon is one daemon of a simulated fleet.
 type daemon struct {
 	mtspread.Node
-	certainty mtroute.Certainty
-	asked     int
-	cut       bool // from the store and from all others
+	freshness    mtroute.Certainty
+	polls        int
+	disconnected bool // from the store and from all other daemons
 }
 
-// fleet plays how the knowledge of the configuration spreads: daemons ask the store, and
-// hear from those whom they learn from.
+// fleet simulates how the configuration spreads: daemons poll the store and
+// pull from their upstreams.
 type fleet struct {
 	daemons map[mtid.Daemon]*daemon
 	order   []*daemon
@@ -99,7 +100,7 @@
 func newFleet(now mtclock.Instant, size, zones int) *fleet {
 	f := &fleet{daemons: make(map[mtid.Daemon]*daemon)}
 	for _, n := range nodes(size, zones) {
-		d := &daemon{Node: n, certainty: mtroute.NewCertainty(now, mtroute.Within)}
+		d := &daemon{Node: n, freshness: mtroute.NewCertainty(now, mtroute.Within)}
 		f.daemons[n.Daemon] = d
 		f.order = append(f.order, d)
 	}
@@ -107,30 +108,32 @@
 	return f
 }
 
-// step plays one moment.
+// step simulates one moment.
 func (f *fleet) step(now mtclock.Instant) {
 	for _, d := range f.order {
-		if d.cut {
+		if d.disconnected {
 			continue
 		}
-		for _, teacher := range f.tree.Teachers(d.Daemon, d.Zone) {
-			if t := f.daemons[teacher.Daemon]; !t.cut && t.certainty.Fresher(t.certainty.At(), d.certainty.At()) {
-				d.certainty.Hear(1, 1, t.certainty.Age(now), now)
+		for _, upstream := range f.tree.Teachers(d.Daemon, d.Zone) {
+			if t := f.daemons[upstream.Daemon]; !t.disconnected && t.freshness.Fresher(t.freshness.At(), d.freshness.At()) {
+				d.freshness.Hear(1, 1, t.freshness.Age(now), now)
 				break
 			}
 		}
-		if d.certainty.Ask(now, f.tree.Turn(d.Daemon)) {
-			d.asked++
-			d.certainty.Confirm(now)
+		if d.freshness.Ask(now, f.tree.Turn(d.Daemon)) {
+			d.polls++
+			d.freshness.Confirm(now)
 		}
 	}
 }
 
-// Five hundred daemons start within a second. Each had asked the store every 1.5 s until
-// the operators wrote a first configuration, and then whenever it had not heard from one
-// of the two that ask regularly, which at that size was fifty times a second. Only the
-// sources may go on asking, and all others are certain all the while.
-func TestFiveHundredDaemonsAskTheStoreAsOftenAsTwo(t *testing.T) {
+// 500 daemons start within a second. Without upstreams, each polls the store
+// every 1.5 s until the operators write the first configuration, and after that
+// whenever it has received nothing from one of the two daemons that poll
+// regularly, which at that size is 50 polls per second. Only the watchers may
+// continue to poll, and the configuration of every other daemon must stay fresh
+// throughout.
+func TestOnlyWatchersOf500DaemonsPollTheStore(t *testing.T) {
 	const step = 50 * time.Millisecond
 	start := mtclock.Instant(time.Hour)
 	f := newFleet(start, 500, 6)
@@ -140,42 +143,44 @@
 			continue
 		}
 		for _, d := range f.order {
-			assert.Assert(t, d.certainty.Denies(start.Add(at)), "%s is not certain after %s", d.Daemon, at)
+			assert.Assert(t, d.freshness.Denies(start.Add(at)), "the configuration of daemon %s is not fresh after %s", d.Daemon, at)
 		}
 	}
-	asked := 0
+	polls := 0
 	for _, d := range f.order {
-		asked += d.asked
-		assert.Assert(t, d.asked <= 1 || f.tree.Source(d.Daemon), "%s asked %d times", d.Daemon, d.asked)
+		polls += d.polls
+		assert.Assert(t, d.polls <= 1 || f.tree.Source(d.Daemon), "daemon %s polled the store %d times, want at most 1", d.Daemon, d.polls)
 	}
-	assert.Assert(t, asked <= 130, "the store was asked %d times", asked)
+	assert.Assert(t, polls <= 130, "the store was polled %d times, want at most 130", polls)
 }
 
-// Both sources are cut off, and nobody has noticed yet. The first of each zone asks in
-// their place, so that 494 others need not.
-func TestTheFirstsAskWhileTheSourcesAreCutOff(t *testing.T) {
+// Both watchers are disconnected, and no daemon has noticed yet. The
+// distributor of each zone must poll in their place, so that 494 other daemons
+// need not.
+func TestDistributorsPollWhileWatchersAreDisconnected(t *testing.T) {
 	const step = 50 * time.Millisecond
 	start := mtclock.Instant(time.Hour)
 	f := newFleet(start, 500, 6)
-	cut := start.Add(10 * time.Second)
+	disconnectedAt := start.Add(10 * time.Second)
 	var before int
 	for at := time.Duration(0); at < 20*time.Second; at += step {
 		now := start.Add(at)
 		f.step(now)
 		for _, d := range f.order {
-			if now == cut {
-				before += d.asked
-				d.cut = f.tree.Source(d.Daemon)
+			if now == disconnectedAt {
+				before += d.polls
+				d.disconnected = f.tree.Source(d.Daemon)
 			}
-			if now.After(cut) && !d.cut {
-				assert.Assert(t, d.certainty.Denies(now), "%s is not certain %s after the cut", d.Daemon, now.Sub(cut))
+			if now.After(disconnectedAt) && !d.disconnected {
+				assert.Assert(t, d.freshness.Denies(now), "the configuration of daemon %s is not fresh %s after the watchers were disconnected", d.Daemon, now.Sub(disconnectedAt))
 			}
 		}
 	}
 	var after int
 	for _, d := range f.order {
-		after += d.asked
+		after += d.polls
 	}
-	// 4 firsts are left in 6 zones; the others of the two zones without one learn from these.
-	assert.Assert(t, after-before <= 60, "the store was asked %d times in ten seconds", after-before)
+	// 4 distributors are left in 6 zones; the daemons of the two zones without
+	// one pull from these.
+	assert.Assert(t, after-before <= 60, "the store was polled %d times in ten seconds, want at most 60", after-before)
 }
