--- a/core/mtload/book.go
+++ b/core/mtload/book.go
@@ -10,7 +10,7 @@
 	"magnoliaturn/core/mtshard"
 )
 
-// Intervals and limits of a Book.
+// Intervals and limits of Estimates.
 const (
 	// decayHalfLife is the half-life with which an estimate decays to a lower
 	// reported load. A higher load counts at once. So a report that wrongly
@@ -24,15 +24,15 @@
 	// load that was split off, since the meter counts it under the low that
 	// both shards had in common.
 	maxSplitReports = 2
-	// maxPoints bounds the hot keys in a Book.
+	// maxPoints bounds the hot keys in Estimates.
 	maxPoints = 4096
 )
 
-// Book holds the load estimates of one service for its planner. Estimates
-// belong to shards, not to servers: when a shard moves, its load counts for the
-// new owner at once, however late the reports are. Otherwise late reports would
-// make the planner move load off the same server twice.
-type Book struct {
+// Estimates holds the load estimates of one service for its planner. An
+// estimate belongs to a shard, not to a server: when a shard moves, its load
+// counts for the new owner at once, however late the reports are. Otherwise
+// late reports would make the planner move load off the same server twice.
+type Estimates struct {
 	entries     []entry // sorted by low, covering the ring after Sync
 	buffer      []entry
 	points      []pointEntry // sorted by point
@@ -87,15 +87,16 @@
 	repeated bool            // whether the last report repeated an older measurement
 }
 
-// NewBook returns a Book without shards.
-func NewBook() *Book {
-	return &Book{reporters: make(map[mtid.Holder]reporter), calibration: newCalibration()}
+// NewEstimates returns Estimates without shards.
+func NewEstimates() *Estimates {
+	return &Estimates{reporters: make(map[mtid.Holder]reporter), calibration: newCalibration()}
 }
 
-// Sync sets the shards of the book to those that begin at lows, which must be
+// Sync sets the estimated shards to those that begin at lows, which must be
 // sorted and complete. A split divides the load of a shard by its known hot
-// keys and by width, and a merge adds loads up. Call it before Take and Loads.
-func (es *Book) Sync(lows []mtid.Point) {
+// keys and by width, and a merge adds loads up. Call it before AddReport and
+// Loads.
+func (es *Estimates) Sync(lows []mtid.Point) {
 	next := es.buffer[:0]
 	old := es.entries
 	i := 0
@@ -114,7 +115,7 @@
 
 // inherit returns the entry for [low, high], computed from the old entries.
 // old[i] is the first of them that overlaps it.
-func (es *Book) inherit(old []entry, i int, low, high mtid.Point) entry {
+func (es *Estimates) inherit(old []entry, i int, low, high mtid.Point) entry {
 	e := entry{low: low, single: low == high}
 	for ; i < len(old) && old[i].low <= high; i++ {
 		oldHigh := ^mtid.Point(0)
@@ -137,7 +138,7 @@
 }
 
 // partialLoad returns the portion of an entry's load that lies in [low, high].
-func (es *Book) partialLoad(e *entry, eHigh, low, high mtid.Point, load float64) float64 {
+func (es *Estimates) partialLoad(e *entry, eHigh, low, high mtid.Point, load float64) float64 {
 	if low == e.low && high == eHigh {
 		return load
 	}
@@ -159,12 +160,12 @@
 	return inside + (load-all)*width
 }
 
-// Take applies a report, and reports whether the planner needs another one soon
-// even if the load does not change, because this one may predate recent changes
-// to the shards. owned are the shards that the table assigns to the sender. The
-// load that the report does not attribute to listed shards is spread evenly
-// over the sender's other shards.
-func (es *Book) Take(now mtclock.Instant, r *Report, owned []mtshard.Shard) (again bool) {
+// AddReport applies a report, and returns whether the planner needs another one
+// soon even if the load does not change, because this one may predate recent
+// changes to the shards. owned are the shards that the table assigns to the
+// sender. The load that the report does not attribute to listed shards is
+// spread evenly over the sender's other shards.
+func (es *Estimates) AddReport(now mtclock.Instant, r *Report, owned []mtshard.Shard) (again bool) {
 	h, ok := es.reporters[r.From]
 	if ok && r.Sequence <= h.sequence {
 		h.repeated = true
@@ -207,7 +208,7 @@
 }
 
 // find returns the entry of the shard that begins at low, or nil.
-func (es *Book) find(low mtid.Point) *entry {
+func (es *Estimates) find(low mtid.Point) *entry {
 	i, ok := slices.BinarySearchFunc(es.entries, low, func(e entry, low mtid.Point) int {
 		return cmp.Compare(e.low, low)
 	})
@@ -219,7 +220,7 @@
 
 // update applies a reported load to an entry, and reports whether the next
 // report will be more accurate.
-func (es *Book) update(now mtclock.Instant, e *entry, from mtid.Holder, load float64, listed bool) bool {
+func (es *Estimates) update(now mtclock.Instant, e *entry, from mtid.Holder, load float64, listed bool) bool {
 	es.compareOwners(now, e, from, load, listed)
 	before := e.value(now)
 	if e.splitReports > 0 {
@@ -234,7 +235,7 @@
 
 // compareOwners compares the loads that two successive owners reported for a
 // shard.
-func (es *Book) compareOwners(now mtclock.Instant, e *entry, from mtid.Holder, load float64, listed bool) {
+func (es *Estimates) compareOwners(now mtclock.Instant, e *entry, from mtid.Holder, load float64, listed bool) {
 	if e.by != from {
 		e.previous = reportedLoad{}
 		if e.listed && !e.single && e.load >= minComparedLoad && e.load <= maxComparedLoad && now.Sub(e.at) <= maxCompareAge {
@@ -255,14 +256,14 @@
 
 // findPoint returns the index of point among the hot keys, or where to insert
 // it.
-func (es *Book) findPoint(point mtid.Point) (int, bool) {
+func (es *Estimates) findPoint(point mtid.Point) (int, bool) {
 	return slices.BinarySearchFunc(es.points, point, func(p pointEntry, point mtid.Point) int {
 		return cmp.Compare(p.point, point)
 	})
 }
 
 // replacePoints replaces the hot keys that a daemon reported before.
-func (es *Book) replacePoints(now mtclock.Instant, from mtid.Holder, points []PointLoad, factor float64) {
+func (es *Estimates) replacePoints(now mtclock.Instant, from mtid.Holder, points []PointLoad, factor float64) {
 	es.points = slices.DeleteFunc(es.points, func(p pointEntry) bool {
 		return p.by == from || now.Sub(p.at) > 2*Refresh
 	})
@@ -283,7 +284,7 @@
 }
 
 // lightest returns the index of the hot key with the least load.
-func (es *Book) lightest() int {
+func (es *Estimates) lightest() int {
 	least := 0
 	for i, p := range es.points {
 		if p.load < es.points[least].load {
@@ -295,7 +296,7 @@
 
 // Loads appends the estimate of each shard at now to into, in the order of the
 // last Sync.
-func (es *Book) Loads(now mtclock.Instant, into []float64) []float64 {
+func (es *Estimates) Loads(now mtclock.Instant, into []float64) []float64 {
 	for i := range es.entries {
 		into = append(into, es.entries[i].value(now))
 	}
@@ -305,7 +306,7 @@
 // Total returns the load of all shards as last reported. The sum of Loads may
 // be higher while estimates decay: a key that moved to another shard would
 // count twice in the mean, and hide which servers are above it.
-func (es *Book) Total() float64 {
+func (es *Estimates) Total() float64 {
 	sum := 0.0
 	for i := range es.entries {
 		sum += es.entries[i].load
@@ -313,9 +314,9 @@
 	return sum
 }
 
-// Points returns the hot keys of the last report of each daemon, sorted by
+// HotKeys returns the hot keys of the last report of each daemon, sorted by
 // point.
-func (es *Book) Points() []PointLoad {
+func (es *Estimates) HotKeys() []PointLoad {
 	hot := make([]PointLoad, 0, len(es.points))
 	for _, p := range es.points {
 		hot = append(hot, PointLoad{Point: p.point, Load: p.load})
@@ -323,24 +324,24 @@
 	return hot
 }
 
-// Heard reports whether the load of holder is known: its last report was a new
-// measurement and arrived no more than two Refresh intervals ago. If none
+// LoadKnown reports whether the load of holder is known: its last report was a
+// new measurement and arrived no more than two Refresh intervals ago. If none
 // arrives within that time, the load has not changed.
-func (es *Book) Heard(now mtclock.Instant, holder mtid.Holder) bool {
+func (es *Estimates) LoadKnown(now mtclock.Instant, holder mtid.Holder) bool {
 	h, ok := es.reporters[holder]
 	return ok && !h.repeated && now.Sub(h.at) <= 2*Refresh
 }
 
-// HeardAt returns when the last new measurement of holder arrived, and false if
-// none has.
-func (es *Book) HeardAt(holder mtid.Holder) (mtclock.Instant, bool) {
+// LastReport returns when the last new measurement of holder arrived, and false
+// if none has.
+func (es *Estimates) LastReport(holder mtid.Holder) (mtclock.Instant, bool) {
 	h, ok := es.reporters[holder]
 	return h.at, ok
 }
 
-// Forget removes the reporters for which live returns false. Call it from time
-// to time, so that the book does not grow as daemons are replaced.
-func (es *Book) Forget(live func(mtid.Holder) bool) {
+// Retain removes the reporters for which live returns false. Call it from time
+// to time, so that the estimates do not grow as daemons are replaced.
+func (es *Estimates) Retain(live func(mtid.Holder) bool) {
 	for holder := range es.reporters {
 		if !live(holder) {
 			delete(es.reporters, holder)
--- a/core/mtload/meter.go
+++ b/core/mtload/meter.go
@@ -14,7 +14,7 @@
 
 // Half-lives of the two rates of a meter. The short-term rate shows a new hot
 // key within seconds; the long-term rate averages out the random arrivals of
-// slow requests. Steady chooses between them.
+// slow requests. SmoothRate chooses between them.
 const (
 	HalfLife     = 3 * time.Second
 	SlowHalfLife = 40 * time.Second
@@ -28,11 +28,11 @@
 // chance.
 const noiseDeviations = 3.5
 
-// Steady returns the long-term rate per second unless the short-term rate
+// SmoothRate returns the long-term rate per second unless the short-term rate
 // differs from it by more than chance allows. With the short-term rate alone, a
 // service with 20 requests per second would appear to fluctuate by 10%, and
 // shards would be moved because of noise.
-func Steady(fast, slow float64) float64 {
+func SmoothRate(fast, slow float64) float64 {
 	deviation := math.Sqrt(max(fast, slow) / fastWindow)
 	if math.Abs(fast-slow) > noiseDeviations*deviation {
 		return fast
@@ -115,13 +115,13 @@
 	sum := 0.0
 	for low := range fast {
 		// Every shard with a relevant long-term rate has a short-term rate too.
-		rate := Steady(fast[low], slow[low])
+		rate := SmoothRate(fast[low], slow[low])
 		sum += rate
 		r.Shards = append(r.Shards, ShardLoad{Low: low, Load: rate * slotTime})
 	}
-	r.Load = Steady(fastSum, slowSum) * slotTime
-	r.Shards = Fit(r.Shards, r.Load, sum*slotTime)
-	r.Shards, _ = Cut(r.Shards, nil)
+	r.Load = SmoothRate(fastSum, slowSum) * slotTime
+	r.Shards = ScaleLoads(r.Shards, r.Load, sum*slotTime)
+	r.Shards, _ = Truncate(r.Shards, nil)
 	for _, c := range m.points.Top(now, MaxPoints) {
 		// Report the lower bound: a key that has just taken over a counter
 		// inherits the count of the evicted key, and would be split off without
@@ -145,9 +145,9 @@
 	return rates, sum
 }
 
-// Fit scales loads that add up to sum so that they add up to total. The total
+// ScaleLoads scales loads that add up to sum so that they add up to total. The total
 // may have changed beyond noise while no single shard has.
-func Fit(shards []ShardLoad, total, sum float64) []ShardLoad {
+func ScaleLoads(shards []ShardLoad, total, sum float64) []ShardLoad {
 	if sum <= 0 {
 		return shards
 	}
@@ -160,9 +160,9 @@
 // Bytes returns the maximum memory that the meter uses.
 func (m *Meter) Bytes() int { return m.shards.Bytes() + m.slowShards.Bytes() + m.points.Bytes() }
 
-// Cut sorts loads, the heaviest first, and truncates them to the limits of a
+// Truncate sorts loads, the heaviest first, and truncates them to the limits of a
 // report.
-func Cut(shards []ShardLoad, points []PointLoad) ([]ShardLoad, []PointLoad) {
+func Truncate(shards []ShardLoad, points []PointLoad) ([]ShardLoad, []PointLoad) {
 	slices.SortFunc(shards, func(a, b ShardLoad) int {
 		return cmp.Or(cmp.Compare(b.Load, a.Load), cmp.Compare(a.Low, b.Low))
 	})
--- a/core/mtload/mtload.go
+++ b/core/mtload/mtload.go
@@ -7,21 +7,21 @@
 // the load of a key that is too hot for its server is known in full. The load
 // that a server reports about itself is not used.
 //
-// Meter counts at the gate. Pace decides when a daemon reports: at once when
-// its load leaves the band around the mean of the fleet, and rarely otherwise.
-// The absence of reports thus means that the load is within the band, and the
-// planning daemon is not flooded. Book holds the reported loads and follows
-// shards as they split, merge and move.
+// Meter counts at the gate. ReportScheduler decides when a daemon reports: at
+// once when its load leaves the band around the mean of the fleet, and rarely
+// otherwise. The absence of reports thus means that the load is within the
+// band, and the planning daemon is not flooded. Estimates holds the reported
+// loads and follows shards as they split, merge and move.
 //
 // # Usage
 //
 //	meter.Arrive(now, shard.Low, point)
 //	meter.Finish(occupied)
 //	report := meter.Report(now, self, ref, owns)
-//	if pace.Due(now, self, leader, report.Load/slots, spread) { ... send report ... }
-//	book.Take(now, report, owned)
+//	if scheduler.Due(now, self, leader, report.Load/slots, spread) { ... send report ... }
+//	estimates.AddReport(now, report, owned)
 //
-// Meter is safe for concurrent use; Pace and Book are not.
+// Meter is safe for concurrent use; ReportScheduler and Estimates are not.
 package mtload
 
 import (
--- a/core/mtload/mtload_test.go
+++ b/core/mtload/mtload_test.go
@@ -123,10 +123,10 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var scheduler mtload.Pace
+			var scheduler mtload.ReportScheduler
 			assert.Assert(t, scheduler.Due(at(0), a, b, 1, 0), "the first report must be due at once")
 			scheduler.Sent(at(0), 1)
-			scheduler.Heard(1, 30*time.Second, false)
+			scheduler.ReplyReceived(1, 30*time.Second, false)
 			got := scheduler.Due(at(tt.at), a, b, tt.load, 0)
 			assert.Equal(t, got, tt.want)
 		})
@@ -137,13 +137,13 @@
 // grows, so that its total load stays the same. The planner assumes that it
 // fell, so another report must be due.
 func TestReportIsDueAfterAMove(t *testing.T) {
-	var scheduler mtload.Pace
-	scheduler.Shards(1)
+	var scheduler mtload.ReportScheduler
+	scheduler.SetShards(1)
 	scheduler.Due(at(0), a, b, 1.2, 0)
 	scheduler.Sent(at(0), 1.2)
-	scheduler.Heard(1, mtload.MaxPause, false)
+	scheduler.ReplyReceived(1, mtload.MaxPause, false)
 	assert.Assert(t, !scheduler.Due(at(60*time.Second), a, b, 1.2, 0), "due although nothing has changed")
-	scheduler.Shards(2)
+	scheduler.SetShards(2)
 	assert.Assert(t, scheduler.Due(at(60*time.Second), a, b, 1.2, 0))
 	scheduler.Sent(at(60*time.Second), 1.2)
 	assert.Assert(t, !scheduler.Due(at(64*time.Second), a, b, 1.2, 0))
@@ -152,18 +152,18 @@
 // A report or its reply is lost. The report must be sent again even if the load
 // has not changed since; otherwise the planner uses an old load for minutes.
 func TestUnansweredReportIsSentAgain(t *testing.T) {
-	var scheduler mtload.Pace
+	var scheduler mtload.ReportScheduler
 	scheduler.Due(at(0), a, b, 1, 0)
 	scheduler.Sent(at(0), 1)
-	scheduler.Heard(1, mtload.MinPause, false)
+	scheduler.ReplyReceived(1, mtload.MinPause, false)
 	scheduler.Sent(at(10*time.Second), 1.1)
 	assert.Assert(t, !scheduler.Due(at(14*time.Second), a, b, 1.1, 0))
 	assert.Assert(t, scheduler.Due(at(15*time.Second), a, b, 1.1, 0))
 	scheduler.Sent(at(15*time.Second), 1.1)
-	scheduler.Heard(1, mtload.MinPause, false)
+	scheduler.ReplyReceived(1, mtload.MinPause, false)
 	assert.Assert(t, !scheduler.Due(at(60*time.Second), a, b, 1.1, 0))
 	scheduler.Sent(at(15*time.Second), 1.1)
-	scheduler.Heard(1, mtload.MinPause, true)
+	scheduler.ReplyReceived(1, mtload.MinPause, true)
 	assert.Assert(t, !scheduler.Due(at(26*time.Second), a, b, 1.1, 0))
 	assert.Assert(t, scheduler.Due(at(27*time.Second), a, b, 1.1, 0), "not due although the planner requested another report")
 }
@@ -176,10 +176,10 @@
 	early := 0
 	for i := range 100 {
 		self := mtid.Holder{Daemon: mtid.Daemon(rune('a' + i)), Incarnation: 1}
-		var scheduler mtload.Pace
+		var scheduler mtload.ReportScheduler
 		scheduler.Due(at(0), self, b, 1, 0)
 		scheduler.Sent(at(0), 1)
-		scheduler.Heard(1, mtload.MinPause, false)
+		scheduler.ReplyReceived(1, mtload.MinPause, false)
 		if scheduler.Due(at(30*time.Second), self, a, 1, spread) {
 			early++
 		}
@@ -238,11 +238,11 @@
 }
 
 func TestEstimatesFollowSplitsAndMerges(t *testing.T) {
-	estimates := mtload.NewBook()
+	estimates := mtload.NewEstimates()
 	estimates.Sync([]mtid.Point{0, 1 << 62, 2 << 62})
 	r := report(a, 1, 10, mtload.ShardLoad{Low: 0, Load: 6})
 	r.Points = []mtload.PointLoad{{Point: 77, Load: 5}}
-	estimates.Take(at(0), r, shards(a, 0, 1<<62, 2<<62))
+	estimates.AddReport(at(0), r, shards(a, 0, 1<<62, 2<<62))
 	assert.DeepEqual(t, estimates.Loads(0, nil), []float64{6, 2, 2})
 
 	estimates.Sync([]mtid.Point{0, 77, 78, 1 << 62, 2 << 62})
@@ -268,7 +268,7 @@
 			sortPoints(points)
 			return points
 		}
-		estimates := mtload.NewBook()
+		estimates := mtload.NewEstimates()
 		first := lows("first")
 		estimates.Sync(first)
 		r := report(a, 1, 30)
@@ -278,7 +278,7 @@
 				Load:  float64(i) * rapid.Float64Range(0, 2).Draw(t, "load"),
 			})
 		}
-		estimates.Take(at(0), r, shards(a, first...))
+		estimates.AddReport(at(0), r, shards(a, first...))
 		for range 3 {
 			estimates.Sync(lows("next"))
 			total := 0.0
@@ -302,30 +302,30 @@
 // A daemon stops measuring and sends the same loads repeatedly. Its load must
 // count as unknown until it sends a new measurement.
 func TestRepeatedReportsMakeTheLoadUnknown(t *testing.T) {
-	estimates := mtload.NewBook()
+	estimates := mtload.NewEstimates()
 	estimates.Sync([]mtid.Point{0})
-	assert.Assert(t, !estimates.Heard(at(0), a))
-	estimates.Take(at(0), report(a, 1, 3), shards(a, 0))
-	assert.Assert(t, estimates.Heard(at(time.Second), a))
-	estimates.Take(at(5*time.Second), report(a, 1, 3), shards(a, 0))
-	assert.Assert(t, !estimates.Heard(at(5*time.Second), a))
-	estimates.Take(at(10*time.Second), report(a, 2, 3), shards(a, 0))
-	assert.Assert(t, estimates.Heard(at(10*time.Second), a))
-	assert.Assert(t, !estimates.Heard(at(10*time.Second+3*mtload.Refresh), a))
+	assert.Assert(t, !estimates.LoadKnown(at(0), a))
+	estimates.AddReport(at(0), report(a, 1, 3), shards(a, 0))
+	assert.Assert(t, estimates.LoadKnown(at(time.Second), a))
+	estimates.AddReport(at(5*time.Second), report(a, 1, 3), shards(a, 0))
+	assert.Assert(t, !estimates.LoadKnown(at(5*time.Second), a))
+	estimates.AddReport(at(10*time.Second), report(a, 2, 3), shards(a, 0))
+	assert.Assert(t, estimates.LoadKnown(at(10*time.Second), a))
+	assert.Assert(t, !estimates.LoadKnown(at(10*time.Second+3*mtload.Refresh), a))
 }
 
 // The owner of a shard suddenly reports no load. The estimate must decay over
 // several rounds; otherwise the owner immediately receives more and more
 // shards.
 func TestEstimatesDecaySlowly(t *testing.T) {
-	estimates := mtload.NewBook()
+	estimates := mtload.NewEstimates()
 	estimates.Sync([]mtid.Point{0})
-	estimates.Take(at(0), report(a, 1, 8), shards(a, 0))
-	estimates.Take(at(3*time.Second), report(a, 2, 0), shards(a, 0))
+	estimates.AddReport(at(0), report(a, 1, 8), shards(a, 0))
+	estimates.AddReport(at(3*time.Second), report(a, 2, 0), shards(a, 0))
 	near(t, estimates.Loads(at(3*time.Second), nil)[0], 8)
 	near(t, estimates.Loads(at(7*time.Second), nil)[0], 4)
 	near(t, estimates.Total(), 0)
-	estimates.Take(at(10*time.Second), report(a, 3, 9), shards(a, 0))
+	estimates.AddReport(at(10*time.Second), report(a, 3, 9), shards(a, 0))
 	near(t, estimates.Loads(at(10*time.Second), nil)[0], 9)
 }
 
@@ -334,14 +334,14 @@
 // valid until b has had time to report the shard; otherwise b appears less
 // loaded than it is and receives more shards.
 func TestReportFromBeforeAMoveKeepsThePreviousLoad(t *testing.T) {
-	estimates := mtload.NewBook()
+	estimates := mtload.NewEstimates()
 	estimates.Sync([]mtid.Point{0, 100})
-	estimates.Take(at(0), report(a, 1, 8, mtload.ShardLoad{Low: 0, Load: 8}), shards(a, 0))
-	estimates.Take(at(0), report(b, 1, 2, mtload.ShardLoad{Low: 100, Load: 2}), shards(b, 100))
+	estimates.AddReport(at(0), report(a, 1, 8, mtload.ShardLoad{Low: 0, Load: 8}), shards(a, 0))
+	estimates.AddReport(at(0), report(b, 1, 2, mtload.ShardLoad{Low: 100, Load: 2}), shards(b, 100))
 	both := shards(b, 0, 100)
-	estimates.Take(at(5*time.Second), report(b, 2, 2, mtload.ShardLoad{Low: 100, Load: 2}), both)
+	estimates.AddReport(at(5*time.Second), report(b, 2, 2, mtload.ShardLoad{Low: 100, Load: 2}), both)
 	assert.DeepEqual(t, estimates.Loads(at(5*time.Second), nil), []float64{8, 2})
-	estimates.Take(at(30*time.Second), report(b, 3, 2, mtload.ShardLoad{Low: 100, Load: 2}), both)
+	estimates.AddReport(at(30*time.Second), report(b, 3, 2, mtload.ShardLoad{Low: 100, Load: 2}), both)
 	got := estimates.Loads(at(time.Minute), nil)[0]
 	assert.Assert(t, got < 1, "got %v, want the load from b's report", got)
 }
@@ -349,15 +349,15 @@
 // A hot key is split off, and for some seconds the meter of its owner still
 // counts its past requests under its former shard. They must not count twice.
 func TestSplitOffLoadCountsOnce(t *testing.T) {
-	estimates := mtload.NewBook()
+	estimates := mtload.NewEstimates()
 	estimates.Sync([]mtid.Point{0})
 	hot := report(a, 1, 10)
 	hot.Points = []mtload.PointLoad{{Point: 50, Load: 9}}
-	estimates.Take(at(0), hot, shards(a, 0))
+	estimates.AddReport(at(0), hot, shards(a, 0))
 	lows := []mtid.Point{0, 50, 51}
 	estimates.Sync(lows)
 	mixed := report(a, 2, 14, mtload.ShardLoad{Low: 0, Load: 7}, mtload.ShardLoad{Low: 50, Load: 7})
-	estimates.Take(at(5*time.Second), mixed, shards(a, lows...))
+	estimates.AddReport(at(5*time.Second), mixed, shards(a, lows...))
 	got := estimates.Loads(at(5*time.Second), nil)
 	assert.Assert(t, got[0] < 1, "got %v for the former shard, want the rest without the hot key", got[0])
 	assert.Assert(t, got[1] >= 7, "got %v for the hot key, want at least 7", got[1])
@@ -369,7 +369,7 @@
 // do not. Its reports must be corrected, and those of accurate servers left
 // alone.
 func TestInaccurateServerIsCorrected(t *testing.T) {
-	estimates := mtload.NewBook()
+	estimates := mtload.NewEstimates()
 	inaccurate := mtid.Holder{Daemon: "liar", Incarnation: 1}
 	var lows []mtid.Point
 	for i := range 20 {
@@ -379,7 +379,7 @@
 	sequence := uint64(0)
 	addReport := func(d time.Duration, from mtid.Holder, load float64, low mtid.Point) {
 		sequence++
-		estimates.Take(at(d), report(from, sequence, load, mtload.ShardLoad{Low: low, Load: load}), shards(from, low))
+		estimates.AddReport(at(d), report(from, sequence, load, mtload.ShardLoad{Low: low, Load: load}), shards(from, low))
 	}
 	for i, low := range lows[:12] {
 		now := time.Duration(i) * time.Minute
--- a/core/mtload/pace.go
+++ b/core/mtload/pace.go
@@ -16,19 +16,19 @@
 	MaxPause = 2 * time.Minute
 	// Refresh is the time after which a daemon reports even if nothing changed.
 	Refresh = 10 * time.Minute
-	// AgainPause is the minimum pause before a report that the planner
+	// FollowUpPause is the minimum pause before a report that the planner
 	// requested even if nothing changed.
-	AgainPause = 12 * time.Second
+	FollowUpPause = 12 * time.Second
 	// Band is how far above the mean of the fleet the load per slot may lie, as
 	// a share of the mean, before the reports of the daemon take precedence
 	// over those of others.
 	Band = 0.08
-	// Change is how far the load per slot may deviate from the last report
-	// before it is reported again. Jump is how far it may deviate before the
-	// daemon ignores the pause that the planner requested. Both are shares of
-	// the mean.
-	Change = 0.05
-	Jump   = 0.1
+	// MinChange is how far the load per slot may deviate from the last report
+	// before it is reported again. UrgentChange is how far it may deviate
+	// before the daemon ignores the pause that the planner requested. Both are
+	// shares of the mean.
+	MinChange    = 0.05
+	UrgentChange = 0.1
 )
 
 // Reports to a new planner are spread over spreadPerServer for each server, up
@@ -38,15 +38,16 @@
 	maxSpread       = 4 * time.Minute
 )
 
-// Spread returns the time over which the reports of that many servers to a new
-// planner are spread, so that they stay within its share of the control budget.
-func Spread(servers int) time.Duration {
+// SpreadTime returns the time over which the reports of that many servers to a
+// new planner are spread, so that they stay within its share of the control
+// budget.
+func SpreadTime(servers int) time.Duration {
 	return min(spreadPerServer*time.Duration(servers), maxSpread)
 }
 
-// Pace decides when a daemon reports to the planner of one service. The zero
-// value is ready to use.
-type Pace struct {
+// ReportScheduler decides when a daemon reports to the planner of one service.
+// The zero value is ready to use.
+type ReportScheduler struct {
 	leader          mtid.Holder
 	notBefore       mtclock.Instant // no report before then, as the planner requested
 	sentAt          mtclock.Instant
@@ -60,12 +61,12 @@
 	meanKnown       bool    // whether any planner has sent the mean
 }
 
-// Shards sets the fingerprint of the shards that the daemon owns; it must
-// differ when the shards do. Call it before Due. The planner counts a shard
-// that moved for its new owner at once. If another shard of the previous owner
-// grew meanwhile, its total load is the same as it last reported, but the
-// planner assumes that it fell.
-func (s *Pace) Shards(fingerprint uint64) { s.fingerprint = fingerprint }
+// SetShards sets the fingerprint of the shards that the daemon owns; it must
+// differ when the shards do. Call it before Due. When a shard moves, the
+// planner counts its load for the new owner at once. If another shard of the
+// previous owner grew meanwhile, the total of that owner equals its last
+// report, but the planner assumes that it fell.
+func (s *ReportScheduler) SetShards(fingerprint uint64) { s.fingerprint = fingerprint }
 
 // Due reports whether to send a report now, given the load per slot. Call it
 // about once a second with the planner that the daemon currently sees.
@@ -73,7 +74,7 @@
 // A planner that takes over has no reports. Reports to it are spread over
 // spread by the daemon's rank, so that several hundred do not arrive at once.
 // Daemons above the band report first, since the planner has to offload these.
-func (s *Pace) Due(now mtclock.Instant, self, leader mtid.Holder, load float64, spread time.Duration) bool {
+func (s *ReportScheduler) Due(now mtclock.Instant, self, leader mtid.Holder, load float64, spread time.Duration) bool {
 	if leader != s.leader {
 		s.leader = leader
 		s.leaderAnswered = false
@@ -83,11 +84,11 @@
 		return false
 	}
 	change := math.Abs(load - s.sentLoad)
-	if s.leaderAnswered && change > Jump*s.mean {
+	if s.leaderAnswered && change > UrgentChange*s.mean {
 		return true
 	}
 	above := s.meanKnown && load > s.mean*(1+Band)
-	moved := s.fingerprint != s.sentFingerprint && now.Sub(s.sentAt) >= AgainPause
+	moved := s.fingerprint != s.sentFingerprint && now.Sub(s.sentAt) >= FollowUpPause
 	if s.leaderAnswered && above && moved {
 		return true
 	}
@@ -97,12 +98,12 @@
 	if now.Before(s.notBefore) {
 		return false
 	}
-	return !s.leaderAnswered || !s.answered || moved || now.Sub(s.sentAt) >= Refresh || change > Change*s.mean
+	return !s.leaderAnswered || !s.answered || moved || now.Sub(s.sentAt) >= Refresh || change > MinChange*s.mean
 }
 
 // Sent records that a report with that load per slot was sent, whether or not
 // it arrived. A lost report is sent again after the pause.
-func (s *Pace) Sent(now mtclock.Instant, load float64) {
+func (s *ReportScheduler) Sent(now mtclock.Instant, load float64) {
 	s.sentAt = now
 	s.sentLoad = load
 	s.sentFingerprint = s.fingerprint
@@ -111,16 +112,16 @@
 	s.notBefore = now.Add(MinPause)
 }
 
-// Heard records the reply of the planner. again is whether the planner requests
-// another report soon in any case: until that arrives, it counts some load
-// twice or not at all.
-func (s *Pace) Heard(mean float64, pause time.Duration, again bool) {
+// ReplyReceived records the reply of the planner. again is whether the planner
+// requests another report soon in any case: until that arrives, it counts some
+// load twice or not at all.
+func (s *ReportScheduler) ReplyReceived(mean float64, pause time.Duration, again bool) {
 	s.leaderAnswered = true
 	s.meanKnown = true
 	s.answered = !again
 	s.mean = mean
 	if again {
-		pause = AgainPause
+		pause = FollowUpPause
 	}
 	s.notBefore = s.sentAt.Add(min(max(pause, MinPause), MaxPause))
 }
--- a/core/mtplan/balance.go
+++ b/core/mtplan/balance.go
@@ -14,7 +14,7 @@
 func (r *round) offloadOverloaded() {
 	var donors []int
 	for i := range r.state.Servers {
-		if r.capacity[i] == 0 || !r.state.Servers[i].Heard {
+		if r.capacity[i] == 0 || !r.state.Servers[i].LoadKnown {
 			continue
 		}
 		util := r.util(i)
@@ -35,7 +35,7 @@
 // changes no owner and interrupts no request; it lets the key and its
 // neighbours move separately.
 func (r *round) isolateHotKeys(donor int) {
-	for _, point := range r.state.Points {
+	for _, point := range r.state.HotKeys {
 		i := r.shardAt(point.Point)
 		if i < 0 || r.owner[i] != donor || point.Load < hotShare*r.fairLoad(donor) {
 			continue
@@ -196,7 +196,7 @@
 func (r *round) exchangeRecipient(donor int, load float64) int {
 	best := -1
 	for i := range r.state.Servers {
-		if i == donor || r.capacity[i] == 0 || !r.state.Servers[i].Heard {
+		if i == donor || r.capacity[i] == 0 || !r.state.Servers[i].LoadKnown {
 			continue
 		}
 		over := r.load[i] + load - r.fairLoad(i)*(1+r.band.exit)
@@ -295,7 +295,7 @@
 func (r *round) fillUnderloaded() {
 	var recipients []int
 	for i := range r.state.Servers {
-		if r.capacity[i] == 0 || !r.state.Servers[i].Heard {
+		if r.capacity[i] == 0 || !r.state.Servers[i].LoadKnown {
 			continue
 		}
 		if r.util(i) < r.mean*idleShare || r.outOfBandLongEnough(r.p.belowSince, i) {
@@ -340,7 +340,7 @@
 func (r *round) mostLoaded(exhausted []bool) int {
 	best := -1
 	for i := range r.state.Servers {
-		if exhausted[i] || r.capacity[i] == 0 || !r.state.Servers[i].Heard || r.util(i) <= r.mean {
+		if exhausted[i] || r.capacity[i] == 0 || !r.state.Servers[i].LoadKnown || r.util(i) <= r.mean {
 			continue
 		}
 		if best < 0 || r.util(i) > r.util(best) {
--- a/core/mtplan/create.go
+++ b/core/mtplan/create.go
@@ -23,10 +23,10 @@
 	SettleLimit = 4 * time.Second
 )
 
-// Creation decides when the set of servers of a new keyed service has settled,
-// so that its chunks can be created. The zero value is ready to use. It is not
-// safe for concurrent use.
-type Creation struct {
+// SettleDetector decides when the set of servers of a new keyed service has
+// settled, so that its chunks can be created. The zero value is ready to use.
+// It is not safe for concurrent use.
+type SettleDetector struct {
 	seen    []mtid.Holder
 	first   mtclock.Instant
 	changed mtclock.Instant
@@ -36,9 +36,9 @@
 // Ready reports whether the set of servers has settled by now. The caller
 // passes the current serving holders, in any order, as long as the table does
 // not exist.
-func (d *Creation) Ready(now mtclock.Instant, serving []mtid.Holder) bool {
+func (d *SettleDetector) Ready(now mtclock.Instant, serving []mtid.Holder) bool {
 	if len(serving) == 0 {
-		*d = Creation{}
+		*d = SettleDetector{}
 		return false
 	}
 	set := slices.Clone(serving)
@@ -64,9 +64,10 @@
 	Slots  float64
 }
 
-// Lay returns, for each chunk, the ops that create it. shards is the initial
-// number of shards of the service over all chunks. Each chunk gets at least one
-// shard, and each server a number of shards in proportion to its slots.
+// InitialLayout returns, for each chunk, the ops that create it. shards is the
+// initial number of shards of the service over all chunks. Each chunk gets at
+// least one shard, and each server a number of shards in proportion to its
+// slots.
 //
 // The shards of a server lie in as few chunks as possible. The servers are
 // lined up with alternating zones, each as wide as its slots, and a chunk is
@@ -77,7 +78,7 @@
 // Create distributes a chunk by rendezvous rank, which is uneven. The moves
 // that even it out are part of the same write that creates the chunk: no server
 // has served any of its keys yet, so there is no owner to ask.
-func Lay(shards, chunks int, members []Member) [][]mtshard.Op {
+func InitialLayout(shards, chunks int, members []Member) [][]mtshard.Op {
 	line := interleaveZones(members)
 	total := 0.0
 	for _, m := range line {
--- a/core/mtplan/create_test.go
+++ b/core/mtplan/create_test.go
@@ -38,7 +38,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var detector mtplan.Creation
+			var detector mtplan.SettleDetector
 			var now mtclock.Instant
 			for i, set := range tt.sets {
 				got := detector.Ready(now, set)
@@ -72,7 +72,7 @@
 				members = append(members, mtplan.Member{Holder: holder(mtid.Daemon(rune('a' + i))), Slots: slots})
 				total += slots
 			}
-			layout := mtplan.Lay(tt.shards, tt.chunks, members)
+			layout := mtplan.InitialLayout(tt.shards, tt.chunks, members)
 			assert.Equal(t, len(layout), tt.chunks)
 			counts := make(map[mtid.Holder]int)
 			all := 0
--- a/core/mtplan/planner.go
+++ b/core/mtplan/planner.go
@@ -240,12 +240,12 @@
 		}
 		r.zone[i] = zone
 		if !server.Leaving {
-			r.capacity[i] = server.Slots * server.Warm
+			r.capacity[i] = server.Slots * server.WarmShare
 			r.zones[zone].capacity += r.capacity[i]
 		}
 		given := r.p.intakes[server.Holder]
-		if given.reportedAt != server.HeardAt || r.now.Sub(given.since) > intakeTime {
-			r.p.intakes[server.Holder] = intake{reportedAt: server.HeardAt, since: r.now}
+		if given.reportedAt != server.LastReport || r.now.Sub(given.since) > intakeTime {
+			r.p.intakes[server.Holder] = intake{reportedAt: server.LastReport, since: r.now}
 		}
 	}
 }
@@ -269,7 +269,7 @@
 // would be evacuated onto one of them.
 func (r *round) addUnreported() {
 	for i := range r.state.Servers {
-		if r.state.Servers[i].HeardAt != 0 {
+		if r.state.Servers[i].LastReport != 0 {
 			continue
 		}
 		missing := max(0, r.fairLoad(i)-r.load[i])
@@ -300,7 +300,7 @@
 // markHotShards marks the shards that hold a hot key.
 func (r *round) markHotShards() {
 	r.hot = make([]bool, len(r.state.Shards))
-	for _, point := range r.state.Points {
+	for _, point := range r.state.HotKeys {
 		if i := r.shardAt(point.Point); i >= 0 && point.Load > hotShare/4*r.fairLoad(r.owner[i]) {
 			r.hot[i] = true
 		}
@@ -398,7 +398,7 @@
 // load is known, and it has not received much since its last report.
 func (r *round) accepts(server int, load float64) bool {
 	s := &r.state.Servers[server]
-	if r.capacity[server] == 0 || !s.Heard {
+	if r.capacity[server] == 0 || !s.LoadKnown {
 		return false
 	}
 	given := r.p.intakes[s.Holder].load
--- a/core/mtplan/planner_test.go
+++ b/core/mtplan/planner_test.go
@@ -34,12 +34,12 @@
 	low := mtid.Point(0)
 	for i, l := range loads {
 		s.Servers = append(s.Servers, mtplan.Server{
-			Holder:  holder(mtid.Daemon(fmt.Sprintf("vm-%03d", i))),
-			Zone:    mtid.Zone(fmt.Sprintf("zone-%d", i%3)),
-			Slots:   slots,
-			Warm:    1,
-			Heard:   true,
-			HeardAt: start,
+			Holder:     holder(mtid.Daemon(fmt.Sprintf("vm-%03d", i))),
+			Zone:       mtid.Zone(fmt.Sprintf("zone-%d", i%3)),
+			Slots:      slots,
+			WarmShare:  1,
+			LoadKnown:  true,
+			LastReport: start,
 		})
 		for _, load := range l {
 			s.Shards = append(s.Shards, mtplan.Shard{Low: low, High: low + width - 1, Owner: i, Load: load})
@@ -128,7 +128,7 @@
 	s := newState(append(repeat(10, 0.2), 4), repeat(10, 0.2), repeat(10, 0.2))
 	shard := s.Shards[10]
 	hot := shard.Low + 1000
-	s.Points = []mtload.PointLoad{{Point: hot, Load: 3.8}}
+	s.HotKeys = []mtload.PointLoad{{Point: hot, Load: 3.8}}
 	plan := mtplan.NewPlanner().Plan(start, s)
 	assert.DeepEqual(t, plan.Ops, map[int][]mtshard.Op{0: {mtshard.Split{Point: hot}, mtshard.Split{Point: hot + 1}}})
 	for _, m := range plan.Moves {
@@ -184,7 +184,7 @@
 func TestUnknownLoadIsNotCountedAsZero(t *testing.T) {
 	s := newState(repeat(20, 0.2), repeat(20, 0), repeat(20, 0), repeat(20, 0))
 	for i := range s.Servers[1:] {
-		s.Servers[i+1].Heard, s.Servers[i+1].HeardAt = false, 0
+		s.Servers[i+1].LoadKnown, s.Servers[i+1].LastReport = false, 0
 	}
 	p := mtplan.NewPlanner()
 	for i := range 4 {
@@ -239,7 +239,7 @@
 func TestLeavingServersAreEmptied(t *testing.T) {
 	s := newState(repeat(20, 0.2), repeat(20, 0.2), repeat(20, 0.2), repeat(20, 0.2))
 	s.Servers[0].Leaving, s.Servers[1].Leaving = true, true
-	s.Servers[2].Heard = false
+	s.Servers[2].LoadKnown = false
 	s.Shards[3].Pinned = true
 	plan := mtplan.NewPlanner().Plan(start, s)
 	got := loadsAfter(t, s, plan)
@@ -251,20 +251,20 @@
 // a row. The planner must leave the shard where it is, whatever its load, since
 // each move would let the request crash another server.
 func TestShardThatLostSeveralOwnersIsPinned(t *testing.T) {
-	var losses mtplan.Losses
+	var losses mtplan.OwnerLosses
 	s := newState(repeat(20, 0.2), append(repeat(10, 0.2), 5), repeat(20, 0.2))
 	poisoned := s.Shards[30].Low
 	for _, shard := range s.Shards[:20] {
-		losses.Lost(start, shard.Low)
+		losses.Record(start, shard.Low)
 	}
-	losses.Lost(start, poisoned)
+	losses.Record(start, poisoned)
 	losses.Pin(start, s.Shards)
 	assert.Assert(t, !s.Shards[30].Pinned, "a single loss must not pin a shard")
-	losses.Lost(start.Add(time.Minute), poisoned)
+	losses.Record(start.Add(time.Minute), poisoned)
 	losses.Pin(start.Add(time.Minute), s.Shards)
 	assert.Assert(t, s.Shards[30].Pinned)
 	assert.Assert(t, !s.Shards[3].Pinned)
-	s.Points = []mtload.PointLoad{{Point: poisoned + 7, Load: 4}}
+	s.HotKeys = []mtload.PointLoad{{Point: poisoned + 7, Load: 4}}
 	plan := mtplan.NewPlanner().Plan(start.Add(time.Minute), s)
 	assert.Equal(t, len(plan.Ops), 0)
 	for _, m := range plan.Moves {
@@ -277,11 +277,11 @@
 // Two zones are lost within minutes. All their shards lost two owners, but not
 // because of a poison key. Planning must continue.
 func TestOutagesPinNoShards(t *testing.T) {
-	var losses mtplan.Losses
+	var losses mtplan.OwnerLosses
 	s := newState(repeat(20, 0.2), repeat(20, 0.2))
 	for range 2 {
 		for _, shard := range s.Shards[:20] {
-			losses.Lost(start, shard.Low)
+			losses.Record(start, shard.Low)
 		}
 	}
 	losses.Pin(start, s.Shards)
@@ -300,7 +300,7 @@
 	plan := mtplan.NewPlanner().Plan(start, s)
 	assert.DeepEqual(t, plan.Ops, map[int][]mtshard.Op{0: {mtshard.Merge{Low: s.Shards[5].Low}}})
 
-	s.Points = []mtload.PointLoad{{Point: s.Shards[4].Low + 3, Load: 1}}
+	s.HotKeys = []mtload.PointLoad{{Point: s.Shards[4].Low + 3, Load: 1}}
 	plan = mtplan.NewPlanner().Plan(start, s)
 	assert.Equal(t, len(plan.Ops), 0)
 }
@@ -316,15 +316,15 @@
 		var among []mtid.Holder
 		for i := range servers {
 			servers[i] = mtplan.Server{
-				Holder:  holder(mtid.Daemon(rune('a' + i))),
-				Zone:    mtid.Zone(rune('x' + i%2)),
-				Slots:   float64(rapid.IntRange(1, 20).Draw(t, "slots")),
-				Warm:    rapid.Float64Range(0.1, 1).Draw(t, "warm"),
-				Leaving: rapid.Bool().Draw(t, "leaving"),
-				Heard:   rapid.IntRange(0, 3).Draw(t, "heard") > 0,
+				Holder:    holder(mtid.Daemon(rune('a' + i))),
+				Zone:      mtid.Zone(rune('x' + i%2)),
+				Slots:     float64(rapid.IntRange(1, 20).Draw(t, "slots")),
+				WarmShare: rapid.Float64Range(0.1, 1).Draw(t, "warm"),
+				Leaving:   rapid.Bool().Draw(t, "leaving"),
+				LoadKnown: rapid.IntRange(0, 3).Draw(t, "heard") > 0,
 			}
-			if servers[i].Heard || rapid.Bool().Draw(t, "ever heard") {
-				servers[i].HeardAt = start
+			if servers[i].LoadKnown || rapid.Bool().Draw(t, "ever heard") {
+				servers[i].LastReport = start
 			}
 			among = append(among, servers[i].Holder)
 		}
@@ -336,17 +336,17 @@
 			tables = append(tables, table)
 		}
 		p := mtplan.NewPlanner()
-		estimates := mtload.NewBook()
+		estimates := mtload.NewEstimates()
 		now := start
 		for range rapid.IntRange(1, 6).Draw(t, "rounds") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 90).Draw(t, "wait")) * time.Second)
-			s := &mtplan.State{Servers: servers, Shards: mtplan.Survey(now, tables, servers, estimates), Target: rapid.IntRange(1, 30).Draw(t, "target")}
+			s := &mtplan.State{Servers: servers, Shards: mtplan.CollectShards(now, tables, servers, estimates), Target: rapid.IntRange(1, 30).Draw(t, "target")}
 			for i := range s.Shards {
 				s.Shards[i].Load = rapid.SampledFrom([]float64{0, 0.01, 0.1, 1, 5}).Draw(t, "load")
 				s.Shards[i].Pinned = rapid.IntRange(0, 9).Draw(t, "pinned") == 0
 				s.Total += s.Shards[i].Load
 				if rapid.IntRange(0, 4).Draw(t, "hot") == 0 {
-					s.Points = append(s.Points, mtload.PointLoad{Point: s.Shards[i].Low + (s.Shards[i].High-s.Shards[i].Low)/3, Load: s.Shards[i].Load})
+					s.HotKeys = append(s.HotKeys, mtload.PointLoad{Point: s.Shards[i].Low + (s.Shards[i].High-s.Shards[i].Low)/3, Load: s.Shards[i].Load})
 				}
 			}
 			tables = applyPlan(t, tables, s, p.Plan(now, s))
@@ -413,16 +413,16 @@
 	for i := range servers {
 		h := holder(mtid.Daemon(fmt.Sprintf("vm-%03d", i)))
 		members = append(members, mtplan.Member{Holder: h, Slots: slots})
-		list = append(list, mtplan.Server{Holder: h, Zone: mtid.Zone(fmt.Sprintf("zone-%d", i%4)), Slots: slots, Warm: 1, Heard: true, HeardAt: start})
+		list = append(list, mtplan.Server{Holder: h, Zone: mtid.Zone(fmt.Sprintf("zone-%d", i%4)), Slots: slots, WarmShare: 1, LoadKnown: true, LastReport: start})
 	}
 	var tables []*mtshard.Table
-	for chunk, ops := range mtplan.Lay(shards, chunks, members) {
+	for chunk, ops := range mtplan.InitialLayout(shards, chunks, members) {
 		table, err := mtshard.New(mtid.Ref{}, chunk, chunks).Apply(mtroster.Stamp{}, ops...)
 		assert.NilError(b, err)
 		tables = append(tables, table)
 	}
-	estimates := mtload.NewBook()
-	mtplan.Survey(start, tables, list, estimates)
+	estimates := mtload.NewEstimates()
+	mtplan.CollectShards(start, tables, list, estimates)
 	for i, s := range list {
 		load := 4.0
 		if i%10 == 0 {
@@ -432,11 +432,11 @@
 		for _, table := range tables {
 			owned = append(owned, table.Owned(s.Holder)...)
 		}
-		estimates.Take(start, &mtload.Report{From: s.Holder, Sequence: 1, Load: load}, owned)
+		estimates.AddReport(start, &mtload.Report{From: s.Holder, Sequence: 1, Load: load}, owned)
 	}
 	b.ResetTimer()
 	for range b.N {
-		s := &mtplan.State{Servers: list, Shards: mtplan.Survey(start, tables, list, estimates), Target: shards, Total: estimates.Total()}
+		s := &mtplan.State{Servers: list, Shards: mtplan.CollectShards(start, tables, list, estimates), Target: shards, Total: estimates.Total()}
 		plan := mtplan.NewPlanner().Plan(start, s)
 		assert.Assert(b, len(plan.Moves) > 0)
 	}
--- a/core/mtplan/state.go
+++ b/core/mtplan/state.go
@@ -40,14 +40,14 @@
 	Holder mtid.Holder
 	Zone   mtid.Zone
 	Slots  float64
-	// Warm is the share of its slots that the server can use so far, 0 to 1. It
-	// is below 1 for a cold server.
-	Warm    float64
-	Leaving bool
-	// Heard is whether the current load of its shards is known.
-	Heard bool
-	// HeardAt is when its last new measurement arrived, or zero if none has.
-	HeardAt mtclock.Instant
+	// WarmShare is the share of its slots that the server can use so far, 0 to
+	// 1. It is below 1 for a cold server.
+	WarmShare float64
+	Leaving   bool
+	// LoadKnown is whether the current load of its shards is known.
+	LoadKnown bool
+	// LastReport is when its last new measurement arrived, or zero if none has.
+	LastReport mtclock.Instant
 }
 
 // Shard is what a policy knows about one shard.
@@ -69,7 +69,7 @@
 type State struct {
 	Servers []Server // sorted by holder
 	Shards  []Shard  // sorted by low, covering the ring
-	Points  []mtload.PointLoad
+	HotKeys []mtload.PointLoad
 	// Total is the load of all shards as last reported. It may be less than the
 	// sum of the estimates, which decay slowly.
 	Total   float64
@@ -77,9 +77,9 @@
 	Target  int // intended number of shards in steady state
 }
 
-// Losses records which shards lost their owner other than by a planned move.
-// The zero value is ready to use.
-type Losses struct {
+// OwnerLosses records which shards lost their owner other than by a planned
+// move. The zero value is ready to use.
+type OwnerLosses struct {
 	events []lossEvent
 }
 
@@ -101,9 +101,9 @@
 	maxEvents      = 1 << 16
 )
 
-// Lost records that the shard that begins at low lost its owner. Call it for
-// each shard that a failover reassigned.
-func (l *Losses) Lost(now mtclock.Instant, low mtid.Point) {
+// Record adds a lost owner of the shard that begins at low. Call it for each
+// shard that a failover reassigned.
+func (l *OwnerLosses) Record(now mtclock.Instant, low mtid.Point) {
 	l.events = append(l.events, lossEvent{low: low, at: now})
 	if len(l.events) > maxEvents {
 		l.events = slices.Delete(l.events, 0, len(l.events)/2)
@@ -112,7 +112,7 @@
 
 // Pin sets Pinned on the shards that lost at least PoisonLosses owners within
 // PoisonWindow. It pins none if more than maxPinnedShare of them qualify.
-func (l *Losses) Pin(now mtclock.Instant, shards []Shard) {
+func (l *OwnerLosses) Pin(now mtclock.Instant, shards []Shard) {
 	l.events = slices.DeleteFunc(l.events, func(m lossEvent) bool { return now.Sub(m.at) > PoisonWindow })
 	counts := make(map[mtid.Point]int)
 	for _, m := range l.events {
@@ -132,20 +132,20 @@
 	}
 }
 
-// WarmTime is how long a server that has just joined counts as cold.
-const WarmTime = 45 * time.Second
+// WarmUpTime is how long a server that has just joined counts as cold.
+const WarmUpTime = 45 * time.Second
 
 // initialWarmShare is the share of its slots that counts as usable when a
 // server joins.
 const initialWarmShare = 0.25
 
-// Warmth returns the share of its slots that a server can use at the given time
-// after it joined.
-func Warmth(age time.Duration) float64 {
-	if age >= WarmTime {
+// WarmShareAfter returns the share of its slots that a server can use at the
+// given time after it joined.
+func WarmShareAfter(age time.Duration) float64 {
+	if age >= WarmUpTime {
 		return 1
 	}
-	return initialWarmShare + (1-initialWarmShare)*max(0, float64(age))/float64(WarmTime)
+	return initialWarmShare + (1-initialWarmShare)*max(0, float64(age))/float64(WarmUpTime)
 }
 
 // SortServers sorts servers by holder, the order that State requires.
@@ -153,10 +153,10 @@
 	slices.SortFunc(servers, func(a, b Server) int { return a.Holder.Compare(b.Holder) })
 }
 
-// Survey returns the shards of tables, with the index of their owner in servers
-// and the load estimate from book. tables must hold all chunks in order. Survey
-// synchronizes book with the tables.
-func Survey(now mtclock.Instant, tables []*mtshard.Table, servers []Server, estimates *mtload.Book) []Shard {
+// CollectShards returns the shards of tables, with the index of their owner in
+// servers and their load from estimates. tables must hold all chunks in order.
+// CollectShards synchronizes the estimates with the tables.
+func CollectShards(now mtclock.Instant, tables []*mtshard.Table, servers []Server, estimates *mtload.Estimates) []Shard {
 	indexes := make(map[mtid.Holder]int, len(servers))
 	for i := range servers {
 		indexes[servers[i].Holder] = i
@@ -194,8 +194,8 @@
 func (s *State) Mean() float64 {
 	slots := 0.0
 	for i := range s.Servers {
-		if server := &s.Servers[i]; !server.Leaving && server.HeardAt != 0 {
-			slots += server.Slots * server.Warm
+		if server := &s.Servers[i]; !server.Leaving && server.LastReport != 0 {
+			slots += server.Slots * server.WarmShare
 		}
 	}
 	if slots == 0 {
--- a/core/mtscene/memory.go
+++ b/core/mtscene/memory.go
@@ -71,5 +71,5 @@
 // steady returns the load that a meter states, given its two averages of it.
 func (r *run[P]) steady(short, long float64) float64 {
 	busy := r.scene.Busy.Seconds()
-	return mtload.Steady(max(0, short)/busy, max(0, long)/busy) * busy
+	return mtload.SmoothRate(max(0, short)/busy, max(0, long)/busy) * busy
 }
--- a/core/mtscene/report.go
+++ b/core/mtscene/report.go
@@ -16,11 +16,11 @@
 	for len(r.reports) > 0 && r.reports[0].at <= r.at {
 		report := r.reports[0].report
 		r.reports = r.reports[1:]
-		again := r.book.Take(r.now(), report, r.owned(report.From))
+		again := r.book.AddReport(r.now(), report, r.owned(report.From))
 		server := r.places[report.From]
 		load := report.Load / r.slots(server)
 		pause := r.throttle.Arrived(r.now(), load > r.mean*(1+mtload.Band))
-		r.paces[server].Heard(r.mean, pause, again)
+		r.paces[server].ReplyReceived(r.mean, pause, again)
 	}
 }
 
@@ -47,8 +47,8 @@
 			continue
 		}
 		load := r.claimed(i, byServer[i]) / r.slots(i)
-		r.paces[i].Shards(mark(byServer[i]))
-		if !r.paces[i].Due(r.now(), r.holder(i), r.holder(0), load, mtload.Spread(len(r.scene.Servers))) {
+		r.paces[i].SetShards(mark(byServer[i]))
+		if !r.paces[i].Due(r.now(), r.holder(i), r.holder(0), load, mtload.SpreadTime(len(r.scene.Servers))) {
 			continue
 		}
 		r.paces[i].Sent(r.now(), load)
@@ -115,8 +115,8 @@
 		report.Points = r.hottest(report.Points, s, factor)
 	}
 	report.Load = r.claimed(server, shards)
-	report.Shards = mtload.Fit(report.Shards, report.Load, sum)
-	report.Shards, report.Points = mtload.Cut(report.Shards, report.Points)
+	report.Shards = mtload.ScaleLoads(report.Shards, report.Load, sum)
+	report.Shards, report.Points = mtload.Truncate(report.Shards, report.Points)
 	r.frozen[server] = report
 	return report
 }
--- a/core/mtscene/run.go
+++ b/core/mtscene/run.go
@@ -38,10 +38,10 @@
 	table  []ownedLoad // shards in order, with true and measured load
 	places map[mtid.Holder]int
 
-	book     *mtload.Book
+	book     *mtload.Estimates
 	throttle mtload.Throttle
-	losses   mtplan.Losses
-	paces    []mtload.Pace
+	losses   mtplan.OwnerLosses
+	paces    []mtload.ReportScheduler
 	reports  []delivery
 	frozen   []*mtload.Report
 	sequence []uint64
@@ -113,8 +113,8 @@
 		long:     newMemory(mtload.SlowHalfLife, scene.Busy, len(scene.Keys)),
 		dice:     newDice(scene.Seed),
 		places:   make(map[mtid.Holder]int, n),
-		book:     mtload.NewBook(),
-		paces:    make([]mtload.Pace, n),
+		book:     mtload.NewEstimates(),
+		paces:    make([]mtload.ReportScheduler, n),
 		frozen:   make([]*mtload.Report, n),
 		sequence: make([]uint64, n),
 		left:     make(map[departure]time.Duration),
@@ -197,7 +197,7 @@
 	}
 	for _, s := range r.table {
 		if slices.Contains(dead, s.shard.Owner) {
-			r.losses.Lost(r.now(), s.shard.Low)
+			r.losses.Record(r.now(), s.shard.Low)
 			r.unavailable(s.load, LossPause)
 		}
 	}
@@ -231,7 +231,7 @@
 			})
 		}
 	}
-	for chunk, ops := range mtplan.Lay(r.scene.Shards, r.scene.Chunks, members) {
+	for chunk, ops := range mtplan.InitialLayout(r.scene.Shards, r.scene.Chunks, members) {
 		r.tables = append(r.tables, mtshard.New(r.scene.Ref, chunk, r.scene.Chunks))
 		r.apply(chunk, ops...)
 	}
@@ -276,7 +276,7 @@
 	if s.Joins == 0 {
 		return s.Slots
 	}
-	return s.Slots * mtplan.Warmth(r.at-s.Joins)
+	return s.Slots * mtplan.WarmShareAfter(r.at-s.Joins)
 }
 
 // plan runs a round of the policy if one is due.
@@ -325,20 +325,20 @@
 			continue
 		}
 		s := &r.scene.Servers[i]
-		heardAt, _ := r.book.HeardAt(r.holder(i))
+		heardAt, _ := r.book.LastReport(r.holder(i))
 		state.Servers = append(state.Servers, mtplan.Server{
-			Holder:  r.holder(i),
-			Zone:    s.Zone,
-			Slots:   s.Slots,
-			Warm:    r.slots(i) / s.Slots,
-			Leaving: r.lives[i] == leaving,
-			Heard:   r.book.Heard(r.now(), r.holder(i)),
-			HeardAt: heardAt,
+			Holder:     r.holder(i),
+			Zone:       s.Zone,
+			Slots:      s.Slots,
+			WarmShare:  r.slots(i) / s.Slots,
+			Leaving:    r.lives[i] == leaving,
+			LoadKnown:  r.book.LoadKnown(r.now(), r.holder(i)),
+			LastReport: heardAt,
 		})
 	}
 	mtplan.SortServers(state.Servers)
-	state.Shards = mtplan.Survey(r.now(), r.tables, state.Servers, r.book)
-	state.Points = r.book.Points()
+	state.Shards = mtplan.CollectShards(r.now(), r.tables, state.Servers, r.book)
+	state.HotKeys = r.book.HotKeys()
 	state.Total = r.book.Total()
 	r.losses.Pin(r.now(), state.Shards)
 	return state
--- a/core/mtspread/mtspread.go
+++ b/core/mtspread/mtspread.go
@@ -17,8 +17,8 @@
 // # Usage
 //
 //	tree := mtspread.New(nodes)
-//	for _, upstream := range tree.Teachers(self, zone) { ... } // none: watch the store
-//	turn := tree.Turn(self) // when to poll the store
+//	for _, upstream := range tree.Upstreams(self, zone) { ... } // none: watch the store
+//	schedule := tree.PollSchedule(self) // when to poll the store
 //
 // A Tree is immutable and safe for concurrent use.
 package mtspread
@@ -87,36 +87,36 @@
 	return cmp.Or(cmp.Compare(b.Link, a.Link), cmp.Compare(a.Daemon, b.Daemon))
 }
 
-// Turn returns the schedule by which a daemon polls the store for the
+// PollSchedule returns the schedule by which a daemon polls the store for the
 // configuration.
-func (t *Tree) Turn(self mtid.Daemon) mtroute.Turn {
+func (t *Tree) PollSchedule(self mtid.Daemon) mtroute.Turn {
 	switch {
-	case t.Source(self) && t.watchers[0].Daemon == self:
+	case t.WatchesStore(self) && t.watchers[0].Daemon == self:
 		return mtroute.Regular
-	case t.Source(self) || contains(t.distributors, self):
+	case t.WatchesStore(self) || contains(t.distributors, self):
 		return mtroute.Relaying
 	}
 	return mtroute.Last
 }
 
-// Source reports whether a daemon watches the store on behalf of others.
-func (t *Tree) Source(self mtid.Daemon) bool { return contains(t.watchers, self) }
+// WatchesStore reports whether a daemon watches the store on behalf of others.
+func (t *Tree) WatchesStore(self mtid.Daemon) bool { return contains(t.watchers, self) }
 
-// First returns the first watcher, or false if there are no daemons.
-func (t *Tree) First() (Node, bool) {
+// PrimaryWatcher returns the first watcher, or false if there are no daemons.
+func (t *Tree) PrimaryWatcher() (Node, bool) {
 	if len(t.watchers) == 0 {
 		return Node{}, false
 	}
 	return t.watchers[0], true
 }
 
-// Teachers returns the daemons to pull updates from, the best one first. There
+// Upstreams returns the daemons to pull updates from, the best one first. There
 // are none for a watcher, and none for a daemon in whose zone no daemon is
 // known.
-func (t *Tree) Teachers(self mtid.Daemon, zone mtid.Zone) []Node {
+func (t *Tree) Upstreams(self mtid.Daemon, zone mtid.Zone) []Node {
 	own := slices.IndexFunc(t.distributors, func(n Node) bool { return n.Zone == zone })
 	switch {
-	case own < 0 || t.Source(self):
+	case own < 0 || t.WatchesStore(self):
 		return nil
 	case t.distributors[own].Daemon == self:
 		return t.watchers
--- a/core/mtspread/mtspread_test.go
+++ b/core/mtspread/mtspread_test.go
@@ -41,32 +41,32 @@
 		var watchers []mtid.Daemon
 		var regular int
 		for _, n := range all {
-			if tree.Source(n.Daemon) {
+			if tree.WatchesStore(n.Daemon) {
 				watchers = append(watchers, n.Daemon)
-				assert.Equal(t, len(tree.Teachers(n.Daemon, n.Zone)), 0)
-				assert.Assert(t, tree.Turn(n.Daemon) != mtroute.Last)
+				assert.Equal(t, len(tree.Upstreams(n.Daemon, n.Zone)), 0)
+				assert.Assert(t, tree.PollSchedule(n.Daemon) != mtroute.Last)
 			}
-			if tree.Turn(n.Daemon) == mtroute.Regular {
+			if tree.PollSchedule(n.Daemon) == mtroute.Regular {
 				regular++
 			}
 		}
 		assert.Equal(t, len(watchers), min(size, 2))
 		assert.Equal(t, regular, 1)
 		for _, n := range all {
-			upstreams := tree.Teachers(n.Daemon, n.Zone)
+			upstreams := tree.Upstreams(n.Daemon, n.Zone)
 			if slices.Contains(watchers, n.Daemon) {
 				continue
 			}
 			assert.Assert(t, len(upstreams) > 0)
 			for _, upstream := range upstreams {
 				assert.Assert(t, upstream.Daemon != n.Daemon)
-				turn := tree.Turn(upstream.Daemon)
+				turn := tree.PollSchedule(upstream.Daemon)
 				assert.Assert(t, turn != mtroute.Last)
-				if tree.Turn(n.Daemon) == mtroute.Relaying {
-					assert.Assert(t, tree.Source(upstream.Daemon))
+				if tree.PollSchedule(n.Daemon) == mtroute.Relaying {
+					assert.Assert(t, tree.WatchesStore(upstream.Daemon))
 				}
 			}
-			if tree.Turn(n.Daemon) == mtroute.Last {
+			if tree.PollSchedule(n.Daemon) == mtroute.Last {
 				assert.Equal(t, upstreams[0].Zone, n.Zone)
 			}
 		}
@@ -77,8 +77,8 @@
 // zone, must watch the store itself.
 func TestDaemonInUnknownZoneHasNoUpstreams(t *testing.T) {
 	tree := mtspread.New(nodes(12, 3))
-	assert.Equal(t, len(tree.Teachers("new", "elsewhere")), 0)
-	assert.Equal(t, len(mtspread.New(nil).Teachers("new", "zone-0")), 0)
+	assert.Equal(t, len(tree.Upstreams("new", "elsewhere")), 0)
+	assert.Equal(t, len(mtspread.New(nil).Upstreams("new", "zone-0")), 0)
 }
 
 // daemon is one daemon of a simulated fleet.
@@ -114,13 +114,13 @@
 		if d.disconnected {
 			continue
 		}
-		for _, upstream := range f.tree.Teachers(d.Daemon, d.Zone) {
+		for _, upstream := range f.tree.Upstreams(d.Daemon, d.Zone) {
 			if t := f.daemons[upstream.Daemon]; !t.disconnected && t.freshness.Fresher(t.freshness.At(), d.freshness.At()) {
 				d.freshness.Hear(1, 1, t.freshness.Age(now), now)
 				break
 			}
 		}
-		if d.freshness.Ask(now, f.tree.Turn(d.Daemon)) {
+		if d.freshness.Ask(now, f.tree.PollSchedule(d.Daemon)) {
 			d.polls++
 			d.freshness.Confirm(now)
 		}
@@ -149,7 +149,7 @@
 	polls := 0
 	for _, d := range f.order {
 		polls += d.polls
-		assert.Assert(t, d.polls <= 1 || f.tree.Source(d.Daemon), "daemon %s polled the store %d times, want at most 1", d.Daemon, d.polls)
+		assert.Assert(t, d.polls <= 1 || f.tree.WatchesStore(d.Daemon), "daemon %s polled the store %d times, want at most 1", d.Daemon, d.polls)
 	}
 	assert.Assert(t, polls <= 130, "the store was polled %d times, want at most 130", polls)
 }
@@ -169,7 +169,7 @@
 		for _, d := range f.order {
 			if now == disconnectedAt {
 				before += d.polls
-				d.disconnected = f.tree.Source(d.Daemon)
+				d.disconnected = f.tree.WatchesStore(d.Daemon)
 			}
 			if now.After(disconnectedAt) && !d.disconnected {
 				assert.Assert(t, d.freshness.Denies(now), "the configuration of daemon %s is not fresh %s after the watchers were disconnected", d.Daemon, now.Sub(disconnectedAt))
--- a/io/mtmesh/commit.go
+++ b/io/mtmesh/commit.go
@@ -30,7 +30,7 @@
 // false if that is this daemon, or nobody can be asked.
 func (m *Mesh) delegate(ctx context.Context, b mtrange.Batch) ([]mtrange.Outcome, bool) {
 	peers := mtkernel.Need[*mtforward.Client](m.kernel, NamePeers)
-	writer, ok := m.learner.tree().First()
+	writer, ok := m.learner.tree().PrimaryWatcher()
 	if !ok || writer.Daemon == m.config.Daemon || b.Record == 0 || peers.Silent(writer.Address) {
 		return nil, false
 	}
--- a/io/mtmesh/learn.go
+++ b/io/mtmesh/learn.go
@@ -116,7 +116,7 @@
 }
 
 // turn returns when it is this daemon's turn to ask the store.
-func (l *learner) turn() mtroute.Turn { return l.tree().Turn(l.self) }
+func (l *learner) turn() mtroute.Turn { return l.tree().PollSchedule(l.self) }
 
 // Watch implements mtwatch.Source.
 func (l *learner) Watch(ctx context.Context, prefix string, after mtid.Revision, wait time.Duration) (mtstore.Changes, error) {
@@ -230,7 +230,7 @@
 	if view := l.view(); view == nil || view.Revision == 0 {
 		return "", false
 	}
-	for _, n := range l.tree().Teachers(l.self, l.zone) {
+	for _, n := range l.tree().Upstreams(l.self, l.zone) {
 		if now.After(l.paused[n.Address]) {
 			return n.Address, true
 		}
--- a/io/mtmesh/news.go
+++ b/io/mtmesh/news.go
@@ -79,9 +79,9 @@
 func (m *Mesh) deference() time.Duration {
 	tree, step := m.learner.tree(), m.config.Within/doubtPart
 	switch {
-	case tree.Source(m.config.Daemon):
+	case tree.WatchesStore(m.config.Daemon):
 		return 0
-	case tree.Turn(m.config.Daemon) == mtroute.Relaying:
+	case tree.PollSchedule(m.config.Daemon) == mtroute.Relaying:
 		return step
 	}
 	return 2 * step
@@ -173,7 +173,7 @@
 	}
 	m.Host().Declare(c.Routes())
 	m.Host().Warmup(mtgate.Pace(m.config.Warmup.Most(c.Services[m.config.Service].ColdRate)))
-	if m.learner.tree().Source(m.config.Daemon) {
+	if m.learner.tree().WatchesStore(m.config.Daemon) {
 		go m.spread()
 	}
 }
--- a/io/mtplanner/mtplanner.go
+++ b/io/mtplanner/mtplanner.go
@@ -241,7 +241,7 @@
 	first, ok := p.view.Table(ref, 0)
 	if !ok {
 		if state.creation.Ready(p.config.Now(), holders(serving)) {
-			laid := mtplan.Lay(service.Shards, max(1, service.Chunks), layout(serving, ref))
+			laid := mtplan.InitialLayout(service.Shards, max(1, service.Chunks), layout(serving, ref))
 			p.writer.write(ctx, mtshard.New(ref, 0, len(laid)), laid[0]...)
 		}
 		return
@@ -250,7 +250,7 @@
 	if len(missing) == 0 || len(serving) == 0 {
 		return
 	}
-	laid := mtplan.Lay(service.Shards, first.Chunks, layout(serving, ref))
+	laid := mtplan.InitialLayout(service.Shards, first.Chunks, layout(serving, ref))
 	for _, chunk := range missing {
 		p.writer.write(ctx, mtshard.New(ref, chunk, len(laid)), laid[chunk]...)
 	}
--- a/io/mtplanner/mtplanner_test.go
+++ b/io/mtplanner/mtplanner_test.go
@@ -298,7 +298,7 @@
 				r.Shards = append(r.Shards, mtload.ShardLoad{Low: shard.Low, Load: load})
 			}
 		}
-		r.Shards, r.Points = mtload.Cut(r.Shards, r.Points)
+		r.Shards, r.Points = mtload.Truncate(r.Shards, r.Points)
 		_, err := p.Report(t.Context(), r.Wire())
 		assert.NilError(t, err)
 	}
--- a/io/mtplanner/reporter.go
+++ b/io/mtplanner/reporter.go
@@ -40,7 +40,7 @@
 	meters Meters
 	link   Link
 	local  *Planner
-	paces  map[mtid.Ref]*mtload.Pace
+	paces  map[mtid.Ref]*mtload.ReportScheduler
 }
 
 // NewReporter starts the duty that reports the load of this daemon's shards to
@@ -50,7 +50,7 @@
 	if err := check(config); err != nil {
 		return nil, err
 	}
-	r := &reporter{config: config, view: view, meters: meters, link: link, local: local, paces: make(map[mtid.Ref]*mtload.Pace)}
+	r := &reporter{config: config, view: view, meters: meters, link: link, local: local, paces: make(map[mtid.Ref]*mtload.ReportScheduler)}
 	tick := config.Tick
 	if tick == 0 {
 		tick = measureTime
@@ -86,15 +86,15 @@
 	}
 	pace, ok := r.paces[ref]
 	if !ok {
-		pace = &mtload.Pace{}
+		pace = &mtload.ReportScheduler{}
 		r.paces[ref] = pace
 	}
 	now := r.config.Now()
 	report := meter.Report(now, self, ref, func(low mtid.Point) bool { return r.owns(self, ref, low) })
 	leader := mtplan.Leader(ref, leaders(servers))
 	load := report.Load / slots
-	pace.Shards(r.mark(self, ref))
-	if !pace.Due(now, self, leader, load, mtload.Spread(len(servers))) {
+	pace.SetShards(r.mark(self, ref))
+	if !pace.Due(now, self, leader, load, mtload.SpreadTime(len(servers))) {
 		return
 	}
 	pace.Sent(now, load)
@@ -103,7 +103,7 @@
 
 // send sends a report and notes the answer. Without one, or with one from a
 // daemon that does not lead, the pace has it sent again.
-func (r *reporter) send(ctx context.Context, pace *mtload.Pace, leader, self mtid.Holder, report *mtload.Report) {
+func (r *reporter) send(ctx context.Context, pace *mtload.ReportScheduler, leader, self mtid.Holder, report *mtload.Report) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	var reply *mtwire.LoadReply
@@ -118,7 +118,7 @@
 		return
 	}
 	if heard, ok := mtload.ReadReply(reply); ok {
-		pace.Heard(heard.Mean, heard.Pause, heard.Again)
+		pace.ReplyReceived(heard.Mean, heard.Pause, heard.Again)
 	}
 }
 
--- a/io/mtplanner/round.go
+++ b/io/mtplanner/round.go
@@ -16,11 +16,11 @@
 
 // serviceState is what the duty keeps of one service while its daemon leads it.
 type serviceState struct {
-	creation mtplan.Creation
+	creation mtplan.SettleDetector
 	policy   *mtplan.Planner
-	book     *mtload.Book
+	book     *mtload.Estimates
 	throttle mtload.Throttle
-	losses   mtplan.Losses
+	losses   mtplan.OwnerLosses
 	joined   map[mtid.Holder]mtclock.Instant
 	slots    map[mtid.Holder]float64
 	tables   []*mtshard.Table // of the last round, by chunk
@@ -31,7 +31,7 @@
 func newServiceState() *serviceState {
 	return &serviceState{
 		policy: mtplan.NewPlanner(),
-		book:   mtload.NewBook(),
+		book:   mtload.NewEstimates(),
 		joined: make(map[mtid.Holder]mtclock.Instant),
 		slots:  make(map[mtid.Holder]float64),
 	}
@@ -96,7 +96,7 @@
 		}
 		for _, shard := range before.Shards {
 			if lost[shard.Owner] {
-				s.losses.Lost(now, shard.Low)
+				s.losses.Record(now, shard.Low)
 			}
 		}
 	}
@@ -126,20 +126,20 @@
 		if record.State == mtroster.Gone {
 			continue
 		}
-		heardAt, _ := s.book.HeardAt(record.Holder)
+		heardAt, _ := s.book.LastReport(record.Holder)
 		state.Servers = append(state.Servers, mtplan.Server{
-			Holder:  record.Holder,
-			Zone:    record.Zone,
-			Slots:   s.slots[record.Holder],
-			Warm:    mtplan.Warmth(now.Sub(s.joined[record.Holder])),
-			Leaving: record.State == mtroster.Leaving,
-			Heard:   s.book.Heard(now, record.Holder),
-			HeardAt: heardAt,
+			Holder:     record.Holder,
+			Zone:       record.Zone,
+			Slots:      s.slots[record.Holder],
+			WarmShare:  mtplan.WarmShareAfter(now.Sub(s.joined[record.Holder])),
+			Leaving:    record.State == mtroster.Leaving,
+			LoadKnown:  s.book.LoadKnown(now, record.Holder),
+			LastReport: heardAt,
 		})
 	}
 	mtplan.SortServers(state.Servers)
-	state.Shards = mtplan.Survey(now, tables, state.Servers, s.book)
-	state.Points = s.book.Points()
+	state.Shards = mtplan.CollectShards(now, tables, state.Servers, s.book)
+	state.HotKeys = s.book.HotKeys()
 	state.Total = s.book.Total()
 	s.losses.Pin(now, state.Shards)
 	return state
@@ -159,7 +159,7 @@
 		}
 		s.joined[record.Holder] = now
 		if slices.ContainsFunc(tables, func(t *mtshard.Table) bool { return len(t.Owned(record.Holder)) > 0 }) {
-			s.joined[record.Holder] = now.Add(-mtplan.WarmTime)
+			s.joined[record.Holder] = now.Add(-mtplan.WarmUpTime)
 		}
 	}
 	for holder := range s.joined {
@@ -168,7 +168,7 @@
 			delete(s.slots, holder)
 		}
 	}
-	s.book.Forget(func(holder mtid.Holder) bool { return live[holder] })
+	s.book.Retain(func(holder mtid.Holder) bool { return live[holder] })
 }
 
 // ask carries one wish to the owner.
@@ -218,7 +218,7 @@
 		return &mtwire.LoadReply{}
 	}
 	now := p.config.Now()
-	again := state.book.Take(now, report, state.owned(report.From))
+	again := state.book.AddReport(now, report, state.owned(report.From))
 	load := report.Load / max(1, state.slots[report.From])
 	pause := state.throttle.Arrived(now, load > state.mean*(1+mtload.Band))
 	return mtload.Reply{Mean: state.mean, Pause: pause, Again: again}.Wire()
