--- a/core/mttakeover/failover.go
+++ b/core/mttakeover/failover.go
@@ -10,19 +10,20 @@
 	"magnoliaturn/core/mtshard"
 )
 
-// Stagger is how much later each next daemon in rank starts a takeover. The
-// first is usually done by then; if it is lost too, the next takes over from
-// it. All at once would be safe as well, but cost three times the writes.
+// Stagger is the delay between the starts of a takeover by successive daemons in
+// rank order. The first has usually finished by the time the second would start;
+// if the first is lost too, the second proceeds. Starting all at once would also
+// be safe, but cost three times the writes.
 const Stagger = 150 * time.Millisecond
 
-// helpers is how many daemons stand ready for one matter.
-const helpers = 3
+// maxClaimants is how many daemons at most attempt the same takeover or failover.
+const maxClaimants = 3
 
-// Roster is what is known of the daemons: the newest record of each.
+// Roster holds the newest known record of each daemon.
 type Roster map[mtid.Daemon]*mtroster.Record
 
-// Fenced reports whether h can never serve again. A daemon without a record
-// isn't: the record may just not be known here yet.
+// Fenced reports whether h can never serve again. A daemon without a record does
+// not count as fenced: its record may not have arrived here yet.
 func (r Roster) Fenced(h mtid.Holder) bool {
 	record, ok := r[h.Daemon]
 	if !ok {
@@ -31,62 +32,65 @@
 	return h.Incarnation < record.Revoked || (record.State == mtroster.Gone && h.Incarnation <= record.Holder.Incarnation)
 }
 
-// live reports whether the roster names h as a daemon's present life.
+// live reports whether h is its daemon's current incarnation and may hold a lease.
 func (r Roster) live(h mtid.Holder) bool {
 	record, ok := r[h.Daemon]
 	return ok && record.Live() && record.Holder == h
 }
 
-// Turn returns how long self waits before it takes over the daemon of record,
-// after it may, or false if that is for others. It is for the witnesses that
-// the record names, by rendezvous rank; where none of them lives any more, for
-// the first few of all daemons.
+// Turn returns how long self delays the takeover of record's daemon once it is
+// permitted, or false if self does not attempt it. The claimants are the live
+// witnesses that the record names, in the order of their rendezvous rank; if none
+// of them is live, the highest-ranked of all live daemons.
 func Turn(self mtid.Daemon, record *mtroster.Record, roster Roster) (time.Duration, bool) {
-	var ready []mtid.Daemon
+	var claimants []mtid.Daemon
 	for _, w := range record.Witnesses {
-		// The witness's next life knows as well that it is asked no more.
+		// A later incarnation of the witness counts too: it also notices that the
+		// lost daemon no longer requests renewals from it.
 		if other, ok := roster[w.Daemon]; ok && other.Live() {
-			ready = append(ready, w.Daemon)
+			claimants = append(claimants, w.Daemon)
 		}
 	}
-	if len(ready) == 0 {
+	if len(claimants) == 0 {
 		for d, other := range roster {
 			if other.Live() && d != record.Holder.Daemon {
-				ready = append(ready, d)
+				claimants = append(claimants, d)
 			}
 		}
 	}
-	return turn(self, mtid.Point(mtid.Rank(record.Holder.Daemon, 0)), ready)
+	return staggered(self, mtid.Point(mtid.Rank(record.Holder.Daemon, 0)), claimants)
 }
 
-// ChunkTurn returns how long self waits before it writes the failover of a
-// chunk, after it sees that one is due, or false if that is for others.
+// ChunkTurn returns how long self delays the failover of table's chunk once it is
+// due, or false if self does not attempt it. The claimants are the highest-ranked
+// live daemons.
 func ChunkTurn(self mtid.Daemon, table *mtshard.Table, roster Roster) (time.Duration, bool) {
-	var ready []mtid.Daemon
+	var claimants []mtid.Daemon
 	for d, record := range roster {
 		if record.Live() {
-			ready = append(ready, d)
+			claimants = append(claimants, d)
 		}
 	}
-	return turn(self, table.Service.Point("")+mtshard.ChunkLow(table.Chunk, table.Chunks), ready)
+	return staggered(self, table.Service.Point("")+mtshard.ChunkLow(table.Chunk, table.Chunks), claimants)
 }
 
-// turn returns the delay of self by its rank among the daemons.
-func turn(self mtid.Daemon, p mtid.Point, among []mtid.Daemon) (time.Duration, bool) {
+// staggered returns the delay of self according to its rank at p among the given
+// daemons, or false if its rank is too low to take part.
+func staggered(self mtid.Daemon, p mtid.Point, among []mtid.Daemon) (time.Duration, bool) {
 	slices.SortFunc(among, func(a, b mtid.Daemon) int {
 		return cmp.Or(cmp.Compare(mtid.Rank(b, p), mtid.Rank(a, p)), cmp.Compare(a, b))
 	})
 	i := slices.Index(among, self)
-	if i < 0 || i >= helpers {
+	if i < 0 || i >= maxClaimants {
 		return 0, false
 	}
 	return time.Duration(i) * Stagger, true
 }
 
-// Failover returns the op that gives the shards of all fenced owners in table
-// to some of the live daemons that offer the service, by their rank for the chunk
-// (see mtshard.Table.Survivors). It returns false if no owner is
-// fenced, or if no daemon could take over: then the shards wait for one.
+// Failover returns the op that assigns the shards of all fenced owners in table
+// to some of the live daemons that offer the service, selected by their rank for
+// the chunk (see mtshard.Table.Survivors). It returns false if no owner is fenced,
+// or if no daemon can take over: the shards then stay unserved until one can.
 func Failover(table *mtshard.Table, roster Roster) (mtshard.Failover, bool) {
 	var op mtshard.Failover
 	for _, s := range table.Shards {
--- a/core/mttakeover/fences.go
+++ b/core/mttakeover/fences.go
@@ -7,26 +7,26 @@
 	"magnoliaturn/core/mtroster"
 )
 
-// fence is what was seen of one daemon's revocations.
+// fence is the highest revocation observed in one daemon's records.
 type fence struct {
-	revoked mtid.Incarnation
+	revoked mtid.Incarnation // all lower incarnations are fenced
 	since   mtclock.Instant
 }
 
-// Fences remembers since when each daemon's former lives have been seen to be
-// fenced. The instants must come from a clock that never runs ahead.
+// Fences records when each daemon's previous incarnations were first observed to
+// be fenced. The instants must come from a clock that never runs ahead.
 //
-// A witness promises only while its own life was known to stand within
-// mtlease.Vouch. A fenced life can't learn that any more: its own witnesses
-// have agreed, and its record says otherwise. So after mtlease.Silence all its
-// promises have ended.
+// A witness makes promises only if its own incarnation was confirmed within the
+// last mtlease.Vouch. A fenced incarnation can't be confirmed again: its own
+// witnesses have agreed to the revocation, and its record shows it as revoked. So
+// after mtlease.Silence all its promises have expired.
 //
-// The zero Fences is ready. It is not safe for concurrent use.
+// The zero value is ready to use. It is not safe for concurrent use.
 type Fences struct {
 	seen map[mtid.Daemon]fence
 }
 
-// Note takes a record as it stands at now.
+// Note processes a record that was in the store at now.
 func (f *Fences) Note(now mtclock.Instant, record *mtroster.Record) {
 	if f.seen == nil {
 		f.seen = make(map[mtid.Daemon]fence)
@@ -37,7 +37,8 @@
 	}
 }
 
-// Silent reports whether h has been fenced for mtlease.Silence.
+// Silent reports whether h was observed to be fenced at least mtlease.Silence
+// ago, so that all the promises it made as a witness have expired.
 func (f *Fences) Silent(now mtclock.Instant, h mtid.Holder) bool {
 	seen, ok := f.seen[h.Daemon]
 	return ok && h.Incarnation < seen.revoked && now.Sub(seen.since) >= mtlease.Silence
--- a/core/mttakeover/model_test.go
+++ b/core/mttakeover/model_test.go
@@ -23,68 +23,68 @@
 )
 
 var (
-	modelSteps = flag.Int("model.steps", 120_000, "steps of the long walk of the model")
-	modelSeed  = flag.Uint64("model.seed", 1, "seed of the long walk of the model")
+	modelSteps = flag.Int("model.steps", 120_000, "number of steps of the long random walk")
+	modelSeed  = flag.Uint64("model.seed", 1, "seed of the long random walk")
 )
 
 const daemons = 7
 
 var modelRef = mtid.Ref{Business: "ratins", Service: "mapsvc"}
 
-// stored is a value of the model's store, or a write on its way to it.
+// stored is a value in the model's store, or a write in flight to it.
 type stored struct {
 	name     string
-	version  mtid.Version // of the value; of a write, the one that it expects
+	version  mtid.Version // of the value; for a write, the version it expects
 	record   *mtroster.Record
 	table    *mtshard.Table
-	stampOf  mtroster.Stamp
+	writeID  mtroster.Stamp
 	accepted bool
 }
 
 // packet is a datagram in flight.
 type packet struct {
 	from, to int
-	life     mtid.Holder // the asker's
-	lives    int         // the asker's process, which an answer must find again
-	ask      mtlease.Ask
+	holder   mtid.Holder // the incarnation that requests the promise
+	instance int         // its process; an answer to an earlier one is dropped
+	request  mtlease.Ask
 	answer   *mtlease.Answer
 }
 
-// process is one daemon process with what it knows.
+// process is one daemon process with its local state.
 type process struct {
-	name     mtid.Daemon
-	lives    int
-	rate     int64 // clock ticks in a thousand of true time
-	origin   mtclock.Instant
-	member   *mtmember.Member
-	lease    *mtlease.Lease
-	witness  *mtwitness.Witness
-	sequence uint64
-	roster   mttakeover.Roster
-	versions map[mtid.Daemon]mtid.Version
-	table    *mtshard.Table
-	vouched  mtclock.Instant // until when its own life is known to stand
-	fences   mttakeover.Fences
-	takeover *mttakeover.Takeover
-	fence    *mttakeover.Takeover
-}
-
-// model is a small fleet whose every message, write and clock is in the hands
-// of a drawn sequence of choices.
+	name           mtid.Daemon
+	instance       int   // incremented by every restart
+	rate           int64 // clock ticks per thousand ticks of true time
+	origin         mtclock.Instant
+	member         *mtmember.Member
+	lease          *mtlease.Lease
+	witness        *mtwitness.Witness
+	sequence       uint64
+	roster         mttakeover.Roster
+	versions       map[mtid.Daemon]mtid.Version
+	table          *mtshard.Table
+	confirmedUntil mtclock.Instant // its own incarnation is confirmed until then
+	fences         mttakeover.Fences
+	takeover       *mttakeover.Takeover
+	selfFence      *mttakeover.Takeover // of its previous incarnation
+}
+
+// model is a small fleet in which pick decides the fate of every message and
+// write and the rate of every clock.
 type model struct {
 	pick      func(n int) int
 	now       time.Duration
 	procs     []*process
-	flight    []packet
+	inFlight  []packet
 	records   map[mtid.Daemon]stored
 	table     stored
 	delayed   []stored
-	down      bool
+	storeDown bool
 	cut       map[[2]int]bool
 	sequence  uint64
 	epochs    map[mtid.Epoch]mtid.Holder
 	acked     []stored
-	happened  map[string]int
+	events    map[string]int
 	violation error
 }
 
@@ -94,12 +94,12 @@
 
 func newModel(pick func(n int) int) *model {
 	m := &model{
-		pick:     pick,
-		now:      time.Hour,
-		records:  make(map[mtid.Daemon]stored),
-		cut:      make(map[[2]int]bool),
-		epochs:   make(map[mtid.Epoch]mtid.Holder),
-		happened: make(map[string]int),
+		pick:    pick,
+		now:     time.Hour,
+		records: make(map[mtid.Daemon]stored),
+		cut:     make(map[[2]int]bool),
+		epochs:  make(map[mtid.Epoch]mtid.Holder),
+		events:  make(map[string]int),
 	}
 	for i := range daemons {
 		p := &process{
@@ -117,12 +117,12 @@
 	return p.origin + mtclock.Instant(int64(m.now)/1000*p.rate)
 }
 
-// restart ends a process and begins the next one, which remembers nothing.
+// restart replaces a process with a new one that has lost all local state.
 func (m *model) restart(p *process) {
 	m.sequence += 1000
-	p.lives++
+	p.instance++
 	p.member = mtmember.New(mtmember.Profile{
-		Daemon: p.name, Zone: "a", Region: "r", Relay: fmt.Sprint(p.name, p.lives), Renew: "x",
+		Daemon: p.name, Zone: "a", Region: "r", Relay: fmt.Sprint(p.name, p.instance), Renew: "x",
 	}, m.sequence)
 	p.member.Carry([]mtroster.Offer{{Service: modelRef}}, mtroster.Serving)
 	p.lease = nil
@@ -131,44 +131,44 @@
 	p.roster = make(mttakeover.Roster)
 	p.versions = make(map[mtid.Daemon]mtid.Version)
 	p.table = nil
-	p.takeover, p.fence = nil, nil
-	p.vouched, p.fences = 0, mttakeover.Fences{}
+	p.takeover, p.selfFence = nil, nil
+	p.confirmedUntil, p.fences = 0, mttakeover.Fences{}
 }
 
 func (m *model) index(d mtid.Daemon) int {
 	return slices.IndexFunc(m.procs, func(p *process) bool { return p.name == d })
 }
 
-func (m *model) fails() bool { return m.pick(8) == 0 }
+func (m *model) requestFails() bool { return m.pick(8) == 0 }
 
-// swap is a write to the model's store. It may be answered, refused, lose its
-// answer after the effect, or stay on its way and land late or never.
+// swap writes to the model's store. The write may be answered or refused, take
+// effect with its answer lost, or be delayed and take effect late or never.
 func (m *model) swap(w stored) (stored, error) {
-	if m.down {
+	if m.storeDown {
 		return stored{}, &refusedError{}
 	}
 	switch m.pick(6) {
 	case 0:
 		m.delayed = append(m.delayed, w)
-		m.happened["write delayed"]++
+		m.events["write delayed"]++
 		return stored{}, &unknownError{}
 	case 1:
-		_, _ = m.land(w)
-		m.happened["answer lost"]++
+		_, _ = m.apply(w)
+		m.events["answer lost"]++
 		return stored{}, &unknownError{}
 	}
-	return m.land(w)
+	return m.apply(w)
 }
 
-// land lets a write take effect if it expects what stands.
-func (m *model) land(w stored) (stored, error) {
+// apply makes a write take effect if it expects the stored version.
+func (m *model) apply(w stored) (stored, error) {
 	current := m.current(w.name)
 	if current.version != w.version {
 		return current, &conflictError{}
 	}
 	w.version++
 	if w.table != nil {
-		m.note(w.table)
+		m.checkEpochs(w.table)
 		m.table = w
 	} else {
 		m.records[mtid.Daemon(w.name)] = w
@@ -183,11 +183,11 @@
 	return m.records[mtid.Daemon(name)]
 }
 
-// note checks that no epoch is ever used for two owners.
-func (m *model) note(table *mtshard.Table) {
+// checkEpochs checks that no epoch is ever used for two owners.
+func (m *model) checkEpochs(table *mtshard.Table) {
 	for _, s := range table.Shards {
 		if owner, ok := m.epochs[s.Epoch]; ok && owner != s.Owner {
-			m.fail("epoch %d was given to %v and to %v", s.Epoch, owner, s.Owner)
+			m.fail("epoch %d was assigned to both %v and %v", s.Epoch, owner, s.Owner)
 		}
 		m.epochs[s.Epoch] = s.Owner
 	}
@@ -201,9 +201,9 @@
 	conflictError struct{}
 )
 
-func (*refusedError) Error() string  { return "store is down" }
-func (*unknownError) Error() string  { return "no answer" }
-func (*conflictError) Error() string { return "version has moved on" }
+func (*refusedError) Error() string  { return "store is unavailable" }
+func (*unknownError) Error() string  { return "no answer from the store: outcome unknown" }
+func (*conflictError) Error() string { return "write conflict: the stored version has changed" }
 
 func (m *model) fail(format string, args ...any) {
 	if m.violation == nil {
@@ -211,7 +211,7 @@
 	}
 }
 
-// step does one drawn thing and checks what must always hold.
+// step performs one randomly picked action and checks the invariants.
 func (m *model) step() error {
 	p := m.procs[m.pick(daemons)]
 	switch n := m.pick(100); {
@@ -220,42 +220,42 @@
 	case n < 25:
 		m.now += time.Duration(300+m.pick(1500)) * time.Millisecond
 	case n < 30:
-		m.jump(p)
+		m.jumpToPromiseEnd(p)
 	case n < 40:
-		m.round(p)
+		m.renewAll(p)
 	case n < 48:
-		// Mostly the fleet is well; else its leases would hardly ever meet the
-		// faults.
+		// Keep the fleet healthy most of the time; otherwise hardly any lease
+		// would be valid when a fault occurs.
 		for _, q := range m.procs {
-			m.round(q)
+			m.renewAll(q)
 		}
 	case n < 56:
 		m.deliverOne()
 	case n < 57:
 		m.restart(p)
-		m.happened["restart"]++
+		m.events["restart"]++
 	case n < 72:
-		m.own(p)
+		m.stepOwnRecord(p)
 	case n < 76:
-		m.propose(p)
+		m.proposeWitnesses(p)
 	case n < 87:
-		m.take(p)
+		m.stepTakeover(p)
 	case n < 90:
-		m.landLate()
+		m.applyDelayed()
 	case n < 93:
-		m.failover(p)
+		m.writeFailover(p)
 	case n < 98:
-		m.refresh(p)
+		m.readStore(p)
 	case n < 99:
 		m.partition()
 	default:
-		m.down = m.pick(6) == 0
+		m.storeDown = m.pick(6) == 0
 	}
 	m.check()
 	return m.violation
 }
 
-// check looks at every process after every step.
+// check verifies the invariants across all processes. It runs after every step.
 func (m *model) check() {
 	owners := make(map[mtid.Point]mtid.Holder)
 	for _, p := range m.procs {
@@ -263,15 +263,15 @@
 			continue
 		}
 		h := p.lease.Holder()
-		m.happened["may serve"]++
+		m.events["may serve"]++
 		if m.records[p.name].record.Revoked > h.Incarnation {
-			m.fail("%v may serve, and is revoked", h)
+			m.fail("%v may serve although it is revoked", h)
 		}
 		if p.table == nil {
 			continue
 		}
 		for _, s := range p.table.Owned(h) {
-			m.happened["serves a shard"]++
+			m.events["serves a shard"]++
 			if other, ok := owners[s.Low]; ok {
 				m.fail("%v and %v may both serve the shard at %d", other, h, s.Low)
 			}
@@ -279,16 +279,17 @@
 		}
 	}
 	for _, a := range m.acked {
-		_, kept := m.table.table.Wrote(a.stampOf)
-		if !kept && m.table.version < a.version+mtshard.KeptSteps {
-			m.fail("the acknowledged write %v is gone", a.stampOf)
+		_, retained := m.table.table.Wrote(a.writeID)
+		if !retained && m.table.version < a.version+mtshard.KeptSteps {
+			m.fail("the acknowledged write %v was lost", a.writeID)
 		}
 	}
 }
 
-// jump moves time to just when some witness of p would agree to its takeover,
-// and lets others try it: where margins are thin, this is the moment.
-func (m *model) jump(p *process) {
+// jumpToPromiseEnd advances time to just when some witness of p would agree to a
+// takeover, and lets another process attempt one. This is when a safety margin
+// that is too small would show.
+func (m *model) jumpToPromiseEnd(p *process) {
 	if p.lease == nil || len(p.lease.Witnesses()) == 0 {
 		return
 	}
@@ -298,62 +299,63 @@
 	if left <= 0 || left > int64(2*time.Second) {
 		return
 	}
-	passed := time.Duration(left * 1000 / w.rate)
-	m.now += (passed + time.Millisecond).Truncate(time.Millisecond)
-	taker := m.procs[m.pick(daemons)]
-	m.refresh(taker)
-	if record, ok := taker.roster[p.name]; ok && taker != p && record.Live() {
-		taker.takeover = mttakeover.New(record, taker.versions[p.name])
-		m.take(taker)
-		m.take(taker)
+	elapsed := time.Duration(left * 1000 / w.rate)
+	m.now += (elapsed + time.Millisecond).Truncate(time.Millisecond)
+	claimant := m.procs[m.pick(daemons)]
+	m.readStore(claimant)
+	if record, ok := claimant.roster[p.name]; ok && claimant != p && record.Live() {
+		claimant.takeover = mttakeover.New(record, claimant.versions[p.name])
+		m.stepTakeover(claimant)
+		m.stepTakeover(claimant)
 	}
 }
 
-// round lets p ask all its witnesses; most datagrams arrive at once.
-func (m *model) round(p *process) {
+// renewAll sends a renewal request from p to each of its witnesses. Most datagrams
+// arrive at once.
+func (m *model) renewAll(p *process) {
 	if p.lease == nil {
 		return
 	}
 	for _, w := range p.lease.Witnesses() {
 		p.sequence++
-		ask, ok := p.lease.Ask(m.clock(p), w, p.sequence)
+		request, ok := p.lease.Ask(m.clock(p), w, p.sequence)
 		to := m.index(w.Daemon)
 		if !ok || to < 0 {
 			continue
 		}
-		m.send(packet{from: m.index(p.name), to: to, life: p.lease.Holder(), lives: p.lives, ask: ask})
+		m.send(packet{from: m.index(p.name), to: to, holder: p.lease.Holder(), instance: p.instance, request: request})
 	}
 }
 
-// send delivers, loses or delays a datagram.
+// send delivers, drops or delays a datagram.
 func (m *model) send(k packet) {
 	if m.cut[[2]int{k.from, k.to}] {
 		return
 	}
 	switch m.pick(10) {
 	case 0:
-		m.happened["datagram lost"]++
+		m.events["datagram lost"]++
 	case 1, 2:
-		if len(m.flight) < 40 {
-			m.flight = append(m.flight, k)
+		if len(m.inFlight) < 40 {
+			m.inFlight = append(m.inFlight, k)
 		}
 	default:
 		m.deliver(k)
 	}
 }
 
-// deliverOne delivers any datagram in flight, so that they come out of order;
-// some stay in flight and come twice.
+// deliverOne delivers a random datagram in flight, so that datagrams arrive out of
+// order. Some stay in flight and arrive again.
 func (m *model) deliverOne() {
-	if len(m.flight) == 0 {
+	if len(m.inFlight) == 0 {
 		return
 	}
-	i := m.pick(len(m.flight))
-	k := m.flight[i]
+	i := m.pick(len(m.inFlight))
+	k := m.inFlight[i]
 	if m.pick(4) > 0 {
-		m.flight = slices.Delete(m.flight, i, i+1)
+		m.inFlight = slices.Delete(m.inFlight, i, i+1)
 	} else {
-		m.happened["datagram twice"]++
+		m.events["datagram duplicated"]++
 	}
 	m.deliver(k)
 }
@@ -361,65 +363,66 @@
 func (m *model) deliver(k packet) {
 	to := m.procs[k.to]
 	if k.answer == nil {
-		answer := to.witness.Renew(m.clock(to), k.life, k.ask, m.clock(to).Before(to.vouched))
-		m.send(packet{from: k.to, to: k.from, life: k.life, lives: k.lives, ask: k.ask, answer: &answer})
+		answer := to.witness.Renew(m.clock(to), k.holder, k.request, m.clock(to).Before(to.confirmedUntil))
+		m.send(packet{from: k.to, to: k.from, holder: k.holder, instance: k.instance, request: k.request, answer: &answer})
 		return
 	}
-	// The duty drops answers that are for another life.
-	if to.lease == nil || to.lives != k.lives || to.lease.Holder() != k.life {
+	// As in mtrenew, answers for another incarnation are dropped.
+	if to.lease == nil || to.instance != k.instance || to.lease.Holder() != k.holder {
 		return
 	}
-	to.lease.Answer(m.clock(to), k.ask.Witness, *k.answer)
+	to.lease.Answer(m.clock(to), k.request.Witness, *k.answer)
 	if until := to.lease.Until(); until > 0 {
-		to.vouched = max(to.vouched, until.Add(mtlease.Vouch))
+		to.confirmedUntil = max(to.confirmedUntil, until.Add(mtlease.Vouch))
 	}
 }
 
-// own takes one step of p's own record.
-func (m *model) own(p *process) {
+// stepOwnRecord takes one step of maintaining p's own record.
+func (m *model) stepOwnRecord(p *process) {
 	step := p.member.Next()
 	switch step.Kind {
 	case mtmember.Read:
-		m.read(p)
+		m.readOwnRecord(p)
 	case mtmember.Fence:
-		m.fence(p, step)
+		m.fencePrevious(p, step)
 	case mtmember.Write:
-		m.write(p, step)
+		m.writeOwnRecord(p, step)
 	case mtmember.Idle:
-		m.read(p)
+		m.readOwnRecord(p)
 	}
-	m.settle(p)
+	m.syncLease(p)
 }
 
-func (m *model) read(p *process) {
-	if m.down {
+func (m *model) readOwnRecord(p *process) {
+	if m.storeDown {
 		return
 	}
 	if current, ok := m.records[p.name]; ok {
 		p.member.Seen(current.record, current.version)
-		m.vouch(p)
+		m.confirm(p)
 		return
 	}
 	p.member.Missing()
 }
 
-// vouch notes that the store just showed or took p's own record.
-func (m *model) vouch(p *process) {
+// confirm records that the store just returned or accepted p's own record.
+func (m *model) confirm(p *process) {
 	if !p.member.Holder().IsZero() {
-		p.vouched = max(p.vouched, m.clock(p).Add(mtlease.Vouch))
+		p.confirmedUntil = max(p.confirmedUntil, m.clock(p).Add(mtlease.Vouch))
 	}
 }
 
-func (m *model) fence(p *process, step mtmember.Step) {
-	if p.fence == nil || p.fence.Version() != step.Expected {
-		p.fence = mttakeover.New(step.Record, step.Expected)
+// fencePrevious takes one step of fencing p's previous incarnation.
+func (m *model) fencePrevious(p *process, step mtmember.Step) {
+	if p.selfFence == nil || p.selfFence.Version() != step.Expected {
+		p.selfFence = mttakeover.New(step.Record, step.Expected)
 	}
-	if m.ask(p, p.fence).Kind == mttakeover.Write {
+	if m.requestRevocations(p, p.selfFence).Kind == mttakeover.Write {
 		p.member.Fenced(step.Expected)
 	}
 }
 
-func (m *model) write(p *process, step mtmember.Step) {
+func (m *model) writeOwnRecord(p *process, step mtmember.Step) {
 	if p.lease != nil {
 		p.lease.Attempt()
 	}
@@ -429,42 +432,42 @@
 	switch {
 	case err == nil:
 		p.member.Landed(got.version)
-		m.vouch(p)
+		m.confirm(p)
 	case errors.As(err, &refused):
 		p.member.Refused()
 	case errors.As(err, &unknown):
 		p.member.Unknown()
 	default:
 		p.member.Seen(got.record, got.version)
-		m.happened["own write refused"]++
+		m.events["own write conflicted"]++
 	}
 }
 
-// settle brings p's lease in line with its record, as the duty does.
-func (m *model) settle(p *process) {
+// syncLease updates p's lease to match its record, as io/mtrenew does.
+func (m *model) syncLease(p *process) {
 	h := p.member.Holder()
 	record, version := p.member.Record()
 	switch {
 	case h.IsZero() && p.lease != nil:
 		p.lease.Close()
-		p.vouched = 0
-		m.happened["found revoked"]++
+		p.confirmedUntil = 0
+		m.events["found revoked"]++
 	case !h.IsZero() && (p.lease == nil || p.lease.Holder() != h):
 		p.lease = mtlease.New(h)
 		p.witness.Register(h.Incarnation)
 		p.lease.Adopt(mtlease.Set{Version: version, Witnesses: record.Witnesses})
-		m.happened["registered"]++
+		m.events["registered"]++
 	case !h.IsZero() && !p.member.Writing() && p.lease.Current().Version != version:
 		p.lease.Settle(mtlease.Set{Version: version, Witnesses: record.Witnesses})
-		m.happened["set changed"]++
+		m.events["set changed"]++
 	case !h.IsZero() && !p.member.Writing() && p.lease.Current().Version == version:
 		p.lease.Withdraw()
 	}
 }
 
-// propose lets p change its witnesses to some three others, whether or not
-// they have promised yet: safety must not rest on Ready.
-func (m *model) propose(p *process) {
+// proposeWitnesses makes p change its witnesses to three arbitrary others, whether
+// or not they have promised yet: safety must not depend on Ready.
+func (m *model) proposeWitnesses(p *process) {
 	record, version := p.member.Record()
 	if p.lease == nil || p.member.Holder().IsZero() || p.member.Writing() {
 		return
@@ -482,19 +485,20 @@
 	if !p.lease.Propose(mtlease.Set{Version: version + 1, Witnesses: next.Witnesses}) {
 		return
 	}
-	m.round(p)
+	m.renewAll(p)
 	if !p.member.Change(&next) {
 		p.lease.Withdraw()
 	}
 }
 
-// ask takes the next step of a takeover, asking the witnesses where it is due.
-func (m *model) ask(p *process, t *mttakeover.Takeover) mttakeover.Step {
+// requestRevocations takes the next step of a takeover, and sends the revocation
+// requests if they are due.
+func (m *model) requestRevocations(p *process, t *mttakeover.Takeover) mttakeover.Step {
 	record := m.records[t.Target().Daemon].record
 	for _, w := range record.Witnesses {
 		if p.fences.Silent(m.clock(p), w) {
 			t.Silent(w)
-			m.happened["silent witness"]++
+			m.events["expired witness"]++
 		}
 	}
 	step := t.Next(m.clock(p))
@@ -504,16 +508,16 @@
 	for _, w := range step.Witnesses {
 		to := m.index(w.Daemon)
 		request := t.Request(w)
-		if m.fails() || m.cut[[2]int{m.index(p.name), to}] {
+		if m.requestFails() || m.cut[[2]int{m.index(p.name), to}] {
 			t.Failed(m.clock(p), request)
 			continue
 		}
 		other := m.procs[to]
 		reply := other.witness.Revoke(m.clock(other), request)
 		if reply.Granted {
-			m.happened["revoked by a witness"]++
+			m.events["revoked by a witness"]++
 		}
-		if m.fails() {
+		if m.requestFails() {
 			t.Failed(m.clock(p), request)
 			continue
 		}
@@ -522,8 +526,8 @@
 	return t.Next(m.clock(p))
 }
 
-// take lets p work on the takeover of some daemon, lost or not.
-func (m *model) take(p *process) {
+// stepTakeover takes one step of p's takeover of some daemon, lost or not.
+func (m *model) stepTakeover(p *process) {
 	if p.takeover == nil {
 		target := m.procs[m.pick(daemons)].name
 		record, ok := p.roster[target]
@@ -537,15 +541,16 @@
 		p.takeover = nil
 		return
 	}
-	switch step := m.ask(p, t); step.Kind {
+	switch step := m.requestRevocations(p, t); step.Kind {
 	case mttakeover.Done:
 		p.takeover = nil
 	case mttakeover.Write:
-		m.revoke(p, t)
+		m.writeRevoked(p, t)
 	}
 }
 
-func (m *model) revoke(p *process, t *mttakeover.Takeover) {
+// writeRevoked writes the record that fences the target of t.
+func (m *model) writeRevoked(p *process, t *mttakeover.Takeover) {
 	m.sequence++
 	stamp := mtroster.Stamp{Writer: mtid.Holder{Daemon: p.name}, Sequence: m.sequence}
 	name := string(t.Target().Daemon)
@@ -559,13 +564,13 @@
 		return
 	}
 	if err == nil {
-		m.happened["taken over"]++
+		m.events["taken over"]++
 	}
 	t.Seen(got.record, got.version)
 }
 
-// landLate lets a write land that was on its way, or loses it.
-func (m *model) landLate() {
+// applyDelayed makes a delayed write take effect, or drops it.
+func (m *model) applyDelayed() {
 	if len(m.delayed) == 0 {
 		return
 	}
@@ -575,17 +580,18 @@
 	if m.pick(4) == 0 {
 		return
 	}
-	if _, err := m.land(w); err == nil {
-		m.happened["write landed late"]++
+	if _, err := m.apply(w); err == nil {
+		m.events["write applied late"]++
 	}
 }
 
-// failover lets p write what it believes is due, from what it knows.
-func (m *model) failover(p *process) {
+// writeFailover makes p write the failover that is due according to its own view,
+// or create the table if p knows none.
+func (m *model) writeFailover(p *process) {
 	m.sequence++
 	stamp := mtroster.Stamp{Writer: mtid.Holder{Daemon: p.name}, Sequence: m.sequence}
 	if p.table == nil {
-		m.create(p, stamp)
+		m.createTable(p, stamp)
 		return
 	}
 	op, ok := mttakeover.Failover(p.table, p.roster)
@@ -594,13 +600,13 @@
 	}
 	next, err := p.table.Apply(stamp, op)
 	if err != nil {
-		m.fail("failover does not fit: %v", err)
+		m.fail("failover op was rejected: %v", err)
 		return
 	}
-	m.put(p, stamp, next)
+	m.writeTable(p, stamp, next)
 }
 
-func (m *model) create(p *process, stamp mtroster.Stamp) {
+func (m *model) createTable(p *process, stamp mtroster.Stamp) {
 	var among []mtid.Holder
 	for _, q := range m.procs {
 		if r, ok := p.roster[q.name]; ok && r.Live() {
@@ -609,40 +615,41 @@
 	}
 	next, err := mtshard.New(modelRef, 0, 1).Apply(stamp, mtshard.Create{Shards: 8, Among: among})
 	if err == nil {
-		m.put(p, stamp, next)
+		m.writeTable(p, stamp, next)
 	}
 }
 
-func (m *model) put(p *process, stamp mtroster.Stamp, next *mtshard.Table) {
-	got, err := m.swap(stored{name: tableName, version: next.Version - 1, table: next, stampOf: stamp})
+func (m *model) writeTable(p *process, stamp mtroster.Stamp, next *mtshard.Table) {
+	got, err := m.swap(stored{name: tableName, version: next.Version - 1, table: next, writeID: stamp})
 	var conflict *conflictError
 	switch {
 	case err == nil:
 		p.table = next
 		m.acked = append(m.acked, got)
 		m.acked = m.acked[max(0, len(m.acked)-mtshard.KeptSteps):]
-		m.happened["failed over"]++
+		m.events["failed over"]++
 	case errors.As(err, &conflict):
-		m.adopt(p, got.table)
+		m.adoptTable(p, got.table)
 	}
 }
 
-// adopt takes a newer table; an older one would go back in time.
-func (m *model) adopt(p *process, table *mtshard.Table) {
+// adoptTable replaces p's table if the given one is newer. An older one would undo
+// changes that p has already acted on.
+func (m *model) adoptTable(p *process, table *mtshard.Table) {
 	if table != nil && (p.table == nil || table.Version > p.table.Version) {
 		p.table = table
 	}
 }
 
-// refresh lets p learn some of what stands in the store.
-func (m *model) refresh(p *process) {
-	if m.down {
+// readStore updates p's view of the records and the table from the store.
+func (m *model) readStore(p *process) {
+	if m.storeDown {
 		return
 	}
-	m.adopt(p, m.table.table)
+	m.adoptTable(p, m.table.table)
 	for d, s := range m.records {
 		if s.version < p.versions[d] {
-			m.fail("the record of %s went back", d)
+			m.fail("the record of %s went back to an older version", d)
 		}
 		p.roster[d] = s.record
 		p.versions[d] = s.version
@@ -650,6 +657,7 @@
 	}
 }
 
+// partition heals all partitions, or cuts one direction between two daemons.
 func (m *model) partition() {
 	if m.pick(2) == 0 {
 		clear(m.cut)
@@ -657,13 +665,13 @@
 	}
 	a, b := m.pick(daemons), m.pick(daemons)
 	m.cut[[2]int{a, b}] = true
-	m.happened["partition"]++
+	m.events["partition"]++
 }
 
-// A fleet runs through any order of loss, delay, duplicates, restarts, cuts,
-// fast clocks, store faults, takeovers and changes of witnesses. At no moment
-// may two daemons serve one shard, nor one that is revoked.
-func TestOneOwnerThroughAnyInterleaving(t *testing.T) {
+// A fleet goes through random sequences of datagram loss, delay and duplication,
+// restarts, partitions, fast clocks, store faults, takeovers and witness changes.
+// At no time may two daemons serve the same shard, or a revoked one serve at all.
+func TestSingleOwnerUnderAnyInterleaving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") })
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
@@ -672,20 +680,20 @@
 	})
 }
 
-// The same, as one long walk. Each kind of fault must have come up, or the walk
-// would prove nothing about it.
-func TestOneOwnerThroughALongWalk(t *testing.T) {
+// The same as one long random walk. Each kind of event must occur at least once,
+// since otherwise the walk would show nothing about it.
+func TestSingleOwnerOnLongRandomWalk(t *testing.T) {
 	random := rand.New(rand.NewPCG(*modelSeed, 0))
 	m := newModel(random.IntN)
 	for i := range *modelSteps {
 		assert.NilError(t, m.step(), "seed %d, step %d", *modelSeed, i)
 	}
-	t.Logf("%d steps: %v", *modelSteps, m.happened)
+	t.Logf("%d steps: %v", *modelSteps, m.events)
 	for _, what := range []string{
-		"may serve", "serves a shard", "datagram lost", "datagram twice", "restart", "registered", "set changed",
-		"own write refused", "write delayed", "answer lost", "write landed late", "partition",
-		"revoked by a witness", "silent witness", "taken over", "found revoked", "failed over",
+		"may serve", "serves a shard", "datagram lost", "datagram duplicated", "restart", "registered", "set changed",
+		"own write conflicted", "write delayed", "answer lost", "write applied late", "partition",
+		"revoked by a witness", "expired witness", "taken over", "found revoked", "failed over",
 	} {
-		assert.Assert(t, m.happened[what] > 0, "never happened: %s", what)
+		assert.Assert(t, m.events[what] > 0, "event did not occur: %s", what)
 	}
 }
--- a/core/mttakeover/mttakeover_test.go
+++ b/core/mttakeover/mttakeover_test.go
@@ -33,8 +33,8 @@
 }
 
 var (
-	granted = mtwitness.Reply{Granted: true}
-	busy    = mtwitness.Reply{Wait: 300 * time.Millisecond}
+	granted       = mtwitness.Reply{Granted: true}
+	stillPromised = mtwitness.Reply{Wait: 300 * time.Millisecond}
 )
 
 func TestNoWriteBeforeMajority(t *testing.T) {
@@ -44,21 +44,21 @@
 	assert.DeepEqual(t, step.Witnesses, []mtid.Holder{w1, w2, w3})
 	tk.Replied(start, tk.Request(w1), granted)
 	tk.Replied(start, tk.Request(w1), granted)
-	tk.Replied(start, tk.Request(w2), busy)
+	tk.Replied(start, tk.Request(w2), stillPromised)
 	tk.Failed(start, tk.Request(w3))
 	step = tk.Next(start)
 	assert.Equal(t, step.Kind, mttakeover.Wait)
 	assert.Equal(t, step.Wait, 200*time.Millisecond)
-	step = tk.Next(start.Add(busy.Wait))
+	step = tk.Next(start.Add(stillPromised.Wait))
 	assert.DeepEqual(t, step.Witnesses, []mtid.Holder{w2, w3})
-	tk.Replied(start.Add(busy.Wait), tk.Request(w2), granted)
+	tk.Replied(start.Add(stillPromised.Wait), tk.Request(w2), granted)
 	assert.Equal(t, tk.Next(start).Kind, mttakeover.Write)
 	assert.Equal(t, tk.Revoked(mtroster.Stamp{}).Revoked, lost.Incarnation+1)
 }
 
-// A witness agrees for one version of the record, the holder moves on to the
-// next, and only then do the replies come in. They allow nothing any more: the
-// same witnesses may have promised again.
+// Witnesses agree to revoke one version of the record, but their replies arrive
+// after the holder has written the next version. The replies must not count: the
+// same witnesses may have renewed their promises under the new version.
 func TestRepliesForEarlierVersionDoNotCount(t *testing.T) {
 	tk := mttakeover.New(lostRecord(), 7)
 	tk.Next(start)
@@ -69,14 +69,15 @@
 	tk.Replied(start, first, granted)
 	assert.Equal(t, tk.Next(start).Kind, mttakeover.Ask)
 	tk.Replied(start, tk.Request(w2), granted)
-	assert.Equal(t, tk.Next(start).Kind, mttakeover.Wait, "the first agreed for the earlier version")
+	assert.Equal(t, tk.Next(start).Kind, mttakeover.Wait, "w1 agreed only for the earlier version")
 	tk.Replied(start, tk.Request(w3), granted)
 	assert.Equal(t, tk.Next(start).Kind, mttakeover.Write)
 }
 
-// The answer of the write was lost, and the record still shows the version that
-// it expected. The write may land late, so the taker has to write again.
-func TestWriteInDoubtIsWrittenAgain(t *testing.T) {
+// The store's reply to a write is lost, and the record still has the version that
+// the write expected. The write may take effect later, so the claimant must write
+// again.
+func TestWriteWithUnknownOutcomeIsRepeated(t *testing.T) {
 	tk := mttakeover.New(lostRecord(), 7)
 	tk.Next(start)
 	tk.Replied(start, tk.Request(w1), granted)
@@ -87,22 +88,24 @@
 	assert.Equal(t, tk.Next(start).Kind, mttakeover.Done)
 }
 
-// A daemon is lost together with two of its witnesses, and none comes back. Both
-// are fenced in time, and then count as having agreed; the third is asked.
-func TestSilentWitnessesCountAsAgreed(t *testing.T) {
+// A daemon and two of its witnesses are lost for good. Once both witnesses have
+// been fenced for long enough they count as having agreed. Only the third still
+// gets a request.
+func TestExpiredWitnessesCountAsAgreed(t *testing.T) {
 	tk := mttakeover.New(lostRecord(), 7)
 	tk.Silent(w1)
 	step := tk.Next(start)
 	assert.DeepEqual(t, step.Witnesses, []mtid.Holder{w2, w3})
 	tk.Seen(lostRecord(), 8)
 	tk.Silent(w2)
-	assert.Equal(t, tk.Next(start).Kind, mttakeover.Write, "under any version")
+	assert.Equal(t, tk.Next(start).Kind, mttakeover.Write, "an expired witness counts under any version")
 }
 
-// A witness is fenced and lives on, cut off together with the holder. It gives
-// its last promise when its Vouch ends. The holder counts that with a slow
-// clock, the taker waits with a fast one, and must still be the later of both.
-func TestSilenceOutlastsTheLastPromise(t *testing.T) {
+// A fenced witness keeps running, partitioned off together with the holder. It can
+// make its last promise until its incarnation's confirmation expires. The claimant
+// must still wait until that promise has ended, even if the holder's clock is slow
+// and its own clock is fast.
+func TestFencedExpiryOutlastsLastPromise(t *testing.T) {
 	fast := int64(mtlease.Silence) * mtlease.DriftShare / (mtlease.DriftShare + 1)
 	assert.Assert(t, fast >= int64(mtlease.Vouch+mtlease.Length))
 	var f mttakeover.Fences
@@ -111,11 +114,11 @@
 	next := mtid.Holder{Daemon: "w1", Incarnation: 2}
 	assert.Assert(t, !f.Silent(start.Add(mtlease.Silence-1), w1))
 	assert.Assert(t, f.Silent(start.Add(mtlease.Silence), w1))
-	assert.Assert(t, !f.Silent(start.Add(mtlease.Silence), next), "the next life stands")
-	assert.Assert(t, !f.Silent(start.Add(mtlease.Silence), w2), "nothing is known of another")
+	assert.Assert(t, !f.Silent(start.Add(mtlease.Silence), next), "the next incarnation is not fenced")
+	assert.Assert(t, !f.Silent(start.Add(mtlease.Silence), w2), "no revocation of w2 was observed")
 }
 
-func TestNewerLifeNeedsNoTakeover(t *testing.T) {
+func TestNewerIncarnationNeedsNoTakeover(t *testing.T) {
 	tk := mttakeover.New(lostRecord(), 7)
 	next := lostRecord()
 	next.Holder.Incarnation, next.Revoked = 4, 4
@@ -123,7 +126,7 @@
 	assert.Equal(t, tk.Next(start).Kind, mttakeover.Done)
 }
 
-func TestTurnPrefersLivingWitnesses(t *testing.T) {
+func TestTakeoverDelayPrefersLiveWitnesses(t *testing.T) {
 	roster := mttakeover.Roster{"lost": lostRecord()}
 	for i := range 20 {
 		h := mtid.Holder{Daemon: mtid.Daemon(fmt.Sprintf("d%d", i)), Incarnation: 1}
@@ -131,7 +134,7 @@
 	}
 	roster["w1"] = &mtroster.Record{Holder: w1, Revoked: 2}
 	roster["w2"] = &mtroster.Record{Holder: mtid.Holder{Daemon: "w2", Incarnation: 2}}
-	ready := func() (delays map[mtid.Daemon]time.Duration) {
+	allDelays := func() (delays map[mtid.Daemon]time.Duration) {
 		delays = make(map[mtid.Daemon]time.Duration)
 		for d := range roster {
 			if delay, ok := mttakeover.Turn(d, roster["lost"], roster); ok {
@@ -140,16 +143,16 @@
 		}
 		return delays
 	}
-	assert.DeepEqual(t, ready(), map[mtid.Daemon]time.Duration{"w2": 0})
+	assert.DeepEqual(t, allDelays(), map[mtid.Daemon]time.Duration{"w2": 0})
 	delete(roster, "w2")
-	got := ready()
+	got := allDelays()
 	assert.Equal(t, len(got), 3)
 	for d := range got {
 		assert.Assert(t, d != "lost" && d != "w1")
 	}
 }
 
-func TestFailoverGivesToLiveOffering(t *testing.T) {
+func TestFailoverAssignsToLiveDaemonsOfferingTheService(t *testing.T) {
 	table, err := mtshard.New(modelRef, 0, 1).Apply(mtroster.Stamp{}, mtshard.Create{Shards: 8, Among: []mtid.Holder{lost, w1}})
 	assert.NilError(t, err)
 	offers := []mtroster.Offer{{Service: modelRef}}
@@ -161,10 +164,10 @@
 		"other":   {Holder: mtid.Holder{Daemon: "other", Incarnation: 1}},
 	}
 	_, due := mttakeover.Failover(table, roster)
-	assert.Assert(t, !due, "a daemon without a known record isn't lost")
+	assert.Assert(t, !due, "a daemon without a known record does not count as fenced")
 	roster["lost"] = lostRecord()
 	_, due = mttakeover.Failover(table, roster)
-	assert.Assert(t, !due, "nor is one whose life stands")
+	assert.Assert(t, !due, "the current incarnation is not fenced")
 	roster["lost"] = fenced
 	op, due := mttakeover.Failover(table, roster)
 	assert.Assert(t, due)
@@ -173,16 +176,16 @@
 	gone.State = mtroster.Gone
 	roster["lost"] = gone
 	op, due = mttakeover.Failover(table, roster)
-	assert.Assert(t, due, "one that left in order owns nothing")
+	assert.Assert(t, due, "a daemon that shut down in order keeps no shards")
 	assert.DeepEqual(t, op.Lost, []mtid.Holder{lost})
 	delete(roster, "w1")
 	_, due = mttakeover.Failover(table, roster)
-	assert.Assert(t, !due, "nobody can take over yet")
+	assert.Assert(t, !due, "no live daemon offers the service")
 }
 
-// Several hundred daemons are lost at once. Their takeovers must not come at
-// once, and those under load must not wait behind idle ones.
-func TestQueueSpreadsAndTakesHottestFirst(t *testing.T) {
+// Several hundred daemons are lost at once. Their takeovers must not all start at
+// once, and daemons with load must not queue behind idle ones.
+func TestQueueLimitsRateAndOrdersByLoad(t *testing.T) {
 	q := mttakeover.Queue{Every: 100 * time.Millisecond, Burst: 4}
 	for i := range 300 {
 		q.Push(mtid.Holder{Daemon: mtid.Daemon(fmt.Sprint(i)), Incarnation: 1}, float64(i))
@@ -206,8 +209,8 @@
 	assert.Equal(t, order[299].Daemon, mtid.Daemon("1"))
 }
 
-// BenchmarkNoteFleet is what a daemon of a fleet of 480 does 20 times a second
-// to know since when others are fenced.
+// BenchmarkNoteFleet measures the scan of all records that a daemon in a fleet of
+// 480 makes 20 times a second to track when others were fenced.
 func BenchmarkNoteFleet(b *testing.B) {
 	var records []*mtroster.Record
 	for i := range 480 {
--- a/core/mttakeover/queue.go
+++ b/core/mttakeover/queue.go
@@ -8,51 +8,51 @@
 	"magnoliaturn/core/mtid"
 )
 
-// Queue spreads the takeovers that one daemon has to do over time, the hottest
-// lost daemon first, so that the loss of several hundred at once stays within
-// the write rate of the platform's store.
+// Queue limits the rate at which one daemon starts takeovers, and starts those
+// with the highest load first. It keeps the simultaneous loss of several hundred
+// daemons within the write rate of the platform's store.
 //
 // It is a pure state machine, and not safe for concurrent use.
 type Queue struct {
-	// Every is the time between two takeovers, and Burst how many may start at
-	// once after a quiet time.
+	// Every is the time between two takeovers. Burst is how many may start at
+	// once after an idle period.
 	Every time.Duration
 	Burst int
 
 	waiting []waiting
-	next    mtclock.Instant // when the allowance is full again
+	refill  mtclock.Instant // when Burst takeovers may start at once again
 }
 
 type waiting struct {
 	holder mtid.Holder
-	heat   float64
+	load   float64
 }
 
-// Push adds a lost life. Heat says how much load its shards bear, in any unit.
-// A life that waits already keeps its place and takes the new heat.
-func (q *Queue) Push(h mtid.Holder, heat float64) {
+// Push adds a lost incarnation. load is the total load of its shards, in any
+// unit. If the incarnation is already queued, only its load is updated.
+func (q *Queue) Push(h mtid.Holder, load float64) {
 	i := slices.IndexFunc(q.waiting, func(w waiting) bool { return w.holder == h })
 	if i >= 0 {
-		q.waiting[i].heat = heat
+		q.waiting[i].load = load
 		return
 	}
-	q.waiting = append(q.waiting, waiting{holder: h, heat: heat})
+	q.waiting = append(q.waiting, waiting{holder: h, load: load})
 }
 
-// Pop returns the hottest life whose takeover may start now, or false if none
-// waits or the allowance is used up.
+// Pop removes and returns the queued incarnation with the highest load, or
+// returns false if the queue is empty or the rate limit permits no start now.
 func (q *Queue) Pop(now mtclock.Instant) (mtid.Holder, bool) {
-	full := q.next
+	full := q.refill
 	if full.Before(now) {
 		full = now
 	}
 	if len(q.waiting) == 0 || full.Sub(now) > time.Duration(q.Burst-1)*q.Every {
 		return mtid.Holder{}, false
 	}
-	q.next = full.Add(q.Every)
+	q.refill = full.Add(q.Every)
 	best := 0
 	for i, w := range q.waiting {
-		if w.heat > q.waiting[best].heat {
+		if w.load > q.waiting[best].load {
 			best = i
 		}
 	}
@@ -61,5 +61,5 @@
 	return h, true
 }
 
-// Len returns how many lives wait.
+// Len returns the number of queued incarnations.
 func (q *Queue) Len() int { return len(q.waiting) }
