--- a/core/mtlease/mtlease.go
+++ b/core/mtlease/mtlease.go
@@ -1,29 +1,30 @@
-// Package mtlease is the holder's side of a lease: which promises of its
-// witnesses a daemon holds, and until when it may serve by them.
+// Package mtlease implements the holder's side of a lease: it tracks the promises
+// that a daemon has received from its witnesses, and until when they permit it to
+// serve.
 //
-// Each daemon has a set of witnesses among its peers, written in its record in
-// the platform's store. A witness promises to agree to no takeover for Length.
-// The daemon may serve while promises of a majority of its set are unexpired,
-// each counted from before the daemon sent the datagram that asked for it. The
-// witness counts from its receipt, and for longer (Guard), so that the holder's
-// end always comes first as long as no clock runs faster than another by more
-// than one part in DriftShare.
+// Each daemon has a set of witnesses among its peers, listed in its record in the
+// platform's store. A witness promises not to agree to a takeover for Length. The
+// daemon may serve while the promises of a majority of its set are unexpired.
+// The daemon counts each promise from before it sent the request. The witness
+// counts from receipt, and for longer (Guard). So the promise always ends first at
+// the holder, as long as no clock runs faster than another by more than one part
+// in DriftShare.
 //
 // # Usage
 //
 //	lease := mtlease.New(holder)
 //	lease.Adopt(mtlease.Set{Version: version, Witnesses: record.Witnesses})
 //	for _, w := range lease.Witnesses() {
-//		ask, ok := lease.Ask(now, w, sequence)
-//		... send it; on the answer: lease.Answer(now, w, answer)
+//		request, ok := lease.Ask(now, w, sequence)
+//		... send it; when the answer arrives: lease.Answer(now, w, answer)
 //	}
 //	if now.Before(lease.Until()) { ... may serve }
 //
-// To change the set: Propose it, ask until Ready, call Attempt just before the
-// write to the store, and Settle once its outcome is known. From Attempt until
-// then a majority of both sets is needed.
+// To change the set, call Propose, send requests until Ready, call Attempt just
+// before the write to the store, and call Settle once its outcome is known. From
+// Attempt until Settle, a majority of each of the two sets is needed.
 //
-// A Lease is a pure state machine of one incarnation. It is not safe for
+// A Lease is a pure state machine for one incarnation. It is not safe for
 // concurrent use.
 package mtlease
 
@@ -35,87 +36,89 @@
 	"magnoliaturn/core/mtid"
 )
 
-// Terms that all daemons of a fleet must share.
+// All daemons of a fleet must use the same values of these constants.
 const (
-	// Length is how long a promise lasts, counted by the holder.
+	// Length is how long a promise lasts on the holder's clock.
 	Length = 1200 * time.Millisecond
-	// Period is the time between two asks to one witness.
+	// Period is the interval between two renewal requests to the same witness.
 	Period = 400 * time.Millisecond
-	// DriftShare bounds the clocks: in one second of any VM's clock, another's
-	// moves by at most 1+1/DriftShare seconds.
+	// DriftShare bounds the relative drift of clocks: while any VM's clock advances
+	// by one second, another's advances by at most 1+1/DriftShare seconds.
 	DriftShare = 20
-	// Guard is how long a promise lasts, counted by the witness.
+	// Guard is how long a promise lasts on the witness's clock: Length, plus a
+	// margin for clock drift.
 	Guard = Length + Length/DriftShare
-	// Vouch is how long a witness goes on promising after it last knew that
-	// its own life stands: its lease was valid, or it read its own record.
+	// Vouch is how long a witness keeps making promises after its own incarnation
+	// was last confirmed: by a valid lease, or by its own record in the store.
 	Vouch = 3 * time.Second
-	// Silence is how long after a witness was seen to be fenced no promise of
-	// it can be left, counted by whoever saw it.
+	// Silence is how long after a witness was observed to be fenced all its
+	// promises have expired, on the observer's clock.
 	Silence = (Vouch + Length) + (Vouch+Length)/DriftShare
-	// LateWake is how late a duty may wake before its promises are dropped.
+	// LateWake is how late the renewal timer may fire before all promises are
+	// dropped.
 	LateWake = Length / 4
 )
 
-// maxOutstanding bounds the asks whose answers are awaited, for each witness.
+// maxOutstanding limits the unanswered requests that are tracked per witness.
 const maxOutstanding = 8
 
-// Set is a set of witnesses as it stands in the daemon's record.
+// Set is a set of witnesses as listed in one version of the daemon's record.
 type Set struct {
-	Version   mtid.Version // of the record that names it
+	Version   mtid.Version // of the record
 	Witnesses []mtid.Holder
 }
 
-// Majority returns how many of n witnesses decide. No set of none decides
-// anything, so it is more than n for zero.
+// Majority returns how many of n witnesses form a majority. It returns 1 for an
+// empty set, which can thus never reach it.
 func Majority(n int) int { return n/2 + 1 }
 
-// Ask asks a witness for a promise.
+// Ask is a request to a witness for a promise.
 type Ask struct {
 	Sequence uint64
-	// Witness is the life of the witness that the set names.
+	// Witness is the incarnation of the witness that the set names.
 	Witness mtid.Holder
-	// Version is the highest one of a set under which the promise counts.
+	// Version is the highest version of a set under which the promise counts.
 	Version mtid.Version
 }
 
-// Refusal is why a witness gave no promise.
+// Refusal is why a witness refused to make a promise.
 type Refusal uint32
 
-// The reasons of a refusal.
+// The reasons for a refusal.
 const (
-	Granted     Refusal = iota
-	Revoked             // the set, or the holder's life, was revoked
-	Incarnation         // the set names another life of the witness
-	Unvouched           // the witness doesn't know whether its own life stands
+	Granted     Refusal = iota // not refused
+	Revoked                    // the set, or the holder's incarnation, was revoked
+	Incarnation                // the set names another incarnation of the witness
+	Unvouched                  // the witness's own incarnation was not confirmed recently
 )
 
 // Answer is a witness's reply to an Ask.
 type Answer struct {
 	Sequence uint64
 	Refusal  Refusal
-	// Floor is the version up to which sets of the holder are revoked: the
-	// promise counts only under sets of a higher version.
+	// Floor is the version up to which the holder's sets are revoked. The promise
+	// counts only under sets with a higher version.
 	Floor mtid.Version
 }
 
-// sent is an ask whose answer is awaited.
+// sent is a request that has not been answered yet.
 type sent struct {
 	sequence uint64
 	at       mtclock.Instant
 }
 
-// promise is what a holder knows of one witness.
+// promise is the holder's state for one witness.
 type promise struct {
-	outstanding []sent
-	end         mtclock.Instant
-	floor       mtid.Version
-	refusal     Refusal
-	firstAsk    mtclock.Instant
-	lastAnswer  mtclock.Instant
-	answered    bool
+	outstanding  []sent
+	end          mtclock.Instant
+	floor        mtid.Version // the highest Floor that the witness has reported
+	refusal      Refusal      // from the last answer
+	firstRequest mtclock.Instant
+	lastAnswer   mtclock.Instant
+	answered     bool
 }
 
-// Lease is what one life of a daemon knows of its promises.
+// Lease tracks the promises made to one incarnation of a daemon.
 type Lease struct {
 	holder    mtid.Holder
 	current   Set
@@ -123,55 +126,56 @@
 	proposed  bool
 	attempted bool
 	closed    bool
-	fresh     mtclock.Instant
+	fresh     mtclock.Instant // answers to requests sent before then don't count
 	promises  map[mtid.Holder]*promise
 }
 
-// New returns the lease of holder, which has no witnesses yet.
+// New returns a lease for holder, without witnesses.
 func New(holder mtid.Holder) *Lease {
 	return &Lease{holder: holder, promises: make(map[mtid.Holder]*promise)}
 }
 
-// Holder returns whose lease it is.
+// Holder returns the incarnation that the lease belongs to.
 func (l *Lease) Holder() mtid.Holder { return l.holder }
 
-// Current returns the set that is known to stand in the record.
+// Current returns the set that the holder's record is known to list.
 func (l *Lease) Current() Set { return l.current }
 
-// Adopt takes set as the one that is known to stand in the record, and drops a
-// proposal. It is called after registration.
+// Adopt makes set the current one, and drops any proposal. It is called after
+// registration, when the holder's record is known to list set.
 func (l *Lease) Adopt(set Set) {
 	l.current = set
 	l.pending = Set{}
 	l.proposed = false
 	l.attempted = false
-	l.forget()
+	l.prune()
 }
 
-// Propose begins to ask the witnesses of a set that is not written yet. It
-// does nothing and returns false while the outcome of an attempt is unknown.
+// Propose adds the witnesses of a set that is not written yet to those that
+// receive requests. While the outcome of an attempt is unknown, it does nothing
+// and returns false.
 func (l *Lease) Propose(set Set) bool {
 	if l.attempted {
 		return false
 	}
 	l.pending = set
 	l.proposed = true
-	l.forget()
+	l.prune()
 	return true
 }
 
-// Ready reports whether a majority of the proposed set has promised, so that
-// the write may be attempted without a gap in the lease.
+// Ready reports whether a majority of the proposed set has promised, so that the
+// write can be attempted without interrupting the lease.
 func (l *Lease) Ready(now mtclock.Instant) bool {
 	return l.proposed && now.Before(l.majority(l.pending))
 }
 
 // Attempt is called before the write of the proposed set is sent to the store.
 //
-// From then on the store may hold either set, and a taker goes by the one it
-// reads. A holder that counted only one of them could serve while the other's
-// majority has agreed to a takeover: two owners of one key. So both count until
-// Settle.
+// From then on the store may hold either set, and a claimant uses the one that it
+// reads. If the holder counted only one set, it could still serve after a majority
+// of the other has agreed to a takeover, and a key would have two owners. So both
+// count until Settle.
 func (l *Lease) Attempt() bool {
 	if !l.proposed {
 		return false
@@ -180,19 +184,20 @@
 	return true
 }
 
-// Settle is called once the outcome of the attempt is known: set is what the
-// record names.
+// Settle is called once the outcome of the attempt is known. set is the one that
+// the record lists.
 func (l *Lease) Settle(set Set) { l.Adopt(set) }
 
-// Withdraw drops a proposal whose write was never sent, or is proved never to
-// take effect.
+// Withdraw drops a proposal whose write was never sent, or is proven never to take
+// effect.
 func (l *Lease) Withdraw() { l.Adopt(l.current) }
 
-// Close ends the lease for good. It is called when the record shows that this
-// life was revoked.
+// Close ends the lease permanently. It is called when the record shows that this
+// incarnation was revoked.
 func (l *Lease) Close() { l.closed = true }
 
-// Witnesses returns whom to ask: those of the current and the proposed set.
+// Witnesses returns the witnesses to send requests to: those of the current set
+// and of the proposed one.
 func (l *Lease) Witnesses() []mtid.Holder {
 	all := slices.Clone(l.current.Witnesses)
 	for _, w := range l.pending.Witnesses {
@@ -203,17 +208,18 @@
 	return all
 }
 
-// Ask returns the ask for witness w under that sequence, or false if w is no
-// witness. now must have been read before the ask is sent: a promise counts
-// from there, since it may have been made any time after.
+// Ask returns the request to send to witness w, or false if w is not a witness or
+// the lease is closed. now must be read before the request is sent: the promise
+// counts from then, since the witness may make it at any time after. sequence
+// identifies the request in its answer.
 func (l *Lease) Ask(now mtclock.Instant, w mtid.Holder, sequence uint64) (Ask, bool) {
 	version := l.versionFor(w)
 	if version == 0 || l.closed {
 		return Ask{}, false
 	}
 	p := l.promise(w)
-	if p.firstAsk == 0 {
-		p.firstAsk = now
+	if p.firstRequest == 0 {
+		p.firstRequest = now
 	}
 	if len(p.outstanding) == maxOutstanding {
 		p.outstanding = slices.Delete(p.outstanding, 0, 1)
@@ -222,9 +228,9 @@
 	return Ask{Sequence: sequence, Witness: w, Version: version}, true
 }
 
-// Answer takes w's answer. Answers that come late, twice or out of order do no
-// harm: each counts from the ask that it names, and is dropped if a later ask
-// was answered before.
+// Answer processes an answer from w. Late, duplicated and reordered answers do no
+// harm: a promise counts from when the request with the answer's sequence was
+// sent, and an answer is dropped if a later request has already been answered.
 func (l *Lease) Answer(now mtclock.Instant, w mtid.Holder, a Answer) {
 	p, ok := l.promises[w]
 	if !ok {
@@ -245,10 +251,11 @@
 	p.end = at.Add(Length)
 }
 
-// Wake is called when the duty that asks wakes up, which was due at an earlier
-// instant. A wake-up that is late by more than LateWake drops all promises
-// asked for before: the VM may have been frozen in a way that no clock of it
-// shows in full, so only a fresh round proves that the lease still stands.
+// Wake is called when the renewal timer, which was set for due, fires at now. If
+// it is late by more than LateWake, Wake drops all promises and returns true.
+// Promises requested before now no longer count: the VM may have been paused in a
+// way that none of its clocks fully shows, so only new requests can prove that the
+// lease is still valid.
 func (l *Lease) Wake(now, due mtclock.Instant) bool {
 	if now.Sub(due) <= LateWake {
 		return false
@@ -256,14 +263,14 @@
 	l.fresh = now
 	for _, p := range l.promises {
 		p.end = 0
-		// The silence was this side's own.
-		p.firstAsk, p.lastAnswer = now, now
+		// The witnesses are not at fault: this side was paused.
+		p.firstRequest, p.lastAnswer = now, now
 	}
 	return true
 }
 
-// Until returns the instant up to which the daemon may serve; zero if it may
-// not.
+// Until returns the instant at which the lease ends. It is zero if the daemon may
+// not serve at all.
 func (l *Lease) Until() mtclock.Instant {
 	if l.closed {
 		return 0
@@ -275,13 +282,13 @@
 	return until
 }
 
-// Want says what is wrong with the set that stands in the record.
+// Want lists what is wrong with the set that the record lists.
 type Want struct {
-	// Lost are witnesses that refuse for a reason of their own, or were silent
-	// for longer than Length.
+	// Lost are the witnesses that refuse because of their own incarnation, or
+	// have not answered for longer than Length.
 	Lost []mtid.Holder
-	// Revoked says that a witness revoked this set: a new version is needed,
-	// even of the same witnesses.
+	// Revoked is true if a witness has revoked this set. The record then needs a
+	// new version, even with the same witnesses.
 	Revoked bool
 }
 
@@ -292,7 +299,7 @@
 		p, ok := l.promises[w]
 		switch {
 		case !ok:
-		case p.unfit() || p.silent(now):
+		case p.unusable() || p.unresponsive(now):
 			want.Lost = append(want.Lost, w)
 		case p.refusal == Revoked || p.floor >= l.current.Version:
 			want.Revoked = true
@@ -301,24 +308,26 @@
 	return want
 }
 
-// Doubtful returns the witnesses of the proposal that hold no promise to this
-// daemon yet, so that another proposal may leave them out.
+// Doubtful returns the witnesses of the proposed set without a valid promise, so
+// that the next proposal can leave them out.
 func (l *Lease) Doubtful(now mtclock.Instant) []mtid.Holder {
-	var doubtful []mtid.Holder
+	var missing []mtid.Holder
 	for _, w := range l.pending.Witnesses {
-		if !now.Before(l.counted(l.pending, w)) {
-			doubtful = append(doubtful, w)
+		if !now.Before(l.promisedUntil(l.pending, w)) {
+			missing = append(missing, w)
 		}
 	}
-	return doubtful
+	return missing
 }
 
-// unfit reports whether the witness can promise to nobody under this set.
-func (p *promise) unfit() bool { return p.refusal == Incarnation || p.refusal == Unvouched }
+// unusable reports whether the witness refused because of its own incarnation,
+// which no new version of the holder's set changes.
+func (p *promise) unusable() bool { return p.refusal == Incarnation || p.refusal == Unvouched }
 
-// silent reports whether the witness let asks go unanswered for Length.
-func (p *promise) silent(now mtclock.Instant) bool {
-	since := p.firstAsk
+// unresponsive reports whether the witness has left requests unanswered for longer
+// than Length.
+func (p *promise) unresponsive(now mtclock.Instant) bool {
+	since := p.firstRequest
 	if p.answered {
 		since = p.lastAnswer
 	}
@@ -328,19 +337,20 @@
 // majority returns the instant until which a majority of set has promised.
 func (l *Lease) majority(set Set) mtclock.Instant {
 	if len(set.Witnesses) == 0 {
-		// A majority of none would be a lease that nobody can revoke.
+		// A lease without witnesses could not be revoked by anyone.
 		return 0
 	}
 	ends := make([]mtclock.Instant, 0, len(set.Witnesses))
 	for _, w := range set.Witnesses {
-		ends = append(ends, l.counted(set, w))
+		ends = append(ends, l.promisedUntil(set, w))
 	}
 	slices.Sort(ends)
 	return ends[len(ends)-Majority(len(ends))]
 }
 
-// counted returns until when w's promise counts under set.
-func (l *Lease) counted(set Set, w mtid.Holder) mtclock.Instant {
+// promisedUntil returns until when w's promise counts under set, or zero if w has
+// made none or has revoked set.
+func (l *Lease) promisedUntil(set Set, w mtid.Holder) mtclock.Instant {
 	p, ok := l.promises[w]
 	if !ok || p.floor >= set.Version {
 		return 0
@@ -348,7 +358,7 @@
 	return p.end
 }
 
-// versionFor returns the highest version of a set that names w, or zero.
+// versionFor returns the version of the newest set that names w, or zero.
 func (l *Lease) versionFor(w mtid.Holder) mtid.Version {
 	if slices.Contains(l.pending.Witnesses, w) {
 		return l.pending.Version
@@ -368,8 +378,8 @@
 	return p
 }
 
-// forget drops what is known of daemons that are no witnesses any more.
-func (l *Lease) forget() {
+// prune drops the state of daemons that are not witnesses any more.
+func (l *Lease) prune() {
 	for w := range l.promises {
 		if l.versionFor(w) == 0 {
 			delete(l.promises, w)
--- a/core/mtlease/mtlease_test.go
+++ b/core/mtlease/mtlease_test.go
@@ -30,10 +30,10 @@
 	return l
 }
 
-// round asks w at one time and takes its grant at another.
-func round(t *testing.T, l *mtlease.Lease, w mtid.Holder, sequence uint64, asked, answered time.Duration) {
+// renew sends a request to w at sent and delivers its grant at answered.
+func renew(t *testing.T, l *mtlease.Lease, w mtid.Holder, sequence uint64, sent, answered time.Duration) {
 	t.Helper()
-	_, ok := l.Ask(at(asked), w, sequence)
+	_, ok := l.Ask(at(sent), w, sequence)
 	assert.Assert(t, ok)
 	l.Answer(at(answered), w, mtlease.Answer{Sequence: sequence})
 }
@@ -56,26 +56,26 @@
 		t.Run(tt.name, func(t *testing.T) {
 			l := adopted(tt.witnesses...)
 			for i, w := range tt.granted {
-				round(t, l, w, uint64(i+1), 0, time.Millisecond)
+				renew(t, l, w, uint64(i+1), 0, time.Millisecond)
 			}
 			assert.Equal(t, l.Until(), tt.want)
 		})
 	}
 }
 
-// An ask is sent and its answer comes a second late. Between the two the
-// witness may have promised at once, so that its promise ends a second sooner
-// than the answer suggests. A holder that counted from the answer would serve
-// on while the witness agrees to a takeover.
+// An answer arrives a second after its request was sent. The witness may have made
+// the promise right at the start of that second, so it may end a second earlier
+// than the time of the answer suggests. A holder that counted from the answer would
+// still serve when the witness agrees to a takeover.
 func TestPromiseCountsFromBeforeSending(t *testing.T) {
 	l := adopted(w1)
-	round(t, l, w1, 1, 0, time.Second)
+	renew(t, l, w1, 1, 0, time.Second)
 	assert.Equal(t, l.Until(), at(mtlease.Length))
 }
 
-// Answers arrive twice, out of order, for asks never made, or from a daemon
-// that is no witness. None may prolong the lease.
-func TestStrayAnswersChangeNothing(t *testing.T) {
+// Answers arrive duplicated, out of order, for requests that were never sent, or
+// from a daemon that is not a witness. None of them may extend the lease.
+func TestStrayAnswersDoNotExtendLease(t *testing.T) {
 	l := adopted(w1)
 	l.Ask(at(0), w1, 1)
 	l.Ask(at(mtlease.Period), w1, 2)
@@ -89,9 +89,9 @@
 	}
 }
 
-// A witness that revoked the set refuses. Its answer names the ask as a grant
-// would, and must not be taken for one.
-func TestRefusedAnswerGivesNothing(t *testing.T) {
+// A witness refuses a request. Its answer carries the request's sequence number, as
+// a grant does, and must not be counted as one.
+func TestRefusalDoesNotExtendLease(t *testing.T) {
 	for _, refusal := range []mtlease.Refusal{mtlease.Revoked, mtlease.Incarnation, mtlease.Unvouched} {
 		l := adopted(w1)
 		l.Ask(at(0), w1, 1)
@@ -100,33 +100,33 @@
 	}
 }
 
-// A daemon writes a new set and the store's answer is lost. A taker may read
-// either record, so a majority of only one of the sets is no proof that nobody
-// else serves.
-func TestBothSetsCountWhileInDoubt(t *testing.T) {
+// A daemon writes a new set and the store's reply is lost. A claimant may read
+// either record, so a majority of only one of the sets does not prove that no other
+// daemon serves.
+func TestBothSetsCountWhileWriteOutcomeUnknown(t *testing.T) {
 	l := adopted(w1, w2, w3)
-	round(t, l, w1, 1, 0, 0)
-	round(t, l, w2, 2, 0, 0)
+	renew(t, l, w1, 1, 0, 0)
+	renew(t, l, w2, 2, 0, 0)
 	assert.Assert(t, l.Propose(mtlease.Set{Version: 5, Witnesses: []mtid.Holder{w3, w4, w5}}))
 	assert.Assert(t, !l.Ready(at(0)))
-	round(t, l, w4, 3, 100*time.Millisecond, 100*time.Millisecond)
-	round(t, l, w5, 4, 100*time.Millisecond, 100*time.Millisecond)
+	renew(t, l, w4, 3, 100*time.Millisecond, 100*time.Millisecond)
+	renew(t, l, w5, 4, 100*time.Millisecond, 100*time.Millisecond)
 	assert.Assert(t, l.Ready(at(200*time.Millisecond)))
 	assert.Assert(t, l.Attempt())
 	assert.Equal(t, l.Until(), at(mtlease.Length), "the old set still counts")
-	assert.Assert(t, !l.Propose(mtlease.Set{Version: 5, Witnesses: []mtid.Holder{w1}}), "a second proposal while in doubt")
-	round(t, l, w1, 5, time.Second, time.Second)
-	round(t, l, w2, 6, time.Second, time.Second)
+	assert.Assert(t, !l.Propose(mtlease.Set{Version: 5, Witnesses: []mtid.Holder{w1}}), "a second proposal while the outcome is unknown")
+	renew(t, l, w1, 5, time.Second, time.Second)
+	renew(t, l, w2, 6, time.Second, time.Second)
 	assert.Equal(t, l.Until(), at(100*time.Millisecond+mtlease.Length), "the new set counts too")
 	l.Settle(mtlease.Set{Version: 5, Witnesses: []mtid.Holder{w3, w4, w5}})
 	assert.Equal(t, l.Until(), at(100*time.Millisecond+mtlease.Length))
 }
 
-// A witness revoked the set for a taker that then gave up. Its grant under the
-// proposed set says nothing about the present one, which it has given away.
+// A witness revoked the current set for a claimant that then gave up. Its grant
+// under the proposed set must not count for the current one, which stays revoked.
 func TestGrantAboveFloorCountsForNewSetOnly(t *testing.T) {
 	l := adopted(w1, w2)
-	round(t, l, w1, 1, 0, 0)
+	renew(t, l, w1, 1, 0, 0)
 	l.Propose(mtlease.Set{Version: 5, Witnesses: []mtid.Holder{w1, w2}})
 	l.Ask(at(0), w2, 2)
 	l.Answer(at(0), w2, mtlease.Answer{Sequence: 2, Floor: 4})
@@ -135,9 +135,9 @@
 	assert.Assert(t, l.Wants(at(1)).Revoked)
 }
 
-// A witness told that it revoked the set, and then restarted and knows nothing
-// of it. Its answer must not bring the promise under that set back.
-func TestRevocationOnceToldStands(t *testing.T) {
+// A witness reports that it revoked the set, then restarts and loses that state.
+// Its next answer must not make its promise count under that set again.
+func TestReportedRevocationOutlivesWitnessRestart(t *testing.T) {
 	l := adopted(w1)
 	l.Propose(mtlease.Set{Version: 5, Witnesses: []mtid.Holder{w1}})
 	l.Ask(at(0), w1, 1)
@@ -147,11 +147,11 @@
 	assert.Equal(t, l.Until(), mtclock.Instant(0))
 }
 
-// The VM freezes for half a second between two rounds. The lease would have
-// lasted longer, but how long the freeze was is only what the clocks say.
-func TestLateWakeDropsPromises(t *testing.T) {
+// The VM is paused for more than LateWake between two rounds of requests. By its
+// own clocks the lease is still valid, but these may not show the whole pause.
+func TestLateTimerDropsPromises(t *testing.T) {
 	l := adopted(w1)
-	round(t, l, w1, 1, 0, 0)
+	renew(t, l, w1, 1, 0, 0)
 	l.Ask(at(50*time.Millisecond), w1, 2)
 	assert.Assert(t, !l.Wake(at(mtlease.Period+mtlease.LateWake), at(mtlease.Period)))
 	assert.Assert(t, l.Until() > 0)
@@ -159,14 +159,14 @@
 	assert.Assert(t, l.Wake(at(late), at(mtlease.Period)))
 	assert.Equal(t, l.Until(), mtclock.Instant(0))
 	l.Answer(at(late), w1, mtlease.Answer{Sequence: 2})
-	assert.Equal(t, l.Until(), mtclock.Instant(0), "an ask from before the freeze is not fresh")
-	round(t, l, w1, 3, late, late)
+	assert.Equal(t, l.Until(), mtclock.Instant(0), "a request sent before the pause does not count")
+	renew(t, l, w1, 3, late, late)
 	assert.Equal(t, l.Until(), at(late+mtlease.Length))
 }
 
-func TestWantsNamesWhatIsWrong(t *testing.T) {
+func TestDefectsListLostWitnesses(t *testing.T) {
 	l := adopted(w1, w2, w3)
-	round(t, l, w1, 1, 0, 0)
+	renew(t, l, w1, 1, 0, 0)
 	l.Ask(at(0), w2, 2)
 	l.Answer(at(0), w2, mtlease.Answer{Sequence: 2, Refusal: mtlease.Incarnation})
 	l.Ask(at(0), w3, 3)
@@ -179,7 +179,7 @@
 
 func TestClosedLeaseStaysClosed(t *testing.T) {
 	l := adopted(w1)
-	round(t, l, w1, 1, 0, 0)
+	renew(t, l, w1, 1, 0, 0)
 	l.Close()
 	assert.Equal(t, l.Until(), mtclock.Instant(0))
 	_, ok := l.Ask(at(1), w1, 2)
