--- a/core/mtwitness/choose.go
+++ b/core/mtwitness/choose.go
@@ -7,38 +7,40 @@
 	"magnoliaturn/core/mtid"
 )
 
-// SetSize is how many witnesses a daemon has where there are enough peers.
+// SetSize is the number of witnesses of a daemon that has enough peers.
 const SetSize = 3
 
-// Candidate is a daemon that may be chosen as a witness, or that chooses.
+// Candidate is a daemon that can be selected as a witness, or that selects its own.
 type Candidate struct {
 	Holder mtid.Holder
 	Zone   mtid.Zone
 	Region mtid.Region
-	// Load is how many other daemons of the choosing one's availability zone
-	// name it as a witness. A peer that none names yet will still choose one
-	// there, and so may become mutual.
+	// Load is the number of other daemons in the selecting daemon's availability
+	// zone that name this peer as a witness. A peer that none of them names may
+	// still select a witness in that zone, and so become mutual.
 	Load int
-	// Mutual says that it names the choosing daemon as its own witness: then
-	// one datagram carries both renewals.
+	// Mutual is true if this peer names the selecting daemon as its own witness.
+	// One datagram then carries the renewals of both.
 	Mutual bool
-	// Single says that a witness of it in the choosing daemon's availability
-	// zone does not name it back.
+	// Single is true if this peer has a witness in the selecting daemon's
+	// availability zone that does not name it in return.
 	Single bool
 }
 
-// place is where a witness should live, seen from the daemon it is for.
-type place func(Candidate) bool
+// filter reports whether a candidate qualifies, for example by its availability
+// zone.
+type filter func(Candidate) bool
 
-// Choose returns the witnesses for self among its peers, SetSize of them where
-// there are enough: one in self's availability zone, one in another zone of the
-// region, and one in a third zone, of the same region if that has three and
-// else of another region. So no loss of a zone takes two of them, nor the
-// daemon with a majority. A place that nobody fits goes to any peer left.
+// Choose selects the witnesses for self from its peers, SetSize of them if there
+// are enough: one in self's availability zone, one in another zone of the region,
+// and one in a third zone, which is in another region if the region has fewer than
+// three. Then the loss of a zone takes out at most one of the witnesses, and never
+// the daemon together with a majority. If no peer matches a location, any
+// remaining peer is selected instead.
 //
-// Witnesses in keep stay chosen if they are among the peers. The choice is the
-// same for the same input, and tends to be mutual, since two daemons rank each
-// other by the same number.
+// Witnesses in keep remain selected if they are among the peers. The selection is
+// deterministic, and tends to be mutual because two daemons rank each other by the
+// same number.
 func Choose(self Candidate, among []Candidate, keep []mtid.Holder) []mtid.Holder {
 	peers := ranked(self, among)
 	var chosen []Candidate
@@ -47,13 +49,13 @@
 			chosen = append(chosen, p)
 		}
 	}
-	for _, fits := range places(self, among) {
-		if len(chosen) < SetSize && !slices.ContainsFunc(chosen, fits) {
-			chosen = add(chosen, peers, fits)
+	for _, matches := range locations(self, among) {
+		if len(chosen) < SetSize && !slices.ContainsFunc(chosen, matches) {
+			chosen = appendBest(chosen, peers, matches)
 		}
 	}
 	for len(chosen) < min(SetSize, len(peers)) {
-		chosen = add(chosen, peers, func(Candidate) bool { return true })
+		chosen = appendBest(chosen, peers, func(Candidate) bool { return true })
 	}
 	slices.SortFunc(chosen, func(a, b Candidate) int { return cmp.Compare(a.Holder.Daemon, b.Holder.Daemon) })
 	set := make([]mtid.Holder, 0, len(chosen))
@@ -63,28 +65,28 @@
 	return set
 }
 
-// Pair returns set with one witness exchanged, so that it is mutual or may
-// become so, or set as it is if there is nothing to gain. In place of a witness
-// that doesn't name self comes a peer of the same availability zone that does;
-// if there is none, one that is single there itself, which will find self the
-// next time it pairs.
+// Pair replaces one witness of set with one that is mutual or may become so, or
+// returns set unchanged if no replacement helps. It replaces a witness that does
+// not name self with a peer in that witness's availability zone that does. If
+// there is none, it uses a peer that is itself Single in self's zone, which will
+// in turn find self the next time it calls Pair.
 //
-// It is called now and then, since daemons that choose at the same time choose
-// past each other; an exchange costs one write and saves half of a pair's
-// traffic for good.
+// It is called periodically, since daemons that select at the same time don't see
+// each other's selections. A replacement costs one write, and halves the renewal
+// traffic between the two daemons from then on.
 func Pair(self Candidate, among []Candidate, set []mtid.Holder) []mtid.Holder {
 	peers := ranked(self, among)
 	mutual := func(p Candidate) bool { return p.Mutual }
 	single := func(p Candidate) bool { return p.Single }
-	for _, better := range []place{mutual, single} {
+	for _, better := range []filter{mutual, single} {
 		for i, w := range set {
 			at := slices.IndexFunc(peers, func(p Candidate) bool { return p.Holder == w })
 			if at < 0 || peers[at].Mutual || better(peers[at]) {
 				continue
 			}
-			beside := in(peers[at].Region, peers[at].Zone)
+			sameZone := inZone(peers[at].Region, peers[at].Zone)
 			j := slices.IndexFunc(peers, func(p Candidate) bool {
-				return better(p) && beside(p) && !slices.Contains(set, p.Holder)
+				return better(p) && sameZone(p) && !slices.Contains(set, p.Holder)
 			})
 			if j >= 0 {
 				next := slices.Clone(set)
@@ -96,10 +98,11 @@
 	return set
 }
 
-// add appends the best peer that fits and was not chosen yet, if there is one.
-func add(chosen, peers []Candidate, fits place) []Candidate {
+// appendBest appends the highest-ranked matching peer that is not in chosen, if
+// there is one.
+func appendBest(chosen, peers []Candidate, matches filter) []Candidate {
 	i := slices.IndexFunc(peers, func(p Candidate) bool {
-		return fits(p) && !slices.ContainsFunc(chosen, func(c Candidate) bool { return c.Holder == p.Holder })
+		return matches(p) && !slices.ContainsFunc(chosen, func(c Candidate) bool { return c.Holder == p.Holder })
 	})
 	if i < 0 {
 		return chosen
@@ -107,8 +110,8 @@
 	return append(chosen, peers[i])
 }
 
-// places returns where the witnesses of self should live.
-func places(self Candidate, among []Candidate) []place {
+// locations returns a filter for each location where self should have a witness.
+func locations(self Candidate, among []Candidate) []filter {
 	zones := make(map[mtid.Zone]bool)
 	for _, c := range among {
 		if c.Region == self.Region && c.Zone != self.Zone {
@@ -120,28 +123,28 @@
 		others = append(others, z)
 	}
 	slices.Sort(others)
-	own := func(c Candidate) bool { return c.Zone == self.Zone && c.Region == self.Region }
-	abroad := func(c Candidate) bool { return c.Region != self.Region }
+	ownZone := func(c Candidate) bool { return c.Zone == self.Zone && c.Region == self.Region }
+	otherRegion := func(c Candidate) bool { return c.Region != self.Region }
 	switch len(others) {
 	case 0:
-		return []place{own, abroad}
+		return []filter{ownZone, otherRegion}
 	case 1:
-		return []place{own, in(self.Region, others[0]), abroad}
+		return []filter{ownZone, inZone(self.Region, others[0]), otherRegion}
 	}
-	// Which two of several other zones is drawn by rank, so that no zone bears
-	// more than its share.
+	// The two zones are selected by rank, so that no zone gets more than its share
+	// of the witnesses.
 	slices.SortFunc(others, func(a, b mtid.Zone) int {
 		return cmp.Compare(pairRank(string(a), string(self.Holder.Daemon)), pairRank(string(b), string(self.Holder.Daemon)))
 	})
-	return []place{own, in(self.Region, others[0]), in(self.Region, others[1])}
+	return []filter{ownZone, inZone(self.Region, others[0]), inZone(self.Region, others[1])}
 }
 
-func in(region mtid.Region, zone mtid.Zone) place {
+func inZone(region mtid.Region, zone mtid.Zone) filter {
 	return func(c Candidate) bool { return c.Region == region && c.Zone == zone }
 }
 
-// ranked returns the peers of self, the best first: mutual ones, then those
-// with few wards, then by rank.
+// ranked returns the peers of self, best first: mutual ones before others, then
+// those with less load, then by rank.
 func ranked(self Candidate, among []Candidate) []Candidate {
 	peers := slices.DeleteFunc(slices.Clone(among), func(c Candidate) bool {
 		return c.Holder.Daemon == self.Holder.Daemon
@@ -161,7 +164,7 @@
 	return pairRank(string(a.Holder.Daemon), string(b.Holder.Daemon))
 }
 
-// pairRank is a number that both of a pair compute alike.
+// pairRank returns the rank of a pair of names. It is the same in either order.
 func pairRank(a, b string) uint64 {
 	low, high := min(a, b), max(a, b)
 	return mtid.Rank(mtid.Daemon(low), mtid.Point(mtid.Rank(mtid.Daemon(high), 0)))
--- a/core/mtwitness/mtwitness.go
+++ b/core/mtwitness/mtwitness.go
@@ -1,22 +1,24 @@
-// Package mtwitness is the witness's side of a lease: the promises that a
-// daemon gave its peers, and the revocations that it agreed to. It also chooses
-// witnesses by availability zone and region.
+// Package mtwitness implements the witness's side of a lease: it tracks the
+// promises that a daemon has made to its peers and the revocations that it has
+// agreed to. It also selects witnesses by availability zone and region.
 //
-// A promise says: until it ends, this witness agrees to no takeover of that
-// holder. A revocation says: never again will this witness promise to that
-// holder under a set of witnesses of that version or an earlier one. The
-// platform's store decides who owns; witnesses only forbid.
+// With a promise, a witness commits not to agree to a takeover of the holder until
+// the promise ends. With a revocation, it commits never to make another promise to
+// the holder under a set of witnesses of the revoked version or an earlier one.
+// The platform's store decides who owns a key; witnesses can only prevent a
+// takeover or a renewal.
 //
 // # Usage
 //
 //	w := mtwitness.New("old-town-3", clock.Steady())
 //	w.Register(incarnation)
-//	answer := w.Renew(clock.Steady(), from, ask, vouched)
+//	answer := w.Renew(clock.Steady(), from, request, confirmed)
 //	reply := w.Revoke(clock.Steady(), mtwitness.Request{...})
 //
-// All instants given to a Witness must come from a clock that never runs ahead
-// of the monotonic one. A Witness is a pure state machine, and keeps a few
-// words for each daemon that ever asked it. It is not safe for concurrent use.
+// All instants passed to a Witness must come from a clock that never runs ahead of
+// the monotonic one. A Witness is a pure state machine, and keeps a few words of
+// memory for each daemon that was ever named in a request. It is not safe for
+// concurrent use.
 package mtwitness
 
 import (
@@ -27,71 +29,72 @@
 	"magnoliaturn/core/mtlease"
 )
 
-// Request asks a witness to agree to the takeover of a holder.
+// Request is a claimant's request to a witness to agree to a takeover.
 type Request struct {
 	Target mtid.Holder
-	// Version is the one of the target's record, as the taker read it.
+	// Version is the version of the target's record that the claimant read.
 	Version mtid.Version
-	// Witness is the life of the witness that the record names.
+	// Witness is the incarnation of the witness that the record names.
 	Witness mtid.Holder
 }
 
-// Reply is a witness's word on a Request.
+// Reply is a witness's reply to a Request.
 type Reply struct {
 	Granted bool
-	// Wait is how long to wait before it makes sense to ask again, if the
-	// revocation was not granted.
+	// Wait is how long to wait before repeating a request that was not granted.
 	Wait time.Duration
 }
 
-// ward is what a witness knows of one daemon.
-type ward struct {
-	incarnation mtid.Incarnation // the newest that asked or was revoked
-	until       mtclock.Instant  // end of the promise to it
-	floor       mtid.Version     // its sets up to this version are revoked
-	earlier     mtclock.Instant  // end of promises to earlier incarnations
+// peerState is what a witness knows of one daemon.
+type peerState struct {
+	incarnation   mtid.Incarnation // the newest named in any request
+	until         mtclock.Instant  // end of the promise to it
+	floor         mtid.Version     // its sets up to this version are revoked
+	previousUntil mtclock.Instant  // end of the promises to previous incarnations
 }
 
-// Witness holds the promises and revocations of one process.
+// Witness holds the promises and revocations made by one process.
 type Witness struct {
 	self    mtid.Holder
 	started mtclock.Instant
-	wards   map[mtid.Daemon]*ward
+	peers   map[mtid.Daemon]*peerState
 }
 
-// New returns the witness of a process that began at started. It has no
-// incarnation, and so promises nothing, until Register.
+// New returns the witness of a process that started at the given instant. It makes
+// no promises until Register gives it an incarnation.
 func New(self mtid.Daemon, started mtclock.Instant) *Witness {
 	return &Witness{
 		self:    mtid.Holder{Daemon: self},
 		started: started,
-		wards:   make(map[mtid.Daemon]*ward),
+		peers:   make(map[mtid.Daemon]*peerState),
 	}
 }
 
-// Register gives the witness its incarnation, once the store has accepted it.
+// Register sets the witness's incarnation. It is called after the store has
+// accepted it.
 func (w *Witness) Register(incarnation mtid.Incarnation) { w.self.Incarnation = incarnation }
 
-// Renew answers a holder that asks for a promise. Vouched says that this life
-// of the witness was known to stand within mtlease.Vouch.
-func (w *Witness) Renew(now mtclock.Instant, from mtid.Holder, ask mtlease.Ask, vouched bool) mtlease.Answer {
-	answer := mtlease.Answer{Sequence: ask.Sequence}
-	if ask.Witness != w.self {
-		// The set names another life of this daemon. That life may have
-		// revoked the holder, and this one has forgotten it: a promise now
-		// would give the holder a majority while the taker's write lands.
+// Renew processes a holder's request for a promise. confirmed reports whether this
+// incarnation of the witness was confirmed within the last mtlease.Vouch.
+func (w *Witness) Renew(now mtclock.Instant, from mtid.Holder, request mtlease.Ask, confirmed bool) mtlease.Answer {
+	answer := mtlease.Answer{Sequence: request.Sequence}
+	if request.Witness != w.self {
+		// The set names another incarnation of this daemon. That incarnation may
+		// have revoked the holder, which this one can't know: a promise now could
+		// give the holder a majority while the claimant's write takes effect.
 		answer.Refusal = mtlease.Incarnation
 		return answer
 	}
-	if !vouched {
-		// Where most witnesses of a lost daemon are lost as well, a taker counts
-		// those that were fenced long ago as having agreed. A fenced witness
-		// that lives on, cut off with the holder, must have stopped by then.
+	if !confirmed {
+		// If most witnesses of a lost daemon are lost as well, a claimant counts
+		// those that were fenced long enough ago as having agreed. A fenced
+		// witness that still runs, partitioned off together with the holder, must
+		// have stopped making promises by then.
 		answer.Refusal = mtlease.Unvouched
 		return answer
 	}
-	d := w.ward(from)
-	if from.Incarnation < d.incarnation || ask.Version <= d.floor {
+	d := w.peer(from)
+	if from.Incarnation < d.incarnation || request.Version <= d.floor {
 		answer.Refusal = mtlease.Revoked
 		answer.Floor = d.floor
 		return answer
@@ -101,19 +104,20 @@
 	return answer
 }
 
-// Revoke answers a taker. A granted revocation stands for the life of this
-// process; its next life never promises under a set that names this one.
+// Revoke processes a claimant's request. A granted revocation holds until this
+// process ends. Later incarnations never make promises under a set that names
+// this one.
 func (w *Witness) Revoke(now mtclock.Instant, r Request) Reply {
 	if wait := w.started.Add(mtlease.Guard).Sub(now); wait > 0 {
-		// The process before this one may have promised just before it ended,
-		// and this one can't know: a revocation now would let a taker in while
-		// the holder still serves by that promise.
+		// The previous process may have made a promise just before it ended, which
+		// this one can't know. A revocation now would permit a takeover while the
+		// holder still serves under that promise.
 		return Reply{Wait: wait}
 	}
-	d := w.ward(r.Target)
+	d := w.peer(r.Target)
 	until := d.until
 	if r.Target.Incarnation < d.incarnation {
-		until = d.earlier
+		until = d.previousUntil
 	}
 	if wait := until.Sub(now); wait > 0 {
 		return Reply{Wait: wait}
@@ -124,35 +128,36 @@
 	return Reply{Granted: true}
 }
 
-// Until returns when the promise to target ends, or the end of the wait after
-// start if that is later. Past it this witness would agree to a takeover. A
-// daemon that restarts thus suspects no peer before it can have heard from it.
+// Until returns when this witness would agree to a takeover of target: when the
+// promise to it ends, or when the wait after the start of the process ends if that
+// is later. So a restarted daemon suspects no peer before the peer has had time to
+// send it a request.
 func (w *Witness) Until(target mtid.Holder) mtclock.Instant {
 	until := w.started.Add(mtlease.Guard)
-	d, ok := w.wards[target.Daemon]
+	d, ok := w.peers[target.Daemon]
 	switch {
 	case !ok:
 		return until
 	case target.Incarnation == d.incarnation:
 		return max(until, d.until)
 	case target.Incarnation < d.incarnation:
-		return max(until, d.earlier)
+		return max(until, d.previousUntil)
 	}
 	return until
 }
 
-// ward returns what is known of the holder's daemon, moved on to the holder's
-// incarnation if that is newer.
-func (w *Witness) ward(h mtid.Holder) *ward {
-	d, ok := w.wards[h.Daemon]
+// peer returns the state of h's daemon. If h's incarnation is newer than the known
+// one, the state is first advanced to it.
+func (w *Witness) peer(h mtid.Holder) *peerState {
+	d, ok := w.peers[h.Daemon]
 	if !ok {
-		d = &ward{incarnation: h.Incarnation}
-		w.wards[h.Daemon] = d
+		d = &peerState{incarnation: h.Incarnation}
+		w.peers[h.Daemon] = d
 	}
 	if h.Incarnation > d.incarnation {
-		// An earlier life's promise must still be waited out by whoever
-		// revokes that life.
-		d.earlier = max(d.earlier, d.until)
+		// Whoever revokes the previous incarnation must still wait until the
+		// promise to it has ended.
+		d.previousUntil = max(d.previousUntil, d.until)
 		d.incarnation, d.until, d.floor = h.Incarnation, 0, 0
 	}
 	return d
--- a/core/mtwitness/mtwitness_test.go
+++ b/core/mtwitness/mtwitness_test.go
@@ -18,7 +18,7 @@
 const start = mtclock.Instant(time.Hour)
 
 var (
-	me = mtid.Holder{Daemon: "w", Incarnation: 2}
+	w1 = mtid.Holder{Daemon: "w", Incarnation: 2}
 	d1 = mtid.Holder{Daemon: "d", Incarnation: 1}
 	d2 = mtid.Holder{Daemon: "d", Incarnation: 2}
 )
@@ -26,73 +26,76 @@
 func at(d time.Duration) mtclock.Instant { return start.Add(d) }
 
 func registered() *mtwitness.Witness {
-	w := mtwitness.New(me.Daemon, start)
-	w.Register(me.Incarnation)
+	w := mtwitness.New(w1.Daemon, start)
+	w.Register(w1.Incarnation)
 	return w
 }
 
-func ask(witness mtid.Holder, version mtid.Version) mtlease.Ask {
+func renewal(witness mtid.Holder, version mtid.Version) mtlease.Ask {
 	return mtlease.Ask{Sequence: 1, Witness: witness, Version: version}
 }
 
-// The taker asks at each moment around the end of a promise. A witness that
-// agrees while the holder still counts on it gives the key two owners.
-func TestRevokeWaitsOutThePromise(t *testing.T) {
+// A claimant sends requests at various times around the end of a promise. If the
+// witness agreed while the holder still relies on the promise, a key would have
+// two owners.
+func TestRevokeWaitsForPromiseToEnd(t *testing.T) {
 	w := registered()
-	asked := 2 * time.Second
-	assert.Equal(t, w.Renew(at(asked), d1, ask(me, 3), true).Refusal, mtlease.Granted)
-	request := mtwitness.Request{Target: d1, Version: 3, Witness: me}
-	got := w.Revoke(at(asked+mtlease.Length), request)
+	requested := 2 * time.Second
+	assert.Equal(t, w.Renew(at(requested), d1, renewal(w1, 3), true).Refusal, mtlease.Granted)
+	request := mtwitness.Request{Target: d1, Version: 3, Witness: w1}
+	got := w.Revoke(at(requested+mtlease.Length), request)
 	assert.DeepEqual(t, got, mtwitness.Reply{Wait: mtlease.Guard - mtlease.Length})
-	assert.Assert(t, !w.Revoke(at(asked+mtlease.Guard-1), request).Granted)
-	assert.Assert(t, w.Revoke(at(asked+mtlease.Guard), request).Granted)
-	refused := w.Renew(at(asked+mtlease.Guard), d1, ask(me, 3), true)
+	assert.Assert(t, !w.Revoke(at(requested+mtlease.Guard-1), request).Granted)
+	assert.Assert(t, w.Revoke(at(requested+mtlease.Guard), request).Granted)
+	refused := w.Renew(at(requested+mtlease.Guard), d1, renewal(w1, 3), true)
 	assert.DeepEqual(t, refused, mtlease.Answer{Sequence: 1, Refusal: mtlease.Revoked, Floor: 3})
-	again := w.Renew(at(asked+mtlease.Guard), d1, ask(me, 4), true)
+	again := w.Renew(at(requested+mtlease.Guard), d1, renewal(w1, 4), true)
 	assert.DeepEqual(t, again, mtlease.Answer{Sequence: 1, Floor: 3})
 }
 
-// The witness's process ends right after a promise and starts anew, with no
-// memory of it. A taker asks the new process at once.
-func TestNewProcessWaitsBeforeItRevokes(t *testing.T) {
-	w := mtwitness.New(me.Daemon, start)
-	predecessor := mtid.Holder{Daemon: me.Daemon, Incarnation: 1}
-	request := mtwitness.Request{Target: d1, Version: 3, Witness: predecessor}
+// The witness restarts right after making a promise, and loses that state. A
+// claimant sends a request to the new process at once.
+func TestRestartedWitnessWaitsBeforeRevoking(t *testing.T) {
+	w := mtwitness.New(w1.Daemon, start)
+	previous := mtid.Holder{Daemon: w1.Daemon, Incarnation: 1}
+	request := mtwitness.Request{Target: d1, Version: 3, Witness: previous}
 	assert.Assert(t, !w.Revoke(at(mtlease.Guard-1), request).Granted)
-	assert.Assert(t, !at(mtlease.Guard-1).After(w.Until(d1)), "it suspects nobody either")
-	assert.Assert(t, w.Revoke(at(mtlease.Guard), request).Granted, "not registered, yet it answers for its predecessor")
+	assert.Assert(t, !at(mtlease.Guard-1).After(w.Until(d1)), "no peer is suspected before the wait is over")
+	assert.Assert(t, w.Revoke(at(mtlease.Guard), request).Granted, "an unregistered process must answer for the previous incarnation")
 }
 
-// W1 and W2 revoke D, W1 restarts and is asked by D under the same set. If it
-// promised, D would have W1 and W3 while the taker's write lands: two owners.
-func TestNoPromiseUnderPredecessorsSet(t *testing.T) {
-	predecessor := mtid.Holder{Daemon: me.Daemon, Incarnation: 1}
-	unregistered := mtwitness.New(me.Daemon, start)
-	assert.Equal(t, unregistered.Renew(at(0), d1, ask(predecessor, 3), true).Refusal, mtlease.Incarnation)
-	assert.Equal(t, registered().Renew(at(0), d1, ask(predecessor, 3), true).Refusal, mtlease.Incarnation)
+// W1 and W2 revoke D. W1 restarts, and D requests a promise under the same set. If
+// W1 promised, D would have W1 and W3 while the claimant's write takes effect, and
+// a key would have two owners.
+func TestNoPromiseUnderSetNamingPreviousIncarnation(t *testing.T) {
+	previous := mtid.Holder{Daemon: w1.Daemon, Incarnation: 1}
+	unregistered := mtwitness.New(w1.Daemon, start)
+	assert.Equal(t, unregistered.Renew(at(0), d1, renewal(previous, 3), true).Refusal, mtlease.Incarnation)
+	assert.Equal(t, registered().Renew(at(0), d1, renewal(previous, 3), true).Refusal, mtlease.Incarnation)
 }
 
-// A witness was fenced and doesn't know it, cut off with one of its wards. A
-// taker counts it as silent after a while; it must have stopped by then.
-func TestNoPromiseWithoutVouch(t *testing.T) {
+// A witness is fenced without noticing, as it is partitioned off together with a
+// holder. After a while a claimant counts it as having agreed; by then it must have
+// stopped making promises.
+func TestNoPromiseUnlessConfirmed(t *testing.T) {
 	w := registered()
-	assert.Equal(t, w.Renew(at(0), d1, ask(me, 3), false).Refusal, mtlease.Unvouched)
+	assert.Equal(t, w.Renew(at(0), d1, renewal(w1, 3), false).Refusal, mtlease.Unvouched)
 	assert.Assert(t, !w.Until(d1).After(at(mtlease.Guard)), "nothing was promised")
-	assert.Equal(t, w.Renew(at(0), d1, ask(me, 3), true).Refusal, mtlease.Granted)
+	assert.Equal(t, w.Renew(at(0), d1, renewal(w1, 3), true).Refusal, mtlease.Granted)
 }
 
-// Two processes run under one name by mistake. The later life's promises must
-// not hide that an earlier one still counts on its own.
-func TestEarlierLifeIsWaitedOut(t *testing.T) {
+// Two processes run under one name by mistake. Promises to the newer incarnation
+// must not hide that the previous one still relies on its own.
+func TestRevokeWaitsForPreviousIncarnation(t *testing.T) {
 	w := registered()
-	w.Renew(at(2*time.Second), d1, ask(me, 3), true)
-	w.Renew(at(2*time.Second+time.Millisecond), d2, ask(me, 4), true)
-	request := mtwitness.Request{Target: d1, Version: 3, Witness: me}
+	w.Renew(at(2*time.Second), d1, renewal(w1, 3), true)
+	w.Renew(at(2*time.Second+time.Millisecond), d2, renewal(w1, 4), true)
+	request := mtwitness.Request{Target: d1, Version: 3, Witness: w1}
 	assert.Assert(t, !w.Revoke(at(2*time.Second+mtlease.Guard-1), request).Granted)
-	w.Renew(at(3*time.Second), d2, ask(me, 4), true)
+	w.Renew(at(3*time.Second), d2, renewal(w1, 4), true)
 	assert.Assert(t, w.Revoke(at(2*time.Second+mtlease.Guard), request).Granted)
-	assert.Equal(t, w.Renew(at(3*time.Second), d1, ask(me, 9), true).Refusal, mtlease.Revoked)
-	assert.Equal(t, w.Renew(at(3*time.Second), d2, ask(me, 4), true).Refusal, mtlease.Granted)
+	assert.Equal(t, w.Renew(at(3*time.Second), d1, renewal(w1, 9), true).Refusal, mtlease.Revoked)
+	assert.Equal(t, w.Renew(at(3*time.Second), d2, renewal(w1, 4), true).Refusal, mtlease.Granted)
 }
 
 func fleet(zones map[mtid.Zone]mtid.Region, each int) []mtwitness.Candidate {
@@ -109,7 +112,7 @@
 	return all
 }
 
-func TestChoosePlaces(t *testing.T) {
+func TestChooseSpreadsOverZones(t *testing.T) {
 	tests := []struct {
 		name  string
 		zones map[mtid.Zone]mtid.Region
@@ -142,7 +145,7 @@
 	}
 }
 
-func TestChooseKeepsMutualAndSelfOut(t *testing.T) {
+func TestChooseRetainsKeptAndOmitsSelf(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := fleet(map[mtid.Zone]mtid.Region{"a": "r", "b": "r", "c": "r"}, rapid.IntRange(2, 9).Draw(t, "each"))
 		i := rapid.IntRange(0, len(all)-1).Draw(t, "self")
@@ -151,16 +154,17 @@
 		assert.Equal(t, len(chosen), mtwitness.SetSize)
 		seen := map[mtid.Holder]bool{all[i].Holder: true}
 		for _, h := range chosen {
-			assert.Assert(t, !seen[h], "%v chosen twice, or by itself", h)
+			assert.Assert(t, !seen[h], "%v was selected twice, or selected itself", h)
 			seen[h] = true
 		}
 		assert.Assert(t, seen[keep])
 	})
 }
 
-// Daemons choose all at once and see nothing of each other. They must find
-// partners afterwards, and come to rest, else they write records for ever.
-func TestPairingMakesMutualAndComesToRest(t *testing.T) {
+// Daemons select witnesses all at once, without seeing each other's selections.
+// Pairing must make most selections mutual afterwards, and must converge: otherwise
+// the daemons would write records forever.
+func TestPairingMakesMutualAndConverges(t *testing.T) {
 	all := fleet(map[mtid.Zone]mtid.Region{"a": "r", "b": "r", "c": "r"}, 16)
 	chosen := make(map[mtid.Holder][]mtid.Holder)
 	for _, self := range all {
@@ -198,16 +202,16 @@
 				writes++
 			}
 		}
-		assert.Assert(t, writes <= 2*len(all)*mtwitness.SetSize, "never comes to rest")
+		assert.Assert(t, writes <= 2*len(all)*mtwitness.SetSize, "pairing does not converge")
 	}
 	after := count()
 	t.Logf("mutual of %d: %d before, %d after %d writes", len(all)*mtwitness.SetSize, before, after, writes)
 	assert.Assert(t, after > before && after*10 > len(all)*mtwitness.SetSize*9)
 }
 
-// Daemons choose one after another and see what those before them chose. If
-// few choices were mutual, renewal would cost nearly twice as much.
-func TestChoicesAreMostlyMutual(t *testing.T) {
+// Daemons select witnesses one after another, and see the previous selections. If
+// few of them were mutual, renewal would cost nearly twice as much.
+func TestSequentialSelectionsAreMostlyMutual(t *testing.T) {
 	all := fleet(map[mtid.Zone]mtid.Region{"a": "r", "b": "r", "c": "r"}, 16)
 	chosen := make(map[mtid.Holder][]mtid.Holder)
 	names := func(a, b mtid.Holder) bool {
@@ -240,6 +244,6 @@
 			}
 		}
 	}
-	t.Logf("%d of %d choices are mutual", mutual, total)
-	assert.Assert(t, mutual*4 > total*3, "only %d of %d are mutual", mutual, total)
+	t.Logf("%d of %d selections are mutual", mutual, total)
+	assert.Assert(t, mutual*4 > total*3, "only %d of %d selections are mutual", mutual, total)
 }
