--- a/core/mtkernel/mtkernel.go
+++ b/core/mtkernel/mtkernel.go
@@ -1,6 +1,5 @@
-// Package mtkernel is the micro-kernel: services register under a name, find
-// each other by that name with a typed lookup, and are run and stopped
-// together.
+// Package mtkernel implements the micro-kernel of a process: services register
+// under a name, look each other up by name and type, and run and stop together.
 //
 // # Usage
 //
@@ -9,9 +8,9 @@
 //	store, err := mtkernel.Lookup[mtstore.Store](k, "store")
 //	err = k.Run(ctx)
 //
-// Register and Lookup are called while a process is put together; they are safe
-// for concurrent use. Run returns when the first duty ends or ctx is done, and
-// runs the clean-ups in reverse order of registration first.
+// Register and Lookup are called while a process is assembled. They are safe for
+// concurrent use. When the first task ends or ctx is done, Run stops all tasks,
+// calls the clean-ups in reverse order of registration, and returns.
 package mtkernel
 
 import (
@@ -22,7 +21,7 @@
 	"github.com/oklog/run"
 )
 
-// Name names a service within a kernel.
+// Name identifies a service within a kernel.
 type Name string
 
 // Kernel holds the services of one process.
@@ -31,16 +30,18 @@
 	services map[Name]any
 	order    []Name
 	cleanUps map[Name]func()
-	duties   run.Group
+	tasks    run.Group
 }
 
-// MissingError says that no service has that name.
+// MissingError reports that no service is registered under a name.
 type MissingError struct{ Name Name }
 
 // Error implements error.
-func (e *MissingError) Error() string { return fmt.Sprintf("kernel: no service %q", e.Name) }
+func (e *MissingError) Error() string {
+	return fmt.Sprintf("kernel: no service is registered as %q", e.Name)
+}
 
-// TypeError says that a service has another type than the one asked for.
+// TypeError reports that a service does not have the requested type.
 type TypeError struct {
 	Name Name
 	Want string
@@ -49,22 +50,24 @@
 
 // Error implements error.
 func (e *TypeError) Error() string {
-	return fmt.Sprintf("kernel: service %q is a %s, not a %s", e.Name, e.Got, e.Want)
+	return fmt.Sprintf("kernel: service %q has type %s, not %s", e.Name, e.Got, e.Want)
 }
 
-// TakenError says that a service with that name is registered already.
+// TakenError reports that a name is already in use by another service.
 type TakenError struct{ Name Name }
 
 // Error implements error.
-func (e *TakenError) Error() string { return fmt.Sprintf("kernel: service %q exists", e.Name) }
+func (e *TakenError) Error() string {
+	return fmt.Sprintf("kernel: service %q is already registered", e.Name)
+}
 
 // New returns an empty kernel.
 func New() *Kernel {
 	return &Kernel{services: make(map[Name]any), cleanUps: make(map[Name]func())}
 }
 
-// Register adds a service under a name. cleanUp may be nil; it is called once,
-// when Run ends. It fails with a *TakenError.
+// Register adds a service under a name. It fails with a *TakenError if the name is
+// in use. cleanUp may be nil; otherwise Close calls it once.
 func Register[T any](k *Kernel, name Name, service T, cleanUp func()) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -77,8 +80,8 @@
 	return nil
 }
 
-// Lookup returns the service with that name. It fails with a *MissingError or
-// a *TypeError.
+// Lookup returns the service registered under name. It fails with a *MissingError
+// or a *TypeError.
 func Lookup[T any](k *Kernel, name Name) (T, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -94,9 +97,9 @@
 	return service, nil
 }
 
-// Need is Lookup for a service that an earlier step of putting the process
-// together has registered. A missing one is a mistake in the order of the steps,
-// which the first start of the program shows: it panics.
+// Need is like Lookup, but panics on failure. It is for services that an earlier
+// step of assembling the process has registered: a missing one means that the
+// steps are in the wrong order, which the first start of the program reveals.
 func Need[T any](k *Kernel, name Name) T {
 	service, err := Lookup[T](k, name)
 	if err != nil {
@@ -105,28 +108,29 @@
 	return service
 }
 
-// Duty adds a goroutine to run: execute until it returns, interrupt to make it
-// return. It is called before Run.
+// Duty adds a task for Run to run in a goroutine of its own: execute runs the task,
+// and interrupt makes execute return. It must be called before Run.
 func (k *Kernel) Duty(execute func() error, interrupt func(error)) {
-	k.duties.Add(execute, interrupt)
+	k.tasks.Add(execute, interrupt)
 }
 
-// Run runs the duties until one ends or ctx is done, then cleans up, and
-// returns the error of the first duty that ended (nil after ctx).
+// Run runs the tasks until one ends or ctx is done, then stops the others and calls
+// Close. It returns the error of the first task that ended, or nil if ctx was done
+// first.
 func (k *Kernel) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	k.duties.Add(func() error {
+	k.tasks.Add(func() error {
 		<-ctx.Done()
 		return nil
 	}, func(error) { cancel() })
-	err := k.duties.Run()
+	err := k.tasks.Run()
 	k.Close()
 	return err
 }
 
-// Close runs the clean-ups in reverse order of registration, each once. Run
-// calls it; a process that fails before Run calls it itself.
+// Close calls the clean-ups in reverse order of registration, each only once. Run
+// calls it. A process that fails before Run must call it itself.
 func (k *Kernel) Close() {
 	k.mu.Lock()
 	order := k.order
--- a/core/mtkernel/mtkernel_test.go
+++ b/core/mtkernel/mtkernel_test.go
@@ -18,16 +18,16 @@
 
 var errListen = errors.New("listener failed")
 
-func TestServicesFindEachOtherByName(t *testing.T) {
+func TestLookupByNameAndType(t *testing.T) {
 	k := mtkernel.New()
 	assert.NilError(t, mtkernel.Register[store](k, "store", memory{}, nil))
 	found, err := mtkernel.Lookup[store](k, "store")
 	assert.NilError(t, err)
 	assert.Equal(t, found.Get(), "value")
 
-	var taken *mtkernel.TakenError
-	assert.Assert(t, errors.As(mtkernel.Register[store](k, "store", memory{}, nil), &taken))
-	assert.Equal(t, taken.Name, mtkernel.Name("store"))
+	var duplicate *mtkernel.TakenError
+	assert.Assert(t, errors.As(mtkernel.Register[store](k, "store", memory{}, nil), &duplicate))
+	assert.Equal(t, duplicate.Name, mtkernel.Name("store"))
 
 	_, err = mtkernel.Lookup[store](k, "shop")
 	var missing *mtkernel.MissingError
@@ -40,9 +40,9 @@
 	assert.Equal(t, wrong.Want, "int")
 }
 
-// A listener fails while a daemon runs. Everything else must end too, in the
-// reverse order of its making, and the failure is what Run returns.
-func TestFirstEndStopsAll(t *testing.T) {
+// A listener fails while a daemon runs. Everything else must stop too, in reverse
+// order of registration, and Run must return the listener's error.
+func TestFirstTaskToEndStopsAll(t *testing.T) {
 	k := mtkernel.New()
 	var ended []mtkernel.Name
 	for _, name := range []mtkernel.Name{"store", "lease", "listener"} {
@@ -54,10 +54,10 @@
 	assert.ErrorIs(t, k.Run(context.Background()), errListen)
 	assert.DeepEqual(t, ended, []mtkernel.Name{"listener", "lease", "store"})
 	k.Close()
-	assert.Equal(t, len(ended), 3, "cleaned up twice")
+	assert.Equal(t, len(ended), 3, "the clean-ups ran twice")
 }
 
-func TestRunEndsWithItsContext(t *testing.T) {
+func TestRunEndsWhenContextIsCanceled(t *testing.T) {
 	k := mtkernel.New()
 	stopped := make(chan struct{})
 	k.Duty(func() error { <-stopped; return nil }, func(error) { close(stopped) })
