--- a/core/mtkernel/mtkernel.go
+++ b/core/mtkernel/mtkernel.go
@@ -53,11 +53,11 @@
 	return fmt.Sprintf("kernel: service %q has type %s, not %s", e.Name, e.Got, e.Want)
 }
 
-// TakenError reports that a name is already in use by another service.
-type TakenError struct{ Name Name }
+// DuplicateError reports that a name is already in use by another service.
+type DuplicateError struct{ Name Name }
 
 // Error implements error.
-func (e *TakenError) Error() string {
+func (e *DuplicateError) Error() string {
 	return fmt.Sprintf("kernel: service %q is already registered", e.Name)
 }
 
@@ -66,13 +66,13 @@
 	return &Kernel{services: make(map[Name]any), cleanUps: make(map[Name]func())}
 }
 
-// Register adds a service under a name. It fails with a *TakenError if the name is
-// in use. cleanUp may be nil; otherwise Close calls it once.
+// Register adds a service under a name. It fails with a *DuplicateError if the
+// name is in use. cleanUp may be nil; otherwise Close calls it once.
 func Register[T any](k *Kernel, name Name, service T, cleanUp func()) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if _, ok := k.services[name]; ok {
-		return &TakenError{Name: name}
+		return &DuplicateError{Name: name}
 	}
 	k.services[name] = service
 	k.order = append(k.order, name)
@@ -97,10 +97,11 @@
 	return service, nil
 }
 
-// Need is like Lookup, but panics on failure. It is for services that an earlier
-// step of assembling the process has registered: a missing one means that the
-// steps are in the wrong order, which the first start of the program reveals.
-func Need[T any](k *Kernel, name Name) T {
+// MustLookup is like Lookup, but panics on failure. It is for services that an
+// earlier step of assembling the process has registered: a missing one means
+// that the steps are in the wrong order, which the first start of the program
+// reveals.
+func MustLookup[T any](k *Kernel, name Name) T {
 	service, err := Lookup[T](k, name)
 	if err != nil {
 		panic(err)
@@ -108,9 +109,9 @@
 	return service
 }
 
-// Duty adds a task for Run to run in a goroutine of its own: execute runs the task,
-// and interrupt makes execute return. It must be called before Run.
-func (k *Kernel) Duty(execute func() error, interrupt func(error)) {
+// AddTask adds a task for Run to run in a goroutine of its own: execute runs the
+// task, and interrupt makes execute return. It must be called before Run.
+func (k *Kernel) AddTask(execute func() error, interrupt func(error)) {
 	k.tasks.Add(execute, interrupt)
 }
 
--- a/core/mtkernel/mtkernel_test.go
+++ b/core/mtkernel/mtkernel_test.go
@@ -25,7 +25,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, found.Get(), "value")
 
-	var duplicate *mtkernel.TakenError
+	var duplicate *mtkernel.DuplicateError
 	assert.Assert(t, errors.As(mtkernel.Register[store](k, "store", memory{}, nil), &duplicate))
 	assert.Equal(t, duplicate.Name, mtkernel.Name("store"))
 
@@ -49,8 +49,8 @@
 		assert.NilError(t, mtkernel.Register(k, name, 1, func() { ended = append(ended, name) }))
 	}
 	stopped := make(chan struct{})
-	k.Duty(func() error { <-stopped; return nil }, func(error) { close(stopped) })
-	k.Duty(func() error { return errListen }, func(error) {})
+	k.AddTask(func() error { <-stopped; return nil }, func(error) { close(stopped) })
+	k.AddTask(func() error { return errListen }, func(error) {})
 	assert.ErrorIs(t, k.Run(context.Background()), errListen)
 	assert.DeepEqual(t, ended, []mtkernel.Name{"listener", "lease", "store"})
 	k.Close()
@@ -60,7 +60,7 @@
 func TestRunEndsWhenContextIsCanceled(t *testing.T) {
 	k := mtkernel.New()
 	stopped := make(chan struct{})
-	k.Duty(func() error { <-stopped; return nil }, func(error) { close(stopped) })
+	k.AddTask(func() error { <-stopped; return nil }, func(error) { close(stopped) })
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	assert.NilError(t, k.Run(ctx))
--- a/core/mtlease/mtlease.go
+++ b/core/mtlease/mtlease.go
@@ -2,20 +2,20 @@
 // that a daemon has received from its witnesses, and until when they permit it to
 // serve.
 //
-// Each daemon has a set of witnesses among its peers, listed in its record in the
-// platform's store. A witness promises not to agree to a takeover for Length. The
-// daemon may serve while the promises of a majority of its set are unexpired.
-// The daemon counts each promise from before it sent the request. The witness
-// counts from receipt, and for longer (Guard). So the promise always ends first at
-// the holder, as long as no clock runs faster than another by more than one part
-// in DriftShare.
+// Each daemon has a set of witnesses among its peers, listed in its record in
+// the platform's store. A witness promises not to agree to a takeover for
+// Length. The daemon may serve while the promises of a majority of its set are
+// unexpired. The daemon counts each promise from before it sent the request. The
+// witness counts from receipt, and for longer (WitnessLength). So the promise
+// always ends first at the holder, as long as no clock runs faster than another
+// by more than one part in DriftShare.
 //
 // # Usage
 //
 //	lease := mtlease.New(holder)
 //	lease.Adopt(mtlease.Set{Version: version, Witnesses: record.Witnesses})
 //	for _, w := range lease.Witnesses() {
-//		request, ok := lease.Ask(now, w, sequence)
+//		request, ok := lease.NewRequest(now, w, sequence)
 //		... send it; when the answer arrives: lease.Answer(now, w, answer)
 //	}
 //	if now.Before(lease.Until()) { ... may serve }
@@ -45,18 +45,19 @@
 	// DriftShare bounds the relative drift of clocks: while any VM's clock advances
 	// by one second, another's advances by at most 1+1/DriftShare seconds.
 	DriftShare = 20
-	// Guard is how long a promise lasts on the witness's clock: Length, plus a
-	// margin for clock drift.
-	Guard = Length + Length/DriftShare
-	// Vouch is how long a witness keeps making promises after its own incarnation
-	// was last confirmed: by a valid lease, or by its own record in the store.
-	Vouch = 3 * time.Second
-	// Silence is how long after a witness was observed to be fenced all its
+	// WitnessLength is how long a promise lasts on the witness's clock: Length,
+	// plus a margin for clock drift.
+	WitnessLength = Length + Length/DriftShare
+	// ConfirmationTTL is how long a witness keeps making promises after its own
+	// incarnation was last confirmed: by a valid lease, or by its own record in
+	// the store.
+	ConfirmationTTL = 3 * time.Second
+	// FencedExpiry is how long after a witness was observed to be fenced all its
 	// promises have expired, on the observer's clock.
-	Silence = (Vouch + Length) + (Vouch+Length)/DriftShare
-	// LateWake is how late the renewal timer may fire before all promises are
+	FencedExpiry = (ConfirmationTTL + Length) + (ConfirmationTTL+Length)/DriftShare
+	// MaxTimerDelay is how late the renewal timer may fire before all promises are
 	// dropped.
-	LateWake = Length / 4
+	MaxTimerDelay = Length / 4
 )
 
 // maxOutstanding limits the unanswered requests that are tracked per witness.
@@ -72,8 +73,8 @@
 // empty set, which can thus never reach it.
 func Majority(n int) int { return n/2 + 1 }
 
-// Ask is a request to a witness for a promise.
-type Ask struct {
+// RenewRequest is a request to a witness for a promise.
+type RenewRequest struct {
 	Sequence uint64
 	// Witness is the incarnation of the witness that the set names.
 	Witness mtid.Holder
@@ -89,10 +90,10 @@
 	Granted     Refusal = iota // not refused
 	Revoked                    // the set, or the holder's incarnation, was revoked
 	Incarnation                // the set names another incarnation of the witness
-	Unvouched                  // the witness's own incarnation was not confirmed recently
+	Unconfirmed                // the witness's own incarnation was not confirmed recently
 )
 
-// Answer is a witness's reply to an Ask.
+// Answer is a witness's answer to a RenewRequest.
 type Answer struct {
 	Sequence uint64
 	Refusal  Refusal
@@ -208,14 +209,14 @@
 	return all
 }
 
-// Ask returns the request to send to witness w, or false if w is not a witness or
-// the lease is closed. now must be read before the request is sent: the promise
-// counts from then, since the witness may make it at any time after. sequence
-// identifies the request in its answer.
-func (l *Lease) Ask(now mtclock.Instant, w mtid.Holder, sequence uint64) (Ask, bool) {
+// NewRequest returns the request to send to witness w, or false if w is not a
+// witness or the lease is closed. now must be read before the request is sent:
+// the promise counts from then, since the witness may make it at any time after.
+// sequence identifies the request in its answer.
+func (l *Lease) NewRequest(now mtclock.Instant, w mtid.Holder, sequence uint64) (RenewRequest, bool) {
 	version := l.versionFor(w)
 	if version == 0 || l.closed {
-		return Ask{}, false
+		return RenewRequest{}, false
 	}
 	p := l.promise(w)
 	if p.firstRequest == 0 {
@@ -225,7 +226,7 @@
 		p.outstanding = slices.Delete(p.outstanding, 0, 1)
 	}
 	p.outstanding = append(p.outstanding, sent{sequence: sequence, at: now})
-	return Ask{Sequence: sequence, Witness: w, Version: version}, true
+	return RenewRequest{Sequence: sequence, Witness: w, Version: version}, true
 }
 
 // Answer processes an answer from w. Late, duplicated and reordered answers do no
@@ -251,13 +252,13 @@
 	p.end = at.Add(Length)
 }
 
-// Wake is called when the renewal timer, which was set for due, fires at now. If
-// it is late by more than LateWake, Wake drops all promises and returns true.
-// Promises requested before now no longer count: the VM may have been paused in a
-// way that none of its clocks fully shows, so only new requests can prove that the
-// lease is still valid.
-func (l *Lease) Wake(now, due mtclock.Instant) bool {
-	if now.Sub(due) <= LateWake {
+// TimerFired is called when the renewal timer, which was set for due, fires at
+// now. If it is late by more than MaxTimerDelay, TimerFired drops all promises
+// and returns true. Promises requested before now no longer count: the VM may
+// have been paused in a way that none of its clocks fully shows, so only new
+// requests can prove that the lease is still valid.
+func (l *Lease) TimerFired(now, due mtclock.Instant) bool {
+	if now.Sub(due) <= MaxTimerDelay {
 		return false
 	}
 	l.fresh = now
@@ -282,8 +283,8 @@
 	return until
 }
 
-// Want lists what is wrong with the set that the record lists.
-type Want struct {
+// Defects lists what is wrong with the set that the record lists.
+type Defects struct {
 	// Lost are the witnesses that refuse because of their own incarnation, or
 	// have not answered for longer than Length.
 	Lost []mtid.Holder
@@ -292,9 +293,9 @@
 	Revoked bool
 }
 
-// Wants reports what is wrong with the current set.
-func (l *Lease) Wants(now mtclock.Instant) Want {
-	var want Want
+// Defects reports what is wrong with the current set.
+func (l *Lease) Defects(now mtclock.Instant) Defects {
+	var want Defects
 	for _, w := range l.current.Witnesses {
 		p, ok := l.promises[w]
 		switch {
@@ -308,9 +309,9 @@
 	return want
 }
 
-// Doubtful returns the witnesses of the proposed set without a valid promise, so
+// Unpromised returns the witnesses of the proposed set without a valid promise, so
 // that the next proposal can leave them out.
-func (l *Lease) Doubtful(now mtclock.Instant) []mtid.Holder {
+func (l *Lease) Unpromised(now mtclock.Instant) []mtid.Holder {
 	var missing []mtid.Holder
 	for _, w := range l.pending.Witnesses {
 		if !now.Before(l.promisedUntil(l.pending, w)) {
@@ -322,7 +323,7 @@
 
 // unusable reports whether the witness refused because of its own incarnation,
 // which no new version of the holder's set changes.
-func (p *promise) unusable() bool { return p.refusal == Incarnation || p.refusal == Unvouched }
+func (p *promise) unusable() bool { return p.refusal == Incarnation || p.refusal == Unconfirmed }
 
 // unresponsive reports whether the witness has left requests unanswered for longer
 // than Length.
--- a/core/mtlease/mtlease_test.go
+++ b/core/mtlease/mtlease_test.go
@@ -33,7 +33,7 @@
 // renew sends a request to w at sent and delivers its grant at answered.
 func renew(t *testing.T, l *mtlease.Lease, w mtid.Holder, sequence uint64, sent, answered time.Duration) {
 	t.Helper()
-	_, ok := l.Ask(at(sent), w, sequence)
+	_, ok := l.NewRequest(at(sent), w, sequence)
 	assert.Assert(t, ok)
 	l.Answer(at(answered), w, mtlease.Answer{Sequence: sequence})
 }
@@ -77,8 +77,8 @@
 // from a daemon that is not a witness. None of them may extend the lease.
 func TestStrayAnswersDoNotExtendLease(t *testing.T) {
 	l := adopted(w1)
-	l.Ask(at(0), w1, 1)
-	l.Ask(at(mtlease.Period), w1, 2)
+	l.NewRequest(at(0), w1, 1)
+	l.NewRequest(at(mtlease.Period), w1, 2)
 	l.Answer(at(500*time.Millisecond), w1, mtlease.Answer{Sequence: 2})
 	want := at(mtlease.Period + mtlease.Length)
 	assert.Equal(t, l.Until(), want)
@@ -92,9 +92,9 @@
 // A witness refuses a request. Its answer carries the request's sequence number, as
 // a grant does, and must not be counted as one.
 func TestRefusalDoesNotExtendLease(t *testing.T) {
-	for _, refusal := range []mtlease.Refusal{mtlease.Revoked, mtlease.Incarnation, mtlease.Unvouched} {
+	for _, refusal := range []mtlease.Refusal{mtlease.Revoked, mtlease.Incarnation, mtlease.Unconfirmed} {
 		l := adopted(w1)
-		l.Ask(at(0), w1, 1)
+		l.NewRequest(at(0), w1, 1)
 		l.Answer(at(0), w1, mtlease.Answer{Sequence: 1, Refusal: refusal})
 		assert.Equal(t, l.Until(), mtclock.Instant(0), "refusal %d", refusal)
 	}
@@ -128,11 +128,11 @@
 	l := adopted(w1, w2)
 	renew(t, l, w1, 1, 0, 0)
 	l.Propose(mtlease.Set{Version: 5, Witnesses: []mtid.Holder{w1, w2}})
-	l.Ask(at(0), w2, 2)
+	l.NewRequest(at(0), w2, 2)
 	l.Answer(at(0), w2, mtlease.Answer{Sequence: 2, Floor: 4})
 	assert.Equal(t, l.Until(), mtclock.Instant(0))
 	assert.Assert(t, l.Ready(at(1)))
-	assert.Assert(t, l.Wants(at(1)).Revoked)
+	assert.Assert(t, l.Defects(at(1)).Revoked)
 }
 
 // A witness reports that it revoked the set, then restarts and loses that state.
@@ -140,23 +140,24 @@
 func TestReportedRevocationOutlivesWitnessRestart(t *testing.T) {
 	l := adopted(w1)
 	l.Propose(mtlease.Set{Version: 5, Witnesses: []mtid.Holder{w1}})
-	l.Ask(at(0), w1, 1)
+	l.NewRequest(at(0), w1, 1)
 	l.Answer(at(0), w1, mtlease.Answer{Sequence: 1, Floor: 4})
-	l.Ask(at(1), w1, 2)
+	l.NewRequest(at(1), w1, 2)
 	l.Answer(at(1), w1, mtlease.Answer{Sequence: 2, Refusal: mtlease.Incarnation})
 	assert.Equal(t, l.Until(), mtclock.Instant(0))
 }
 
-// The VM is paused for more than LateWake between two rounds of requests. By its
-// own clocks the lease is still valid, but these may not show the whole pause.
+// The VM is paused for more than MaxTimerDelay between two rounds of requests.
+// By its own clocks the lease is still valid, but these may not show the whole
+// pause.
 func TestLateTimerDropsPromises(t *testing.T) {
 	l := adopted(w1)
 	renew(t, l, w1, 1, 0, 0)
-	l.Ask(at(50*time.Millisecond), w1, 2)
-	assert.Assert(t, !l.Wake(at(mtlease.Period+mtlease.LateWake), at(mtlease.Period)))
+	l.NewRequest(at(50*time.Millisecond), w1, 2)
+	assert.Assert(t, !l.TimerFired(at(mtlease.Period+mtlease.MaxTimerDelay), at(mtlease.Period)))
 	assert.Assert(t, l.Until() > 0)
-	late := mtlease.Period + mtlease.LateWake + 1
-	assert.Assert(t, l.Wake(at(late), at(mtlease.Period)))
+	late := mtlease.Period + mtlease.MaxTimerDelay + 1
+	assert.Assert(t, l.TimerFired(at(late), at(mtlease.Period)))
 	assert.Equal(t, l.Until(), mtclock.Instant(0))
 	l.Answer(at(late), w1, mtlease.Answer{Sequence: 2})
 	assert.Equal(t, l.Until(), mtclock.Instant(0), "a request sent before the pause does not count")
@@ -167,12 +168,12 @@
 func TestDefectsListLostWitnesses(t *testing.T) {
 	l := adopted(w1, w2, w3)
 	renew(t, l, w1, 1, 0, 0)
-	l.Ask(at(0), w2, 2)
+	l.NewRequest(at(0), w2, 2)
 	l.Answer(at(0), w2, mtlease.Answer{Sequence: 2, Refusal: mtlease.Incarnation})
-	l.Ask(at(0), w3, 3)
-	got := l.Wants(at(mtlease.Length))
+	l.NewRequest(at(0), w3, 3)
+	got := l.Defects(at(mtlease.Length))
 	assert.DeepEqual(t, got.Lost, []mtid.Holder{w2})
-	got = l.Wants(at(mtlease.Length + 1))
+	got = l.Defects(at(mtlease.Length + 1))
 	assert.DeepEqual(t, got.Lost, []mtid.Holder{w2, w3})
 	assert.Assert(t, !got.Revoked)
 }
@@ -182,6 +183,6 @@
 	renew(t, l, w1, 1, 0, 0)
 	l.Close()
 	assert.Equal(t, l.Until(), mtclock.Instant(0))
-	_, ok := l.Ask(at(1), w1, 2)
+	_, ok := l.NewRequest(at(1), w1, 2)
 	assert.Assert(t, !ok)
 }
--- a/core/mttakeover/failover.go
+++ b/core/mttakeover/failover.go
@@ -38,11 +38,11 @@
 	return ok && record.Live() && record.Holder == h
 }
 
-// Turn returns how long self delays the takeover of record's daemon once it is
-// permitted, or false if self does not attempt it. The claimants are the live
-// witnesses that the record names, in the order of their rendezvous rank; if none
-// of them is live, the highest-ranked of all live daemons.
-func Turn(self mtid.Daemon, record *mtroster.Record, roster Roster) (time.Duration, bool) {
+// StartDelay returns how long self delays the takeover of record's daemon once
+// it is permitted, or false if self does not attempt it. The claimants are the
+// live witnesses that the record names, in the order of their rendezvous rank;
+// if none of them is live, the highest-ranked of all live daemons.
+func StartDelay(self mtid.Daemon, record *mtroster.Record, roster Roster) (time.Duration, bool) {
 	var claimants []mtid.Daemon
 	for _, w := range record.Witnesses {
 		// A later incarnation of the witness counts too: it also notices that the
@@ -61,10 +61,10 @@
 	return staggered(self, mtid.Point(mtid.Rank(record.Holder.Daemon, 0)), claimants)
 }
 
-// ChunkTurn returns how long self delays the failover of table's chunk once it is
-// due, or false if self does not attempt it. The claimants are the highest-ranked
-// live daemons.
-func ChunkTurn(self mtid.Daemon, table *mtshard.Table, roster Roster) (time.Duration, bool) {
+// FailoverDelay returns how long self delays the failover of table's chunk once
+// it is due, or false if self does not attempt it. The claimants are the
+// highest-ranked live daemons.
+func FailoverDelay(self mtid.Daemon, table *mtshard.Table, roster Roster) (time.Duration, bool) {
 	var claimants []mtid.Daemon
 	for d, record := range roster {
 		if record.Live() {
--- a/core/mttakeover/fences.go
+++ b/core/mttakeover/fences.go
@@ -17,9 +17,9 @@
 // be fenced. The instants must come from a clock that never runs ahead.
 //
 // A witness makes promises only if its own incarnation was confirmed within the
-// last mtlease.Vouch. A fenced incarnation can't be confirmed again: its own
-// witnesses have agreed to the revocation, and its record shows it as revoked. So
-// after mtlease.Silence all its promises have expired.
+// last mtlease.ConfirmationTTL. A fenced incarnation can't be confirmed again:
+// its own witnesses have agreed to the revocation, and its record shows it as
+// revoked. So after mtlease.FencedExpiry all its promises have expired.
 //
 // The zero value is ready to use. It is not safe for concurrent use.
 type Fences struct {
@@ -37,9 +37,10 @@
 	}
 }
 
-// Silent reports whether h was observed to be fenced at least mtlease.Silence
-// ago, so that all the promises it made as a witness have expired.
-func (f *Fences) Silent(now mtclock.Instant, h mtid.Holder) bool {
+// PromisesExpired reports whether h was observed to be fenced at least
+// mtlease.FencedExpiry ago, so that all the promises it made as a witness have
+// expired.
+func (f *Fences) PromisesExpired(now mtclock.Instant, h mtid.Holder) bool {
 	seen, ok := f.seen[h.Daemon]
-	return ok && h.Incarnation < seen.revoked && now.Sub(seen.since) >= mtlease.Silence
+	return ok && h.Incarnation < seen.revoked && now.Sub(seen.since) >= mtlease.FencedExpiry
 }
--- a/core/mttakeover/model_test.go
+++ b/core/mttakeover/model_test.go
@@ -46,7 +46,7 @@
 	from, to int
 	holder   mtid.Holder // the incarnation that requests the promise
 	instance int         // its process; an answer to an earlier one is dropped
-	request  mtlease.Ask
+	request  mtlease.RenewRequest
 	answer   *mtlease.Answer
 }
 
@@ -318,7 +318,7 @@
 	}
 	for _, w := range p.lease.Witnesses() {
 		p.sequence++
-		request, ok := p.lease.Ask(m.clock(p), w, p.sequence)
+		request, ok := p.lease.NewRequest(m.clock(p), w, p.sequence)
 		to := m.index(w.Daemon)
 		if !ok || to < 0 {
 			continue
@@ -373,7 +373,7 @@
 	}
 	to.lease.Answer(m.clock(to), k.request.Witness, *k.answer)
 	if until := to.lease.Until(); until > 0 {
-		to.confirmedUntil = max(to.confirmedUntil, until.Add(mtlease.Vouch))
+		to.confirmedUntil = max(to.confirmedUntil, until.Add(mtlease.ConfirmationTTL))
 	}
 }
 
@@ -408,7 +408,7 @@
 // confirm records that the store just returned or accepted p's own record.
 func (m *model) confirm(p *process) {
 	if !p.member.Holder().IsZero() {
-		p.confirmedUntil = max(p.confirmedUntil, m.clock(p).Add(mtlease.Vouch))
+		p.confirmedUntil = max(p.confirmedUntil, m.clock(p).Add(mtlease.ConfirmationTTL))
 	}
 }
 
@@ -496,8 +496,8 @@
 func (m *model) requestRevocations(p *process, t *mttakeover.Takeover) mttakeover.Step {
 	record := m.records[t.Target().Daemon].record
 	for _, w := range record.Witnesses {
-		if p.fences.Silent(m.clock(p), w) {
-			t.Silent(w)
+		if p.fences.PromisesExpired(m.clock(p), w) {
+			t.CountAsAgreed(w)
 			m.events["expired witness"]++
 		}
 	}
@@ -554,19 +554,19 @@
 	m.sequence++
 	stamp := mtroster.Stamp{Writer: mtid.Holder{Daemon: p.name}, Sequence: m.sequence}
 	name := string(t.Target().Daemon)
-	got, err := m.swap(stored{name: name, version: t.Version(), record: t.Revoked(stamp)})
+	got, err := m.swap(stored{name: name, version: t.Version(), record: t.RevokedRecord(stamp)})
 	var conflict *conflictError
 	if err != nil && !errors.As(err, &conflict) {
 		if m.pick(2) == 0 {
 			got = m.current(name)
-			t.Seen(got.record, got.version)
+			t.Observe(got.record, got.version)
 		}
 		return
 	}
 	if err == nil {
 		m.events["taken over"]++
 	}
-	t.Seen(got.record, got.version)
+	t.Observe(got.record, got.version)
 }
 
 // applyDelayed makes a delayed write take effect, or drops it.
--- a/core/mttakeover/mttakeover.go
+++ b/core/mttakeover/mttakeover.go
@@ -14,7 +14,7 @@
 //	for {
 //		switch step := t.Next(now); step.Kind {
 //		case mttakeover.Ask:    ... send t.Request to step.Witnesses; then t.Replied or t.Failed
-//		case mttakeover.Write:  ... swap in t.Revoked(stamp); then t.Seen with the stored record
+//		case mttakeover.Write:  ... swap in t.RevokedRecord(stamp); then t.Observe with the stored record
 //		case mttakeover.Wait:   ... sleep step.Wait
 //		case mttakeover.Done:   ... the incarnation is fenced
 //		}
@@ -59,7 +59,7 @@
 	// minWait and maxWait bound the delay that a witness requests in its reply:
 	// the holder may still be renewing its lease there, and no takeover is due.
 	minWait = 5 * time.Millisecond
-	maxWait = mtlease.Guard
+	maxWait = mtlease.WitnessLength
 )
 
 // Takeover fences one incarnation of one daemon.
@@ -141,11 +141,12 @@
 	return len(set) == 0 || count >= mtlease.Majority(len(set))
 }
 
-// Silent records that w has been fenced for so long that all its promises have
-// expired and it can make no new ones (see Fences). It counts as having agreed,
-// whatever the version. Without this rule, a daemon that is lost together with
-// most of its witnesses could not be taken over until one of them restarted.
-func (t *Takeover) Silent(w mtid.Holder) { t.expired[w] = true }
+// CountAsAgreed records that w has been fenced for so long that all its promises
+// have expired and it can make no new ones (see Fences). It counts as having
+// agreed, whatever the version. Without this rule, a daemon that is lost
+// together with most of its witnesses could not be taken over until one of them
+// restarted.
+func (t *Takeover) CountAsAgreed(w mtid.Holder) { t.expired[w] = true }
 
 // Request returns the revocation request to send to witness w.
 func (t *Takeover) Request(w mtid.Holder) mtwitness.Request {
@@ -174,20 +175,20 @@
 	}
 }
 
-// Revoked returns the record that fences the incarnation. It may be written only
-// after Next returned Write, and the write must expect Version.
-func (t *Takeover) Revoked(stamp mtroster.Stamp) *mtroster.Record {
+// RevokedRecord returns the record that fences the incarnation. It may be
+// written only after Next returned Write, and the write must expect Version.
+func (t *Takeover) RevokedRecord(stamp mtroster.Stamp) *mtroster.Record {
 	next := *t.record
 	next.Stamp = stamp
 	next.Revoked = t.target.Incarnation + 1
 	return &next
 }
 
-// Seen processes the record that is now in the store: after a successful write,
+// Observe processes the record that is now in the store: after a successful write,
 // after a conflict, or after a read that follows a write with unknown outcome. If
 // the record still has the version that the write expected, that write may yet
 // take effect. Writing again resolves this: only one of the two can succeed.
-func (t *Takeover) Seen(record *mtroster.Record, version mtid.Version) {
+func (t *Takeover) Observe(record *mtroster.Record, version mtid.Version) {
 	if version == t.version {
 		return
 	}
--- a/core/mttakeover/mttakeover_test.go
+++ b/core/mttakeover/mttakeover_test.go
@@ -53,7 +53,7 @@
 	assert.DeepEqual(t, step.Witnesses, []mtid.Holder{w2, w3})
 	tk.Replied(start.Add(stillPromised.Wait), tk.Request(w2), granted)
 	assert.Equal(t, tk.Next(start).Kind, mttakeover.Write)
-	assert.Equal(t, tk.Revoked(mtroster.Stamp{}).Revoked, lost.Incarnation+1)
+	assert.Equal(t, tk.RevokedRecord(mtroster.Stamp{}).Revoked, lost.Incarnation+1)
 }
 
 // Witnesses agree to revoke one version of the record, but their replies arrive
@@ -64,7 +64,7 @@
 	tk.Next(start)
 	first, second := tk.Request(w1), tk.Request(w2)
 	tk.Replied(start, first, granted)
-	tk.Seen(lostRecord(), 8)
+	tk.Observe(lostRecord(), 8)
 	tk.Replied(start, second, granted)
 	tk.Replied(start, first, granted)
 	assert.Equal(t, tk.Next(start).Kind, mttakeover.Ask)
@@ -82,9 +82,9 @@
 	tk.Next(start)
 	tk.Replied(start, tk.Request(w1), granted)
 	tk.Replied(start, tk.Request(w3), granted)
-	tk.Seen(lostRecord(), 7)
+	tk.Observe(lostRecord(), 7)
 	assert.Equal(t, tk.Next(start).Kind, mttakeover.Write)
-	tk.Seen(tk.Revoked(mtroster.Stamp{}), 8)
+	tk.Observe(tk.RevokedRecord(mtroster.Stamp{}), 8)
 	assert.Equal(t, tk.Next(start).Kind, mttakeover.Done)
 }
 
@@ -93,11 +93,11 @@
 // gets a request.
 func TestExpiredWitnessesCountAsAgreed(t *testing.T) {
 	tk := mttakeover.New(lostRecord(), 7)
-	tk.Silent(w1)
+	tk.CountAsAgreed(w1)
 	step := tk.Next(start)
 	assert.DeepEqual(t, step.Witnesses, []mtid.Holder{w2, w3})
-	tk.Seen(lostRecord(), 8)
-	tk.Silent(w2)
+	tk.Observe(lostRecord(), 8)
+	tk.CountAsAgreed(w2)
 	assert.Equal(t, tk.Next(start).Kind, mttakeover.Write, "an expired witness counts under any version")
 }
 
@@ -106,23 +106,23 @@
 // must still wait until that promise has ended, even if the holder's clock is slow
 // and its own clock is fast.
 func TestFencedExpiryOutlastsLastPromise(t *testing.T) {
-	fast := int64(mtlease.Silence) * mtlease.DriftShare / (mtlease.DriftShare + 1)
-	assert.Assert(t, fast >= int64(mtlease.Vouch+mtlease.Length))
+	fast := int64(mtlease.FencedExpiry) * mtlease.DriftShare / (mtlease.DriftShare + 1)
+	assert.Assert(t, fast >= int64(mtlease.ConfirmationTTL+mtlease.Length))
 	var f mttakeover.Fences
 	f.Note(start, &mtroster.Record{Holder: w1, Revoked: 2})
 	f.Note(start.Add(time.Second), &mtroster.Record{Holder: w1, Revoked: 2})
 	next := mtid.Holder{Daemon: "w1", Incarnation: 2}
-	assert.Assert(t, !f.Silent(start.Add(mtlease.Silence-1), w1))
-	assert.Assert(t, f.Silent(start.Add(mtlease.Silence), w1))
-	assert.Assert(t, !f.Silent(start.Add(mtlease.Silence), next), "the next incarnation is not fenced")
-	assert.Assert(t, !f.Silent(start.Add(mtlease.Silence), w2), "no revocation of w2 was observed")
+	assert.Assert(t, !f.PromisesExpired(start.Add(mtlease.FencedExpiry-1), w1))
+	assert.Assert(t, f.PromisesExpired(start.Add(mtlease.FencedExpiry), w1))
+	assert.Assert(t, !f.PromisesExpired(start.Add(mtlease.FencedExpiry), next), "the next incarnation is not fenced")
+	assert.Assert(t, !f.PromisesExpired(start.Add(mtlease.FencedExpiry), w2), "no revocation of w2 was observed")
 }
 
 func TestNewerIncarnationNeedsNoTakeover(t *testing.T) {
 	tk := mttakeover.New(lostRecord(), 7)
 	next := lostRecord()
 	next.Holder.Incarnation, next.Revoked = 4, 4
-	tk.Seen(next, 9)
+	tk.Observe(next, 9)
 	assert.Equal(t, tk.Next(start).Kind, mttakeover.Done)
 }
 
@@ -137,7 +137,7 @@
 	allDelays := func() (delays map[mtid.Daemon]time.Duration) {
 		delays = make(map[mtid.Daemon]time.Duration)
 		for d := range roster {
-			if delay, ok := mttakeover.Turn(d, roster["lost"], roster); ok {
+			if delay, ok := mttakeover.StartDelay(d, roster["lost"], roster); ok {
 				delays[d] = delay
 			}
 		}
@@ -186,7 +186,7 @@
 // Several hundred daemons are lost at once. Their takeovers must not all start at
 // once, and daemons with load must not queue behind idle ones.
 func TestQueueLimitsRateAndOrdersByLoad(t *testing.T) {
-	q := mttakeover.Queue{Every: 100 * time.Millisecond, Burst: 4}
+	q := mttakeover.Queue{Interval: 100 * time.Millisecond, Burst: 4}
 	for i := range 300 {
 		q.Push(mtid.Holder{Daemon: mtid.Daemon(fmt.Sprint(i)), Incarnation: 1}, float64(i))
 	}
--- a/core/mttakeover/queue.go
+++ b/core/mttakeover/queue.go
@@ -14,10 +14,10 @@
 //
 // It is a pure state machine, and not safe for concurrent use.
 type Queue struct {
-	// Every is the time between two takeovers. Burst is how many may start at
+	// Interval is the time between two takeovers. Burst is how many may start at
 	// once after an idle period.
-	Every time.Duration
-	Burst int
+	Interval time.Duration
+	Burst    int
 
 	waiting []waiting
 	refill  mtclock.Instant // when Burst takeovers may start at once again
@@ -46,10 +46,10 @@
 	if full.Before(now) {
 		full = now
 	}
-	if len(q.waiting) == 0 || full.Sub(now) > time.Duration(q.Burst-1)*q.Every {
+	if len(q.waiting) == 0 || full.Sub(now) > time.Duration(q.Burst-1)*q.Interval {
 		return mtid.Holder{}, false
 	}
-	q.refill = full.Add(q.Every)
+	q.refill = full.Add(q.Interval)
 	best := 0
 	for i, w := range q.waiting {
 		if w.load > q.waiting[best].load {
--- a/core/mtwitness/choose.go
+++ b/core/mtwitness/choose.go
@@ -22,9 +22,9 @@
 	// Mutual is true if this peer names the selecting daemon as its own witness.
 	// One datagram then carries the renewals of both.
 	Mutual bool
-	// Single is true if this peer has a witness in the selecting daemon's
+	// Unpaired is true if this peer has a witness in the selecting daemon's
 	// availability zone that does not name it in return.
-	Single bool
+	Unpaired bool
 }
 
 // filter reports whether a candidate qualifies, for example by its availability
@@ -68,7 +68,7 @@
 // Pair replaces one witness of set with one that is mutual or may become so, or
 // returns set unchanged if no replacement helps. It replaces a witness that does
 // not name self with a peer in that witness's availability zone that does. If
-// there is none, it uses a peer that is itself Single in self's zone, which will
+// there is none, it uses a peer that is itself Unpaired in self's zone, which will
 // in turn find self the next time it calls Pair.
 //
 // It is called periodically, since daemons that select at the same time don't see
@@ -77,8 +77,8 @@
 func Pair(self Candidate, among []Candidate, set []mtid.Holder) []mtid.Holder {
 	peers := ranked(self, among)
 	mutual := func(p Candidate) bool { return p.Mutual }
-	single := func(p Candidate) bool { return p.Single }
-	for _, better := range []filter{mutual, single} {
+	unpaired := func(p Candidate) bool { return p.Unpaired }
+	for _, better := range []filter{mutual, unpaired} {
 		for i, w := range set {
 			at := slices.IndexFunc(peers, func(p Candidate) bool { return p.Holder == w })
 			if at < 0 || peers[at].Mutual || better(peers[at]) {
--- a/core/mtwitness/mtwitness.go
+++ b/core/mtwitness/mtwitness.go
@@ -75,8 +75,8 @@
 func (w *Witness) Register(incarnation mtid.Incarnation) { w.self.Incarnation = incarnation }
 
 // Renew processes a holder's request for a promise. confirmed reports whether this
-// incarnation of the witness was confirmed within the last mtlease.Vouch.
-func (w *Witness) Renew(now mtclock.Instant, from mtid.Holder, request mtlease.Ask, confirmed bool) mtlease.Answer {
+// incarnation of the witness was confirmed within the last mtlease.ConfirmationTTL.
+func (w *Witness) Renew(now mtclock.Instant, from mtid.Holder, request mtlease.RenewRequest, confirmed bool) mtlease.Answer {
 	answer := mtlease.Answer{Sequence: request.Sequence}
 	if request.Witness != w.self {
 		// The set names another incarnation of this daemon. That incarnation may
@@ -90,7 +90,7 @@
 		// those that were fenced long enough ago as having agreed. A fenced
 		// witness that still runs, partitioned off together with the holder, must
 		// have stopped making promises by then.
-		answer.Refusal = mtlease.Unvouched
+		answer.Refusal = mtlease.Unconfirmed
 		return answer
 	}
 	d := w.peer(from)
@@ -99,7 +99,7 @@
 		answer.Floor = d.floor
 		return answer
 	}
-	d.until = now.Add(mtlease.Guard)
+	d.until = now.Add(mtlease.WitnessLength)
 	answer.Floor = d.floor
 	return answer
 }
@@ -108,7 +108,7 @@
 // process ends. Later incarnations never make promises under a set that names
 // this one.
 func (w *Witness) Revoke(now mtclock.Instant, r Request) Reply {
-	if wait := w.started.Add(mtlease.Guard).Sub(now); wait > 0 {
+	if wait := w.started.Add(mtlease.WitnessLength).Sub(now); wait > 0 {
 		// The previous process may have made a promise just before it ended, which
 		// this one can't know. A revocation now would permit a takeover while the
 		// holder still serves under that promise.
@@ -133,7 +133,7 @@
 // is later. So a restarted daemon suspects no peer before the peer has had time to
 // send it a request.
 func (w *Witness) Until(target mtid.Holder) mtclock.Instant {
-	until := w.started.Add(mtlease.Guard)
+	until := w.started.Add(mtlease.WitnessLength)
 	d, ok := w.peers[target.Daemon]
 	switch {
 	case !ok:
--- a/core/mtwitness/mtwitness_test.go
+++ b/core/mtwitness/mtwitness_test.go
@@ -31,8 +31,8 @@
 	return w
 }
 
-func renewal(witness mtid.Holder, version mtid.Version) mtlease.Ask {
-	return mtlease.Ask{Sequence: 1, Witness: witness, Version: version}
+func renewal(witness mtid.Holder, version mtid.Version) mtlease.RenewRequest {
+	return mtlease.RenewRequest{Sequence: 1, Witness: witness, Version: version}
 }
 
 // A claimant sends requests at various times around the end of a promise. If the
@@ -44,12 +44,12 @@
 	assert.Equal(t, w.Renew(at(requested), d1, renewal(w1, 3), true).Refusal, mtlease.Granted)
 	request := mtwitness.Request{Target: d1, Version: 3, Witness: w1}
 	got := w.Revoke(at(requested+mtlease.Length), request)
-	assert.DeepEqual(t, got, mtwitness.Reply{Wait: mtlease.Guard - mtlease.Length})
-	assert.Assert(t, !w.Revoke(at(requested+mtlease.Guard-1), request).Granted)
-	assert.Assert(t, w.Revoke(at(requested+mtlease.Guard), request).Granted)
-	refused := w.Renew(at(requested+mtlease.Guard), d1, renewal(w1, 3), true)
+	assert.DeepEqual(t, got, mtwitness.Reply{Wait: mtlease.WitnessLength - mtlease.Length})
+	assert.Assert(t, !w.Revoke(at(requested+mtlease.WitnessLength-1), request).Granted)
+	assert.Assert(t, w.Revoke(at(requested+mtlease.WitnessLength), request).Granted)
+	refused := w.Renew(at(requested+mtlease.WitnessLength), d1, renewal(w1, 3), true)
 	assert.DeepEqual(t, refused, mtlease.Answer{Sequence: 1, Refusal: mtlease.Revoked, Floor: 3})
-	again := w.Renew(at(requested+mtlease.Guard), d1, renewal(w1, 4), true)
+	again := w.Renew(at(requested+mtlease.WitnessLength), d1, renewal(w1, 4), true)
 	assert.DeepEqual(t, again, mtlease.Answer{Sequence: 1, Floor: 3})
 }
 
@@ -59,9 +59,9 @@
 	w := mtwitness.New(w1.Daemon, start)
 	previous := mtid.Holder{Daemon: w1.Daemon, Incarnation: 1}
 	request := mtwitness.Request{Target: d1, Version: 3, Witness: previous}
-	assert.Assert(t, !w.Revoke(at(mtlease.Guard-1), request).Granted)
-	assert.Assert(t, !at(mtlease.Guard-1).After(w.Until(d1)), "no peer is suspected before the wait is over")
-	assert.Assert(t, w.Revoke(at(mtlease.Guard), request).Granted, "an unregistered process must answer for the previous incarnation")
+	assert.Assert(t, !w.Revoke(at(mtlease.WitnessLength-1), request).Granted)
+	assert.Assert(t, !at(mtlease.WitnessLength-1).After(w.Until(d1)), "no peer is suspected before the wait is over")
+	assert.Assert(t, w.Revoke(at(mtlease.WitnessLength), request).Granted, "an unregistered process must answer for the previous incarnation")
 }
 
 // W1 and W2 revoke D. W1 restarts, and D requests a promise under the same set. If
@@ -79,8 +79,8 @@
 // stopped making promises.
 func TestNoPromiseUnlessConfirmed(t *testing.T) {
 	w := registered()
-	assert.Equal(t, w.Renew(at(0), d1, renewal(w1, 3), false).Refusal, mtlease.Unvouched)
-	assert.Assert(t, !w.Until(d1).After(at(mtlease.Guard)), "nothing was promised")
+	assert.Equal(t, w.Renew(at(0), d1, renewal(w1, 3), false).Refusal, mtlease.Unconfirmed)
+	assert.Assert(t, !w.Until(d1).After(at(mtlease.WitnessLength)), "nothing was promised")
 	assert.Equal(t, w.Renew(at(0), d1, renewal(w1, 3), true).Refusal, mtlease.Granted)
 }
 
@@ -91,9 +91,9 @@
 	w.Renew(at(2*time.Second), d1, renewal(w1, 3), true)
 	w.Renew(at(2*time.Second+time.Millisecond), d2, renewal(w1, 4), true)
 	request := mtwitness.Request{Target: d1, Version: 3, Witness: w1}
-	assert.Assert(t, !w.Revoke(at(2*time.Second+mtlease.Guard-1), request).Granted)
+	assert.Assert(t, !w.Revoke(at(2*time.Second+mtlease.WitnessLength-1), request).Granted)
 	w.Renew(at(3*time.Second), d2, renewal(w1, 4), true)
-	assert.Assert(t, w.Revoke(at(2*time.Second+mtlease.Guard), request).Granted)
+	assert.Assert(t, w.Revoke(at(2*time.Second+mtlease.WitnessLength), request).Granted)
 	assert.Equal(t, w.Renew(at(3*time.Second), d1, renewal(w1, 9), true).Refusal, mtlease.Revoked)
 	assert.Equal(t, w.Renew(at(3*time.Second), d2, renewal(w1, 4), true).Refusal, mtlease.Granted)
 }
@@ -175,7 +175,7 @@
 			p.Mutual = slices.Contains(chosen[p.Holder], self.Holder)
 			for _, w := range all {
 				named := slices.Contains(chosen[p.Holder], w.Holder)
-				p.Single = p.Single || (w.Zone == self.Zone && named && !slices.Contains(chosen[w.Holder], p.Holder))
+				p.Unpaired = p.Unpaired || (w.Zone == self.Zone && named && !slices.Contains(chosen[w.Holder], p.Holder))
 			}
 			peers = append(peers, p)
 		}
--- a/io/mtdaemon/admin.go
+++ b/io/mtdaemon/admin.go
@@ -41,18 +41,18 @@
 	self := &self{daemon: d}
 	self.ctx, self.cancel = context.WithCancel(context.Background())
 	server := mtadmin.New(mtadmin.Config{
-		View:      liveView{mtkernel.Need[*mtview.View](d.kernel, NameView)},
+		View:      liveView{mtkernel.MustLookup[*mtview.View](d.kernel, NameView)},
 		Self:      self,
-		Rollout:   mtrollout.New(mtkernel.Need[mtstore.Store](d.kernel, NameStore), d.Self, d.config.Settings.Roots),
+		Rollout:   mtrollout.New(mtkernel.MustLookup[mtstore.Store](d.kernel, NameStore), d.Self, d.config.Settings.Roots),
 		Operators: operators,
-		Peers:     dialer{mtkernel.Need[*mtrelay.Client](d.kernel, NameRelay)},
-		Figures:   mtkernel.Need[*figures](d.kernel, NameFigures).All,
-		Metrics:   mtkernel.Need[*mtmetric.Metrics](d.kernel, NameMetrics).Handler(),
-		Now:       mtkernel.Need[*mttime.Clock](d.kernel, NameClock).Wall,
+		Peers:     dialer{mtkernel.MustLookup[*mtrelay.Client](d.kernel, NameRelay)},
+		Figures:   mtkernel.MustLookup[*figures](d.kernel, NameFigures).All,
+		Metrics:   mtkernel.MustLookup[*mtmetric.Metrics](d.kernel, NameMetrics).Handler(),
+		Now:       mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock).Wall,
 		Logger:    d.config.Log,
 	})
-	options := mtadmin.Options(mtkernel.Need[*credentialSet](d.kernel, NameKeys).admin())
-	listener := mtlisten.Start(mtkernel.Need[*sockets](d.kernel, NameSockets).admin, server.Handler(), options)
+	options := mtadmin.Options(mtkernel.MustLookup[*credentialSet](d.kernel, NameKeys).admin())
+	listener := mtlisten.Start(mtkernel.MustLookup[*sockets](d.kernel, NameSockets).admin, server.Handler(), options)
 	return mtkernel.Register(d.kernel, NameAdmin, server, func() {
 		ctx, cancel := context.WithTimeout(context.Background(), mtlisten.Grace)
 		defer cancel()
@@ -103,10 +103,10 @@
 
 // Suspects implements mtadmin.Self.
 func (s *self) Suspects() []mtadmin.Suspect {
-	clock := mtkernel.Need[*mttime.Clock](s.daemon.kernel, NameClock)
+	clock := mtkernel.MustLookup[*mttime.Clock](s.daemon.kernel, NameClock)
 	now, wall := clock.Now(), clock.Wall()
 	var out []mtadmin.Suspect
-	for _, refused := range mtkernel.Need[*mtpoison.Watch](s.daemon.kernel, NamePoison).Refused() {
+	for _, refused := range mtkernel.MustLookup[*mtpoison.Watch](s.daemon.kernel, NamePoison).Refused() {
 		out = append(out, mtadmin.Suspect{
 			Service: refused.Service, Fingerprint: uint64(refused.Print), Refused: refused.Times,
 			Until: wall.Add(refused.Until.Sub(now)),
@@ -117,10 +117,10 @@
 
 // Loads implements mtadmin.Self.
 func (s *self) Loads() []mtadmin.Load {
-	owner := mtkernel.Need[*mtowner.Owner](s.daemon.kernel, NameOwner)
-	rates := mtkernel.Need[*figures](s.daemon.kernel, NameFigures)
+	owner := mtkernel.MustLookup[*mtowner.Owner](s.daemon.kernel, NameOwner)
+	rates := mtkernel.MustLookup[*figures](s.daemon.kernel, NameFigures)
 	var loads []mtadmin.Load
-	for _, a := range mtkernel.Need[*mtserver.Pool](s.daemon.kernel, NameServers).Announcements() {
+	for _, a := range mtkernel.MustLookup[*mtserver.Pool](s.daemon.kernel, NameServers).Announcements() {
 		ref := mtid.Ref{Business: a.Business, Service: a.Service}
 		counts := owner.Counts(ref)
 		loads = append(loads, mtadmin.Load{Service: ref, Slots: a.Slots, Running: counts.Running, Queued: counts.Waiting, Rate: rates.rate(ref)})
--- a/io/mtdaemon/figures.go
+++ b/io/mtdaemon/figures.go
@@ -130,7 +130,7 @@
 		rates:  make(map[mtid.Ref]rate),
 		loads:  make(map[mtid.Ref]seenLoads),
 	}
-	mtkernel.Need[*mtmetric.Metrics](d.kernel, NameMetrics).Gauge("figures", "services", func() any {
+	mtkernel.MustLookup[*mtmetric.Metrics](d.kernel, NameMetrics).Gauge("figures", "services", func() any {
 		out := make(map[string]mtmetric.Figures)
 		for ref, figure := range f.All() {
 			out[ref.String()] = figure
@@ -146,17 +146,17 @@
 // publish shows the counters of the duties that keep their own. It is called
 // once all of them are registered.
 func (d *Daemon) publish() {
-	metrics := mtkernel.Need[*mtmetric.Metrics](d.kernel, NameMetrics)
-	metrics.Publish("renew", mtkernel.Need[*mtrenew.Duty](d.kernel, NameRenew).Vars())
-	metrics.Publish("member", mtkernel.Need[*mtmember.Member](d.kernel, NameMember).Vars())
-	if store, ok := mtkernel.Need[mtstore.Store](d.kernel, NameStore).(vars); ok {
+	metrics := mtkernel.MustLookup[*mtmetric.Metrics](d.kernel, NameMetrics)
+	metrics.Publish("renew", mtkernel.MustLookup[*mtrenew.Duty](d.kernel, NameRenew).Vars())
+	metrics.Publish("member", mtkernel.MustLookup[*mtmember.Member](d.kernel, NameMember).Vars())
+	if store, ok := mtkernel.MustLookup[mtstore.Store](d.kernel, NameStore).(vars); ok {
 		metrics.Publish("store", store.Vars())
 	}
 	metrics.Gauge("lease", "leftNs", d.leaseLeft)
-	metrics.Gauge("view", "frontier", func() any { return mtkernel.Need[*mtview.View](d.kernel, NameView).Now().Frontier() })
+	metrics.Gauge("view", "frontier", func() any { return mtkernel.MustLookup[*mtview.View](d.kernel, NameView).Now().Frontier() })
 	metrics.Gauge("owner", "gates", d.gates)
-	if keys := mtkernel.Need[*credentialSet](d.kernel, NameKeys).tls; keys != nil {
-		wall := mtkernel.Need[*mttime.Clock](d.kernel, NameClock).Wall
+	if keys := mtkernel.MustLookup[*credentialSet](d.kernel, NameKeys).tls; keys != nil {
+		wall := mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock).Wall
 		metrics.Gauge("keys", "secondsLeft", func() any { return int64(keys.Expires().Sub(wall()).Seconds()) })
 	}
 }
@@ -164,7 +164,7 @@
 // leaseLeft returns for how long this daemon may still serve, negative if it
 // may not.
 func (d *Daemon) leaseLeft() any {
-	return mtkernel.Need[*mtrenew.Duty](d.kernel, NameRenew).Until().Sub(mtkernel.Need[*mttime.Clock](d.kernel, NameClock).Now())
+	return mtkernel.MustLookup[*mtrenew.Duty](d.kernel, NameRenew).Until().Sub(mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock).Now())
 }
 
 // gateFigures are the counters of one service's gate.
@@ -176,8 +176,8 @@
 
 func (d *Daemon) gates() any {
 	out := make(map[string]gateFigures)
-	owner := mtkernel.Need[*mtowner.Owner](d.kernel, NameOwner)
-	for _, a := range mtkernel.Need[*mtserver.Pool](d.kernel, NameServers).Announcements() {
+	owner := mtkernel.MustLookup[*mtowner.Owner](d.kernel, NameOwner)
+	for _, a := range mtkernel.MustLookup[*mtserver.Pool](d.kernel, NameServers).Announcements() {
 		ref := mtid.Ref{Business: a.Business, Service: a.Service}
 		counts := owner.Counts(ref)
 		out[ref.String()] = gateFigures{Slots: a.Slots, Running: counts.Running, Waiting: counts.Waiting}
@@ -187,8 +187,8 @@
 
 // measure looks at every service once.
 func (d *Daemon) measure(f *figures) {
-	snapshot := mtkernel.Need[*mtview.View](d.kernel, NameView).Now()
-	now := mtkernel.Need[*mttime.Clock](d.kernel, NameClock).Now()
+	snapshot := mtkernel.MustLookup[*mtview.View](d.kernel, NameView).Now()
+	now := mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock).Now()
 	live := func(h mtid.Holder) bool {
 		record, _, ok := snapshot.Record(h.Daemon)
 		return ok && record.Holder == h && record.Live()
@@ -196,8 +196,8 @@
 	for _, ref := range snapshot.Services() {
 		f.meter(ref).Observe(now, snapshot.Tables(ref), live, f.load(now, ref))
 	}
-	owner := mtkernel.Need[*mtowner.Owner](d.kernel, NameOwner)
-	for _, a := range mtkernel.Need[*mtserver.Pool](d.kernel, NameServers).Announcements() {
+	owner := mtkernel.MustLookup[*mtowner.Owner](d.kernel, NameOwner)
+	for _, a := range mtkernel.MustLookup[*mtserver.Pool](d.kernel, NameServers).Announcements() {
 		ref := mtid.Ref{Business: a.Business, Service: a.Service}
 		var ended uint64
 		for _, flow := range owner.Counts(ref).Flows {
--- a/io/mtdaemon/listen.go
+++ b/io/mtdaemon/listen.go
@@ -83,11 +83,11 @@
 // Addresses returns where this daemon listens, with the ports that were chosen
 // where the settings name port 0.
 func (d *Daemon) Addresses() Addresses {
-	s := mtkernel.Need[*sockets](d.kernel, NameSockets)
+	s := mtkernel.MustLookup[*sockets](d.kernel, NameSockets)
 	return Addresses{
 		Caller: s.callers.Addr().String(),
 		Relay:  s.peers.Addr().String(),
-		Renew:  mtkernel.Need[*mtrenew.Duty](d.kernel, NameRenew).Address(),
+		Renew:  mtkernel.MustLookup[*mtrenew.Duty](d.kernel, NameRenew).Address(),
 		Local:  s.local.Addr().String(),
 		Admin:  s.admin.Addr().String(),
 	}
@@ -113,7 +113,7 @@
 
 // listen serves the sockets of callers, daemons and the backend server.
 func (d *Daemon) listen() error {
-	s := mtkernel.Need[*sockets](d.kernel, NameSockets)
+	s := mtkernel.MustLookup[*sockets](d.kernel, NameSockets)
 	options := mtlisten.Options{Connections: connections, Read: readTimeout}
 	l := &listeners{
 		callers: mtlisten.Start(s.callers, d.callers(), options),
@@ -129,9 +129,9 @@
 func (d *Daemon) callers() http.Handler {
 	e := newEcho()
 	mtcaller.Register(e, mtcaller.Config{
-		Router:    mtkernel.Need[*mtrouter.Router](d.kernel, NameRouter),
-		Addresses: addresses{view: mtkernel.Need[*mtview.View](d.kernel, NameView)},
-		Clock:     mtkernel.Need[*mttime.Clock](d.kernel, NameClock),
+		Router:    mtkernel.MustLookup[*mtrouter.Router](d.kernel, NameRouter),
+		Addresses: addresses{view: mtkernel.MustLookup[*mtview.View](d.kernel, NameView)},
+		Clock:     mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
 		Body:      d.config.Settings.Body,
 	})
 	return e
@@ -151,8 +151,8 @@
 
 func (d *Daemon) local() http.Handler {
 	e := newEcho()
-	e.POST(mtheader.AnnouncePath, mtkernel.Need[*mtserver.Pool](d.kernel, NameServers).Announce)
-	e.GET("/debug/vars", echo.WrapHandler(mtkernel.Need[*mtmetric.Metrics](d.kernel, NameMetrics).Handler()))
+	e.POST(mtheader.AnnouncePath, mtkernel.MustLookup[*mtserver.Pool](d.kernel, NameServers).Announce)
+	e.GET("/debug/vars", echo.WrapHandler(mtkernel.MustLookup[*mtmetric.Metrics](d.kernel, NameMetrics).Handler()))
 	e.GET("/debug/pprof/profile", echo.WrapHandler(http.HandlerFunc(pprof.Profile)))
 	e.GET("/debug/pprof/:name", func(c echo.Context) error {
 		pprof.Handler(c.Param("name")).ServeHTTP(c.Response(), c.Request())
@@ -164,7 +164,7 @@
 func (d *Daemon) peers() *grpc.Server {
 	size := int(d.config.Settings.Body) + messageSpare
 	server := grpc.NewServer(
-		grpc.Creds(mtkernel.Need[*credentialSet](d.kernel, NameKeys).server()),
+		grpc.Creds(mtkernel.MustLookup[*credentialSet](d.kernel, NameKeys).server()),
 		grpc.MaxRecvMsgSize(size),
 		grpc.MaxSendMsgSize(size),
 		grpc.MaxHeaderListSize(mtlisten.HeaderBytes),
@@ -174,25 +174,25 @@
 		grpc.ConnectionTimeout(mtlisten.HeaderTime),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: pingEvery, PermitWithoutStream: true}),
 	)
-	view := mtkernel.Need[*mtview.View](d.kernel, NameView)
+	view := mtkernel.MustLookup[*mtview.View](d.kernel, NameView)
 	heard := d.listener()
 	hint := func(frontier mtid.Revision, from mtid.Holder) { heard(from.Daemon, frontier) }
-	relay := mtrelay.NewServer(mtkernel.Need[*mtowner.Owner](d.kernel, NameOwner), view, mtkernel.Need[*mttime.Clock](d.kernel, NameClock), hint)
+	relay := mtrelay.NewServer(mtkernel.MustLookup[*mtowner.Owner](d.kernel, NameOwner), view, mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock), hint)
 	relay.Register(server)
-	mtkernel.Need[*mtmover.Mover](d.kernel, NameMover).Register(server)
-	mtkernel.Need[*mtpoison.Watch](d.kernel, NamePoison).Register(server)
-	mtkernel.Need[*mtrenew.Duty](d.kernel, NameRenew).ServeOn(server)
-	mtwire.RegisterPlannerServer(server, mtkernel.Need[*mtplanner.Planner](d.kernel, NamePlanner))
-	mtwire.RegisterInformServer(server, mtkernel.Need[*mtadmin.Server](d.kernel, NameAdmin).Informer())
+	mtkernel.MustLookup[*mtmover.Mover](d.kernel, NameMover).Register(server)
+	mtkernel.MustLookup[*mtpoison.Watch](d.kernel, NamePoison).Register(server)
+	mtkernel.MustLookup[*mtrenew.Duty](d.kernel, NameRenew).ServeOn(server)
+	mtwire.RegisterPlannerServer(server, mtkernel.MustLookup[*mtplanner.Planner](d.kernel, NamePlanner))
+	mtwire.RegisterInformServer(server, mtkernel.MustLookup[*mtadmin.Server](d.kernel, NameAdmin).Informer())
 	return server
 }
 
 // duties runs the listeners under the kernel.
 func (l *listeners) duties(k *mtkernel.Kernel) {
 	interrupt := func(error) { l.close() }
-	k.Duty(func() error { return l.untilStop(l.callers) }, interrupt)
-	k.Duty(func() error { return l.untilStop(l.local) }, interrupt)
-	k.Duty(l.servePeers, interrupt)
+	k.AddTask(func() error { return l.untilStop(l.callers) }, interrupt)
+	k.AddTask(func() error { return l.untilStop(l.local) }, interrupt)
+	k.AddTask(l.servePeers, interrupt)
 }
 
 // untilStop waits for a server to fail or for the stop. After a graceful
--- a/io/mtdaemon/member.go
+++ b/io/mtdaemon/member.go
@@ -125,22 +125,22 @@
 	duty, cleanUp, err := mtrenew.New(mtrenew.Config{
 		Self:    d.config.Settings.Name,
 		Listen:  d.config.Settings.Renew,
-		Secrets: mtkernel.Need[*credentialSet](d.kernel, NameKeys).secrets,
-		Clock:   mtkernel.Need[*mttime.Clock](d.kernel, NameClock),
-		View:    liveView{mtkernel.Need[*mtview.View](d.kernel, NameView)},
+		Secrets: mtkernel.MustLookup[*credentialSet](d.kernel, NameKeys).secrets,
+		Clock:   mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
+		View:    liveView{mtkernel.MustLookup[*mtview.View](d.kernel, NameView)},
 		Heard:   d.listener(),
 		Log:     d.config.Log,
 	})
 	if err != nil {
 		return err
 	}
-	mtkernel.Need[*mtsync.Sync](d.kernel, NameSync).OnChange(func(names []string) {
+	mtkernel.MustLookup[*mtsync.Sync](d.kernel, NameSync).OnChange(func(names []string) {
 		if slices.ContainsFunc(names, urgent) {
 			duty.Tell()
 		}
 	})
-	clock := mtkernel.Need[*mttime.Clock](d.kernel, NameClock)
-	mtkernel.Need[*mtserver.Pool](d.kernel, NameServers).Grant(func() int64 {
+	clock := mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock)
+	mtkernel.MustLookup[*mtserver.Pool](d.kernel, NameServers).Grant(func() int64 {
 		return clock.Boot() + int64(duty.Until().Add(-mtowner.Margin).Sub(clock.Now()))
 	})
 	return mtkernel.Register(d.kernel, NameRenew, duty, cleanUp)
@@ -154,16 +154,16 @@
 
 func (d *Daemon) addMember() error {
 	s, at := d.config.Settings, d.Addresses()
-	relay := mtkernel.Need[*mtrelay.Client](d.kernel, NameRelay)
+	relay := mtkernel.MustLookup[*mtrelay.Client](d.kernel, NameRelay)
 	member, cleanUp := mtmember.New(mtmember.Config{
 		Profile: coremember.Profile{
 			Daemon: s.Name, Zone: s.Zone, Region: s.Region,
 			Relay: at.Relay, Renew: at.Renew, Caller: at.Caller, Admin: at.Admin,
 		},
-		Store: mtkernel.Need[mtstore.Store](d.kernel, NameStore),
-		View:  liveView{mtkernel.Need[*mtview.View](d.kernel, NameView)},
-		Lease: mtkernel.Need[*mtrenew.Duty](d.kernel, NameRenew),
-		Clock: mtkernel.Need[*mttime.Clock](d.kernel, NameClock),
+		Store: mtkernel.MustLookup[mtstore.Store](d.kernel, NameStore),
+		View:  liveView{mtkernel.MustLookup[*mtview.View](d.kernel, NameView)},
+		Lease: mtkernel.MustLookup[*mtrenew.Duty](d.kernel, NameRenew),
+		Clock: mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
 		Dial: func(address string) (grpc.ClientConnInterface, error) {
 			return relay.Conn(address)
 		},
@@ -177,25 +177,25 @@
 // wrote takes in a value that this daemon wrote or read outside a watch.
 func (d *Daemon) wrote(e mtstore.Entry) {
 	item := mtview.Item{Name: e.Name, Version: e.Version, Value: e.Value}
-	if _, err := mtkernel.Need[*mtview.View](d.kernel, NameView).Wrote(item); err != nil {
+	if _, err := mtkernel.MustLookup[*mtview.View](d.kernel, NameView).Wrote(item); err != nil {
 		d.config.Log.Debug("value does not follow the known one", "error", err)
 	}
-	mtkernel.Need[*mtsync.Sync](d.kernel, NameSync).Refresh()
+	mtkernel.MustLookup[*mtsync.Sync](d.kernel, NameSync).Refresh()
 }
 
 // offersChanged is called when a backend server joins, leaves or changes. None
 // can before the listeners are open, which come last.
 func (d *Daemon) offersChanged() {
-	mtkernel.Need[*mtmember.Member](d.kernel, NameMember).Offer(mtkernel.Need[*mtserver.Pool](d.kernel, NameServers).Offers())
+	mtkernel.MustLookup[*mtmember.Member](d.kernel, NameMember).Offer(mtkernel.MustLookup[*mtserver.Pool](d.kernel, NameServers).Offers())
 }
 
 // enter makes the record say a state, and waits until it does or ctx is done.
 func (d *Daemon) enter(ctx context.Context, state mtroster.State) {
-	mtkernel.Need[*mtmember.Member](d.kernel, NameMember).Enter(state)
+	mtkernel.MustLookup[*mtmember.Member](d.kernel, NameMember).Enter(state)
 	ticker := time.NewTicker(enterPoll)
 	defer ticker.Stop()
 	for {
-		record, _, ok := mtkernel.Need[*mtview.View](d.kernel, NameView).Now().Record(d.config.Settings.Name)
+		record, _, ok := mtkernel.MustLookup[*mtview.View](d.kernel, NameView).Now().Record(d.config.Settings.Name)
 		if !ok || record.State == state {
 			return
 		}
@@ -213,23 +213,23 @@
 // addPlanner starts the duty that plans, and the one that reports to whoever
 // does.
 func (d *Daemon) addPlanner() error {
-	clock := mtkernel.Need[*mttime.Clock](d.kernel, NameClock)
+	clock := mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock)
 	config := mtplanner.Config{
 		Self:  d.Self,
 		Stamp: d.Stamp,
 		Now:   clock.Now,
 		Log:   d.config.Log,
 		Seen: func(ref mtid.Ref, state *mtplan.State) {
-			mtkernel.Need[*figures](d.kernel, NameFigures).planned(clock.Now(), ref, state)
+			mtkernel.MustLookup[*figures](d.kernel, NameFigures).planned(clock.Now(), ref, state)
 		},
 	}
-	view := liveView{mtkernel.Need[*mtview.View](d.kernel, NameView)}
-	planner, stopPlanner, err := mtplanner.New(config, view, mtkernel.Need[mtstore.Store](d.kernel, NameStore), mtkernel.Need[*mtmover.Mover](d.kernel, NameMover))
+	view := liveView{mtkernel.MustLookup[*mtview.View](d.kernel, NameView)}
+	planner, stopPlanner, err := mtplanner.New(config, view, mtkernel.MustLookup[mtstore.Store](d.kernel, NameStore), mtkernel.MustLookup[*mtmover.Mover](d.kernel, NameMover))
 	if err != nil {
 		return err
 	}
-	link := loadLink{view: view, relay: mtkernel.Need[*mtrelay.Client](d.kernel, NameRelay)}
-	stopReporter, err := mtplanner.NewReporter(config, view, mtkernel.Need[*mtowner.Owner](d.kernel, NameOwner), link, planner)
+	link := loadLink{view: view, relay: mtkernel.MustLookup[*mtrelay.Client](d.kernel, NameRelay)}
+	stopReporter, err := mtplanner.NewReporter(config, view, mtkernel.MustLookup[*mtowner.Owner](d.kernel, NameOwner), link, planner)
 	if err != nil {
 		stopPlanner()
 		return err
--- a/io/mtdaemon/mtdaemon.go
+++ b/io/mtdaemon/mtdaemon.go
@@ -116,12 +116,12 @@
 
 // Self returns the present life of this daemon; zero while not registered.
 func (d *Daemon) Self() mtid.Holder {
-	return mtkernel.Need[*mtmember.Member](d.kernel, NameMember).Holder()
+	return mtkernel.MustLookup[*mtmember.Member](d.kernel, NameMember).Holder()
 }
 
 // Now returns the present instant of this daemon's clock.
 func (d *Daemon) Now() mtclock.Instant {
-	return mtkernel.Need[*mttime.Clock](d.kernel, NameClock).Now()
+	return mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock).Now()
 }
 
 // Stamp returns a stamp that no other write carries.
@@ -137,7 +137,7 @@
 
 // counter returns the function by which a duty counts under its own name.
 func (d *Daemon) counter(duty string) func(name string) {
-	metrics := mtkernel.Need[*mtmetric.Metrics](d.kernel, NameMetrics)
+	metrics := mtkernel.MustLookup[*mtmetric.Metrics](d.kernel, NameMetrics)
 	return func(name string) { metrics.Counter(duty, name).Add(1) }
 }
 
@@ -146,13 +146,13 @@
 
 // Counter returns the value of a duty's counter.
 func (d *Daemon) Counter(duty, name string) int64 {
-	return mtkernel.Need[*mtmetric.Metrics](d.kernel, NameMetrics).Counter(duty, name).Value()
+	return mtkernel.MustLookup[*mtmetric.Metrics](d.kernel, NameMetrics).Counter(duty, name).Value()
 }
 
 // observer returns the function that notes what came of a caller's request. It
 // keeps what it needs: the kernel's lookups are not for the path of a request.
 func (d *Daemon) observer() func(q *mtrequest.Request, reply *mtrequest.Reply, took time.Duration) {
-	metrics := mtkernel.Need[*mtmetric.Metrics](d.kernel, NameMetrics)
+	metrics := mtkernel.MustLookup[*mtmetric.Metrics](d.kernel, NameMetrics)
 	return func(q *mtrequest.Request, reply *mtrequest.Reply, took time.Duration) {
 		sample := mtmetric.Sample{
 			Service: q.Service, Class: q.Class, Outcome: reply.Outcome, Cause: reply.Cause,
@@ -172,7 +172,7 @@
 }
 
 func (d *Daemon) addRelay() error {
-	client, cleanUp := mtrelay.NewClient(mtkernel.Need[*credentialSet](d.kernel, NameKeys).client(), d.config.Settings.Body)
+	client, cleanUp := mtrelay.NewClient(mtkernel.MustLookup[*credentialSet](d.kernel, NameKeys).client(), d.config.Settings.Body)
 	return mtkernel.Register(d.kernel, NameRelay, client, cleanUp)
 }
 
@@ -181,9 +181,9 @@
 		Self:  d.config.Settings.Name,
 		Zone:  d.config.Settings.Zone,
 		Seeds: d.config.Settings.Seeds,
-		Store: mtkernel.Need[mtstore.Store](d.kernel, NameStore),
-		Peers: mtkernel.Need[*mtrelay.Client](d.kernel, NameRelay),
-		View:  mtkernel.Need[*mtview.View](d.kernel, NameView),
+		Store: mtkernel.MustLookup[mtstore.Store](d.kernel, NameStore),
+		Peers: mtkernel.MustLookup[*mtrelay.Client](d.kernel, NameRelay),
+		View:  mtkernel.MustLookup[*mtview.View](d.kernel, NameView),
 		Count: d.counter("sync"),
 		Log:   d.config.Log,
 	})
@@ -191,7 +191,7 @@
 }
 
 func (d *Daemon) addServers() error {
-	clock := mtkernel.Need[*mttime.Clock](d.kernel, NameClock)
+	clock := mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock)
 	pool := mtserver.NewPool(clock, d.config.Settings.Body, d.config.Log, d.offersChanged)
 	stop := mtduty.Every(expireEvery, func(context.Context) { pool.Expire(clock.Now()) })
 	return mtkernel.Register(d.kernel, NameServers, pool, stop)
@@ -200,8 +200,8 @@
 // listener returns the function that passes on what a datagram or a relayed
 // request says of a peer's copy of the live state.
 func (d *Daemon) listener() func(peer mtid.Daemon, frontier mtid.Revision) {
-	view := mtkernel.Need[*mtview.View](d.kernel, NameView)
-	sync := mtkernel.Need[*mtsync.Sync](d.kernel, NameSync)
+	view := mtkernel.MustLookup[*mtview.View](d.kernel, NameView)
+	sync := mtkernel.MustLookup[*mtsync.Sync](d.kernel, NameSync)
 	return func(peer mtid.Daemon, frontier mtid.Revision) {
 		if record, _, ok := view.Now().Record(peer); ok {
 			sync.Hint(record.Relay, frontier)
@@ -211,10 +211,10 @@
 
 func (d *Daemon) addPoison() error {
 	watch, cleanUp := mtpoison.New(mtpoison.Config{
-		Self:  mtkernel.Need[*mtmember.Member](d.kernel, NameMember).Holder,
-		View:  mtkernel.Need[*mtview.View](d.kernel, NameView),
-		Conns: mtkernel.Need[*mtrelay.Client](d.kernel, NameRelay),
-		Clock: mtkernel.Need[*mttime.Clock](d.kernel, NameClock),
+		Self:  mtkernel.MustLookup[*mtmember.Member](d.kernel, NameMember).Holder,
+		View:  mtkernel.MustLookup[*mtview.View](d.kernel, NameView),
+		Conns: mtkernel.MustLookup[*mtrelay.Client](d.kernel, NameRelay),
+		Clock: mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
 		Log:   d.config.Log,
 		Count: d.counter("poison"),
 	})
@@ -223,15 +223,15 @@
 
 func (d *Daemon) addOwner() error {
 	owner, cleanUp := mtowner.New(mtowner.Config{
-		View:    mtkernel.Need[*mtview.View](d.kernel, NameView),
-		Lease:   mtkernel.Need[*mtrenew.Duty](d.kernel, NameRenew),
-		Servers: mtkernel.Need[*mtserver.Pool](d.kernel, NameServers),
-		Clock:   mtkernel.Need[*mttime.Clock](d.kernel, NameClock),
+		View:    mtkernel.MustLookup[*mtview.View](d.kernel, NameView),
+		Lease:   mtkernel.MustLookup[*mtrenew.Duty](d.kernel, NameRenew),
+		Servers: mtkernel.MustLookup[*mtserver.Pool](d.kernel, NameServers),
+		Clock:   mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
 		Log:     d.config.Log,
-		Poison:  mtkernel.Need[*mtpoison.Watch](d.kernel, NamePoison),
+		Poison:  mtkernel.MustLookup[*mtpoison.Watch](d.kernel, NamePoison),
 		Quiet:   d.quiet,
 	})
-	mtkernel.Need[*mtsync.Sync](d.kernel, NameSync).OnChange(func(names []string) {
+	mtkernel.MustLookup[*mtsync.Sync](d.kernel, NameSync).OnChange(func(names []string) {
 		if slices.ContainsFunc(names, func(name string) bool { return strings.HasPrefix(name, mtstore.Shard) }) {
 			owner.Adopt()
 		}
@@ -241,24 +241,24 @@
 
 // quiet passes on that a stopped range has nothing in flight.
 func (d *Daemon) quiet(service mtid.Ref, low, high mtid.Point) {
-	mtkernel.Need[*mtmover.Mover](d.kernel, NameMover).Quiet(service, low, high)
+	mtkernel.MustLookup[*mtmover.Mover](d.kernel, NameMover).Quiet(service, low, high)
 }
 
 func (d *Daemon) addMover() error {
 	mover, cleanUp := mtmover.New(mtmover.Config{
 		Self:    d.Self,
 		Stamp:   d.Stamp,
-		View:    mtkernel.Need[*mtview.View](d.kernel, NameView),
-		Store:   mtkernel.Need[mtstore.Store](d.kernel, NameStore),
-		Gates:   mtkernel.Need[*mtowner.Owner](d.kernel, NameOwner),
-		Recents: mtkernel.Need[*mtowner.Owner](d.kernel, NameOwner),
-		Conns:   mtkernel.Need[*mtrelay.Client](d.kernel, NameRelay),
-		Offers:  mtkernel.Need[*mtserver.Pool](d.kernel, NameServers).Offers,
-		Clock:   mtkernel.Need[*mttime.Clock](d.kernel, NameClock),
+		View:    mtkernel.MustLookup[*mtview.View](d.kernel, NameView),
+		Store:   mtkernel.MustLookup[mtstore.Store](d.kernel, NameStore),
+		Gates:   mtkernel.MustLookup[*mtowner.Owner](d.kernel, NameOwner),
+		Recents: mtkernel.MustLookup[*mtowner.Owner](d.kernel, NameOwner),
+		Conns:   mtkernel.MustLookup[*mtrelay.Client](d.kernel, NameRelay),
+		Offers:  mtkernel.MustLookup[*mtserver.Pool](d.kernel, NameServers).Offers,
+		Clock:   mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
 		Log:     d.config.Log,
 		Count:   d.counter("move"),
 		Stopped: d.stopped.Record,
-		Refresh: mtkernel.Need[*mtsync.Sync](d.kernel, NameSync).Refresh,
+		Refresh: mtkernel.MustLookup[*mtsync.Sync](d.kernel, NameSync).Refresh,
 	})
 	return mtkernel.Register(d.kernel, NameMover, mover, cleanUp)
 }
@@ -266,14 +266,14 @@
 func (d *Daemon) addRouter() error {
 	router := mtrouter.New(mtrouter.Config{
 		Zone:   d.config.Settings.Zone,
-		Self:   mtkernel.Need[*mtmember.Member](d.kernel, NameMember).Holder,
-		View:   mtkernel.Need[*mtview.View](d.kernel, NameView),
-		Owner:  mtkernel.Need[*mtowner.Owner](d.kernel, NameOwner),
-		Peers:  mtkernel.Need[*mtrelay.Client](d.kernel, NameRelay),
-		Clock:  mtkernel.Need[*mttime.Clock](d.kernel, NameClock),
+		Self:   mtkernel.MustLookup[*mtmember.Member](d.kernel, NameMember).Holder,
+		View:   mtkernel.MustLookup[*mtview.View](d.kernel, NameView),
+		Owner:  mtkernel.MustLookup[*mtowner.Owner](d.kernel, NameOwner),
+		Peers:  mtkernel.MustLookup[*mtrelay.Client](d.kernel, NameRelay),
+		Clock:  mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
 		Retry:  mtretry.NewBudgeted(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		Poison: mtkernel.Need[*mtpoison.Watch](d.kernel, NamePoison),
-		Hint:   mtkernel.Need[*mtsync.Sync](d.kernel, NameSync).Hint,
+		Poison: mtkernel.MustLookup[*mtpoison.Watch](d.kernel, NamePoison),
+		Hint:   mtkernel.MustLookup[*mtsync.Sync](d.kernel, NameSync).Hint,
 		Count:  d.counter("route"),
 		Done:   d.observer(),
 	})
@@ -285,7 +285,7 @@
 func (d *Daemon) Run(ctx context.Context) error {
 	inner, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	d.kernel.Duty(func() error {
+	d.kernel.AddTask(func() error {
 		select {
 		case <-ctx.Done():
 			d.shutdown()
@@ -308,7 +308,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), finishTimeout)
 	defer cancel()
 	d.listeners.closeCallers(ctx)
-	mtkernel.Need[*mtowner.Owner](d.kernel, NameOwner).Drain(ctx)
+	mtkernel.MustLookup[*mtowner.Owner](d.kernel, NameOwner).Drain(ctx)
 	d.listeners.closePeers(ctx)
 	goneCtx, cancelGone := context.WithTimeout(context.Background(), goneTimeout)
 	defer cancelGone()
@@ -323,7 +323,7 @@
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	d.enter(ctx, mtroster.Leaving)
-	if err := mtkernel.Need[*mtmover.Mover](d.kernel, NameMover).Leave(ctx); err != nil {
+	if err := mtkernel.MustLookup[*mtmover.Mover](d.kernel, NameMover).Leave(ctx); err != nil {
 		d.config.Log.Warn("not all shards were handed over", "error", err)
 	}
 }
--- a/io/mtmember/keeper.go
+++ b/io/mtmember/keeper.go
@@ -212,7 +212,7 @@
 		k.shown = false
 		k.config.Lease.Vouch(k.called)
 	}
-	if k.config.Lease.Vouched().Sub(k.config.Clock.Now()) < mtlease.Vouch/2 && !k.own.Writing() {
+	if k.config.Lease.Vouched().Sub(k.config.Clock.Now()) < mtlease.ConfirmationTTL/2 && !k.own.Writing() {
 		_, version := k.own.Record()
 		k.own.Stale(version + 1)
 	}
@@ -297,7 +297,7 @@
 
 // choose returns the witnesses that the record should name: the present ones
 // that are good, and others in place of those that are not.
-func (k *keeper) choose(now mtclock.Instant, current *mtroster.Record, want mtlease.Want) []mtid.Holder {
+func (k *keeper) choose(now mtclock.Instant, current *mtroster.Record, want mtlease.Defects) []mtid.Holder {
 	if len(want.Lost) == 0 && now.Before(k.pairAt) && k.sound(current) {
 		return current.Witnesses
 	}
@@ -377,12 +377,12 @@
 			continue
 		}
 		peers = append(peers, mtwitness.Candidate{
-			Holder: r.Holder,
-			Zone:   r.Zone,
-			Region: r.Region,
-			Load:   load[r.Holder],
-			Mutual: slices.Contains(r.Witnesses, k.holder),
-			Single: single(r, near),
+			Holder:   r.Holder,
+			Zone:     r.Zone,
+			Region:   r.Region,
+			Load:     load[r.Holder],
+			Mutual:   slices.Contains(r.Witnesses, k.holder),
+			Unpaired: single(r, near),
 		})
 	}
 	return self, peers
--- a/io/mtmember/mtmember.go
+++ b/io/mtmember/mtmember.go
@@ -55,7 +55,7 @@
 	Close()
 	Vouch(since mtclock.Instant)
 	Vouched() mtclock.Instant
-	Wants() (mtlease.Want, []mtid.Holder)
+	Wants() (mtlease.Defects, []mtid.Holder)
 	Lapsed(mtid.Holder) bool
 	Revoke(mtwitness.Request) mtwitness.Reply
 }
--- a/io/mtmember/taker.go
+++ b/io/mtmember/taker.go
@@ -59,7 +59,7 @@
 	m.counters.Suspicions.Add(1)
 	t := mttakeover.New(j.record, j.version)
 	for _, w := range j.silent {
-		t.Silent(w)
+		t.CountAsAgreed(w)
 	}
 	end := m.config.Clock.Steady().Add(patience)
 	for !m.config.Clock.Steady().After(end) {
@@ -84,7 +84,7 @@
 // writeRevoked writes the record that fences a life, and tells t what stands.
 // It returns false if the store can't be reached.
 func (m *Member) writeRevoked(t *mttakeover.Takeover) bool {
-	record := t.Revoked(m.stamp())
+	record := t.RevokedRecord(m.stamp())
 	value, err := record.Encode()
 	if err != nil {
 		m.config.Log.Error("member: record can't be written", "target", t.Target(), "err", err)
@@ -108,7 +108,7 @@
 	if err != nil {
 		return false
 	}
-	t.Seen(current, entry.Version)
+	t.Observe(current, entry.Version)
 	m.fenced.Store(current.Holder.Daemon, current)
 	m.wrote(entry.Name, entry.Version, entry.Value)
 	return true
--- a/io/mtmember/watcher.go
+++ b/io/mtmember/watcher.go
@@ -51,7 +51,7 @@
 func newWatcher(m *Member) *watcher {
 	return &watcher{
 		Member:   m,
-		queue:    mttakeover.Queue{Every: takeoverEvery, Burst: takeoverBurst},
+		queue:    mttakeover.Queue{Interval: takeoverEvery, Burst: takeoverBurst},
 		suspects: make(map[mtid.Holder]*suspicion),
 		orphans:  make(map[mtid.Holder]mtclock.Instant),
 		last:     m.config.Clock.Steady(),
@@ -62,10 +62,10 @@
 func (w *watcher) run() {
 	for w.sleep(watchTick) {
 		now := w.config.Clock.Steady()
-		if now.Sub(w.last) > watchTick+mtlease.LateWake {
+		if now.Sub(w.last) > watchTick+mtlease.MaxTimerDelay {
 			// This process was paused, and the asks of its peers wait unread:
 			// it was deaf, they were not silent.
-			w.quiet = now.Add(mtlease.Guard)
+			w.quiet = now.Add(mtlease.WitnessLength)
 		}
 		w.last = now
 		if now.Before(w.quiet) || w.Holder().IsZero() {
@@ -127,7 +127,7 @@
 
 // suspect queues the takeover of a daemon when it is this one's turn.
 func (w *watcher) suspect(now mtclock.Instant, record *mtroster.Record, roster mttakeover.Roster) {
-	delay, ok := mttakeover.Turn(w.config.Profile.Daemon, record, roster)
+	delay, ok := mttakeover.StartDelay(w.config.Profile.Daemon, record, roster)
 	if !ok {
 		return
 	}
@@ -172,7 +172,7 @@
 func (w *watcher) silent(now mtclock.Instant, record *mtroster.Record) []mtid.Holder {
 	var silent []mtid.Holder
 	for _, o := range record.Witnesses {
-		if w.fences.Silent(now, o) {
+		if w.fences.PromisesExpired(now, o) {
 			silent = append(silent, o)
 		}
 	}
@@ -206,7 +206,7 @@
 		if _, due := mttakeover.Failover(table, roster); !due {
 			continue
 		}
-		if delay, mine := mttakeover.ChunkTurn(w.config.Profile.Daemon, table, roster); mine {
+		if delay, mine := mttakeover.FailoverDelay(w.config.Profile.Daemon, table, roster); mine {
 			return chunkTime + 4*delay, true
 		}
 	}
--- a/io/mtmesh/commit.go
+++ b/io/mtmesh/commit.go
@@ -29,7 +29,7 @@
 // delegate leaves changes of owners to the first source, which writes for all. It returns
 // false if that is this daemon, or nobody can be asked.
 func (m *Mesh) delegate(ctx context.Context, b mtrange.Batch) ([]mtrange.Outcome, bool) {
-	peers := mtkernel.Need[*mtforward.Client](m.kernel, NamePeers)
+	peers := mtkernel.MustLookup[*mtforward.Client](m.kernel, NamePeers)
 	writer, ok := m.learner.tree().First()
 	if !ok || writer.Daemon == m.config.Daemon || b.Record == 0 || peers.Silent(writer.Address) {
 		return nil, false
@@ -55,7 +55,7 @@
 
 // commitFor writes changes of owners on behalf of another daemon.
 func (m *Mesh) commitFor(ctx context.Context, b mtrange.Batch) ([]mtrange.Outcome, mtstore.Entry) {
-	outcomes := mtkernel.Need[*mtcommit.Committer](m.kernel, NameCommitter).Gather(ctx, b)
+	outcomes := mtkernel.MustLookup[*mtcommit.Committer](m.kernel, NameCommitter).Gather(ctx, b)
 	assignment, ok := m.directory.Load().Now().Assignments[b.Service]
 	if !ok {
 		return outcomes, mtstore.Entry{}
--- a/io/mtmesh/learn.go
+++ b/io/mtmesh/learn.go
@@ -294,7 +294,7 @@
 		m.config.Log.Error("word of an assignment can't be encoded", "service", a.Service, "error", err)
 		return
 	}
-	peers := mtkernel.Need[*mtforward.Client](m.kernel, NamePeers)
+	peers := mtkernel.MustLookup[*mtforward.Client](m.kernel, NamePeers)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
 		defer cancel()
--- a/io/mtmesh/mtmesh.go
+++ b/io/mtmesh/mtmesh.go
@@ -159,16 +159,16 @@
 }
 
 // Host returns the backend server on this VM.
-func (m *Mesh) Host() *mthost.Host { return mtkernel.Need[*mthost.Host](m.kernel, NameHost) }
+func (m *Mesh) Host() *mthost.Host { return mtkernel.MustLookup[*mthost.Host](m.kernel, NameHost) }
 
 // Ingress returns the way in for callers.
 func (m *Mesh) Ingress() *mtingress.Ingress {
-	return mtkernel.Need[*mtingress.Ingress](m.kernel, NameIngress)
+	return mtkernel.MustLookup[*mtingress.Ingress](m.kernel, NameIngress)
 }
 
 // Metrics returns the figures of the daemon.
 func (m *Mesh) Metrics() *mtmetric.Metrics {
-	return mtkernel.Need[*mtmetric.Metrics](m.kernel, NameMetrics)
+	return mtkernel.MustLookup[*mtmetric.Metrics](m.kernel, NameMetrics)
 }
 
 // Kernel returns the services, for more duties.
@@ -177,7 +177,7 @@
 // Ready reports whether callers should be sent here: a configuration is in
 // force, the other servers are known, and the daemon does not shut down.
 func (m *Mesh) Ready() bool {
-	directory := mtkernel.Need[*mtdirectory.Directory](m.kernel, NameDirectory)
+	directory := mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory)
 	return m.ready.Load() && m.Ingress().Configuration() != nil && directory.Now().Revision != 0
 }
 
@@ -189,7 +189,7 @@
 
 func (m *Mesh) addMetrics() error {
 	metrics, cleanUp := mtmetric.New()
-	clock := mtkernel.Need[*mttime.Clock](m.kernel, NameClock)
+	clock := mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock)
 	m.record = newRecorder(metrics, clock, m.config.Service, m.config.Log, func() (configuration, seen mtid.Version) {
 		news := m.tell()
 		return news.Config, news.Seen
@@ -198,7 +198,7 @@
 }
 
 func (m *Mesh) addPeers() error {
-	client, cleanUp := mtforward.NewClient(mtkernel.Need[*mttime.Clock](m.kernel, NameClock), m.exchange())
+	client, cleanUp := mtforward.NewClient(mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock), m.exchange())
 	return mtkernel.Register(m.kernel, NamePeers, client, cleanUp)
 }
 
@@ -207,8 +207,8 @@
 		self:      m.config.Daemon,
 		zone:      m.config.Zone,
 		store:     m.config.Store,
-		peers:     mtkernel.Need[*mtforward.Client](m.kernel, NamePeers),
-		clock:     mtkernel.Need[*mttime.Clock](m.kernel, NameClock),
+		peers:     mtkernel.MustLookup[*mtforward.Client](m.kernel, NamePeers),
+		clock:     mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock),
 		certainty: m.certainty,
 		stirred:   m.certainty.stirred,
 		paused:    make(map[string]time.Time),
@@ -220,7 +220,7 @@
 	directory, cleanUp := mtdirectory.New(mtdirectory.Config{
 		Self:   m.config.Daemon,
 		Store:  m.config.Store,
-		Clock:  mtkernel.Need[*mttime.Clock](m.kernel, NameClock),
+		Clock:  mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock),
 		Lease:  m.config.Lease,
 		Log:    m.config.Log,
 		Source: m.learner,
@@ -237,8 +237,8 @@
 // addHost adds the backend server on this VM and the grants of its keys, which
 // need each other.
 func (m *Mesh) addHost() error {
-	clock := mtkernel.Need[*mttime.Clock](m.kernel, NameClock)
-	directory := mtkernel.Need[*mtdirectory.Directory](m.kernel, NameDirectory)
+	clock := mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock)
+	directory := mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory)
 	client, closeClient := iobackend.New(iobackend.Config{Names: m.config.Names, Clock: clock, Slowness: m.config.Slowness})
 	if err := mtkernel.Register(m.kernel, NameClient, client, closeClient); err != nil {
 		return err
@@ -285,7 +285,7 @@
 		Standings: m.standings,
 		Survey:    m.survey,
 		Inform:    m.inform,
-		Committer: mtkernel.Need[*mtcommit.Committer](m.kernel, NameCommitter),
+		Committer: mtkernel.MustLookup[*mtcommit.Committer](m.kernel, NameCommitter),
 		Delegate:  m.delegate,
 	})
 	grants.Store(held)
@@ -347,14 +347,14 @@
 }
 
 func (m *Mesh) addIngress() error {
-	clock := mtkernel.Need[*mttime.Clock](m.kernel, NameClock)
+	clock := mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock)
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	sender := mtingress.NewSender(mtingress.SenderConfig{
 		Self:      m.config.Daemon,
 		Zone:      m.config.Zone,
-		Directory: mtkernel.Need[*mtdirectory.Directory](m.kernel, NameDirectory),
+		Directory: mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory),
 		Host:      m.Host(),
-		Peers:     mtkernel.Need[*mtforward.Client](m.kernel, NamePeers),
+		Peers:     mtkernel.MustLookup[*mtforward.Client](m.kernel, NamePeers),
 		Clock:     clock,
 		Steady:    clock.Steady,
 		Log:       m.config.Log,
@@ -376,7 +376,7 @@
 
 // addSums adds the duty that sums up what became of requests.
 func (m *Mesh) addSums() error {
-	grants := mtkernel.Need[*mtgrant.Grants](m.kernel, NameGrants)
+	grants := mtkernel.MustLookup[*mtgrant.Grants](m.kernel, NameGrants)
 	stop := mtduty.Every(tallyEvery, func(context.Context) { m.record.sum(m.Host().Load(), grants.TakeMoved(), m.calls()) })
 	return mtkernel.Register(m.kernel, NameSums, stop, stop)
 }
@@ -419,7 +419,7 @@
 		grpc.InitialWindowSize(mtforward.Window), grpc.InitialConnWindowSize(mtforward.Window),
 		grpc.ReadBufferSize(peerBuffer), grpc.WriteBufferSize(peerBuffer), grpc.SharedWriteBuffer(true))
 	mtforward.Register(m.peers, mtforward.Server{
-		Host: m.Host(), Clock: mtkernel.Need[*mttime.Clock](m.kernel, NameClock), News: m.exchange(), Teach: m.learner.teach, Inform: m.directory.Load().Inform, Commit: m.commitFor,
+		Host: m.Host(), Clock: mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock), News: m.exchange(), Teach: m.learner.teach, Inform: m.directory.Load().Inform, Commit: m.commitFor,
 	})
 	go func() {
 		if err := m.peers.Serve(peers); err != nil {
@@ -444,7 +444,7 @@
 func (m *Mesh) Run(ctx context.Context) error {
 	inner, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	m.kernel.Duty(func() error {
+	m.kernel.AddTask(func() error {
 		select {
 		case <-ctx.Done():
 			m.shutdown()
@@ -460,7 +460,7 @@
 
 // shutdown lets everybody go elsewhere before it ends what is left.
 func (m *Mesh) shutdown() {
-	clock := mtkernel.Need[*mttime.Clock](m.kernel, NameClock)
+	clock := mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock)
 	left := m.config.Grace - spare
 	end := time.Now().Add(left)
 	m.config.Log.Info("stopping", "grace", m.config.Grace)
--- a/io/mtmesh/news.go
+++ b/io/mtmesh/news.go
@@ -110,7 +110,7 @@
 // it has what the watch has not brought, the watch is deaf, and others that learn from it
 // with it.
 func (m *Mesh) refresh() {
-	directory := mtkernel.Need[*mtdirectory.Directory](m.kernel, NameDirectory)
+	directory := mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory)
 	begun, before := m.steady(), m.tell().Config
 	read, err := m.config.Refresh()
 	if err != nil {
@@ -130,14 +130,14 @@
 
 // steady returns the instant by which ages are counted.
 func (m *Mesh) steady() mtclock.Instant {
-	return mtkernel.Need[*mttime.Clock](m.kernel, NameClock).Now()
+	return mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock).Now()
 }
 
 // doubtRecords reads everything anew if nothing has brought the newer records.
 func (m *Mesh) doubtRecords(theirs mtforward.News) {
 	if own := m.tell(); own.Seen < theirs.Seen {
 		m.config.Log.Warn("another daemon has seen newer records", "own", uint64(own.Seen), "newest", uint64(theirs.Seen))
-		mtkernel.Need[*mtdirectory.Directory](m.kernel, NameDirectory).Resync()
+		mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory).Resync()
 	}
 }
 
@@ -180,8 +180,8 @@
 
 // spread tells all other daemons what this one has seen.
 func (m *Mesh) spread() {
-	peers := mtkernel.Need[*mtforward.Client](m.kernel, NamePeers)
-	for name, member := range mtkernel.Need[*mtdirectory.Directory](m.kernel, NameDirectory).Now().Members {
+	peers := mtkernel.MustLookup[*mtforward.Client](m.kernel, NamePeers)
+	for name, member := range mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory).Now().Members {
 		if name == m.config.Daemon || member.Lapsed {
 			continue
 		}
--- a/io/mtmesh/standing.go
+++ b/io/mtmesh/standing.go
@@ -31,9 +31,9 @@
 
 // standings returns what is known of the servers of this VM's service.
 func (m *Mesh) standings() (self mtrange.Standing, others []mtrange.Standing) {
-	view := mtkernel.Need[*mtdirectory.Directory](m.kernel, NameDirectory).Now()
-	peers := mtkernel.Need[*mtforward.Client](m.kernel, NamePeers)
-	now := mtkernel.Need[*mttime.Clock](m.kernel, NameClock).Now()
+	view := mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory).Now()
+	peers := mtkernel.MustLookup[*mtforward.Client](m.kernel, NamePeers)
+	now := mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock).Now()
 	var shares map[mtrange.Owner]int
 	if assignment := view.Assignments[m.config.Service]; assignment.Table != nil {
 		shares = assignment.Shares()
@@ -60,10 +60,10 @@
 
 // survey asks some servers of this VM's service for their load.
 func (m *Mesh) survey(ctx context.Context) {
-	peers := mtkernel.Need[*mtforward.Client](m.kernel, NamePeers)
-	now := mtkernel.Need[*mttime.Clock](m.kernel, NameClock).Now()
+	peers := mtkernel.MustLookup[*mtforward.Client](m.kernel, NamePeers)
+	now := mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock).Now()
 	var stale []mtdirectory.Member
-	for _, member := range mtkernel.Need[*mtdirectory.Directory](m.kernel, NameDirectory).Now().Serving(m.config.Service) {
+	for _, member := range mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory).Now().Serving(m.config.Service) {
 		if member.Daemon == m.config.Daemon {
 			continue
 		}
--- a/io/mtrenew/exchange.go
+++ b/io/mtrenew/exchange.go
@@ -84,7 +84,7 @@
 // wake returns the present instant, after the late-wake rule.
 func (d *Duty) wake() mtclock.Instant {
 	now := d.config.Clock.Now()
-	if d.lease != nil && d.due != 0 && d.lease.Wake(now, d.due) {
+	if d.lease != nil && d.due != 0 && d.lease.TimerFired(now, d.due) {
 		d.counters.LateWakes.Add(1)
 		d.due = 0
 		d.publish()
@@ -151,7 +151,7 @@
 // asks answers a peer, together with this daemon's own ask where one is about
 // due, or with the next one.
 func (d *Duty) asks(from mtid.Holder, m *mtwire.Renew, source netip.AddrPort) {
-	answer := d.witness.Renew(d.config.Clock.Steady(), from, mtlease.Ask{
+	answer := d.witness.Renew(d.config.Clock.Steady(), from, mtlease.RenewRequest{
 		Sequence: m.GetSequence(),
 		Witness:  mtid.Holder{Daemon: d.config.Self, Incarnation: mtid.Incarnation(m.GetToIncarnation())},
 		Version:  mtid.Version(m.GetAsk()),
@@ -187,7 +187,7 @@
 	record, _, ok := d.config.View.Record(w.Daemon)
 	now := d.config.Clock.Now()
 	d.asked[w] = now
-	ask, asks := d.lease.Ask(now, w, d.sequence+1)
+	ask, asks := d.lease.NewRequest(now, w, d.sequence+1)
 	if !ok || !asks {
 		return
 	}
@@ -233,7 +233,7 @@
 }
 
 // message returns the next datagram to a peer.
-func (d *Duty) message(to mtid.Holder, ask *mtlease.Ask, answer *mtlease.Answer) *mtwire.Renew {
+func (d *Duty) message(to mtid.Holder, ask *mtlease.RenewRequest, answer *mtlease.Answer) *mtwire.Renew {
 	d.sequence++
 	m := &mtwire.Renew{
 		From:          string(d.config.Self),
--- a/io/mtrenew/mtrenew.go
+++ b/io/mtrenew/mtrenew.go
@@ -249,7 +249,7 @@
 // that was sent at since: the life stood then. A witness without a valid lease
 // of its own promises only for a while after that.
 func (d *Duty) Vouch(since mtclock.Instant) {
-	d.change(func() { d.vouched = max(d.vouched, since.Add(mtlease.Vouch)) })
+	d.change(func() { d.vouched = max(d.vouched, since.Add(mtlease.ConfirmationTTL)) })
 }
 
 // Vouched returns until when this life is known to stand.
@@ -309,14 +309,14 @@
 
 // Wants says what is wrong with the current set, and which witnesses of the
 // proposal gave no promise in time.
-func (d *Duty) Wants() (want mtlease.Want, doubtful []mtid.Holder) {
+func (d *Duty) Wants() (want mtlease.Defects, doubtful []mtid.Holder) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.lease == nil {
-		return mtlease.Want{}, nil
+		return mtlease.Defects{}, nil
 	}
 	now := d.config.Clock.Now()
-	return d.lease.Wants(now), d.lease.Doubtful(now)
+	return d.lease.Defects(now), d.lease.Unpromised(now)
 }
 
 // Lapsed reports whether this daemon, as a witness, would agree to a takeover
@@ -375,6 +375,6 @@
 	until := d.lease.Until()
 	d.permit.Store(&permit{holder: d.lease.Holder(), until: until})
 	if until > 0 {
-		d.vouched = max(d.vouched, until.Add(mtlease.Vouch))
+		d.vouched = max(d.vouched, until.Add(mtlease.ConfirmationTTL))
 	}
 }
