--- a/core/mtgate/bench_test.go
+++ b/core/mtgate/bench_test.go
@@ -8,7 +8,7 @@
 	"magnoliaturn/core/mtgate"
 )
 
-// BenchmarkIdle is a request that finds a free slot.
+// BenchmarkIdle measures a request that finds a free slot.
 func BenchmarkIdle(b *testing.B) {
 	g := newGate(12)
 	n := 0
@@ -21,7 +21,7 @@
 	}
 }
 
-// BenchmarkOverload is a request at a gate whose slots are taken and whose
+// BenchmarkOverload measures a request at a gate whose slots are in use and whose
 // queues are full.
 func BenchmarkOverload(b *testing.B) {
 	g := mtgate.New(mtgate.NewFair(mtgate.DefaultGuaranteed), mtgate.Limits{Slots: 12, Connections: 12, Patience: 1})
--- a/core/mtgate/flow.go
+++ b/core/mtgate/flow.go
@@ -19,68 +19,68 @@
 	Class    mtid.Class
 }
 
-// Flow is the state of one class of one business at the gate.
+// Flow holds the limits, queue and counters of one class of one business.
 type Flow struct {
 	Key      FlowKey
-	Share    float64 // weight among the flows, above zero
-	Priority int     // the lowest gives way first
-	Queue    int     // requests that may wait
+	Share    float64 // weight among the flows, greater than zero
+	Priority int     // requests of the lowest priority are shed first
+	Queue    int     // maximum number of waiting requests
 	Counts   FlowCounts
 
-	limiter *rate.Limiter // nil is no limit
+	limiter *rate.Limiter // nil means no limit
 	queue   []*Entry
-	// interval is a moving average of the time between two starts while
-	// requests of the flow waited: what one place in the queue costs.
-	interval  time.Duration
-	lastStart mtclock.Instant
-	// service is a moving average of how long its requests run, and usual what
-	// stands in for it until one has ended.
-	service time.Duration
-	usual   time.Duration
-	// slow is how much longer requests take at the moment than they do on average, as a
-	// multiple; zero stands for one.
-	slow   float64
-	finish float64 // start-time fair queuing: finish tag of the last start
-	tenant *tenant // its business, under Fair
+	// startInterval is a moving average of the time between two starts while
+	// requests of the flow were waiting: the estimated wait per queue position.
+	startInterval time.Duration
+	lastStart     mtclock.Instant
+	// service is a moving average of the service time, and expectedService the
+	// value used until the first request has ended.
+	service         time.Duration
+	expectedService time.Duration
+	// slowdown is the current service time as a multiple of the average; zero
+	// means one.
+	slowdown float64
+	finish   float64 // finish tag of the last start, for start-time fair queuing
+	tenant   *tenant // the flow's business; set by Fair
 }
 
-// Entry is one request at the gate.
+// Entry is a waiting or running request of the gate.
 type Entry struct {
-	Ticket  Ticket
-	Flow    *Flow
-	Arrival mtclock.Instant
-	Started mtclock.Instant
-	GiveUp  mtclock.Instant // refused then if it still waits
-	held    *stop
-	late    bool // started although it could not meet its objective, under Urgent
+	Ticket      Ticket
+	Flow        *Flow
+	Arrival     mtclock.Instant
+	Started     mtclock.Instant
+	GiveUp      mtclock.Instant // the request is refused if it still waits then
+	heldBy      *stoppedRange
+	startedLate bool // started after it could no longer meet its objective; set by Urgent
 }
 
-// service returns how long the entry is expected to run.
+// service returns the expected service time of the request.
 func (e *Entry) service() time.Duration {
 	f := e.Flow
 	service := f.service
 	if service == 0 {
-		service = f.usual
+		service = f.expectedService
 	}
-	if f.slow == 0 {
+	if f.slowdown == 0 {
 		return service
 	}
-	return time.Duration(float64(service) * f.slow)
+	return time.Duration(float64(service) * f.slowdown)
 }
 
 // FlowCounts are the counters of a flow, for load reports and metrics. They
-// only grow.
+// never decrease.
 type FlowCounts struct {
 	Offered uint64
 	Started uint64
 	Ended   uint64
 	Refused map[mtreply.Cause]uint64
-	Waited  time.Duration // by those that started
-	Ran     time.Duration // by those that ended
+	Waited  time.Duration // total wait of the requests that started
+	Ran     time.Duration // total service time of the requests that ended
 }
 
-// Counts are the counters of a gate. Busy only grows; divided by time and
-// slots it is the load.
+// Counts are the counters of a gate. Busy never decreases; its increase divided
+// by elapsed time and slots is the utilization.
 type Counts struct {
 	Running int
 	Waiting int
@@ -88,13 +88,13 @@
 	Flows   map[FlowKey]FlowCounts
 }
 
-// rateBurst is how much of its rate a class may use at once.
+// rateBurst is the burst that a class's rate limit allows, as time at that rate.
 const rateBurst = 250 * time.Millisecond
 
-// averaging is the weight of a new value in the moving averages: one over it.
-const averaging = 8
+// averagingDivisor is the inverse of a new sample's weight in the moving averages.
+const averagingDivisor = 8
 
-// newFlow returns the flow of a class that no bundle has declared yet.
+// newFlow returns a flow with the defaults for a class that no bundle has declared.
 func newFlow(key FlowKey) *Flow {
 	return &Flow{
 		Key:    key,
@@ -104,7 +104,7 @@
 	}
 }
 
-// declare sets the limits of the flow. An empty field takes its default.
+// declare sets the limits of the flow. Zero fields take their defaults.
 func (f *Flow) declare(class mtbundle.Class) {
 	f.Priority = class.Priority
 	f.Share = DefaultShare
@@ -118,8 +118,8 @@
 	f.limit(class.Rate)
 }
 
-// limit sets the flow's rate, in requests a second. The same rate again keeps
-// the tokens that are left.
+// limit sets the rate limit of the flow in requests per second. Setting the same
+// rate again keeps the remaining tokens.
 func (f *Flow) limit(perSecond float64) {
 	if perSecond <= 0 {
 		f.limiter = nil
@@ -132,9 +132,9 @@
 	f.limiter = rate.NewLimiter(rate.Limit(perSecond), burst)
 }
 
-// limited takes a token and returns zero, or takes none and returns how long
-// until there is one.
-func (f *Flow) limited(now mtclock.Instant) time.Duration {
+// takeToken takes a token and returns zero. If there is none, it returns the time
+// until the next one.
+func (f *Flow) takeToken(now mtclock.Instant) time.Duration {
 	if f.limiter == nil {
 		return 0
 	}
@@ -147,24 +147,24 @@
 	return wait
 }
 
-// Waiting returns how many of its requests wait in order.
+// Waiting returns how many requests wait in the flow's queue.
 func (f *Flow) Waiting() int { return len(f.queue) }
 
-// started notes that e has started.
+// started updates the counters and averages for the start of e.
 func (f *Flow) started(now mtclock.Instant, e *Entry) {
 	f.Counts.Started++
 	f.Counts.Waited += now.Sub(e.Arrival)
-	// Only the time in which the flow had something waiting tells what a place
-	// in its queue costs: counted from the last start or from the arrival of
-	// what starts now, whichever came later.
+	// The average covers only the time in which a request of the flow was
+	// waiting, which starts at the later of the last start and the arrival of
+	// the request that starts now.
 	since := max(f.lastStart, e.Arrival)
 	if now.After(since) || len(f.queue) > 0 {
-		f.interval += (now.Sub(since) - f.interval) / averaging
+		f.startInterval += (now.Sub(since) - f.startInterval) / averagingDivisor
 	}
 	f.lastStart = now
 }
 
-// ended notes that one of its requests ran for that long.
+// ended updates the counters and averages for a request with this service time.
 func (f *Flow) ended(ran time.Duration) {
 	f.Counts.Ended++
 	f.Counts.Ran += ran
@@ -172,13 +172,13 @@
 		f.service = ran
 		return
 	}
-	f.service += (ran - f.service) / averaging
+	f.service += (ran - f.service) / averagingDivisor
 }
 
-// refused notes a refusal.
+// refused counts a refusal.
 func (f *Flow) refused(cause mtreply.Cause) { f.Counts.Refused[cause]++ }
 
-// Counts returns the counters of the gate.
+// Counts returns a copy of the gate's counters.
 func (g *Gate[O]) Counts() Counts {
 	c := g.counts
 	c.Running = len(g.running)
@@ -195,13 +195,13 @@
 	return c
 }
 
-// Busy returns how many requests are in flight and how many wait. It is for each
-// request, where Counts is for metrics.
+// Busy returns the numbers of running and waiting requests. Unlike Counts it is
+// cheap enough to call for each request.
 func (g *Gate[O]) Busy() (running, waiting int) { return len(g.running), len(g.waiting) }
 
-// inOrder returns all that waits, by arrival. Maps have no order, and effects
-// must come in the same one from the same events.
-func (g *Gate[O]) inOrder() []*Entry {
+// byArrival returns all waiting entries in order of arrival. Map iteration order
+// is random, and the same events have to give the same effects in the same order.
+func (g *Gate[O]) byArrival() []*Entry {
 	entries := make([]*Entry, 0, len(g.waiting))
 	for _, e := range g.waiting {
 		entries = append(entries, e)
@@ -212,7 +212,7 @@
 	return entries
 }
 
-// without returns entries less e, in the same order.
+// without removes e from entries and keeps the order of the others.
 func without(entries []*Entry, e *Entry) []*Entry {
 	i := slices.Index(entries, e)
 	if i < 0 {
--- a/core/mtgate/mtgate.go
+++ b/core/mtgate/mtgate.go
@@ -1,22 +1,21 @@
-// Package mtgate decides, at the owner's daemon, which requests its backend
-// server runs, which wait, and which are refused.
+// Package mtgate is the admission control of a backend server. The owner's daemon
+// uses it to decide which requests the server runs, which wait, and which are
+// refused.
 //
-// A Gate is a state machine without clock or goroutine. Each call takes the
-// present time and returns what is to be done: start a request, refuse one, or
-// report that a range or the whole gate has nothing in flight any more.
+// A Gate is a state machine without a clock or goroutines. Each call takes the
+// current time and returns effects for the caller to carry out: start a request,
+// refuse one, or note that a range or the whole gate has no requests in flight.
 //
-// The backend server's slots and connections are hard limits: never more
-// requests are in flight than the smaller of the two. What finds no free slot
-// waits in a bounded queue per business and class. The Order decides which of
-// the waiting ones starts next and which gives way when there is no room. Fair
-// is the order meant for service, FIFO the plain one that it is measured
-// against.
+// The backend server's slots and connections are hard limits: the number of
+// requests in flight never exceeds the smaller of the two. A request that finds no
+// free slot waits in a bounded queue per business and class. The Order decides
+// which waiting request starts next and which one is shed when the gate is full.
+// Fair is an order for production, FIFO the baseline for comparison.
 //
-// A request that will not start in time is refused as soon as that can be told,
-// with the time after which asking again makes sense: on arrival if the queue
-// ahead of it is too long, and else once it has waited for its share (Patience)
-// of the time that its caller gave. Every refusal of this package means that
-// the request was not run.
+// A request that won't start in time is refused as early as possible, with a time
+// to retry after: on arrival if the queue ahead of it is too long, otherwise once
+// it has waited for a fraction (Patience) of the time to its deadline. Every
+// refusal of this package means that the request was not run.
 //
 // # Usage
 //
@@ -25,15 +24,15 @@
 //	effects := gate.Offer(now, ticket)
 //	for _, effect := range effects {
 //		switch e := effect.(type) {
-//		case mtgate.Start:  // send e.Ticket to the backend server, later gate.Done
-//		case mtgate.Refuse: // answer e.Ticket's caller with e.Err
-//		case mtgate.Quiet:  // nothing is in flight in a stopped range
-//		case mtgate.Idle:   // nothing is in flight after Drain
+//		case mtgate.Start:  // send e.Ticket to the backend server, later call gate.Done
+//		case mtgate.Refuse: // reply to e.Ticket's caller with e.Err
+//		case mtgate.Quiet:  // a stopped range has no requests in flight
+//		case mtgate.Idle:   // a drained gate has no requests in flight
 //		}
 //	}
-//	at, ok := gate.Next() // call gate.Expire then
+//	at, ok := gate.Next() // call gate.Expire at that time
 //
-// A Gate isn't safe for concurrent use: one duty owns it.
+// A Gate isn't safe for concurrent use.
 package mtgate
 
 import (
@@ -45,47 +44,47 @@
 	"magnoliaturn/core/mtreply"
 )
 
-// Number tells the tickets of one gate apart. The caller of the gate chooses
-// it; no two live tickets have the same one.
+// Number identifies a ticket within a gate. The caller chooses it; it must be
+// unique among the waiting and running requests.
 type Number uint64
 
-// Ticket is a request as the gate sees it.
+// Ticket holds the properties of a request that matter for admission.
 type Ticket struct {
 	Number   Number
 	Business mtid.Business
 	Class    mtid.Class
 	Point    mtid.Point
 	Deadline mtclock.Instant
-	// Objective is until when an answer is worth most; zero is the deadline.
+	// Objective is the time by which the request should be answered; zero means
+	// the deadline.
 	Objective mtclock.Instant
-	// Nested says that another backend server waits for this request, with a
-	// slot of its own taken.
+	// Nested is set if another backend server waits for this request and occupies
+	// a slot meanwhile.
 	Nested bool
-	// Alone asks that nothing else is in flight while the request runs. It is
-	// set for a request that is suspected of crashing backend servers, so that
-	// a second crash can't be laid at the door of another request.
+	// Alone requires that nothing else is in flight while the request runs. It is
+	// set for a request that is suspected of crashing backend servers, so that a
+	// second crash can't be attributed to any other request.
 	Alone bool
 }
 
-// Effect is what the caller of the gate has to do: Start, Refuse, Quiet, Idle.
+// Effect is an action for the caller of the gate: Start, Refuse, Quiet or Idle.
 type Effect interface{ effect() }
 
-// Start asks to send the ticket's request to the backend server now, and to
-// call Done when it has ended, whatever its end.
+// Start means that the request is to be sent to the backend server now. Done must
+// be called when it has ended, with whatever outcome.
 type Start struct{ Ticket Ticket }
 
-// Refuse asks to answer the ticket's caller. The request was not run.
+// Refuse means that the caller is to receive Err. The request was not run.
 type Refuse struct {
 	Ticket Ticket
 	Err    *mtreply.RefusedError
 }
 
-// Quiet reports that no request is in flight in a range that was stopped. It
-// is given once per Stop.
+// Quiet reports that a stopped range has no requests in flight. It is emitted once
+// per Stop.
 type Quiet struct{ Low, High mtid.Point }
 
-// Idle reports that nothing is in flight any more after Drain. It is given
-// once.
+// Idle reports that no requests are in flight after Drain. It is emitted once.
 type Idle struct{}
 
 func (Start) effect()  {}
@@ -93,17 +92,17 @@
 func (Quiet) effect()  {}
 func (Idle) effect()   {}
 
-// Limits are what the backend server takes and the gate holds.
+// Limits are the capacities of the backend server and of the gate.
 type Limits struct {
-	Slots       int // requests that the backend server runs at once
-	Connections int // connections that it takes; one is needed per request in flight
-	Waiting     int // requests that may wait at the gate in all
-	// Patience is the part of a request's time that it may spend waiting. Half
-	// leaves its caller time to go elsewhere after a refusal.
+	Slots       int // maximum number of requests that the backend server runs at once
+	Connections int // maximum number of connections to it; each request in flight uses one
+	Waiting     int // maximum number of requests that wait at the gate
+	// Patience is the fraction of the time to its deadline that a request may
+	// wait. Half leaves its caller time to retry at another server after a refusal.
 	Patience float64
 }
 
-// Defaults of Limits and of flows that Declare did not name.
+// Defaults of Limits, and of flows that were not declared.
 const (
 	DefaultWaiting  = 1024
 	DefaultPatience = 0.5
@@ -111,56 +110,56 @@
 	DefaultShare    = 1.0
 )
 
-// Bounds of the RetryAfter that a refusal names.
+// Bounds of RetryAfter, and its values for particular refusals.
 const (
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
-	// serverRetryAfter is for a gate without a backend server: about the time
-	// until a new one announces itself or the shard is served elsewhere.
+	// serverRetryAfter applies without a backend server. It is about the time until
+	// a new one announces itself or another owner serves the shard.
 	serverRetryAfter = time.Second
-	// movingRetryAfter is for a shard on its way to another owner.
+	// movingRetryAfter applies to a shard that is moving to another owner.
 	movingRetryAfter = 100 * time.Millisecond
-	// closedRetryAfter is for a server that takes no work for the time being: about the
-	// time in which all others hear of it.
+	// closedRetryAfter applies after Close. It is about the time until all other
+	// daemons have been notified.
 	closedRetryAfter = 200 * time.Millisecond
 )
 
-// loneShare is how long ordinary requests run between two that run alone, as a
-// multiple of the time that the last one kept the others out.
-const loneShare = 4
+// sharedTimeFactor is the time for which ordinary requests run between two requests
+// that run alone, as a multiple of the time that the last one blocked the others.
+const sharedTimeFactor = 4
 
-// Gate is the admission of one backend server. See the package comment.
+// Gate is the admission control of one backend server. See the package comment.
 type Gate[O Order] struct {
-	order    O
-	limits   Limits
-	flows    map[FlowKey]*Flow
-	running  map[Number]*Entry
-	waiting  map[Number]*Entry
-	lone     []*Entry
-	loneRuns bool
-	loneGate loneWindow
-	stops    []*stop
-	pacer    pacer
-	slow     float64
-	draining bool
-	closed   bool // for the time being
-	idle     bool
-	now      mtclock.Instant // of the present call
-	soonest  mtclock.Instant // no waiting entry gives up before it
-	counts   Counts
-	out      []Effect
-}
-
-// loneWindow remembers how long the last lone request kept the others out, and
-// until when they go first in return.
-type loneWindow struct {
-	since mtclock.Instant
-	held  bool
-	until mtclock.Instant
-}
-
-// New returns a gate that admits in the given order. Zero fields of Waiting
-// and Patience take the defaults.
+	order        O
+	limits       Limits
+	flows        map[FlowKey]*Flow
+	running      map[Number]*Entry
+	waiting      map[Number]*Entry
+	alone        []*Entry
+	aloneRunning bool
+	aloneWindow  aloneWindow
+	stopped      []*stoppedRange
+	starts       startLimiter
+	slowdown     float64
+	draining     bool
+	closed       bool // between Close and Reopen
+	idle         bool
+	now          mtclock.Instant // time of the current call
+	nextGiveUp   mtclock.Instant // no waiting entry has to give up before it
+	counts       Counts
+	effects      []Effect
+}
+
+// aloneWindow records since when a request that is to run alone has blocked the
+// others, and until when the others take precedence afterwards.
+type aloneWindow struct {
+	blockedSince mtclock.Instant
+	blocking     bool
+	sharedUntil  mtclock.Instant
+}
+
+// New returns a gate that admits requests in the given order. If Waiting or
+// Patience is zero, it takes the default.
 func New[O Order](order O, limits Limits) *Gate[O] {
 	if limits.Waiting == 0 {
 		limits.Waiting = DefaultWaiting
@@ -178,21 +177,21 @@
 }
 
 // Declare sets the limits of a class of a business. It is called when a bundle
-// comes into force, before or after requests of the class were seen.
+// comes into force, whether or not requests of the class have already arrived.
 func (g *Gate[O]) Declare(business mtid.Business, class mtbundle.Class) {
 	g.flow(FlowKey{Business: business, Class: class.Name}).declare(class)
 }
 
-// Expect sets how long a request of a class is taken to run until one has ended.
-// Without it the first requests at a server that has just started all seem to take
-// no time, and hundreds are let in that can only end late.
-func (g *Gate[O]) Expect(business mtid.Business, class mtid.Class, usual time.Duration) {
-	g.flow(FlowKey{Business: business, Class: class}).usual = usual
+// Expect sets the service time that is assumed for a class until one of its
+// requests has ended. With no such value a newly started server seems to need no
+// time per request, so hundreds are admitted that can only end late.
+func (g *Gate[O]) Expect(business mtid.Business, class mtid.Class, service time.Duration) {
+	g.flow(FlowKey{Business: business, Class: class}).expectedService = service
 }
 
-// Resize sets the backend server's slots and connections. It is called when it
-// announces itself, with zero slots when it is gone. Requests in flight above a
-// smaller limit are left to finish.
+// Resize sets the backend server's slots and connections. It is called when the
+// server announces itself, and with zero slots when it is gone. Requests in flight
+// above a lower limit are allowed to finish.
 func (g *Gate[O]) Resize(now mtclock.Instant, slots, connections int) []Effect {
 	g.begin(now)
 	g.limits.Slots, g.limits.Connections = slots, connections
@@ -202,15 +201,15 @@
 	return g.end(now)
 }
 
-// Offer asks to admit a request. Exactly one Start or Refuse follows for its
-// ticket, now or from a later call.
+// Offer submits a request. Exactly one Start or Refuse is emitted for its ticket,
+// by this call or a later one.
 func (g *Gate[O]) Offer(now mtclock.Instant, t Ticket) []Effect {
 	g.begin(now)
 	flow := g.flow(FlowKey{Business: t.Business, Class: t.Class})
 	e := &Entry{Ticket: t, Flow: flow, Arrival: now}
 	e.GiveUp = g.giveUp(now, e)
 	flow.Counts.Offered++
-	if refusal := g.barred(now, e); refusal != nil {
+	if refusal := g.precheck(now, e); refusal != nil {
 		g.refuse(e, refusal)
 		return g.end(now)
 	}
@@ -218,8 +217,8 @@
 	return g.end(now)
 }
 
-// Done says that a started request has ended, whatever its end. A number that
-// isn't in flight is passed over.
+// Done ends a running request, whatever its outcome. A number that isn't running
+// is ignored.
 func (g *Gate[O]) Done(now mtclock.Instant, number Number) []Effect {
 	g.begin(now)
 	e, ok := g.running[number]
@@ -232,10 +231,10 @@
 	g.order.Ended(e)
 	g.counts.Busy += ran
 	if e.Ticket.Alone {
-		g.loneRuns = false
-		g.loneGate.until = now.Add(loneShare * now.Sub(g.loneGate.since))
+		g.aloneRunning = false
+		g.aloneWindow.sharedUntil = now.Add(sharedTimeFactor * now.Sub(g.aloneWindow.blockedSince))
 	}
-	for _, s := range g.stops {
+	for _, s := range g.stopped {
 		if s.covers(e.Ticket.Point) {
 			s.inFlight--
 		}
@@ -243,43 +242,43 @@
 	return g.end(now)
 }
 
-// Cancel takes a waiting request out, because its caller went away. The effect
-// is a Refuse; a request in flight is left alone, since only its end counts.
+// Cancel removes a waiting request because its caller disconnected, and emits a
+// Refuse. A running request is not affected, since only Done frees its slot.
 func (g *Gate[O]) Cancel(now mtclock.Instant, number Number) []Effect {
 	g.begin(now)
 	if e, ok := g.waiting[number]; ok {
-		g.drop(e)
-		g.refuse(e, refusal(mtreply.CauseExpired, -1, "the caller went away"))
+		g.removeWaiting(e)
+		g.refuse(e, refusal(mtreply.CauseExpired, -1, "the caller canceled the request"))
 	}
 	return g.end(now)
 }
 
-// Expire refuses what has waited too long. It is called at the time that Next
-// gave; every other call does the same work in passing.
+// Expire refuses the requests that have waited too long. It is to be called at the
+// time that Next returned; every other method does the same first.
 func (g *Gate[O]) Expire(now mtclock.Instant) []Effect {
 	g.begin(now)
 	return g.end(now)
 }
 
-// Next returns when Expire has work to do at the earliest, or false if nothing
-// waits.
+// Next returns the earliest time at which Expire has work to do, or false if no
+// requests wait.
 func (g *Gate[O]) Next() (mtclock.Instant, bool) {
 	if len(g.waiting) == 0 {
 		return 0, false
 	}
-	// A lone request that only waits for the others' time to end has no event
-	// of its own to wake it, and neither has one that waits for the pace.
-	if len(g.lone) > 0 && g.free(g.now) && !g.loneGate.held {
-		return min(g.soonest, g.loneGate.until), true
+	// No other event starts a request that runs alone once the others' time has
+	// ended, or one that waits only for the start rate limit.
+	if len(g.alone) > 0 && g.canStart(g.now) && !g.aloneWindow.blocking {
+		return min(g.nextGiveUp, g.aloneWindow.sharedUntil), true
 	}
-	if next := g.pacer.at(g.now, 1); next.After(g.now) && g.order.Len() > 0 {
-		return min(g.soonest, next), true
+	if next := g.starts.at(g.now, 1); next.After(g.now) && g.order.Len() > 0 {
+		return min(g.nextGiveUp, next), true
 	}
-	return g.soonest, true
+	return g.nextGiveUp, true
 }
 
-// Drain refuses all that waits and all that comes, and lets what is in flight
-// finish. Idle follows once nothing is in flight.
+// Drain refuses all waiting and new requests and lets those in flight finish. Idle
+// is emitted once nothing is in flight.
 func (g *Gate[O]) Drain(now mtclock.Instant) []Effect {
 	g.begin(now)
 	g.draining = true
@@ -287,8 +286,8 @@
 	return g.end(now)
 }
 
-// Close refuses all that waits and all that comes until Reopen: the server takes no work
-// for the time being, and others do.
+// Close refuses all waiting and new requests until Reopen, while other servers take
+// over the work.
 func (g *Gate[O]) Close(now mtclock.Instant) []Effect {
 	g.begin(now)
 	g.closed = true
@@ -296,30 +295,30 @@
 	return g.end(now)
 }
 
-// Reopen ends what Close began.
+// Reopen accepts requests again after Close.
 func (g *Gate[O]) Reopen(now mtclock.Instant) []Effect {
 	g.begin(now)
 	g.closed = false
 	return g.end(now)
 }
 
-// begin starts the effects of one call. What has expired goes first, so that
-// nothing which follows can start it.
+// begin starts a call with an empty list of effects. It refuses expired requests
+// first, so that the call can't start them.
 func (g *Gate[O]) begin(now mtclock.Instant) {
-	g.now, g.out = now, nil
+	g.now, g.effects = now, nil
 	g.expire(now)
 }
 
-// end does what each call has to do last: fill the free slots, report what has
-// become quiet.
+// end completes a call: it starts waiting requests in free slots and reports ranges
+// and drains that have nothing in flight.
 func (g *Gate[O]) end(now mtclock.Instant) []Effect {
-	g.fill(now)
-	g.report()
-	return g.out
+	g.startWaiting(now)
+	g.reportIdle()
+	return g.effects
 }
 
-// barred returns why e is refused before it is weighed against others, or nil.
-func (g *Gate[O]) barred(now mtclock.Instant, e *Entry) *mtreply.RefusedError {
+// precheck returns why e is refused regardless of the waiting requests, or nil.
+func (g *Gate[O]) precheck(now mtclock.Instant, e *Entry) *mtreply.RefusedError {
 	switch {
 	case !e.Ticket.Deadline.After(now):
 		return refusal(mtreply.CauseExpired, -1, "")
@@ -330,98 +329,98 @@
 	case g.capacity() == 0:
 		return refusal(mtreply.CauseNoServer, serverRetryAfter, "")
 	}
-	if wait := e.Flow.limited(now); wait > 0 {
+	if wait := e.Flow.takeToken(now); wait > 0 {
 		return refusal(mtreply.CauseLimited, clampRetry(wait), "")
 	}
 	return nil
 }
 
-// admit holds e if its range is stopped, and else enters it.
+// admit holds e if its range is stopped; otherwise it starts or queues it.
 func (g *Gate[O]) admit(now mtclock.Instant, e *Entry) {
-	if s := g.stopAt(e.Ticket.Point); s != nil {
+	if s := g.stoppedAt(e.Ticket.Point); s != nil {
 		g.hold(s, e)
 		return
 	}
-	g.enter(now, e)
+	g.startOrQueue(now, e)
 }
 
-// enter starts e, lets it wait, or refuses it or what gives way to it.
-func (g *Gate[O]) enter(now mtclock.Instant, e *Entry) {
+// startOrQueue starts e, queues it, or refuses e or the request that it displaces.
+func (g *Gate[O]) startOrQueue(now mtclock.Instant, e *Entry) {
 	if e.Ticket.Alone {
-		g.enterLone(e)
+		g.queueAlone(e)
 		return
 	}
-	if g.free(now) && g.order.Len() == 0 && !g.loneFirst(now) && g.order.Admits(now, e, g.capacity()) {
+	if g.canStart(now) && g.order.Len() == 0 && !g.aloneNext(now) && g.order.Admits(now, e, g.capacity()) {
 		g.start(now, e)
 		return
 	}
-	wait := max(g.order.Wait(now, e, g.capacity()), g.held(now, e))
+	wait := max(g.order.Wait(now, e, g.capacity()), g.startDelay(now, e))
 	if !e.GiveUp.After(now) || g.order.TooLate(now, e, wait) {
-		g.refuse(e, refusal(mtreply.CauseShed, clampRetry(g.order.Retry(e, wait)), "the queue is longer than its time allows"))
+		g.refuse(e, refusal(mtreply.CauseShed, clampRetry(g.order.Retry(e, wait)), "the estimated wait exceeds the time that the request may wait"))
 		return
 	}
 	if e.Flow.Waiting() >= e.Flow.Queue {
 		g.refuse(e, refusal(mtreply.CauseQueueFull, clampRetry(wait), ""))
 		return
 	}
-	if len(g.waiting) >= g.limits.Waiting && !g.makeRoom(now, e) {
+	if len(g.waiting) >= g.limits.Waiting && !g.shedFor(now, e) {
 		g.refuse(e, refusal(mtreply.CauseShed, clampRetry(wait), ""))
 		return
 	}
-	g.wait(e)
+	g.addWaiting(e)
 	g.order.Push(e)
 }
 
-// makeRoom sheds one waiting request in favour of e and reports whether it
-// could.
-func (g *Gate[O]) makeRoom(now mtclock.Instant, e *Entry) bool {
+// shedFor sheds a waiting request in favor of e and reports whether there was one
+// to shed.
+func (g *Gate[O]) shedFor(now mtclock.Instant, e *Entry) bool {
 	victim := g.order.Victim(e)
 	if victim == nil {
 		return false
 	}
-	g.drop(victim)
+	g.removeWaiting(victim)
 	g.refuse(victim, refusal(mtreply.CauseShed, clampRetry(g.order.Wait(now, victim, g.capacity())), ""))
 	return true
 }
 
-// enterLone lets a request wait that has to run alone. There is room for few,
-// since each keeps all the others out for as long as it runs.
-func (g *Gate[O]) enterLone(e *Entry) {
-	if len(g.lone) >= e.Flow.Queue || len(g.waiting) >= g.limits.Waiting {
+// queueAlone queues a request that has to run alone. The queue is short because
+// each such request blocks all others while it runs.
+func (g *Gate[O]) queueAlone(e *Entry) {
+	if len(g.alone) >= e.Flow.Queue || len(g.waiting) >= g.limits.Waiting {
 		g.refuse(e, refusal(mtreply.CauseQueueFull, maxRetryAfter, ""))
 		return
 	}
-	g.wait(e)
-	g.lone = append(g.lone, e)
+	g.addWaiting(e)
+	g.alone = append(g.alone, e)
 }
 
-// wait notes that e waits.
-func (g *Gate[O]) wait(e *Entry) {
-	if len(g.waiting) == 0 || e.GiveUp.Before(g.soonest) {
-		g.soonest = e.GiveUp
+// addWaiting adds e to the waiting requests.
+func (g *Gate[O]) addWaiting(e *Entry) {
+	if len(g.waiting) == 0 || e.GiveUp.Before(g.nextGiveUp) {
+		g.nextGiveUp = e.GiveUp
 	}
 	g.waiting[e.Ticket.Number] = e
 }
 
-// drop takes a waiting entry out of wherever it waits.
-func (g *Gate[O]) drop(e *Entry) {
+// removeWaiting removes e from the waiting requests and from its queue.
+func (g *Gate[O]) removeWaiting(e *Entry) {
 	delete(g.waiting, e.Ticket.Number)
 	switch {
-	case e.held != nil:
-		e.held.remove(e)
+	case e.heldBy != nil:
+		e.heldBy.remove(e)
 	case e.Ticket.Alone:
-		g.lone = without(g.lone, e)
-		g.loneGate.held = g.loneGate.held && len(g.lone) > 0
+		g.alone = without(g.alone, e)
+		g.aloneWindow.blocking = g.aloneWindow.blocking && len(g.alone) > 0
 	default:
 		g.order.Remove(e)
 	}
 }
 
-// fill starts waiting requests while there are free slots.
-func (g *Gate[O]) fill(now mtclock.Instant) {
-	for g.free(now) {
-		if g.loneFirst(now) {
-			g.startLone(now)
+// startWaiting starts waiting requests while there are free slots.
+func (g *Gate[O]) startWaiting(now mtclock.Instant) {
+	for g.canStart(now) {
+		if g.aloneNext(now) {
+			g.startAlone(now)
 			return
 		}
 		e := g.order.Next(now, g.capacity())
@@ -433,123 +432,123 @@
 	}
 }
 
-// loneFirst reports whether a request that runs alone is next. From then on no
-// other request starts, so that those in flight run out.
-func (g *Gate[O]) loneFirst(now mtclock.Instant) bool {
-	return len(g.lone) > 0 && !now.Before(g.loneGate.until)
+// aloneNext reports whether a request that runs alone is next. From then on no
+// other request starts, so that those in flight can end.
+func (g *Gate[O]) aloneNext(now mtclock.Instant) bool {
+	return len(g.alone) > 0 && !now.Before(g.aloneWindow.sharedUntil)
 }
 
-// startLone starts the oldest lone request once nothing is in flight.
-func (g *Gate[O]) startLone(now mtclock.Instant) {
-	if !g.loneGate.held {
-		g.loneGate.held = true
-		g.loneGate.since = now
+// startAlone starts the oldest request that runs alone once nothing is in flight.
+func (g *Gate[O]) startAlone(now mtclock.Instant) {
+	if !g.aloneWindow.blocking {
+		g.aloneWindow.blocking = true
+		g.aloneWindow.blockedSince = now
 	}
 	if len(g.running) > 0 {
 		return
 	}
-	e := g.lone[0]
-	g.lone = g.lone[1:]
+	e := g.alone[0]
+	g.alone = g.alone[1:]
 	delete(g.waiting, e.Ticket.Number)
-	g.loneGate.held = false
-	g.loneRuns = true
+	g.aloneWindow.blocking = false
+	g.aloneRunning = true
 	g.start(now, e)
 }
 
-// start sends e to the backend server.
+// start emits a Start for e.
 func (g *Gate[O]) start(now mtclock.Instant, e *Entry) {
 	e.Started = now
-	g.pacer.note(now)
+	g.starts.record(now)
 	g.running[e.Ticket.Number] = e
 	e.Flow.started(now, e)
 	g.order.Started(now, e)
-	for _, s := range g.stops {
+	for _, s := range g.stopped {
 		if s.covers(e.Ticket.Point) {
 			s.inFlight++
 		}
 	}
-	g.out = append(g.out, Start{Ticket: e.Ticket})
+	g.effects = append(g.effects, Start{Ticket: e.Ticket})
 }
 
-// refuse answers e's caller.
+// refuse counts and emits a refusal of e.
 func (g *Gate[O]) refuse(e *Entry, err *mtreply.RefusedError) {
 	e.Flow.refused(err.Cause)
-	g.out = append(g.out, Refuse{Ticket: e.Ticket, Err: err})
+	g.effects = append(g.effects, Refuse{Ticket: e.Ticket, Err: err})
 }
 
-// refuseWaiting refuses all that waits, in order of arrival.
+// refuseWaiting refuses all waiting requests in order of arrival.
 func (g *Gate[O]) refuseWaiting(cause mtreply.Cause, retryAfter time.Duration) {
-	for _, e := range g.inOrder() {
-		g.drop(e)
+	for _, e := range g.byArrival() {
+		g.removeWaiting(e)
 		g.refuse(e, refusal(cause, retryAfter, ""))
 	}
 }
 
-// expire refuses what has waited too long.
+// expire refuses the requests whose time to give up has come.
 func (g *Gate[O]) expire(now mtclock.Instant) {
-	if len(g.waiting) == 0 || now.Before(g.soonest) {
+	if len(g.waiting) == 0 || now.Before(g.nextGiveUp) {
 		return
 	}
-	var soonest mtclock.Instant
+	var nextGiveUp mtclock.Instant
 	found := false
-	for _, e := range g.inOrder() {
+	for _, e := range g.byArrival() {
 		if e.GiveUp.After(now) {
-			if !found || e.GiveUp.Before(soonest) {
-				soonest, found = e.GiveUp, true
+			if !found || e.GiveUp.Before(nextGiveUp) {
+				nextGiveUp, found = e.GiveUp, true
 			}
 			continue
 		}
-		g.drop(e)
-		g.refuse(e, g.lateRefusal(now, e))
+		g.removeWaiting(e)
+		g.refuse(e, g.timeoutRefusal(now, e))
 	}
-	g.soonest = soonest
+	g.nextGiveUp = nextGiveUp
 }
 
-// lateRefusal says why e, which waited too long, is refused.
-func (g *Gate[O]) lateRefusal(now mtclock.Instant, e *Entry) *mtreply.RefusedError {
+// timeoutRefusal returns the refusal for e, which has waited too long.
+func (g *Gate[O]) timeoutRefusal(now mtclock.Instant, e *Entry) *mtreply.RefusedError {
 	if !e.Ticket.Deadline.After(now) {
 		return refusal(mtreply.CauseExpired, -1, "")
 	}
-	if e.held != nil {
+	if e.heldBy != nil {
 		return refusal(mtreply.CauseMoving, movingRetryAfter, "")
 	}
 	return refusal(mtreply.CauseShed, clampRetry(g.order.Retry(e, now.Sub(e.Arrival))), "waited too long")
 }
 
-// giveUp returns when e is refused if it hasn't started: after its patience,
-// and early enough that it can still end in time.
+// giveUp returns when e is refused if it hasn't started by then: after the fraction
+// of its time that it may wait, or earlier if the order requires it.
 func (g *Gate[O]) giveUp(now mtclock.Instant, e *Entry) mtclock.Instant {
 	left := e.Ticket.Deadline.Sub(now)
-	patient := now.Add(time.Duration(float64(left) * g.limits.Patience))
-	return g.order.GiveUp(now, e, patient)
+	waitUntil := now.Add(time.Duration(float64(left) * g.limits.Patience))
+	return g.order.GiveUp(now, e, waitUntil)
 }
 
-// capacity returns how many requests may be in flight.
+// capacity returns the maximum number of requests in flight.
 func (g *Gate[O]) capacity() int { return min(g.limits.Slots, g.limits.Connections) }
 
-// free reports whether one more request may be in flight.
-func (g *Gate[O]) free(now mtclock.Instant) bool {
-	return !g.loneRuns && len(g.running) < g.capacity() && g.pacer.allows(now)
+// canStart reports whether one more request may start now.
+func (g *Gate[O]) canStart(now mtclock.Instant) bool {
+	return !g.aloneRunning && len(g.running) < g.capacity() && g.starts.allows(now)
 }
 
-// flow returns the flow with that key, which it makes if need be.
+// flow returns the flow for key and creates it if necessary.
 func (g *Gate[O]) flow(key FlowKey) *Flow {
 	f, ok := g.flows[key]
 	if !ok {
 		f = newFlow(key)
-		f.slow = g.slow
+		f.slowdown = g.slowdown
 		g.flows[key] = f
 		g.order.Join(f)
 	}
 	return f
 }
 
-// refusal returns a typed refusal.
+// refusal returns a RefusedError with these fields.
 func refusal(cause mtreply.Cause, retryAfter time.Duration, detail string) *mtreply.RefusedError {
 	return &mtreply.RefusedError{Cause: cause, RetryAfter: retryAfter, Detail: detail}
 }
 
-// clampRetry keeps an estimate within what makes sense to tell a caller.
+// clampRetry limits an estimated wait to the range that is useful to callers.
 func clampRetry(d time.Duration) time.Duration {
 	return min(max(d, minRetryAfter), maxRetryAfter)
 }
--- a/core/mtgate/mtgate_test.go
+++ b/core/mtgate/mtgate_test.go
@@ -34,8 +34,8 @@
 	return mtgate.Ticket{Number: mtgate.Number(n), Business: "ratins", Class: class, Point: mtid.Point(n), Deadline: mtclock.Instant(time.Second)}
 }
 
-// words spells effects out, for comparison.
-func words(effects []mtgate.Effect) []string {
+// describe formats effects for comparison.
+func describe(effects []mtgate.Effect) []string {
 	out := []string{}
 	for _, effect := range effects {
 		switch e := effect.(type) {
@@ -44,7 +44,7 @@
 		case mtgate.Refuse:
 			out = append(out, fmt.Sprintf("refuse %d %s", e.Ticket.Number, e.Err.Cause))
 		case mtgate.Quiet:
-			out = append(out, fmt.Sprintf("quiet %d-%d", e.Low, e.High))
+			out = append(out, fmt.Sprintf("idle %d-%d", e.Low, e.High))
 		case mtgate.Idle:
 			out = append(out, "idle")
 		}
@@ -63,9 +63,9 @@
 	}
 	alone := func(n int) func(*mtgate.Gate[*mtgate.Fair]) []mtgate.Effect {
 		return func(g *mtgate.Gate[*mtgate.Fair]) []mtgate.Effect {
-			lone := ticket(n, "send")
-			lone.Alone = true
-			return g.Offer(0, lone)
+			tk := ticket(n, "send")
+			tk.Alone = true
+			return g.Offer(0, tk)
 		}
 	}
 	done := func(d time.Duration, n int) func(*mtgate.Gate[*mtgate.Fair]) []mtgate.Effect {
@@ -81,7 +81,7 @@
 			{offer(0, 2, "send"), []string{}},
 			{done(ms, 1), []string{"start 2"}},
 		}},
-		{"an order goes before a status check", []step{
+		{"the higher priority starts first", []step{
 			{offer(0, 1, "send"), []string{"start 1"}},
 			{offer(0, 2, "status"), []string{}},
 			{offer(0, 3, "send"), []string{}},
@@ -96,7 +96,7 @@
 			{offer(0, 6, "status"), []string{"refuse 6 queue-full"}},
 			{offer(0, 7, "send"), []string{}},
 		}},
-		{"the lowest priority gives way when the gate is full", []step{
+		{"the lowest priority is shed when the gate is full", []step{
 			{offer(0, 1, "send"), []string{"start 1"}},
 			{offer(0, 2, "status"), []string{}},
 			{offer(0, 3, "status"), []string{}},
@@ -107,17 +107,17 @@
 			{offer(0, 8, "send"), []string{"refuse 4 shed"}},
 			{offer(0, 9, "status"), []string{"refuse 9 shed"}},
 		}},
-		{"patience ends at half the time", []step{
+		{"a request waits for at most half of its time", []step{
 			{offer(0, 1, "send"), []string{"start 1"}},
 			{offer(0, 2, "status"), []string{}},
 			{func(g gate) []mtgate.Effect { return g.Expire(at(499 * ms)) }, []string{}},
 			{func(g gate) []mtgate.Effect { return g.Expire(at(500 * ms)) }, []string{"refuse 2 shed"}},
 			{done(501*ms, 1), []string{}},
 		}},
-		{"expired work is not started", []step{
+		{"a request past its deadline is refused", []step{
 			{offer(2*time.Second, 1, "send"), []string{"refuse 1 expired"}},
 		}},
-		{"a lost server refuses all that waits", []step{
+		{"without a server all requests are refused", []step{
 			{offer(0, 1, "send"), []string{"start 1"}},
 			{offer(0, 2, "send"), []string{}},
 			{func(g gate) []mtgate.Effect { return g.Resize(0, 0, 0) }, []string{"refuse 2 no-server"}},
@@ -125,7 +125,7 @@
 			{func(g gate) []mtgate.Effect { return g.Resize(0, 1, 0) }, []string{}},
 			{offer(0, 4, "send"), []string{"refuse 4 no-server"}},
 		}},
-		{"drain cuts off nothing in flight", []step{
+		{"drain lets requests in flight finish", []step{
 			{offer(0, 1, "send"), []string{"start 1"}},
 			{offer(0, 2, "send"), []string{}},
 			{func(g gate) []mtgate.Effect { return g.Drain(0) }, []string{"refuse 2 draining"}},
@@ -133,31 +133,31 @@
 			{done(ms, 1), []string{"idle"}},
 			{done(ms, 1), []string{}},
 		}},
-		{"a stopped range lets the others run", []step{
+		{"requests outside of a stopped range start", []step{
 			{offer(0, 1, "send"), []string{"start 1"}},
 			{offer(0, 2, "send"), []string{}},
 			{func(g gate) []mtgate.Effect { return g.Stop(0, 0, 2, mtgate.HoldNew) }, []string{}},
 			{offer(0, 3, "send"), []string{}},
-			{done(ms, 1), []string{"start 3", "quiet 0-2"}},
+			{done(ms, 1), []string{"start 3", "idle 0-2"}},
 			{func(g gate) []mtgate.Effect { return g.Release(at(ms), 0, 2) }, []string{"refuse 2 stale-route"}},
 		}},
-		{"a range that was stopped in vain goes on", []step{
-			{func(g gate) []mtgate.Effect { return g.Stop(0, 0, 2, mtgate.HoldNew) }, []string{"quiet 0-2"}},
+		{"resume starts held requests", []step{
+			{func(g gate) []mtgate.Effect { return g.Stop(0, 0, 2, mtgate.HoldNew) }, []string{"idle 0-2"}},
 			{offer(0, 1, "send"), []string{}},
 			{func(g gate) []mtgate.Effect { return g.Resume(at(ms), 0, 2) }, []string{"start 1"}},
 		}},
-		{"a stop that refuses", []step{
-			{func(g gate) []mtgate.Effect { return g.Stop(0, 0, 2, mtgate.RefuseNew) }, []string{"quiet 0-2"}},
+		{"RefuseNew refuses new requests", []step{
+			{func(g gate) []mtgate.Effect { return g.Stop(0, 0, 2, mtgate.RefuseNew) }, []string{"idle 0-2"}},
 			{offer(0, 1, "send"), []string{"refuse 1 moving"}},
 		}},
-		{"a lone request waits for the others, and they for it", []step{
+		{"a request with Alone set runs alone", []step{
 			{offer(0, 1, "send"), []string{"start 1"}},
 			{alone(2), []string{}},
 			{offer(0, 3, "send"), []string{}},
 			{done(ms, 1), []string{"start 2"}},
 			{done(2*ms, 2), []string{"start 3"}},
 		}},
-		{"a caller that goes away frees its place", []step{
+		{"cancel removes a waiting request", []step{
 			{offer(0, 1, "send"), []string{"start 1"}},
 			{offer(0, 2, "send"), []string{}},
 			{func(g gate) []mtgate.Effect { return g.Cancel(0, 2) }, []string{"refuse 2 expired"}},
@@ -169,7 +169,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			g := newGate(1)
 			for i, s := range tt.steps {
-				got := words(s.do(g))
+				got := describe(s.do(g))
 				assert.Assert(t, slices.Equal(got, s.want), "step %d: got %q, want %q", i, got, s.want)
 			}
 		})
@@ -179,22 +179,22 @@
 func TestRateLimit(t *testing.T) {
 	g := newGate(100)
 	g.Declare("ratins", mtbundle.Class{Name: "status", Rate: 4})
-	assert.DeepEqual(t, words(g.Offer(0, ticket(1, "status"))), []string{"start 1"})
+	assert.DeepEqual(t, describe(g.Offer(0, ticket(1, "status"))), []string{"start 1"})
 	effects := g.Offer(0, ticket(2, "status"))
-	assert.DeepEqual(t, words(effects), []string{"refuse 2 limited"})
+	assert.DeepEqual(t, describe(effects), []string{"refuse 2 limited"})
 	assert.Equal(t, effects[0].(mtgate.Refuse).Err.RetryAfter, 250*ms)
-	assert.DeepEqual(t, words(g.Offer(mtclock.Instant(250*ms), ticket(3, "status"))), []string{"start 3"})
+	assert.DeepEqual(t, describe(g.Offer(mtclock.Instant(250*ms), ticket(3, "status"))), []string{"start 3"})
 }
 
-// Whatever comes, in whatever order: each request gets one start or one
-// refusal, no more run than the server takes, nothing starts past its deadline
-// or in a stopped range, and a lone request shares the server with nobody.
+// For any sequence of calls, each request gets exactly one Start or Refuse, running
+// requests never exceed the slots, no request starts past its deadline or in a
+// stopped range, and a request with Alone set runs with no other.
 func TestGateInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newGate(3)
 		slots := 3
 		now := mtclock.Instant(0)
-		told := map[mtgate.Number]string{}
+		outcomes := map[mtgate.Number]string{}
 		running := map[mtgate.Number]mtgate.Ticket{}
 		stopped := map[mtid.Point]bool{}
 		number := 0
@@ -202,21 +202,21 @@
 			for _, effect := range effects {
 				switch e := effect.(type) {
 				case mtgate.Start:
-					assert.Equal(t, told[e.Ticket.Number], "", "told twice")
-					told[e.Ticket.Number] = "start"
+					assert.Equal(t, outcomes[e.Ticket.Number], "", "second effect for one ticket")
+					outcomes[e.Ticket.Number] = "start"
 					assert.Assert(t, e.Ticket.Deadline.After(now), "started past its deadline")
 					assert.Assert(t, !stopped[e.Ticket.Point/100], "started in a stopped range")
 					for _, other := range running {
-						assert.Assert(t, !e.Ticket.Alone && !other.Alone, "a lone request has company")
+						assert.Assert(t, !e.Ticket.Alone && !other.Alone, "a request with Alone set runs beside another")
 					}
-					assert.Assert(t, len(running) < slots, "over the slots")
+					assert.Assert(t, len(running) < slots, "more requests in flight than slots")
 					running[e.Ticket.Number] = e.Ticket
 				case mtgate.Refuse:
-					assert.Equal(t, told[e.Ticket.Number], "", "told twice")
-					told[e.Ticket.Number] = "refuse"
+					assert.Equal(t, outcomes[e.Ticket.Number], "", "second effect for one ticket")
+					outcomes[e.Ticket.Number] = "refuse"
 				case mtgate.Quiet:
 					for _, other := range running {
-						assert.Assert(t, other.Point < e.Low || e.High < other.Point, "not quiet")
+						assert.Assert(t, other.Point < e.Low || e.High < other.Point, "request in flight in an idle range")
 					}
 				}
 			}
@@ -243,7 +243,7 @@
 				now = now.Add(time.Duration(rapid.IntRange(1, 30).Draw(t, "ms")) * ms)
 				take(g.Expire(now))
 				if next, ok := g.Next(); ok {
-					assert.Assert(t, next.After(now), "due at %d, now %d", next, now)
+					assert.Assert(t, next.After(now), "Next returned %d, which is not after now (%d)", next, now)
 				}
 			},
 			"stop": func(t *rapid.T) {
@@ -266,7 +266,7 @@
 				take(g.Resize(now, slots, 100))
 			},
 		})
-		// Nothing is left without an answer.
+		// By now every request must have started or been refused.
 		now = now.Add(time.Hour)
 		for n := range mtgate.Number(number + 1) {
 			if _, ok := running[n]; ok {
@@ -276,7 +276,7 @@
 		}
 		take(g.Expire(now))
 		for n := 1; n <= number; n++ {
-			assert.Assert(t, told[mtgate.Number(n)] != "", "request %d was told nothing", n)
+			assert.Assert(t, outcomes[mtgate.Number(n)] != "", "request %d neither started nor was refused", n)
 		}
 	})
 }
--- a/core/mtgate/order.go
+++ b/core/mtgate/order.go
@@ -6,88 +6,89 @@
 	"magnoliaturn/core/mtclock"
 )
 
-// Order is the policy of a gate: which waiting request starts next, and which
-// gives way.
+// Order is the scheduling policy of a gate: it decides which waiting request starts
+// next and which one is shed.
 type Order interface {
-	// Join makes a flow known, before its first entry is pushed.
+	// Join adds a flow. It is called before the first entry of the flow is pushed.
 	Join(f *Flow)
-	// Push lets e wait.
+	// Push adds e to the waiting entries.
 	Push(e *Entry)
-	// Next takes out the entry that starts now, at a server that runs so many
-	// requests at once, or returns nil.
+	// Next removes and returns the entry to start now, or returns nil. slots is the
+	// number of requests that the server runs at once.
 	Next(now mtclock.Instant, slots int) *Entry
-	// Admits reports whether e, which arrives now while nothing waits, may have a
-	// free slot.
+	// Admits reports whether e, which arrives while no entry waits, may take a free
+	// slot.
 	Admits(now mtclock.Instant, e *Entry, slots int) bool
-	// Started and Ended tell what runs.
+	// Started and Ended notify the order of requests that start and end.
 	Started(now mtclock.Instant, e *Entry)
 	Ended(e *Entry)
-	// Remove takes out a waiting entry.
+	// Remove removes a waiting entry.
 	Remove(e *Entry)
-	// Victim returns the waiting entry that gives way to e, or nil if e itself
-	// should. It takes nothing out.
+	// Victim returns the waiting entry to shed in favor of e, or nil if e itself
+	// should be shed. It does not remove the entry.
 	Victim(e *Entry) *Entry
-	// Wait estimates how long e would wait if it were pushed now, at a server
-	// that runs so many requests at once.
+	// Wait estimates how long e would wait if it were pushed now. slots is the
+	// number of requests that the server runs at once.
 	Wait(now mtclock.Instant, e *Entry, slots int) time.Duration
-	// Ahead returns how many of the waiting would start before e if it were pushed now.
+	// Ahead returns how many waiting entries would start before e if it were pushed now.
 	Ahead(now mtclock.Instant, e *Entry) int
-	// GiveUp returns when e, which arrives now, is refused if it hasn't started;
-	// patient is until when its caller's time allows it to wait.
-	GiveUp(now mtclock.Instant, e *Entry, patient mtclock.Instant) mtclock.Instant
-	// TooLate reports whether e is refused on arrival, since it would wait for too
-	// long. What has to give up at once is refused anyway.
+	// GiveUp returns when e, which arrives now, is refused if it hasn't started by
+	// then; waitUntil is the latest time that the caller's deadline allows.
+	GiveUp(now mtclock.Instant, e *Entry, waitUntil mtclock.Instant) mtclock.Instant
+	// TooLate reports whether to refuse e on arrival because its estimated wait is
+	// too long. An entry that would have to give up at once is refused in any case.
 	TooLate(now mtclock.Instant, e *Entry, wait time.Duration) bool
-	// Retry returns when to ask again for e, which is refused after, or for, such
-	// a wait.
+	// Retry returns the time to retry after for e, which is refused because of an
+	// estimated wait or after having waited.
 	Retry(e *Entry, wait time.Duration) time.Duration
-	// Len returns how many entries wait.
+	// Len returns the number of waiting entries.
 	Len() int
 }
 
-// estimateMargin is how many times its estimated wait must fit into the time
-// that a request may wait. An estimate is a mean: with a margin of one, half of
-// those let in would wait in vain.
+// estimateMargin is how many times the estimated wait must fit into the time that
+// a request may wait. The estimate is a mean: with a margin of one, half of the
+// admitted requests would not start in time.
 const estimateMargin = 2
 
-// patiently is the part of an Order that goes by the time that a caller gave.
-type patiently struct{}
+// deadlineBased implements the methods of an Order that depend only on the caller's
+// deadline.
+type deadlineBased struct{}
 
 // TooLate implements Order.
-func (patiently) TooLate(now mtclock.Instant, e *Entry, wait time.Duration) bool {
+func (deadlineBased) TooLate(now mtclock.Instant, e *Entry, wait time.Duration) bool {
 	return now.Add(wait * estimateMargin).After(e.GiveUp)
 }
 
 // Retry implements Order.
-func (patiently) Retry(_ *Entry, wait time.Duration) time.Duration { return wait }
+func (deadlineBased) Retry(_ *Entry, wait time.Duration) time.Duration { return wait }
 
-// unreserved is the part of an Order that keeps no slot for anybody.
-type unreserved struct{}
+// noReservation implements the methods of an Order that reserves no slots.
+type noReservation struct{}
 
 // Admits implements Order.
-func (unreserved) Admits(mtclock.Instant, *Entry, int) bool { return true }
+func (noReservation) Admits(mtclock.Instant, *Entry, int) bool { return true }
 
 // Started implements Order.
-func (unreserved) Started(mtclock.Instant, *Entry) {}
+func (noReservation) Started(mtclock.Instant, *Entry) {}
 
 // Ended implements Order.
-func (unreserved) Ended(*Entry) {}
+func (noReservation) Ended(*Entry) {}
 
-// inTime returns the earlier of patient and when e has to start to end before its
-// deadline.
-func inTime(e *Entry, patient mtclock.Instant) mtclock.Instant {
-	return min(patient, e.Ticket.Deadline.Add(-e.service()))
+// latestGiveUp returns the earlier of waitUntil and the latest start that meets the
+// deadline of e.
+func latestGiveUp(e *Entry, waitUntil mtclock.Instant) mtclock.Instant {
+	return min(waitUntil, e.Ticket.Deadline.Add(-e.service()))
 }
 
-// FIFO is the plain order: first come, first served, whatever the class, and
-// who finds the queue full is refused.
+// FIFO starts requests in order of arrival, whatever their class, and refuses new
+// ones when the gate is full.
 type FIFO struct {
-	patiently
-	unreserved
+	deadlineBased
+	noReservation
 	queue []*Entry
 }
 
-// NewFIFO returns an empty FIFO.
+// NewFIFO returns a FIFO without entries.
 func NewFIFO() *FIFO { return &FIFO{} }
 
 // Join implements Order.
@@ -122,8 +123,8 @@
 func (*FIFO) Wait(mtclock.Instant, *Entry, int) time.Duration { return 0 }
 
 // GiveUp implements Order.
-func (*FIFO) GiveUp(_ mtclock.Instant, _ *Entry, patient mtclock.Instant) mtclock.Instant {
-	return patient
+func (*FIFO) GiveUp(_ mtclock.Instant, _ *Entry, waitUntil mtclock.Instant) mtclock.Instant {
+	return waitUntil
 }
 
 // Ahead implements Order.
@@ -132,54 +133,55 @@
 // Len implements Order.
 func (o *FIFO) Len() int { return len(o.queue) }
 
-// DefaultGuaranteed is the part of a business's starts that go by share.
+// DefaultGuaranteed is the default fraction of a business's starts that follow the
+// shares of its classes.
 const DefaultGuaranteed = 0.25
 
-// minCost is what a start is charged at least, in seconds of server time, so
-// that flows whose requests take no time still take turns.
+// minCost is the least cost that a start is charged, in seconds of server time, so
+// that flows whose requests take almost no time still alternate.
 const minCost = 0.0001
 
 // Fair divides the server's time in two steps.
 //
-// Between businesses it goes by start-time fair queuing alone: to the business
-// that is furthest behind its share, the sum of the shares of its classes. No
-// business's load, however important to itself, costs another one its share.
+// Between businesses it uses start-time fair queuing alone: the business that is
+// furthest behind its share, the sum of the shares of its classes, goes next. A
+// business's load, whatever its priority, takes nothing from another one's share.
 //
-// Within a business two rules take turns. The guaranteed part of the starts
-// goes to the class that is furthest behind its share, so that none starves.
-// The rest goes to the highest priority that waits, so that a status check
-// gives way to a payment even where payments are above their share. Every start
-// is charged to its class, hence one that got more by its priority gets none by
-// its share.
+// Within a business there are two rules. The guaranteed fraction of the starts goes
+// to the class that is furthest behind its share, so that no class starves. The
+// other starts go to the highest waiting priority, so that a payment goes before a
+// status check even while payments are above their share. Every start is charged to
+// its class, so a class that got more than its share by priority gets nothing from
+// the guaranteed fraction.
 //
-// What is charged is the mean time that the class's requests have taken, since
-// shares are of the server's time and not of the number of requests: an archive
-// lookup costs as much as ten status checks.
+// The charge is the mean service time of the class, since shares divide the
+// server's time and not the number of requests: an archive lookup costs as much as
+// ten status checks.
 //
-// Within a class the oldest starts first. When the gate is full, the business
-// whose waiting requests exceed its share the most gives way, with the newest
-// request of its lowest priority.
+// Within a class the oldest request starts first. When the gate is full, the
+// business that exceeds its share of the waiting requests the most loses one: the
+// newest request of its lowest priority.
 type Fair struct {
-	patiently
-	unreserved
+	deadlineBased
+	noReservation
 	guaranteed float64
 	virtual    float64
 	tenants    []*tenant
 	waiting    int
 }
 
-// tenant is one business in a Fair.
+// tenant is the scheduling state of one business in a Fair.
 type tenant struct {
 	flows   []*Flow
 	waiting int
-	credit  float64 // starts by share that are due
-	virtual float64 // of its flows
+	credit  float64 // accumulated starts that are due by share
+	virtual float64 // virtual time of its flows
 	finish  float64
 }
 
-// NewFair returns an empty Fair; guaranteed is the part of a business's starts
-// that go by share, 0 to 1. Zero is strict priority among its classes, one is
-// pure fair queuing.
+// NewFair returns a Fair without entries. guaranteed is the fraction of a business's
+// starts that follow the shares of its classes, from 0 to 1: zero is strict priority
+// among its classes, one is pure fair queuing.
 func NewFair(guaranteed float64) *Fair { return &Fair{guaranteed: guaranteed} }
 
 // Join implements Order.
@@ -218,8 +220,8 @@
 	return e
 }
 
-// pickTenant returns the waiting business that is furthest behind its share, or
-// nil if nothing waits.
+// pickTenant returns the business that is furthest behind its share among those
+// with waiting requests, or nil if nothing waits.
 func (o *Fair) pickTenant() *tenant {
 	var best *tenant
 	for _, t := range o.tenants {
@@ -233,11 +235,11 @@
 	return best
 }
 
-// tag returns the start tag of the business's next request. One that was idle
-// begins at the present virtual time: it saves up no credit.
+// tag returns the start tag of the business's next request. An idle business resumes
+// at the current virtual time and accumulates no credit.
 func (o *Fair) tag(t *tenant) float64 { return max(t.finish, o.virtual) }
 
-// shares returns the share of the business.
+// shares returns the sum of the shares of the business's flows.
 func (t *tenant) shares() float64 {
 	sum := 0.0
 	for _, f := range t.flows {
@@ -246,19 +248,20 @@
 	return sum
 }
 
-// pick returns the flow whose oldest request is next; some flow waits.
+// pick returns the flow whose oldest request is next. At least one flow must have
+// waiting requests.
 func (t *tenant) pick(guaranteed float64) *Flow {
 	t.credit += guaranteed
 	if t.credit < 1 {
-		return t.first(t.above)
+		return t.first(t.higherPriority)
 	}
 	t.credit--
-	f := t.first(t.behind)
+	f := t.first(t.furtherBehind)
 	t.virtual = t.tag(f)
 	return f
 }
 
-// first returns the waiting flow that comes before all others.
+// first returns the flow that sorts first among those with waiting requests.
 func (t *tenant) first(before func(f, g *Flow) bool) *Flow {
 	var best *Flow
 	for _, f := range t.flows {
@@ -272,16 +275,16 @@
 	return best
 }
 
-// behind reports whether f is further behind its share than g.
-func (t *tenant) behind(f, g *Flow) bool { return t.tag(f) < t.tag(g) }
+// furtherBehind reports whether f is further behind its share than g.
+func (t *tenant) furtherBehind(f, g *Flow) bool { return t.tag(f) < t.tag(g) }
 
-// above reports whether f has the higher priority; among equals the one that
-// is further behind its share goes first.
-func (t *tenant) above(f, g *Flow) bool {
+// higherPriority reports whether f has a higher priority than g. With equal
+// priorities the flow that is further behind its share goes first.
+func (t *tenant) higherPriority(f, g *Flow) bool {
 	if f.Priority != g.Priority {
 		return f.Priority > g.Priority
 	}
-	return t.behind(f, g)
+	return t.furtherBehind(f, g)
 }
 
 // tag returns the start tag of the flow's next request within its business.
@@ -299,38 +302,38 @@
 // Victim implements Order.
 func (o *Fair) Victim(e *Entry) *Entry {
 	own := e.Flow.tenant
-	crowded, most := own, float64(own.waiting+1)/own.shares()
+	overShare, most := own, float64(own.waiting+1)/own.shares()
 	for _, t := range o.tenants {
 		if over := float64(t.waiting) / t.shares(); over > most {
-			crowded, most = t, over
+			overShare, most = t, over
 		}
 	}
-	lowest := crowded.first(func(f, g *Flow) bool { return f.Priority < g.Priority })
-	if lowest == nil || (crowded == own && lowest.Priority >= e.Flow.Priority) {
+	lowest := overShare.first(func(f, g *Flow) bool { return f.Priority < g.Priority })
+	if lowest == nil || (overShare == own && lowest.Priority >= e.Flow.Priority) {
 		return nil
 	}
 	return lowest.queue[len(lowest.queue)-1]
 }
 
-// Wait implements Order. A place in the flow's queue costs the usual time
-// between two of its starts, or the time since the last one if that is longer
-// already.
+// Wait implements Order. Each position in the flow's queue costs the average time
+// between two of its starts, or the time since the last start if that is already
+// longer.
 func (o *Fair) Wait(now mtclock.Instant, e *Entry, _ int) time.Duration {
 	f := e.Flow
 	if len(f.queue) == 0 {
 		return 0
 	}
-	place := max(f.interval, now.Sub(max(f.lastStart, f.queue[0].Arrival)))
-	return time.Duration(len(f.queue)) * place
+	perPosition := max(f.startInterval, now.Sub(max(f.lastStart, f.queue[0].Arrival)))
+	return time.Duration(len(f.queue)) * perPosition
 }
 
 // GiveUp implements Order.
-func (*Fair) GiveUp(_ mtclock.Instant, e *Entry, patient mtclock.Instant) mtclock.Instant {
-	return inTime(e, patient)
+func (*Fair) GiveUp(_ mtclock.Instant, e *Entry, waitUntil mtclock.Instant) mtclock.Instant {
+	return latestGiveUp(e, waitUntil)
 }
 
-// Ahead implements Order. Shares divide the starts of others too evenly for any of them to
-// be sure to come first.
+// Ahead implements Order. It counts all waiting entries, since with fair shares none
+// of them is certain to start after e.
 func (o *Fair) Ahead(mtclock.Instant, *Entry) int { return o.waiting }
 
 // Len implements Order.
--- a/core/mtgate/pace_test.go
+++ b/core/mtgate/pace_test.go
@@ -11,12 +11,12 @@
 	"magnoliaturn/core/mtgate"
 )
 
-// A cold server is sent more requests in a second than it bears, and crashes: whatever
-// comes, ends, is given up or made room for, no second holds more starts than the pace,
-// those of before the server became cold included.
-func TestNoSecondHoldsMoreStartsThanThePace(t *testing.T) {
+// A cold server crashes if it receives more requests in a second than it can take.
+// For any sequence of calls, the starts in each second stay within the limit,
+// including those from before the server became cold.
+func TestStartsStayWithinRateLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		pace := rapid.IntRange(1, 6).Draw(t, "pace")
+		limit := rapid.IntRange(1, 6).Draw(t, "pace")
 		gate := urgentGate(rapid.IntRange(1, 9).Draw(t, "slots"))
 		var now mtclock.Instant
 		var starts []mtclock.Instant
@@ -35,7 +35,7 @@
 						within++
 					}
 				}
-				assert.Assert(t, within <= pace, "%d starts in the second before %s", within, time.Duration(now))
+				assert.Assert(t, within <= limit, "%d starts in the second before %s", within, time.Duration(now))
 			}
 		}
 		for n := mtgate.Number(1); n < 120; n++ {
@@ -55,7 +55,7 @@
 			case 5:
 				limited = rapid.Bool().Draw(t, "limited")
 				if limited {
-					take(gate.Limit(now, mtgate.Pace(pace)))
+					take(gate.Limit(now, mtgate.Pace(limit)))
 				} else {
 					take(gate.Limit(now, 0))
 				}
@@ -64,9 +64,9 @@
 	})
 }
 
-// A request waits for the pace alone, beside free slots: nothing ends that could start it,
-// and it would wait until its time was over.
-func TestThePaceWakesWhatWaitsForIt(t *testing.T) {
+// A request waits only for the start rate limit while slots are free. No request ends
+// that would start it, so unless Next returns a time it waits until it expires.
+func TestNextCoversStartRateLimit(t *testing.T) {
 	gate := urgentGate(9)
 	gate.Limit(0, 1)
 	ticket := func(n mtgate.Number) mtgate.Ticket {
@@ -79,9 +79,9 @@
 	assert.DeepEqual(t, started(gate.Expire(next)), []mtgate.Number{2})
 }
 
-// Who would wait for the pace until its objective has passed is refused on arrival, with
-// the time after which there is room.
-func TestWhatThePaceMakesLateIsRefusedAtOnce(t *testing.T) {
+// A request that the start rate limit delays past its objective is refused on arrival,
+// with the time after which it can start.
+func TestRefusesOnArrivalWhatRateLimitMakesLate(t *testing.T) {
 	gate := urgentGate(9)
 	gate.Limit(0, 1)
 	ticket := func(n mtgate.Number) mtgate.Ticket {
@@ -96,9 +96,9 @@
 	assert.Assert(t, refused.Err.RetryAfter >= time.Second, "retry after %s", refused.Err.RetryAfter)
 }
 
-// A daemon is restarted beside a cold server: the second of before the restart may hold all
-// that the server bears.
-func TestARestartedGateCountsTheSecondBefore(t *testing.T) {
+// A daemon restarts while its server is cold. The starts of the previous process in
+// the last second may already use up the server's limit.
+func TestCountsStartsBeforeRestart(t *testing.T) {
 	gate := urgentGate(9)
 	gate.Unseen(0)
 	gate.Limit(0, 3)
@@ -108,9 +108,9 @@
 	assert.Equal(t, len(started(gate.Expire(at(1200*time.Millisecond)))), 1)
 }
 
-// A closed gate hands back what waits, takes nothing new, lets what runs end, and opens
-// again.
-func TestAClosedGateHandsBackWhatWaits(t *testing.T) {
+// A closed gate refuses waiting and new requests, lets running ones end, and accepts
+// requests again after Reopen.
+func TestCloseRefusesWaitingAndNewRequests(t *testing.T) {
 	gate := urgentGate(1)
 	ticket := func(n mtgate.Number) mtgate.Ticket {
 		return mtgate.Ticket{Number: n, Class: "look", Objective: at(5 * time.Second), Deadline: at(9 * time.Second)}
@@ -134,17 +134,17 @@
 	return n
 }
 
-// A server's machine becomes slow for a moment, three times as slow as usual. What waits
-// behind others there can't be in time any more and is refused at once, while it can go
-// elsewhere; judged by the mean it was found late only when its time was over.
-func TestAMomentOfSlownessRefusesWhatItMakesLate(t *testing.T) {
+// A server's machine is briefly three times slower than usual. A request that can no
+// longer end in time behind others there is refused at once, while it can still go to
+// another server; judged by the average it was refused only after its time was over.
+func TestSlowdownRefusesLateRequests(t *testing.T) {
 	gate := urgentGate(1)
 	gate.Expect("", "look", 200*time.Millisecond)
 	ticket := func(n mtgate.Number) mtgate.Ticket {
 		return mtgate.Ticket{Number: n, Class: "look", Objective: at(900 * time.Millisecond), Deadline: at(2500 * time.Millisecond)}
 	}
 	gate.Offer(0, ticket(1))
-	assert.Equal(t, refusals(gate.Offer(0, ticket(2))), 0, "in time as usual")
+	assert.Equal(t, refusals(gate.Offer(0, ticket(2))), 0, "in time at the usual speed")
 	gate.Slow(0, 3)
 	assert.Equal(t, refusals(gate.Offer(0, ticket(3))), 1)
 	gate.Slow(0, 1)
--- a/core/mtgate/stop.go
+++ b/core/mtgate/stop.go
@@ -8,75 +8,75 @@
 	"magnoliaturn/core/mtreply"
 )
 
-// Hold says what becomes of new work in a stopped range.
+// Hold is the treatment of waiting and new requests in a stopped range.
 type Hold int
 
 // The ways to stop a range.
 const (
-	// RefuseNew refuses it at once, with CauseMoving.
+	// RefuseNew refuses them at once with CauseMoving.
 	RefuseNew Hold = iota
-	// HoldNew lets it wait, up to MaxHeld requests and its patience, for Resume
-	// or Release.
+	// HoldNew lets up to MaxHeld of them wait for Resume or Release, each until its
+	// time to give up.
 	HoldNew
 )
 
-// MaxHeld is how many requests may wait in one stopped range.
+// MaxHeld is the maximum number of requests that wait in one stopped range.
 const MaxHeld = 256
 
-// stop is a range that takes no new work.
-type stop struct {
+// stoppedRange is a range in which no requests start.
+type stoppedRange struct {
 	low, high mtid.Point
-	hold      Hold
+	mode      Hold
 	inFlight  int
-	quiet     bool // reported
+	idle      bool // no requests in flight, and reported
 	held      []*Entry
 }
 
 // covers reports whether p lies in the stopped range.
-func (s *stop) covers(p mtid.Point) bool { return s.low <= p && p <= s.high }
+func (s *stoppedRange) covers(p mtid.Point) bool { return s.low <= p && p <= s.high }
 
-// remove takes out a held entry.
-func (s *stop) remove(e *Entry) { s.held = without(s.held, e) }
+// remove removes a held entry.
+func (s *stoppedRange) remove(e *Entry) { s.held = without(s.held, e) }
 
-// Stop takes the range from low to high, both included, out of service for a
-// planned move: nothing in it is started any more, and what waits is treated
-// like what comes. Quiet follows once nothing of it is in flight. A range must
-// be stopped once only until Resume or Release ends it.
-func (g *Gate[O]) Stop(now mtclock.Instant, low, high mtid.Point, hold Hold) []Effect {
+// Stop takes the range from low to high, both inclusive, out of service for a
+// planned move: no request in it starts any more, and waiting requests are treated
+// like new ones. Quiet is emitted once nothing in the range is in flight. The same
+// range must not be stopped again before Resume or Release.
+func (g *Gate[O]) Stop(now mtclock.Instant, low, high mtid.Point, mode Hold) []Effect {
 	g.begin(now)
-	s := &stop{low: low, high: high, hold: hold, inFlight: g.InFlight(low, high)}
-	g.stops = append(g.stops, s)
-	for _, e := range g.inOrder() {
-		if e.held == nil && s.covers(e.Ticket.Point) {
-			g.drop(e)
+	s := &stoppedRange{low: low, high: high, mode: mode, inFlight: g.InFlight(low, high)}
+	g.stopped = append(g.stopped, s)
+	for _, e := range g.byArrival() {
+		if e.heldBy == nil && s.covers(e.Ticket.Point) {
+			g.removeWaiting(e)
 			g.hold(s, e)
 		}
 	}
 	return g.end(now)
 }
 
-// Resume takes the range back into service, after a move that will not happen.
-// What was held goes on as if it came now, with the patience it had.
+// Resume puts the range back into service after a move was abandoned. Held requests
+// are admitted as if they arrived now, but keep their time to give up.
 func (g *Gate[O]) Resume(now mtclock.Instant, low, high mtid.Point) []Effect {
 	g.begin(now)
-	for _, e := range g.unstop(low, high) {
+	for _, e := range g.removeStop(low, high) {
 		g.admit(now, e)
 	}
 	return g.end(now)
 }
 
-// Release ends the stop of a range that has a new owner. What was held is
-// refused with CauseStaleRoute, so that it goes to the new owner at once.
+// Release ends the stop of a range that has a new owner. Held requests are refused
+// with CauseStaleRoute, so that they are sent to the new owner at once.
 func (g *Gate[O]) Release(now mtclock.Instant, low, high mtid.Point) []Effect {
 	g.begin(now)
-	for _, e := range g.unstop(low, high) {
+	for _, e := range g.removeStop(low, high) {
 		g.refuse(e, refusal(mtreply.CauseStaleRoute, 0, ""))
 	}
 	return g.end(now)
 }
 
-// InFlight returns how many requests are in flight in the range, both ends
-// included.
+// InFlight returns the number of requests in flight in the range from low to high,
+// both inclusive.
 func (g *Gate[O]) InFlight(low, high mtid.Point) int {
 	n := 0
 	for _, e := range g.running {
@@ -87,24 +87,24 @@
 	return n
 }
 
-// unstop removes the stop of exactly that range and returns what it held.
-func (g *Gate[O]) unstop(low, high mtid.Point) []*Entry {
-	i := slices.IndexFunc(g.stops, func(s *stop) bool { return s.low == low && s.high == high })
+// removeStop removes the stop of exactly that range and returns the held requests.
+func (g *Gate[O]) removeStop(low, high mtid.Point) []*Entry {
+	i := slices.IndexFunc(g.stopped, func(s *stoppedRange) bool { return s.low == low && s.high == high })
 	if i < 0 {
 		return nil
 	}
-	s := g.stops[i]
-	g.stops = slices.Delete(g.stops, i, i+1)
+	s := g.stopped[i]
+	g.stopped = slices.Delete(g.stopped, i, i+1)
 	for _, e := range s.held {
-		e.held = nil
+		e.heldBy = nil
 		delete(g.waiting, e.Ticket.Number)
 	}
 	return s.held
 }
 
-// stopAt returns the stop that covers p, or nil.
-func (g *Gate[O]) stopAt(p mtid.Point) *stop {
-	for _, s := range g.stops {
+// stoppedAt returns the stopped range that covers p, or nil.
+func (g *Gate[O]) stoppedAt(p mtid.Point) *stoppedRange {
+	for _, s := range g.stopped {
 		if s.covers(p) {
 			return s
 		}
@@ -112,27 +112,27 @@
 	return nil
 }
 
-// hold lets e wait in a stopped range or refuses it.
-func (g *Gate[O]) hold(s *stop, e *Entry) {
-	if s.hold == RefuseNew || len(s.held) >= MaxHeld || len(g.waiting) >= g.limits.Waiting {
+// hold adds e to the held requests of a stopped range, or refuses it.
+func (g *Gate[O]) hold(s *stoppedRange, e *Entry) {
+	if s.mode == RefuseNew || len(s.held) >= MaxHeld || len(g.waiting) >= g.limits.Waiting {
 		g.refuse(e, refusal(mtreply.CauseMoving, movingRetryAfter, ""))
 		return
 	}
-	g.wait(e)
-	e.held = s
+	g.addWaiting(e)
+	e.heldBy = s
 	s.held = append(s.held, e)
 }
 
-// report tells of ranges that have become quiet and of the end of a drain.
-func (g *Gate[O]) report() {
-	for _, s := range g.stops {
-		if s.inFlight == 0 && !s.quiet {
-			s.quiet = true
-			g.out = append(g.out, Quiet{Low: s.low, High: s.high})
+// reportIdle emits the effects for stopped ranges and drains with nothing in flight.
+func (g *Gate[O]) reportIdle() {
+	for _, s := range g.stopped {
+		if s.inFlight == 0 && !s.idle {
+			s.idle = true
+			g.effects = append(g.effects, Quiet{Low: s.low, High: s.high})
 		}
 	}
 	if g.draining && !g.idle && len(g.running) == 0 {
 		g.idle = true
-		g.out = append(g.out, Idle{})
+		g.effects = append(g.effects, Idle{})
 	}
 }
--- a/core/mtgate/urgent.go
+++ b/core/mtgate/urgent.go
@@ -6,39 +6,40 @@
 	"magnoliaturn/core/mtclock"
 )
 
-// serviceMargin is how many times its mean service time a request is expected to
-// need. Service times scatter by a third and more around their mean; with a
-// margin of one, half of those started as late as that would miss their
-// objective.
+// serviceMargin is the multiple of the mean service time for which a request is
+// expected to run. Service times vary by a third or more around their mean; with a
+// margin of one, half of the requests that start at the latest time would miss
+// their objective.
 const serviceMargin = 1.25
 
-// Urgent starts first what is worth most and can still be had. It answers the
-// pattern of a load that exceeds the slots for seconds: whoever serves in order
-// of arrival then, answers everything late.
+// Urgent starts the most valuable requests that can still meet their objective. It
+// is for loads that exceed the slots for seconds, in which serving in order of
+// arrival makes every answer late.
 //
-// Its steps, each of which decides only where the former ones tie:
+// It compares requests by these rules, each of which applies if the previous ones
+// tie:
 //
-//  1. Nested requests: a slot at another server is taken until they end, so that
-//     each second that they wait costs two servers a second.
-//  2. Requests that can still meet their objective, before those that can't.
+//  1. Nested requests first: each occupies a slot at another server until it ends,
+//     so that every second of waiting costs two servers a second.
+//  2. Requests that can still meet their objective before those that can't.
 //  3. The higher priority of the class.
-//  4. The earlier objective, less the time that the request takes.
+//  4. The earlier latest start: the objective less the expected service time.
 //
-// When the gate is full, the request that would start last gives way.
+// When the gate is full, the request that would start last is shed.
 //
-// While nested requests come, those that can't meet their objective have half of
-// the slots at most. It answers the pattern of a server that has become slow,
-// after a loss of power by six times: every request was late, each held its slot
-// for seconds, and nested ones that take a tenth of that found no slot free before
-// their deadlines. The servers that waited for them lost what they had done.
+// While nested requests arrive, requests that can't meet their objective get at most
+// half of the slots. Otherwise a slow server has no slots for nested requests: after
+// a loss of power a server was six times slower, every request was late and held its
+// slot for seconds, and nested ones, which take a tenth of that, found no free slot
+// before their deadlines. The work of the servers that waited for them was wasted.
 type Urgent struct {
-	patiently
-	waiting []*Entry
-	late    int             // run although they can't meet their objective
-	nested  mtclock.Instant // the last nested request
+	deadlineBased
+	waiting     []*Entry
+	runningLate int             // running requests that can't meet their objective
+	lastNested  mtclock.Instant // time of the last nested request
 }
 
-// NewUrgent returns an empty Urgent.
+// NewUrgent returns an Urgent without entries.
 func NewUrgent() *Urgent { return &Urgent{} }
 
 // Join implements Order.
@@ -47,7 +48,7 @@
 // Push implements Order.
 func (o *Urgent) Push(e *Entry) {
 	if e.Ticket.Nested {
-		o.nested = e.Arrival
+		o.lastNested = e.Arrival
 	}
 	o.waiting = append(o.waiting, e)
 	e.Flow.queue = append(e.Flow.queue, e)
@@ -57,7 +58,7 @@
 func (o *Urgent) Next(now mtclock.Instant, slots int) *Entry {
 	var best *Entry
 	for _, e := range o.waiting {
-		if best == nil || before(now, e, best) {
+		if best == nil || startsBefore(now, e, best) {
 			best = e
 		}
 	}
@@ -69,46 +70,46 @@
 }
 
 const (
-	// latePortion is the part of the slots, one over it, that requests may have
-	// which can't meet their objective.
-	latePortion = 2
-	// nestedMemory is how long after a nested request others are expected.
-	nestedMemory = time.Second
+	// lateSlotsDivisor divides the slots to give the maximum for requests that
+	// can't meet their objective.
+	lateSlotsDivisor = 2
+	// nestedWindow is the time after a nested request in which more are expected.
+	nestedWindow = time.Second
 )
 
-// Admits implements Order. What can't meet its objective comes last in the order,
-// so nothing else waits if it is not admitted.
+// Admits implements Order. Requests that can't meet their objective come last in the
+// order, so that refusing one a slot delays no other.
 func (o *Urgent) Admits(now mtclock.Instant, e *Entry, slots int) bool {
-	if e.Ticket.Nested || !lost(now, e) || now.Sub(o.nested) > nestedMemory {
+	if e.Ticket.Nested || !missesObjective(now, e) || now.Sub(o.lastNested) > nestedWindow {
 		return true
 	}
-	return o.late < max(slots/latePortion, 1)
+	return o.runningLate < max(slots/lateSlotsDivisor, 1)
 }
 
-// lost reports whether e can't meet its objective any more.
-func lost(now mtclock.Instant, e *Entry) bool {
+// missesObjective reports whether e can no longer meet its objective.
+func missesObjective(now mtclock.Instant, e *Entry) bool {
 	return e.Ticket.Objective != 0 && now.After(latestStart(e))
 }
 
 // Started implements Order.
 func (o *Urgent) Started(now mtclock.Instant, e *Entry) {
 	if e.Ticket.Nested {
-		o.nested = now
-	} else if lost(now, e) {
-		e.late = true
-		o.late++
+		o.lastNested = now
+	} else if missesObjective(now, e) {
+		e.startedLate = true
+		o.runningLate++
 	}
 }
 
 // Ended implements Order.
 func (o *Urgent) Ended(e *Entry) {
-	if e.late {
-		o.late--
+	if e.startedLate {
+		o.runningLate--
 	}
 }
 
-// before reports whether e starts before f.
-func before(now mtclock.Instant, e, f *Entry) bool {
+// startsBefore reports whether e starts before f.
+func startsBefore(now mtclock.Instant, e, f *Entry) bool {
 	if e.Ticket.Nested != f.Ticket.Nested {
 		return e.Ticket.Nested
 	}
@@ -126,17 +127,17 @@
 	return e.Ticket.Number < f.Ticket.Number
 }
 
-// latestStart returns when e has to start to meet its objective.
+// latestStart returns the latest time at which e can start to meet its objective.
 func latestStart(e *Entry) mtclock.Instant {
 	objective := e.Ticket.Objective
 	if objective == 0 {
 		objective = e.Ticket.Deadline
 	}
-	return objective.Add(-expected(e))
+	return objective.Add(-expectedRun(e))
 }
 
-// expected returns how long e is expected to run.
-func expected(e *Entry) time.Duration {
+// expectedRun returns the expected service time of e, including the margin.
+func expectedRun(e *Entry) time.Duration {
 	return time.Duration(float64(e.service()) * serviceMargin)
 }
 
@@ -150,7 +151,7 @@
 func (o *Urgent) Victim(e *Entry) *Entry {
 	last := e
 	for _, w := range o.waiting {
-		if before(e.Arrival, last, w) {
+		if startsBefore(e.Arrival, last, w) {
 			last = w
 		}
 	}
@@ -160,12 +161,13 @@
 	return last
 }
 
-// Wait implements Order. What starts before e keeps the slots for its service
-// times; with all slots in use one becomes free every service time over slots.
+// Wait implements Order. The entries that start before e occupy the slots for their
+// service times; while all slots are in use, one becomes free every service time
+// divided by slots.
 func (o *Urgent) Wait(now mtclock.Instant, e *Entry, slots int) time.Duration {
 	var ahead time.Duration
 	for _, w := range o.waiting {
-		if before(now, w, e) {
+		if startsBefore(now, w, e) {
 			ahead += w.service()
 		}
 	}
@@ -176,7 +178,7 @@
 func (o *Urgent) Ahead(now mtclock.Instant, e *Entry) int {
 	ahead := 0
 	for _, w := range o.waiting {
-		if before(now, w, e) {
+		if startsBefore(now, w, e) {
 			ahead++
 		}
 	}
@@ -184,62 +186,59 @@
 }
 
 const (
-	// leastQueue is the part of its service time, one over it, that a request may
-	// be expected to wait although it can't meet its objective any more: on a
-	// slow server nothing could, and its slots would stand idle between two
-	// requests.
-	leastQueue = 4
-	// latePart is the part, one over it, of the time between objective and
-	// deadline that a request waits beyond the time at which it had to start to
-	// be in time. With a quarter, a second in which more is asked than can be
-	// done passes without refusals of what was admitted.
-	latePart = 4
-	// overloadRetry is the least time after which asking again makes sense while
-	// more is asked than can be done.
-	overloadRetry = 400 * time.Millisecond
+	// minQueueDivisor divides the service time of a request to give the wait that
+	// is acceptable even if it can't meet its objective. On a slow server no
+	// request can, and with no queue its slots would be idle between two requests.
+	minQueueDivisor = 4
+	// lateWaitDivisor divides the time between objective and deadline to give the
+	// time that a request waits beyond its latest start. With a quarter, a second
+	// of overload passes without refusals of admitted requests.
+	lateWaitDivisor = 4
+	// minOverloadRetry is the least time to retry after during an overload.
+	minOverloadRetry = 400 * time.Millisecond
 )
 
-// worthStarting returns until when it is worth starting e, which arrives now.
-func worthStarting(now mtclock.Instant, e *Entry) mtclock.Instant {
-	return max(latestStart(e), now.Add(e.service()/leastQueue))
+// worthStartingUntil returns the latest useful start of e, which arrives now.
+func worthStartingUntil(now mtclock.Instant, e *Entry) mtclock.Instant {
+	return max(latestStart(e), now.Add(e.service()/minQueueDivisor))
 }
 
-// GiveUp implements Order. What has become late only starts while nothing waits
-// that is in time. Held until its deadline it mostly ends refused all the same,
-// without time left for its caller to try again.
-func (*Urgent) GiveUp(now mtclock.Instant, e *Entry, patient mtclock.Instant) mtclock.Instant {
-	patient = inTime(e, patient)
+// GiveUp implements Order. A late request starts only while none that is in time
+// waits. If it waited until its deadline, it would mostly be refused anyway, with no
+// time left for its caller to retry.
+func (*Urgent) GiveUp(now mtclock.Instant, e *Entry, waitUntil mtclock.Instant) mtclock.Instant {
+	waitUntil = latestGiveUp(e, waitUntil)
 	if e.Ticket.Objective == 0 || e.Ticket.Nested {
-		return patient
+		return waitUntil
 	}
-	late := max(e.Ticket.Deadline.Sub(e.Ticket.Objective), 0) / latePart
-	return min(patient, worthStarting(now, e).Add(late))
+	late := max(e.Ticket.Deadline.Sub(e.Ticket.Objective), 0) / lateWaitDivisor
+	return min(waitUntil, worthStartingUntil(now, e).Add(late))
 }
 
-// TooLate implements Order. A request with an objective has to be expected to
-// meet it: while more is asked than can be done, a queue longer than that makes
-// every answer late and none more, and what is refused at once can still be
-// served after its caller's next try. A nested request only has to start in time,
-// since refusing it wastes the work of the server that waits for it.
+// TooLate implements Order. A request with an objective must be expected to meet it:
+// during an overload a longer queue makes every answer late and yields none more,
+// and a request that is refused at once can still be served when its caller retries.
+// A nested request only has to start in time, since refusing it wastes the work of
+// the server that waits for it.
 func (o *Urgent) TooLate(now mtclock.Instant, e *Entry, wait time.Duration) bool {
 	switch {
 	case e.Ticket.Nested:
 		return now.Add(wait).After(e.GiveUp)
 	case e.Ticket.Objective != 0:
-		return now.Add(wait).After(worthStarting(now, e))
+		return now.Add(wait).After(worthStartingUntil(now, e))
 	}
-	return o.patiently.TooLate(now, e, wait)
+	return o.deadlineBased.TooLate(now, e, wait)
 }
 
-// Retry implements Order. The queue is kept so short that its end says little: a
-// load that fills it lasts for seconds, and who comes back within the queue's time
-// is refused again. On the heaviest days of two deployments 2 in 100 more of all
-// requests were served with the longer time, one run each.
+// Retry implements Order. The queue is so short that its length says little about
+// when the overload ends: an overload lasts for seconds, and a caller that retries
+// after the estimated wait is refused again. With minOverloadRetry 2 in 100 more of
+// all requests were served on the heaviest days of two deployments.
 func (*Urgent) Retry(e *Entry, wait time.Duration) time.Duration {
 	if e.Ticket.Objective == 0 {
 		return wait
 	}
-	return max(wait, overloadRetry)
+	return max(wait, minOverloadRetry)
 }
 
 // Len implements Order.
--- a/core/mtgate/urgent_test.go
+++ b/core/mtgate/urgent_test.go
@@ -22,7 +22,7 @@
 
 func at(d time.Duration) mtclock.Instant { return mtclock.Instant(d) }
 
-// started returns the numbers that the effects start.
+// started returns the ticket numbers of the Start effects.
 func started(effects []mtgate.Effect) []mtgate.Number {
 	var out []mtgate.Number
 	for _, e := range effects {
@@ -33,9 +33,9 @@
 	return out
 }
 
-// Breakfast: more is asked of a server than it can do. Whoever came first was
-// served first, and every answer came late. What can still meet its objective
-// goes first, nested requests before all, the urgent class before the other.
+// A server gets more requests than it can run, and in order of arrival every answer
+// is late. Nested requests start first, then those that can still meet their
+// objective, in order of class priority and latest start.
 func TestUrgentOrder(t *testing.T) {
 	gate := urgentGate(1)
 	ticket := func(n mtgate.Number, class mtid.Class, objective time.Duration, nested bool) mtgate.Ticket {
@@ -61,7 +61,7 @@
 	assert.DeepEqual(t, order, []mtgate.Number{6, 4, 5, 3, 2})
 }
 
-// What a full gate refuses is what would start last, not what came last.
+// A full gate sheds the request that would start last, not the one that arrived last.
 func TestUrgentVictim(t *testing.T) {
 	gate := mtgate.New(mtgate.NewUrgent(), mtgate.Limits{Patience: 1, Waiting: 1})
 	gate.Declare("", mtbundle.Class{Name: "pay", Priority: -1, Queue: 100})
@@ -79,10 +79,10 @@
 	assert.Equal(t, refused.Ticket.Number, mtgate.Number(2))
 }
 
-// All VMs lost power and every key is cold: valuations take 2.5 s, three times their
-// objective. They took every slot, and the collateral checks of the loan desk, which
-// take a quarter of a second, found none before their deadline.
-func TestNestedRequestsFindSlotsAtASlowServer(t *testing.T) {
+// After a loss of power at all VMs every key is cold: valuations take 2.5 s, three
+// times their objective. They occupied every slot, and the loan desk's collateral
+// checks, which take a quarter of a second, found none before their deadline.
+func TestLateRequestsLeaveSlotsForNestedOnes(t *testing.T) {
 	gate := urgentGate(4)
 	gate.Expect("", "look", 2500*time.Millisecond)
 	number := mtgate.Number(0)
@@ -100,9 +100,9 @@
 	assert.Equal(t, running, 2, "late requests have half of the slots")
 	assert.Equal(t, offer(2*time.Millisecond, "check", true), 1)
 	assert.Equal(t, offer(3*time.Millisecond, "check", true), 0, "all slots are in use")
-	// The one that waits goes first; once nobody asks for others, late ones have
-	// all slots.
+	// The waiting check starts first. Once no nested requests have arrived for a
+	// while, late requests may use all slots.
 	assert.DeepEqual(t, started(gate.Done(at(4*time.Millisecond), 1)), []mtgate.Number{number})
-	assert.Equal(t, len(started(gate.Done(at(5*time.Millisecond), number))), 0, "a slot is kept")
+	assert.Equal(t, len(started(gate.Done(at(5*time.Millisecond), number))), 0, "a slot is reserved for nested requests")
 	assert.Equal(t, offer(1200*time.Millisecond, "look", false), 1)
 }
