--- a/core/mtattempt/mtattempt.go
+++ b/core/mtattempt/mtattempt.go
@@ -1,22 +1,22 @@
-// Package mtattempt tells a caller's second try of a request from a fresh one.
+// Package mtattempt recognizes the retries that callers make of their own requests.
 //
-// A caller that was refused asks again within the deadline that it set itself at
-// its first try. Its objective has been running since then, but nothing in the
-// second try says so: it has an identifier of its own, and callers of one route
-// give deadlines that differ by a sixth. What does tell is that it asks for the
-// same, and that its deadline ends at the same moment as that of a try which
-// failed here.
+// A caller whose request was refused retries within the deadline that it set at its
+// first try. The time to the objective has been running since then, but the retry
+// doesn't carry that information: it has an identifier of its own, and the deadlines
+// that callers of one route set differ by a sixth. What identifies a retry is that
+// it has the same content as a try that failed here, and that its deadline ends at
+// the same time.
 //
-// Without the difference a second try passes for fresh: while more is asked than
-// can be done, half of the slots went to requests whose callers had waited past
-// the objective. Told by a short deadline alone, four in ten fresh requests passed
-// for late, and were refused beside free slots.
+// If retries are taken for new requests, half of the slots during an overload go to
+// requests whose callers have already waited past the objective. If they are
+// recognized by a short deadline alone, four in ten new requests are taken for late
+// ones and refused while slots are free.
 //
 // # Usage
 //
 //	attempts := mtattempt.New(2048)
-//	first := attempts.Recall(now, print, deadline) // now, if the request is fresh
-//	attempts.Failed(now, print, first, deadline)   // its caller may ask again
+//	first := attempts.Recall(now, fingerprint, deadline) // now, if the request is new
+//	attempts.Failed(now, fingerprint, first, deadline)   // its caller may retry
 //
 // Attempts isn't safe for concurrent use.
 package mtattempt
@@ -29,39 +29,39 @@
 	"magnoliaturn/core/mtpoison"
 )
 
-// tolerance is by how much the deadlines of two tries may differ. Both are counted
-// from their arrival, and on their way requests wait for some milliseconds, a lost
-// packet for a fifth of a second.
+// tolerance is the maximum difference between the deadlines of two tries. Both are
+// counted from arrival, and requests take some milliseconds to arrive, or a fifth of a
+// second if a packet is lost.
 const tolerance = 60 * time.Millisecond
 
-// attempt is a try that failed.
+// attempt is a failed try.
 type attempt struct {
-	mark     mtpoison.Print
-	first    mtclock.Instant // arrival of its caller's first try
-	deadline mtclock.Instant
+	fingerprint mtpoison.Print
+	first       mtclock.Instant // arrival of its caller's first try
+	deadline    mtclock.Instant
 }
 
-// Attempts remembers the tries that failed not long ago.
+// Attempts remembers recent failed tries.
 type Attempts struct {
-	most   int
-	recent []attempt // the oldest first
-	known  map[mtpoison.Print]int
+	maxAttempts int
+	recent      []attempt // the oldest first
+	counts      map[mtpoison.Print]int
 }
 
-// New returns an Attempts that remembers so many tries at most.
-func New(most int) *Attempts {
-	return &Attempts{most: most, known: make(map[mtpoison.Print]int)}
+// New returns an Attempts that remembers at most maxAttempts tries.
+func New(maxAttempts int) *Attempts {
+	return &Attempts{maxAttempts: maxAttempts, counts: make(map[mtpoison.Print]int)}
 }
 
-// Recall returns when the first try of a request arrived that arrives now with a
-// deadline: now, unless it is another try of one that failed. Each failure is
-// followed by one try at most, so it is forgotten then.
-func (a *Attempts) Recall(now mtclock.Instant, mark mtpoison.Print, deadline mtclock.Instant) mtclock.Instant {
-	if a.known[mark] == 0 {
+// Recall returns when the caller's first try of a request arrived: now, unless the
+// request retries a failed one, which has about the same deadline. Each failure is
+// followed by at most one retry, so Recall forgets a failure that it has matched.
+func (a *Attempts) Recall(now mtclock.Instant, fingerprint mtpoison.Print, deadline mtclock.Instant) mtclock.Instant {
+	if a.counts[fingerprint] == 0 {
 		return now
 	}
 	i := slices.IndexFunc(a.recent, func(t attempt) bool {
-		return t.mark == mark && near(t.deadline, deadline)
+		return t.fingerprint == fingerprint && withinTolerance(t.deadline, deadline)
 	})
 	if i < 0 {
 		return now
@@ -71,25 +71,25 @@
 	return first
 }
 
-func near(a, b mtclock.Instant) bool {
-	apart := a.Sub(b)
-	return apart <= tolerance && apart >= -tolerance
+func withinTolerance(a, b mtclock.Instant) bool {
+	difference := a.Sub(b)
+	return difference <= tolerance && difference >= -tolerance
 }
 
-// Failed remembers a try that was not answered with success, whose caller's first
-// try arrived at first. After the deadline nobody asks again.
-func (a *Attempts) Failed(now mtclock.Instant, mark mtpoison.Print, first, deadline mtclock.Instant) {
-	for len(a.recent) > 0 && (len(a.recent) >= a.most || a.recent[0].deadline.Before(now)) {
+// Failed remembers a failed try whose caller's first try arrived at first. It is
+// forgotten after the deadline, when its caller no longer retries.
+func (a *Attempts) Failed(now mtclock.Instant, fingerprint mtpoison.Print, first, deadline mtclock.Instant) {
+	for len(a.recent) > 0 && (len(a.recent) >= a.maxAttempts || a.recent[0].deadline.Before(now)) {
 		a.forget(0)
 	}
-	a.recent = append(a.recent, attempt{mark: mark, first: first, deadline: deadline})
-	a.known[mark]++
+	a.recent = append(a.recent, attempt{fingerprint: fingerprint, first: first, deadline: deadline})
+	a.counts[fingerprint]++
 }
 
 func (a *Attempts) forget(i int) {
-	mark := a.recent[i].mark
+	fingerprint := a.recent[i].fingerprint
 	a.recent = slices.Delete(a.recent, i, i+1)
-	if a.known[mark]--; a.known[mark] == 0 {
-		delete(a.known, mark)
+	if a.counts[fingerprint]--; a.counts[fingerprint] == 0 {
+		delete(a.counts, fingerprint)
 	}
 }
--- a/core/mtretry/mtretry.go
+++ b/core/mtretry/mtretry.go
@@ -1,15 +1,15 @@
-// Package mtretry decides whether the ingress sends a request once more.
+// Package mtretry decides whether the ingress retries a request.
 //
 // Only the ingress retries: neither the owner's daemon nor its client of the
-// backend server ever does, since retries at several layers multiply. A request
-// is sent again only if it is idempotent or proved not run, if another try may
-// end otherwise, if its deadline leaves time for it, and if the budget of its
-// business and class pays for it. Otherwise the caller gets the last answer at
-// once; nothing is held back until its deadline.
+// backend server ever does, since retries at several layers multiply. A request is
+// retried only if it is idempotent or proved not run, if another try may have a
+// different outcome, if its deadline leaves enough time, and if the retry budget of
+// its business and class allows it. Otherwise the caller gets the last outcome
+// immediately, not only at its deadline.
 //
-// The budget is what keeps retries from becoming the load: each request earns
-// the share of a retry that its class declares, and each retry costs a whole
-// one. Budgeted is the policy meant for service, Fixed the plain one.
+// The budget keeps retries from overloading the servers: each request earns the
+// fraction of a retry that its class declares, and each retry costs a whole one.
+// Budgeted is the policy for production, Fixed the baseline for comparison.
 //
 // # Usage
 //
@@ -18,9 +18,9 @@
 //	policy.First(flow)
 //	for tries := 1; ; tries++ {
 //		err := try()
-//		again, ok := policy.Next(now, mtretry.Attempt{Flow: flow, Tries: tries, Err: err, ...})
+//		wait, ok := policy.Next(now, mtretry.Attempt{Flow: flow, Tries: tries, Err: err, ...})
 //		if !ok { return err }
-//		wait until now.Add(again)
+//		sleep until now.Add(wait)
 //	}
 //
 // The policies aren't safe for concurrent use.
@@ -36,65 +36,66 @@
 	"magnoliaturn/core/mtreply"
 )
 
-// Flow is what a budget belongs to.
+// Flow identifies a budget: the requests of one class of one business.
 type Flow struct {
 	Business mtid.Business
 	Class    mtid.Class
 }
 
-// Attempt describes the try that has just failed.
+// Attempt describes a failed try and the request that it belongs to.
 type Attempt struct {
 	Flow       Flow
 	Idempotent bool
-	// Elsewhere says that the next try would go to another server, as is usual
-	// for a service of kind spread.
+	// Elsewhere is set if the next try would go to another server, as is usual for a
+	// service of kind spread.
 	Elsewhere bool
-	Tries     int // tries so far, from 1
-	Redirects int // of these, how many ended with a newer route
+	Tries     int // number of tries so far, at least 1
+	Redirects int // how many of these ended with a newer route
 	Deadline  mtclock.Instant
 	Err       error
 }
 
-// Policy decides on retries. The ingress holds one.
+// Policy decides on retries. The ingress has one.
 type Policy interface {
-	// First notes the first try of a request.
+	// First records a new request before its first try.
 	First(flow Flow)
-	// Next returns how long to wait before the next try, or false if there is
-	// to be none and the caller gets a.Err now.
+	// Next returns how long to wait before the next try, or false if the request
+	// must not be retried and the caller gets a.Err now.
 	Next(now mtclock.Instant, a Attempt) (time.Duration, bool)
 }
 
-// Bounds of a request's tries.
+// Limits on the tries of a request.
 const (
-	// MaxTries bounds the tries of one request, redirects not counted.
+	// MaxTries is the maximum number of tries, not counting redirects.
 	MaxTries = 3
-	// MaxRedirects bounds how often a request follows a newer route. A route
-	// that changes more often than that is not worth following.
+	// MaxRedirects is how often a request follows a newer route. If the route
+	// changes more often than that, following it further is not worthwhile.
 	MaxRedirects = 3
 )
 
-// Backoff between tries: full jitter below a bound that doubles.
+// Bounds of the backoff between tries. The backoff has full jitter below a limit that
+// doubles with each try.
 const (
 	baseBackoff = 10 * time.Millisecond
 	maxBackoff  = 500 * time.Millisecond
 )
 
-// Bounds of a budget, in retries.
+// Limits on the credit of a budget, in retries.
 const (
-	// firstCredit lets a class with little traffic retry at all.
+	// firstCredit allows retries in classes with little traffic.
 	firstCredit = 3.0
-	// maxCredit bounds what a quiet time saves up for a bad one.
+	// maxCredit limits the credit that accumulates while few requests fail.
 	maxCredit = 20.0
 )
 
-// DefaultRetries is what a request of an undeclared class earns.
+// DefaultRetries is what each request earns in a class that is not declared.
 const DefaultRetries = 0.1
 
-// minTry is the least time that a try is worth being started for.
+// minTry is the least time before the deadline for which a try is worthwhile.
 const minTry = 5 * time.Millisecond
 
-// Fixed is the plain policy: a fixed number of tries for whatever may be sent
-// again, with backoff but without a budget.
+// Fixed allows a fixed number of tries, with backoff but without a budget, for every
+// request that may be sent again.
 type Fixed struct {
 	Tries  int
 	Random *rand.Rand
@@ -105,32 +106,33 @@
 
 // Next implements Policy.
 func (p *Fixed) Next(now mtclock.Instant, a Attempt) (time.Duration, bool) {
-	if a.Tries >= p.Tries || !safe(a) {
+	if a.Tries >= p.Tries || !safeToResend(a) {
 		return 0, false
 	}
 	wait := backoff(p.Random, a.Tries)
 	return wait, now.Add(wait).Before(a.Deadline)
 }
 
-// Budgeted retries within a budget per business and class.
+// Budgeted limits retries by a budget per business and class.
 type Budgeted struct {
 	random *rand.Rand
 	flows  map[Flow]*budget
 }
 
-// budget is the credit of one flow.
+// budget is the retry budget of one flow.
 type budget struct {
-	earn   float64 // per first try
+	earn   float64 // credit earned by each request
 	credit float64
 }
 
-// NewBudgeted returns a policy without credit. random is its source of jitter.
+// NewBudgeted returns a policy with no flows. It uses random for the jitter.
 func NewBudgeted(random *rand.Rand) *Budgeted {
 	return &Budgeted{random: random, flows: make(map[Flow]*budget)}
 }
 
-// Declare sets the retries that each request of the flow earns, 0 to 1. It is
-// called when a bundle comes into force; the credit stays.
+// Declare sets the fraction of a retry that each request of the flow earns, 0 to 1.
+// It is called when a bundle comes into force. The credit is retained unless the
+// fraction is 0.
 func (p *Budgeted) Declare(flow Flow, retries float64) {
 	b := p.budget(flow)
 	b.earn = min(max(retries, 0), 1)
@@ -147,19 +149,19 @@
 
 // Next implements Policy.
 func (p *Budgeted) Next(now mtclock.Instant, a Attempt) (time.Duration, bool) {
-	if !safe(a) || !Promising(a) {
+	if !safeToResend(a) || !Promising(a) {
 		return 0, false
 	}
-	// A newer route costs no backend server anything and is mostly right, so it
-	// is followed at once and free of the budget: a planned move sends all the
-	// requests that it held to the new owner at the same time.
-	if redirect(a.Err) {
+	// Following a newer route costs no backend server any time and usually succeeds,
+	// so it needs neither a wait nor credit. After a planned move all held requests
+	// are redirected to the new owner at the same time.
+	if isRedirect(a.Err) {
 		return 0, a.Redirects < MaxRedirects && now.Add(minTry).Before(a.Deadline)
 	}
 	if a.Tries-a.Redirects >= MaxTries {
 		return 0, false
 	}
-	wait := max(backoff(p.random, a.Tries-a.Redirects), asked(a))
+	wait := max(backoff(p.random, a.Tries-a.Redirects), requestedWait(a))
 	if !now.Add(wait + minTry).Before(a.Deadline) {
 		return 0, false
 	}
@@ -171,10 +173,10 @@
 	return wait, true
 }
 
-// Credit returns the retries that the flow could pay for now, for metrics.
+// Credit returns the number of retries that the flow's budget allows now, for metrics.
 func (p *Budgeted) Credit(flow Flow) float64 { return p.budget(flow).credit }
 
-// budget returns the budget of a flow.
+// budget returns the budget of a flow, with the defaults if it is new.
 func (p *Budgeted) budget(flow Flow) *budget {
 	b, ok := p.flows[flow]
 	if !ok {
@@ -184,9 +186,9 @@
 	return b
 }
 
-// safe reports whether the try failed and sending the request again can't run
-// it twice.
-func safe(a Attempt) bool {
+// safeToResend reports whether the try failed and sending the request again can't
+// run it twice.
+func safeToResend(a Attempt) bool {
 	if a.Err == nil {
 		return false
 	}
@@ -194,15 +196,15 @@
 	return a.Idempotent || errors.As(a.Err, &refused)
 }
 
-// redirect reports whether the try ended with a newer route.
-func redirect(err error) bool {
+// isRedirect reports whether the try ended with a newer route.
+func isRedirect(err error) bool {
 	var refused *mtreply.RefusedError
 	return errors.As(err, &refused) && refused.Cause == mtreply.CauseStaleRoute
 }
 
-// asked returns how long the refusal asks to wait. It speaks of the server that
-// refused: another one is asked without that wait.
-func asked(a Attempt) time.Duration {
+// requestedWait returns the wait that the refusal requests. It applies to the server
+// that refused, so a try at another server doesn't wait.
+func requestedWait(a Attempt) time.Duration {
 	var refused *mtreply.RefusedError
 	if a.Elsewhere || !errors.As(a.Err, &refused) {
 		return 0
@@ -210,7 +212,7 @@
 	return max(refused.RetryAfter, 0)
 }
 
-// Promising reports whether another try may end otherwise than the last.
+// Promising reports whether another try may have a different outcome than the last.
 func Promising(a Attempt) bool {
 	var refused *mtreply.RefusedError
 	if errors.As(a.Err, &refused) {
@@ -223,10 +225,10 @@
 	return true
 }
 
-// promisingRefusal says it for the causes of a refusal. Those that speak of one
-// server's load or health are worth a try only elsewhere: the owner of a key
-// has already weighed the request, and asking it again adds to the load that
-// it was refused for.
+// promisingRefusal is Promising for the causes of a refusal. Causes that concern the
+// load or health of one server justify a retry only at another server: the owner of a
+// key has already weighed the request, and a retry would add to the load for which it
+// was refused.
 func promisingRefusal(cause mtreply.Cause, elsewhere bool) bool {
 	switch cause {
 	case mtreply.CauseStaleRoute, mtreply.CauseNoOwner, mtreply.CauseNoLease,
@@ -240,8 +242,8 @@
 	return false
 }
 
-// promisingUnknown says it for the causes of an unknown outcome. It matters
-// for idempotent requests only.
+// promisingUnknown is Promising for the causes of an unknown outcome. It matters only
+// for idempotent requests.
 func promisingUnknown(cause mtreply.Cause) bool {
 	switch cause {
 	case mtreply.CauseLost, mtreply.CauseTruncated, mtreply.CauseTimeout:
@@ -250,8 +252,8 @@
 	return false
 }
 
-// backoff returns the wait after so many tries, with full jitter: callers that
-// failed together don't come back together.
+// backoff returns the wait after the given number of tries. Full jitter keeps callers
+// that failed at the same time from retrying at the same time.
 func backoff(random *rand.Rand, tries int) time.Duration {
 	bound := baseBackoff << max(tries-1, 0)
 	if bound > maxBackoff || bound <= 0 {
--- a/core/mtretry/mtretry_test.go
+++ b/core/mtretry/mtretry_test.go
@@ -26,7 +26,7 @@
 
 func unknown(cause mtreply.Cause) error { return &mtreply.UnknownError{Cause: cause} }
 
-func TestWhatIsSentAgain(t *testing.T) {
+func TestBudgetedNext(t *testing.T) {
 	second := mtclock.Instant(time.Second)
 	tests := []struct {
 		name    string
@@ -36,19 +36,19 @@
 		{"answered", mtretry.Attempt{Idempotent: true, Deadline: second}, false},
 		{"order, connection lost", mtretry.Attempt{Err: unknown(mtreply.CauseLost), Deadline: second}, false},
 		{"status check, connection lost", mtretry.Attempt{Idempotent: true, Err: unknown(mtreply.CauseLost), Deadline: second}, true},
-		{"order, never sent", mtretry.Attempt{Err: refused(mtreply.CauseUnreachable, 0), Deadline: second}, true},
-		{"order, an error of no known type", mtretry.Attempt{Err: errOther{}, Deadline: second}, false},
+		{"order, not sent", mtretry.Attempt{Err: refused(mtreply.CauseUnreachable, 0), Deadline: second}, true},
+		{"order, error of unknown type", mtretry.Attempt{Err: errOther{}, Deadline: second}, false},
 		{"shed by the owner", mtretry.Attempt{Idempotent: true, Err: refused(mtreply.CauseShed, 0), Deadline: second}, false},
 		{"shed by one server of many", mtretry.Attempt{Idempotent: true, Elsewhere: true, Err: refused(mtreply.CauseShed, 0), Deadline: second}, true},
 		{"quarantined", mtretry.Attempt{Idempotent: true, Elsewhere: true, Err: refused(mtreply.CauseQuarantined, 0), Deadline: second}, false},
 		{"taken over", mtretry.Attempt{Idempotent: true, Err: unknown(mtreply.CauseTakenOver), Deadline: second}, false},
-		{"told never", mtretry.Attempt{Idempotent: true, Err: refused(mtreply.CauseNoOwner, -1), Deadline: second}, false},
-		{"told to wait past the deadline", mtretry.Attempt{Err: refused(mtreply.CauseNoOwner, time.Second), Deadline: second}, false},
-		{"another server needn't be waited for", mtretry.Attempt{Elsewhere: true, Err: refused(mtreply.CauseShed, time.Second), Deadline: second}, true},
+		{"refused with no retry allowed", mtretry.Attempt{Idempotent: true, Err: refused(mtreply.CauseNoOwner, -1), Deadline: second}, false},
+		{"requested wait exceeds the deadline", mtretry.Attempt{Err: refused(mtreply.CauseNoOwner, time.Second), Deadline: second}, false},
+		{"requested wait doesn't apply to another server", mtretry.Attempt{Elsewhere: true, Err: refused(mtreply.CauseShed, time.Second), Deadline: second}, true},
 		{"no time left", mtretry.Attempt{Err: refused(mtreply.CauseStaleRoute, 0), Deadline: mtclock.Instant(time.Millisecond)}, false},
 		{"last try", mtretry.Attempt{Tries: mtretry.MaxTries, Err: refused(mtreply.CauseUnreachable, 0), Deadline: second}, false},
 		{"newer route after the last try", mtretry.Attempt{Tries: mtretry.MaxTries, Err: refused(mtreply.CauseStaleRoute, 0), Deadline: second}, true},
-		{"newer route once too often", mtretry.Attempt{Tries: 4, Redirects: mtretry.MaxRedirects, Err: refused(mtreply.CauseStaleRoute, 0), Deadline: second}, false},
+		{"newer route after the last redirect", mtretry.Attempt{Tries: 4, Redirects: mtretry.MaxRedirects, Err: refused(mtreply.CauseStaleRoute, 0), Deadline: second}, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestClassWithoutRetriesHasNone(t *testing.T) {
+func TestNoRetriesWithZeroBudget(t *testing.T) {
 	p := budgeted(0)
 	for range 100 {
 		p.First(flow)
@@ -72,10 +72,10 @@
 	assert.Assert(t, !again)
 }
 
-// A third of the servers refuse connections. Each desk's order is tried again,
-// and if nothing bounds that, the tries themselves bring the other servers
-// down. The budget keeps the tries within a fifth of the orders.
-func TestBudgetBoundsTheLoad(t *testing.T) {
+// A third of the servers refuse connections. Without a limit, the retries of every
+// order overload the other servers as well. The budget limits retries to a fifth of
+// the orders.
+func TestBudgetLimitsRetries(t *testing.T) {
 	const requests = 10_000
 	random := rand.New(rand.NewPCG(3, 4))
 	p := budgeted(0.2)
@@ -94,10 +94,10 @@
 		}
 	}
 	assert.Assert(t, float64(tries) <= 1.2*requests+20, "got %d tries for %d requests", tries, requests)
-	assert.Assert(t, float64(tries) > 1.15*requests, "the budget went unused: %d tries", tries)
+	assert.Assert(t, float64(tries) > 1.15*requests, "budget was not used: %d tries", tries)
 }
 
-// errOther is an error that says nothing about the outcome.
+// errOther is an error that carries no outcome.
 type errOther struct{}
 
 func (errOther) Error() string { return "other" }
