--- a/core/mtcall/mtcall.go
+++ b/core/mtcall/mtcall.go
@@ -1,16 +1,17 @@
-// Package mtcall is a caller's HTTP request that is passed on unchanged to a
-// backend server, and the answer on its way back.
+// Package mtcall holds a caller's HTTP request that is forwarded unchanged to a
+// backend server, and the answer to it.
 //
-// A route decides what may be done with a call: whether it is idempotent, how
-// long it may take and how urgent it is. Method, target, header and body belong
-// to caller and backend server, and nobody in between reads or changes them.
+// A route determines how a call may be handled: whether it is idempotent, how long
+// it may take and how urgent it is. Method, target, header and body are the concern
+// of the caller and the backend server; nothing in between interprets or changes
+// them.
 //
 // # Usage
 //
 //	call := &mtcall.Call{ID: id, Method: "GET", Target: "/plans/7", Service: "maps"}
-//	print := call.Print() // the same for each try of one request
+//	fingerprint := call.Print() // the same for each try of one request
 //
-// A Call and an Answer are values that one goroutine at a time may change.
+// A Call and an Answer aren't safe for concurrent use.
 package mtcall
 
 import (
@@ -24,60 +25,59 @@
 	"magnoliaturn/core/mtreply"
 )
 
-// ID is the identifier that the caller gave its request: any bounded text.
+// ID is the identifier that the caller gave its request: any text of limited length.
 type ID string
 
-// MaxID is the longest identifier that is passed on, in bytes.
+// MaxID is the maximum length of an identifier, in bytes.
 const MaxID = 128
 
-// Field is one header field.
+// Field is an HTTP header field.
 type Field struct{ Name, Value string }
 
-// Call is one request.
+// Call is a caller's request with its routing properties.
 type Call struct {
 	ID     ID
 	Method string
 	Target string // path and query as received
 	Host   string
-	Header []Field // end to end, less those that the system sets
+	Header []Field // end-to-end fields, without those that the system sets
 	Body   []byte
 
 	Service    mtid.Service
-	Route      mtid.Class // names the route, for queues and histograms
-	Keyed      bool       // Key tells which server has to run it
+	Route      mtid.Class // name of the route, for queues and histograms
+	Keyed      bool       // Key determines which server has to run the call
 	Key        mtid.Number
 	Idempotent bool
-	// Nested says that a backend server waits for it: it is part of a request
-	// that has used other servers' time already.
+	// Nested is set if a backend server waits for the answer: the call is part of a
+	// request that has already used other servers' time.
 	Nested bool
 	Repeat bool // an earlier try reached a backend server
-	// Proven says that a server has answered the same request before, as the daemon
-	// that the caller asked remembers: it is not one that crashes its servers.
+	// Proven is set if the ingress daemon remembers that a server has answered the
+	// same request before, so that it isn't one that crashes servers.
 	Proven    bool
-	Priority  int // the lowest is the most urgent
+	Priority  int // the lowest value is the most urgent
 	Objective mtclock.Instant
 	Deadline  mtclock.Instant
-	// The following are known at the ingress only.
-	Usual   time.Duration // that calls of its route run
+	// The following fields are known only at the ingress.
+	Usual   time.Duration // typical service time of the route
 	Arrived mtclock.Instant
 	First   mtclock.Instant // arrival of its caller's first try
-	Given   mtclock.Instant // the deadline that its caller gave; zero if none
-	// Caller is the service on the VM where the request began.
+	Given   mtclock.Instant // deadline that the caller set; zero if none
+	// Caller is the service on the VM where the request originated.
 	Caller mtid.Service
-	// Tries are the failed ones so far, for the logs of the ingress.
+	// Tries are the failed tries so far, for the logs of the ingress.
 	Tries []Try
 }
 
-// Try is a try that failed.
+// Try describes a failed try of a call.
 type Try struct {
 	Daemon mtid.Daemon   `json:"daemon"`
 	Cause  mtreply.Cause `json:"cause"`
 	Took   time.Duration `json:"took"`
 }
 
-// Print returns a hash of everything that the backend server sees but the
-// identifier: two tries of one request share it, whatever identifier they
-// carry.
+// Print returns a hash of the call's services, method, host, target and body. All
+// tries of one request share it, whatever their identifiers.
 func (c *Call) Print() mtpoison.Print {
 	var d xxhash.Digest
 	d.Reset()
@@ -89,34 +89,35 @@
 	return mtpoison.Print(d.Sum64())
 }
 
-// Second reports whether the call is known to be a second try of its caller.
+// Second reports whether the call is known to be a retry that its caller made.
 func (c *Call) Second() bool { return c.First != 0 && c.First < c.Arrived }
 
-// Late reports whether the call can't meet its objective any more if it takes so
-// long. A nested call has none of its own.
+// Late reports whether the call can no longer meet its objective if it takes the given
+// time from now. A nested call has no objective.
 func (c *Call) Late(now mtclock.Instant, takes time.Duration) bool {
 	return !c.Nested && c.Objective != 0 && now.Add(takes).After(c.Objective)
 }
 
-// Load is how loaded a backend server is, as its daemon counts it.
+// Load is the load of a backend server as measured by its daemon.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
-	// Service is how long a request takes there that usually takes a tenth of a
-	// second. Only its ratio to that of other servers counts.
+	// Service is the current service time there of a request that usually takes a
+	// tenth of a second. Only its ratio to that of other servers is significant.
 	Service time.Duration
-	Demand  float64 // offered work, in slots
+	Demand  float64 // offered load, in slots
 }
 
-// Answer is what the backend server said.
+// Answer is the response of the backend server.
 type Answer struct {
 	Status int
 	Header []Field
 	Body   []byte
-	Queued time.Duration // at the gate of the server
-	Served time.Duration // at the server
-	// Slowness is how long work takes on the server's machine at the moment, as a multiple
-	// of what is usual; zero if the server does not tell. It is known beside the server only.
+	Queued time.Duration // time in the gate's queue
+	Served time.Duration // time at the server
+	// Slowness is how long work currently takes on the server's machine, as a multiple
+	// of the usual time; zero if the server doesn't report it. Only the daemon beside
+	// the server knows it.
 	Slowness float64
 }
--- a/core/mtheader/hop.go
+++ b/core/mtheader/hop.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// hopByHop are the fields that concern one connection only.
+// hopByHop are the canonical names of the header fields that apply to one connection.
 var hopByHop = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
@@ -16,7 +16,7 @@
 	"Content-Length":      true,
 }
 
-// HopByHop reports whether a header field concerns one connection only, so that
-// it must not be passed on. The length of a body is one of them, since it is
-// told anew on each connection.
+// HopByHop reports whether a header field applies to one connection only and must not
+// be forwarded. Content-Length is one of them because the length of the body is set
+// anew on each connection.
 func HopByHop(name string) bool { return hopByHop[http.CanonicalHeaderKey(name)] }
--- a/core/mtreply/mtreply.go
+++ b/core/mtreply/mtreply.go
@@ -1,17 +1,18 @@
-// Package mtreply says what a caller is told: the outcome of a request, never
-// blurred, and the typed cause of a refusal.
+// Package mtreply defines the outcomes of requests and the causes that are reported
+// to callers.
 //
-// There are three outcomes. Answered: the whole reply of the backend server to
-// this very request. NotRun: proved that no backend server began it, so it is
-// safe to send again. Unknown: it may have run, or may be running still.
+// There are three outcomes, which are never mixed up. Answered: the caller gets the
+// complete reply of the backend server to this very request. NotRun: it is proved
+// that no backend server began the request, so that it is safe to send again.
+// Unknown: the request may have run, or may still be running.
 //
 // # Usage
 //
 //	return &mtreply.RefusedError{Cause: mtreply.CauseQueueFull, RetryAfter: time.Second}
 //
-// A RefusedError always means NotRun; an *UnknownError always means Unknown.
-// Any other error on the path of a request counts as Unknown, since only a
-// proof allows NotRun.
+// A *RefusedError always means NotRun; an *UnknownError always means Unknown. Any
+// other error on the path of a request counts as Unknown, since NotRun requires a
+// proof.
 package mtreply
 
 import (
@@ -21,66 +22,67 @@
 	"magnoliaturn/core/mtid"
 )
 
-// Outcome is what is known about a request when the caller hears of it.
+// Outcome is what is known about a request when its caller gets the reply.
 type Outcome string
 
-// The outcomes.
+// The outcomes. See the package comment.
 const (
 	Answered Outcome = "answered"
 	NotRun   Outcome = "not-run"
 	Unknown  Outcome = "unknown"
 )
 
-// Cause tells why a request was refused or its outcome is unknown. The words
-// appear in replies, counters and logs alike.
+// Cause is the reason why a request was refused or its outcome is unknown. Its text
+// appears in replies, counters and logs.
 type Cause string
 
-// The causes of a NotRun outcome.
+// The causes of the NotRun outcome.
 const (
-	CauseMalformed   Cause = "malformed"   // bad input; asking again won't help
-	CauseNoService   Cause = "no-service"  // no bundle names the service or class
-	CauseNoOwner     Cause = "no-owner"    // nobody owns the key at present
-	CauseStaleRoute  Cause = "stale-route" // asked a daemon that is not the owner
-	CauseNoLease     Cause = "no-lease"    // the owner may not serve right now
-	CauseMoving      Cause = "moving"      // the shard moved, and the wait outlived the deadline
+	CauseMalformed   Cause = "malformed"   // invalid request; a retry is useless
+	CauseNoService   Cause = "no-service"  // no bundle defines the service or class
+	CauseNoOwner     Cause = "no-owner"    // the key currently has no owner
+	CauseStaleRoute  Cause = "stale-route" // sent to a daemon that isn't the owner
+	CauseNoLease     Cause = "no-lease"    // the owner has no valid lease now
+	CauseMoving      Cause = "moving"      // the shard is moving, and the request could not wait for that
 	CauseUnreachable Cause = "unreachable" // never sent: no connection to the owner
 	CauseQueueFull   Cause = "queue-full"  // the class's queue is full
 	CauseShed        Cause = "shed"        // gave way to more important work
-	CauseExpired     Cause = "expired"     // deadline passed before it was begun
-	CauseLimited     Cause = "limited"     // over the business's or class's limit
-	CauseDraining    Cause = "draining"    // the backend server is leaving
+	CauseExpired     Cause = "expired"     // the deadline passed before the request was begun
+	CauseLimited     Cause = "limited"     // over the rate limit of the business or class
+	CauseDraining    Cause = "draining"    // the backend server is being drained
 	CauseNoServer    Cause = "no-server"   // no backend server is announced here
 	CauseFenced      Cause = "fenced"      // the backend server refused the epoch or start-by time
-	CauseRefused     Cause = "refused"     // the backend server said that it did not run it
-	CauseQuarantined Cause = "quarantined" // suspected of crashing backend servers
-	CauseRecentFull  Cause = "recent-full" // no room to remember the request identifier
-	CauseSkew        Cause = "skew"        // identifier from further in the future than allowed
-	CauseTooLarge    Cause = "too-large"   // body over the limit
+	CauseRefused     Cause = "refused"     // the backend server reported that it did not run the request
+	CauseQuarantined Cause = "quarantined" // found to crash backend servers
+	CauseRecentFull  Cause = "recent-full" // no capacity left to remember the request identifier
+	CauseSkew        Cause = "skew"        // the identifier's time is further in the future than allowed
+	CauseTooLarge    Cause = "too-large"   // the body exceeds the size limit
 	CauseStopping    Cause = "stopping"    // this daemon is shutting down
 	CauseZoneOut     Cause = "zone-out"    // the server's availability zone is out of service
 )
 
-// The causes of an Unknown outcome.
+// The causes of the Unknown outcome.
 const (
 	CauseLost      Cause = "lost"       // connection lost after the request was sent
 	CauseTimeout   Cause = "timeout"    // deadline passed after the request was sent
-	CauseTruncated Cause = "truncated"  // the reply was incomplete or not for this request
+	CauseTruncated Cause = "truncated"  // the reply was incomplete or for another request
 	CauseTakenOver Cause = "taken-over" // sent before a takeover; may have run at the lost owner
 	CauseEarlier   Cause = "earlier"    // an earlier try with this identifier has an unknown outcome
-	CauseGone      Cause = "gone"       // the caller went away
+	CauseGone      Cause = "gone"       // the caller canceled the request
 )
 
-// RefusedError says that a request was not run, and why.
+// RefusedError means that a request was not run.
 type RefusedError struct {
 	Cause Cause
-	// RetryAfter is when it makes sense to ask again. Zero means at once, and
+	// RetryAfter is the time after which a retry makes sense. Zero means at once, and
 	// a negative value means never.
 	RetryAfter time.Duration
-	// Detail is for people; it names the field and range for malformed input.
+	// Detail is for human readers. For malformed input it names the field and its
+	// valid range.
 	Detail string
-	// Owner is the daemon beside the present owner of the key, where the one that
-	// refused knows of another, and Epoch the next one of the assignment by which
-	// it goes.
+	// Owner is the daemon of the key's current owner, if the refusing daemon knows
+	// that it is another one. Epoch is the next epoch of the assignment on which this
+	// is based.
 	Owner mtid.Daemon
 	Epoch mtid.Epoch
 }
@@ -93,7 +95,7 @@
 	return fmt.Sprintf("not run: %s: %s", e.Cause, e.Detail)
 }
 
-// UnknownError says that a request may have run.
+// UnknownError means that a request may have run.
 type UnknownError struct {
 	Cause Cause
 	Err   error
@@ -107,5 +109,5 @@
 	return fmt.Sprintf("outcome unknown: %s: %v", e.Cause, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error, if any, that left the outcome unknown.
 func (e *UnknownError) Unwrap() error { return e.Err }
--- a/core/mtrequest/mtrequest.go
+++ b/core/mtrequest/mtrequest.go
@@ -1,12 +1,12 @@
-// Package mtrequest is a request on its way: what the caller asked, under which
-// identifier, and what came of it.
+// Package mtrequest defines requests to keyed services, their identifiers and their
+// replies.
 //
 // # Usage
 //
 //	id, err := mtrequest.ParseID(header)
 //	request.Fingerprint()
 //
-// Requests and replies are values that one goroutine at a time may change.
+// Requests and replies aren't safe for concurrent use.
 package mtrequest
 
 import (
@@ -21,20 +21,21 @@
 	"magnoliaturn/core/mtreply"
 )
 
-// ID identifies a request over all its tries: a UUIDv7, whose first 48 bits are
-// the wall time of its making in milliseconds.
+// ID identifies a request across all its tries. It is a UUIDv7, whose first 48 bits
+// are the wall-clock time of its creation in milliseconds.
 type ID uuid.UUID
 
-// String returns the usual form with dashes.
+// String returns the canonical form with dashes.
 func (id ID) String() string { return uuid.UUID(id).String() }
 
-// Made returns when the identifier was made, by its maker's wall clock.
+// Made returns the time at which the identifier was created, by its creator's wall
+// clock.
 func (id ID) Made() time.Time {
 	ms := int64(id[0])<<40 | int64(id[1])<<32 | int64(id[2])<<24 | int64(id[3])<<16 | int64(id[4])<<8 | int64(id[5])
 	return time.UnixMilli(ms)
 }
 
-// IDError says that an identifier is not a UUIDv7.
+// IDError reports an identifier that is not a UUIDv7.
 type IDError struct{ Value string }
 
 // Error implements error.
@@ -44,7 +45,7 @@
 
 const idVersion = 7
 
-// ParseID reads an identifier. It fails with an *IDError.
+// ParseID parses the text form of an identifier. It fails with an *IDError.
 func ParseID(s string) (ID, error) {
 	u, err := uuid.Parse(s)
 	if err != nil || u.Version() != idVersion {
@@ -53,7 +54,7 @@
 	return ID(u), nil
 }
 
-// ReadID reads the 16 bytes of an identifier. It fails with an *IDError.
+// ReadID decodes an identifier from its 16 bytes. It fails with an *IDError.
 func ReadID(b []byte) (ID, error) {
 	u, err := uuid.FromBytes(b)
 	if err != nil || u.Version() != idVersion {
@@ -62,8 +63,8 @@
 	return ID(u), nil
 }
 
-// Mint makes an identifier from the present wall time and random bits; the
-// latter are an argument so that a test can give the same ones.
+// Mint creates an identifier from the given wall-clock time and random bits, which are
+// a parameter so that tests can create the same identifier again.
 func Mint(wall time.Time, random [10]byte) ID {
 	var id ID
 	ms := wall.UnixMilli()
@@ -76,36 +77,33 @@
 	return id
 }
 
-// Request is what a caller asked.
+// Request is a caller's request to a keyed service.
 type Request struct {
 	ID          ID
-	Minted      bool // the ingress made ID for this very request
+	Minted      bool // the ingress created ID for this request
 	Service     mtid.Ref
 	Key         mtid.Key
 	Class       mtid.Class
 	Method      string
-	Path        string // after the key, with its leading slash, or empty
+	Path        string // the part after the key: empty, or with a leading slash
 	Query       string
 	ContentType string
 	Body        []byte
 	Deadline    mtclock.Instant // on this VM's clock
 	Ingress     mtid.Holder
-	// Suspect says that the request is suspected of crashing backend servers:
-	// the ingress sets it as a hint, the owner as its verdict. A suspect runs
-	// alone.
+	// Suspect is set if the request is suspected of crashing backend servers: by the
+	// ingress as a hint, by the owner as its decision. A suspect request runs alone.
 	Suspect bool
-	// Exposed says that the key came to its owner from a lost daemon lately, so
-	// that the request may be the one which took that daemon's VM down. The
-	// owner sets it.
+	// Exposed is set by the owner if it recently took the key over from a lost daemon,
+	// so that the request may be the one that crashed that daemon's VM.
 	Exposed bool
-	// Begun, if not nil, is called when the owner begins to run a suspect: at the
-	// owner to tell the ingress, and at the ingress once it has heard.
+	// Begun, if not nil, is called when the owner begins to run a suspect request: at
+	// the owner to notify the ingress, and at the ingress when it is notified.
 	Begun func()
 }
 
-// Fingerprint returns a hash of everything that the backend server sees but the
-// identifier: two tries of one request share it, whatever identifier they
-// carry.
+// Fingerprint returns a hash of the request's service, key, class, method, path, query
+// and body. All tries of one request share it, whatever their identifiers.
 func (r *Request) Fingerprint() uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -120,28 +118,27 @@
 	return d.Sum64()
 }
 
-// Point returns where the request's key lies on its service's ring.
+// Point returns the position of the request's key on its service's ring.
 func (r *Request) Point() mtid.Point { return r.Service.Point(r.Key) }
 
-// Reply is what came of a request.
+// Reply is the result of a request.
 type Reply struct {
 	Outcome     mtreply.Outcome
 	Cause       mtreply.Cause // empty if answered
 	Detail      string
 	RetryAfter  time.Duration
-	Owner       mtid.Holder // the daemon that replied, or the one to ask instead
+	Owner       mtid.Holder // the daemon that replied, or the one to send the request to instead
 	Epoch       mtid.Epoch
-	Status      int // of the backend server, if answered
+	Status      int // HTTP status of the backend server, if answered
 	ContentType string
 	Body        []byte
-	Frontier    mtid.Revision // of the owner's view
-	Queued      time.Duration // at the owner's gate
-	Served      time.Duration // at the backend server
+	Frontier    mtid.Revision // frontier of the owner's view
+	Queued      time.Duration // time in the owner's admission queue
+	Served      time.Duration // time at the backend server
 }
 
-// FromError returns the reply that an error stands for. An error of any other
-// type than *mtreply.RefusedError counts as unknown, since only a proof allows
-// "not run".
+// FromError converts an error to a reply. Any error other than a *mtreply.RefusedError
+// counts as an unknown outcome, since "not run" requires a proof.
 func FromError(err error) *Reply {
 	switch e := err.(type) {
 	case *mtreply.RefusedError:
