--- a/cmd/policies/admission.go
+++ b/cmd/policies/admission.go
@@ -133,7 +133,7 @@
 
 func fairOrder(guaranteed float64) func(admissionLoad, uint64, time.Duration) *trial {
 	return func(l admissionLoad, seed uint64, length time.Duration) *trial {
-		return runTrial(mtgate.NewFair(guaranteed), mtgate.DefaultPatience, l, seed, length)
+		return runTrial(mtgate.NewFair(guaranteed), mtgate.DefaultMaxWaitFraction, l, seed, length)
 	}
 }
 
@@ -223,7 +223,7 @@
 
 // runTrial runs a load against a gate.
 func runTrial[O mtgate.Order](order O, patience float64, l admissionLoad, seed uint64, length time.Duration) *trial {
-	gate := mtgate.New(order, mtgate.Limits{Slots: trialSlots, Connections: trialConnections, Patience: patience})
+	gate := mtgate.New(order, mtgate.Limits{Slots: trialSlots, Connections: trialConnections, MaxWaitFraction: patience})
 	t := &trial{length: length, random: rand.New(rand.NewPCG(seed, 0)), byNo: make(map[mtgate.Number]*trialRequest)}
 	for _, c := range l.classes {
 		gate.Declare(c.business, c.class)
--- a/cmd/policies/admission_test.go
+++ b/cmd/policies/admission_test.go
@@ -16,7 +16,7 @@
 	for _, l := range admissionLoads {
 		t.Run(l.name, func(t *testing.T) {
 			for seed := uint64(1); seed <= 3; seed++ {
-				got := runTrial(mtgate.NewFair(mtgate.DefaultGuaranteed), mtgate.DefaultPatience, l, seed, 10*time.Second)
+				got := runTrial(mtgate.NewFair(mtgate.DefaultGuaranteed), mtgate.DefaultMaxWaitFraction, l, seed, 10*time.Second)
 				assert.Assert(t, got.goodput() >= 0.9, "goodput is %.3f", got.goodput())
 				for _, r := range got.results {
 					p99 := time.Duration(r.latency.ValueAtQuantile(99)) * time.Microsecond
--- a/core/mtattempt/mtattempt.go
+++ b/core/mtattempt/mtattempt.go
@@ -15,8 +15,8 @@
 // # Usage
 //
 //	attempts := mtattempt.New(2048)
-//	first := attempts.Recall(now, fingerprint, deadline) // now, if the request is new
-//	attempts.Failed(now, fingerprint, first, deadline)   // its caller may retry
+//	first := attempts.FirstArrival(now, fingerprint, deadline) // now, if the request is new
+//	attempts.RecordFailure(now, fingerprint, first, deadline)  // its caller may retry
 //
 // Attempts isn't safe for concurrent use.
 package mtattempt
@@ -53,10 +53,10 @@
 	return &Attempts{maxAttempts: maxAttempts, counts: make(map[mtpoison.Print]int)}
 }
 
-// Recall returns when the caller's first try of a request arrived: now, unless the
+// FirstArrival returns when the caller's first try of a request arrived: now, unless the
 // request retries a failed one, which has about the same deadline. Each failure is
-// followed by at most one retry, so Recall forgets a failure that it has matched.
-func (a *Attempts) Recall(now mtclock.Instant, fingerprint mtpoison.Print, deadline mtclock.Instant) mtclock.Instant {
+// followed by at most one retry, so FirstArrival forgets a failure that it has matched.
+func (a *Attempts) FirstArrival(now mtclock.Instant, fingerprint mtpoison.Print, deadline mtclock.Instant) mtclock.Instant {
 	if a.counts[fingerprint] == 0 {
 		return now
 	}
@@ -76,9 +76,9 @@
 	return difference <= tolerance && difference >= -tolerance
 }
 
-// Failed remembers a failed try whose caller's first try arrived at first. It is
+// RecordFailure remembers a failed try whose caller's first try arrived at first. It is
 // forgotten after the deadline, when its caller no longer retries.
-func (a *Attempts) Failed(now mtclock.Instant, fingerprint mtpoison.Print, first, deadline mtclock.Instant) {
+func (a *Attempts) RecordFailure(now mtclock.Instant, fingerprint mtpoison.Print, first, deadline mtclock.Instant) {
 	for len(a.recent) > 0 && (len(a.recent) >= a.maxAttempts || a.recent[0].deadline.Before(now)) {
 		a.forget(0)
 	}
--- a/core/mtattempt/mtattempt_test.go
+++ b/core/mtattempt/mtattempt_test.go
@@ -34,9 +34,9 @@
 		{"another request", status, 400 * time.Millisecond, 3 * time.Second, 400 * time.Millisecond},
 	} {
 		a := mtattempt.New(8)
-		assert.Equal(t, a.Recall(after(0), plan, after(3*time.Second)), after(0))
-		a.Failed(after(time.Millisecond), plan, after(0), after(3*time.Second))
-		assert.Equal(t, a.Recall(after(test.at), test.fingerprint, after(test.deadline)), after(test.want), test.name)
+		assert.Equal(t, a.FirstArrival(after(0), plan, after(3*time.Second)), after(0))
+		a.RecordFailure(after(time.Millisecond), plan, after(0), after(3*time.Second))
+		assert.Equal(t, a.FirstArrival(after(test.at), test.fingerprint, after(test.deadline)), after(test.want), test.name)
 	}
 }
 
@@ -45,22 +45,22 @@
 func TestEachFailureMatchesOneRetry(t *testing.T) {
 	a := mtattempt.New(8)
 	deadline := after(3 * time.Second)
-	a.Failed(after(0), 1, after(0), deadline)
-	first := a.Recall(after(400*time.Millisecond), 1, deadline)
+	a.RecordFailure(after(0), 1, after(0), deadline)
+	first := a.FirstArrival(after(400*time.Millisecond), 1, deadline)
 	assert.Equal(t, first, after(0))
-	assert.Equal(t, a.Recall(after(401*time.Millisecond), 1, deadline), after(401*time.Millisecond))
-	a.Failed(after(402*time.Millisecond), 1, first, deadline)
-	assert.Equal(t, a.Recall(after(time.Second), 1, deadline), after(0))
+	assert.Equal(t, a.FirstArrival(after(401*time.Millisecond), 1, deadline), after(401*time.Millisecond))
+	a.RecordFailure(after(402*time.Millisecond), 1, first, deadline)
+	assert.Equal(t, a.FirstArrival(after(time.Second), 1, deadline), after(0))
 }
 
 // Callers that never retry must not use up memory.
 func TestMemoryIsBounded(t *testing.T) {
 	a := mtattempt.New(3)
 	for n := range 10 {
-		a.Failed(after(0), mtpoison.Print(n), after(0), after(time.Second))
+		a.RecordFailure(after(0), mtpoison.Print(n), after(0), after(time.Second))
 	}
-	assert.Equal(t, a.Recall(after(1), 0, after(time.Second)), after(1), "the oldest try is still remembered")
-	assert.Equal(t, a.Recall(after(1), 9, after(time.Second)), after(0))
-	a.Failed(after(2*time.Second), 11, after(2*time.Second), after(3*time.Second))
-	assert.Equal(t, a.Recall(after(2*time.Second), 8, after(time.Second)), after(2*time.Second), "a try is remembered past its deadline")
+	assert.Equal(t, a.FirstArrival(after(1), 0, after(time.Second)), after(1), "the oldest try is still remembered")
+	assert.Equal(t, a.FirstArrival(after(1), 9, after(time.Second)), after(0))
+	a.RecordFailure(after(2*time.Second), 11, after(2*time.Second), after(3*time.Second))
+	assert.Equal(t, a.FirstArrival(after(2*time.Second), 8, after(time.Second)), after(2*time.Second), "a try is remembered past its deadline")
 }
--- a/core/mtcall/mtcall.go
+++ b/core/mtcall/mtcall.go
@@ -9,7 +9,7 @@
 // # Usage
 //
 //	call := &mtcall.Call{ID: id, Method: "GET", Target: "/plans/7", Service: "maps"}
-//	fingerprint := call.Print() // the same for each try of one request
+//	fingerprint := call.Fingerprint() // the same for each try of one request
 //
 // A Call and an Answer aren't safe for concurrent use.
 package mtcall
@@ -59,10 +59,10 @@
 	Objective mtclock.Instant
 	Deadline  mtclock.Instant
 	// The following fields are known only at the ingress.
-	Usual   time.Duration // typical service time of the route
-	Arrived mtclock.Instant
-	First   mtclock.Instant // arrival of its caller's first try
-	Given   mtclock.Instant // deadline that the caller set; zero if none
+	TypicalService time.Duration // typical service time of the route
+	Arrived        mtclock.Instant
+	FirstArrived   mtclock.Instant // arrival of its caller's first try
+	CallerDeadline mtclock.Instant // deadline that the caller set; zero if none
 	// Caller is the service on the VM where the request originated.
 	Caller mtid.Service
 	// Tries are the failed tries so far, for the logs of the ingress.
@@ -76,9 +76,9 @@
 	Took   time.Duration `json:"took"`
 }
 
-// Print returns a hash of the call's services, method, host, target and body. All
+// Fingerprint returns a hash of the call's services, method, host, target and body. All
 // tries of one request share it, whatever their identifiers.
-func (c *Call) Print() mtpoison.Print {
+func (c *Call) Fingerprint() mtpoison.Print {
 	var d xxhash.Digest
 	d.Reset()
 	for _, part := range []string{string(c.Service), string(c.Caller), c.Method, c.Host, c.Target} {
@@ -89,8 +89,8 @@
 	return mtpoison.Print(d.Sum64())
 }
 
-// Second reports whether the call is known to be a retry that its caller made.
-func (c *Call) Second() bool { return c.First != 0 && c.First < c.Arrived }
+// IsRetry reports whether the call is known to be a retry that its caller made.
+func (c *Call) IsRetry() bool { return c.FirstArrived != 0 && c.FirstArrived < c.Arrived }
 
 // Late reports whether the call can no longer meet its objective if it takes the given
 // time from now. A nested call has no objective.
@@ -103,10 +103,10 @@
 	Running int
 	Waiting int
 	Slots   int
-	// Service is the current service time there of a request that usually takes a
+	// ServiceTime is the current service time there of a request that usually takes a
 	// tenth of a second. Only its ratio to that of other servers is significant.
-	Service time.Duration
-	Demand  float64 // offered load, in slots
+	ServiceTime time.Duration
+	Demand      float64 // offered load, in slots
 }
 
 // Answer is the response of the backend server.
--- a/core/mtgate/bench_test.go
+++ b/core/mtgate/bench_test.go
@@ -24,7 +24,7 @@
 // BenchmarkOverload measures a request at a gate whose slots are in use and whose
 // queues are full.
 func BenchmarkOverload(b *testing.B) {
-	g := mtgate.New(mtgate.NewFair(mtgate.DefaultGuaranteed), mtgate.Limits{Slots: 12, Connections: 12, Patience: 1})
+	g := mtgate.New(mtgate.NewFair(mtgate.DefaultGuaranteed), mtgate.Limits{Slots: 12, Connections: 12, MaxWaitFraction: 1})
 	running := []mtgate.Number{}
 	take := func(effects []mtgate.Effect) {
 		for _, effect := range effects {
--- a/core/mtgate/mtgate.go
+++ b/core/mtgate/mtgate.go
@@ -14,7 +14,7 @@
 //
 // A request that won't start in time is refused as early as possible, with a time
 // to retry after: on arrival if the queue ahead of it is too long, otherwise once
-// it has waited for a fraction (Patience) of the time to its deadline. Every
+// it has waited for a fraction (MaxWaitFraction) of the time to its deadline. Every
 // refusal of this package means that the request was not run.
 //
 // # Usage
@@ -24,10 +24,10 @@
 //	effects := gate.Offer(now, ticket)
 //	for _, effect := range effects {
 //		switch e := effect.(type) {
-//		case mtgate.Start:  // send e.Ticket to the backend server, later call gate.Done
-//		case mtgate.Refuse: // reply to e.Ticket's caller with e.Err
-//		case mtgate.Quiet:  // a stopped range has no requests in flight
-//		case mtgate.Idle:   // a drained gate has no requests in flight
+//		case mtgate.Start:     // send e.Ticket to the backend server, later call gate.Done
+//		case mtgate.Refuse:    // reply to e.Ticket's caller with e.Err
+//		case mtgate.RangeIdle: // a stopped range has no requests in flight
+//		case mtgate.Idle:      // a drained gate has no requests in flight
 //		}
 //	}
 //	at, ok := gate.Next() // call gate.Expire at that time
@@ -67,7 +67,7 @@
 	Alone bool
 }
 
-// Effect is an action for the caller of the gate: Start, Refuse, Quiet or Idle.
+// Effect is an action for the caller of the gate: Start, Refuse, RangeIdle or Idle.
 type Effect interface{ effect() }
 
 // Start means that the request is to be sent to the backend server now. Done must
@@ -80,34 +80,34 @@
 	Err    *mtreply.RefusedError
 }
 
-// Quiet reports that a stopped range has no requests in flight. It is emitted once
+// RangeIdle reports that a stopped range has no requests in flight. It is emitted once
 // per Stop.
-type Quiet struct{ Low, High mtid.Point }
+type RangeIdle struct{ Low, High mtid.Point }
 
 // Idle reports that no requests are in flight after Drain. It is emitted once.
 type Idle struct{}
 
-func (Start) effect()  {}
-func (Refuse) effect() {}
-func (Quiet) effect()  {}
-func (Idle) effect()   {}
+func (Start) effect()     {}
+func (Refuse) effect()    {}
+func (RangeIdle) effect() {}
+func (Idle) effect()      {}
 
 // Limits are the capacities of the backend server and of the gate.
 type Limits struct {
 	Slots       int // maximum number of requests that the backend server runs at once
 	Connections int // maximum number of connections to it; each request in flight uses one
 	Waiting     int // maximum number of requests that wait at the gate
-	// Patience is the fraction of the time to its deadline that a request may
+	// MaxWaitFraction is the fraction of the time to its deadline that a request may
 	// wait. Half leaves its caller time to retry at another server after a refusal.
-	Patience float64
+	MaxWaitFraction float64
 }
 
 // Defaults of Limits, and of flows that were not declared.
 const (
-	DefaultWaiting  = 1024
-	DefaultPatience = 0.5
-	DefaultQueue    = 64
-	DefaultShare    = 1.0
+	DefaultWaiting         = 1024
+	DefaultMaxWaitFraction = 0.5
+	DefaultQueue           = 64
+	DefaultShare           = 1.0
 )
 
 // Bounds of RetryAfter, and its values for particular refusals.
@@ -159,13 +159,13 @@
 }
 
 // New returns a gate that admits requests in the given order. If Waiting or
-// Patience is zero, it takes the default.
+// MaxWaitFraction is zero, it takes the default.
 func New[O Order](order O, limits Limits) *Gate[O] {
 	if limits.Waiting == 0 {
 		limits.Waiting = DefaultWaiting
 	}
-	if limits.Patience == 0 {
-		limits.Patience = DefaultPatience
+	if limits.MaxWaitFraction == 0 {
+		limits.MaxWaitFraction = DefaultMaxWaitFraction
 	}
 	return &Gate[O]{
 		order:   order,
@@ -182,10 +182,10 @@
 	g.flow(FlowKey{Business: business, Class: class.Name}).declare(class)
 }
 
-// Expect sets the service time that is assumed for a class until one of its
+// SetExpectedService sets the service time that is assumed for a class until one of its
 // requests has ended. With no such value a newly started server seems to need no
 // time per request, so hundreds are admitted that can only end late.
-func (g *Gate[O]) Expect(business mtid.Business, class mtid.Class, service time.Duration) {
+func (g *Gate[O]) SetExpectedService(business mtid.Business, class mtid.Class, service time.Duration) {
 	g.flow(FlowKey{Business: business, Class: class}).expectedService = service
 }
 
@@ -519,7 +519,7 @@
 // of its time that it may wait, or earlier if the order requires it.
 func (g *Gate[O]) giveUp(now mtclock.Instant, e *Entry) mtclock.Instant {
 	left := e.Ticket.Deadline.Sub(now)
-	waitUntil := now.Add(time.Duration(float64(left) * g.limits.Patience))
+	waitUntil := now.Add(time.Duration(float64(left) * g.limits.MaxWaitFraction))
 	return g.order.GiveUp(now, e, waitUntil)
 }
 
--- a/core/mtgate/mtgate_test.go
+++ b/core/mtgate/mtgate_test.go
@@ -43,7 +43,7 @@
 			out = append(out, fmt.Sprintf("start %d", e.Ticket.Number))
 		case mtgate.Refuse:
 			out = append(out, fmt.Sprintf("refuse %d %s", e.Ticket.Number, e.Err.Cause))
-		case mtgate.Quiet:
+		case mtgate.RangeIdle:
 			out = append(out, fmt.Sprintf("idle %d-%d", e.Low, e.High))
 		case mtgate.Idle:
 			out = append(out, "idle")
@@ -214,7 +214,7 @@
 				case mtgate.Refuse:
 					assert.Equal(t, outcomes[e.Ticket.Number], "", "second effect for one ticket")
 					outcomes[e.Ticket.Number] = "refuse"
-				case mtgate.Quiet:
+				case mtgate.RangeIdle:
 					for _, other := range running {
 						assert.Assert(t, other.Point < e.Low || e.High < other.Point, "request in flight in an idle range")
 					}
--- a/core/mtgate/pace.go
+++ b/core/mtgate/pace.go
@@ -7,18 +7,18 @@
 	"magnoliaturn/core/mtclock"
 )
 
-// startWindow is the time in which at most Pace requests are started. It is longer
-// than the second over which servers count, since the delay between starting a
-// request and its arrival at the server varies.
+// startWindow is the time in which the number of starts is limited to the StartRate.
+// It is longer than the second over which servers count, since the delay between
+// starting a request and its arrival at the server varies.
 const startWindow = 1100 * time.Millisecond
 
-// Pace is a maximum number of starts per second. Zero means no limit.
-type Pace int
+// StartRate is a maximum number of starts per second. Zero means no limit.
+type StartRate int
 
 // startLimiter enforces the start rate limit. It records starts even without a
 // limit, because a server may become cold at any time within the window.
 type startLimiter struct {
-	rate   Pace
+	rate   StartRate
 	starts []mtclock.Instant // within the window, the oldest first
 	// unknownUntil is the time until which starts of the previous process, which
 	// this gate doesn't know, may still count.
@@ -69,19 +69,21 @@
 	p.unknownUntil = p.unknownUntil.Add(by)
 }
 
-// Limit limits the number of starts per second, for a newly started server with
+// LimitStartRate limits the number of starts per second, for a newly started server with
 // little capacity. Starts before the call count as well.
-func (g *Gate[O]) Limit(now mtclock.Instant, rate Pace) []Effect {
+func (g *Gate[O]) LimitStartRate(now mtclock.Instant, rate StartRate) []Effect {
 	g.begin(now)
 	g.starts.rate = rate
 	return g.end(now)
 }
 
-// Unseen assumes that a previous process started requests until now.
-func (g *Gate[O]) Unseen(now mtclock.Instant) { g.starts.unknownUntil = now.Add(startWindow) }
+// AssumeUnknownStarts assumes that a previous process started requests until now.
+func (g *Gate[O]) AssumeUnknownStarts(now mtclock.Instant) {
+	g.starts.unknownUntil = now.Add(startWindow)
+}
 
-// Jumped corrects the recorded starts after the clock jumped ahead by some time.
-func (g *Gate[O]) Jumped(by time.Duration) { g.starts.shift(by) }
+// ClockJumped corrects the recorded starts after the clock jumped ahead by some time.
+func (g *Gate[O]) ClockJumped(by time.Duration) { g.starts.shift(by) }
 
 // startDelay returns how long the start rate limit would delay e if e waited now.
 func (g *Gate[O]) startDelay(now mtclock.Instant, e *Entry) time.Duration {
@@ -91,9 +93,9 @@
 	return g.starts.at(now, g.order.Ahead(now, e)+1).Sub(now)
 }
 
-// Slow sets the server's current service time as a multiple of the average. The gate
+// SetSlowdown sets the server's current service time as a multiple of the average. The gate
 // uses it to judge which requests can end in time.
-func (g *Gate[O]) Slow(now mtclock.Instant, factor float64) []Effect {
+func (g *Gate[O]) SetSlowdown(now mtclock.Instant, factor float64) []Effect {
 	g.begin(now)
 	g.slowdown = factor
 	for _, f := range g.flows {
--- a/core/mtgate/pace_test.go
+++ b/core/mtgate/pace_test.go
@@ -55,9 +55,9 @@
 			case 5:
 				limited = rapid.Bool().Draw(t, "limited")
 				if limited {
-					take(gate.Limit(now, mtgate.Pace(limit)))
+					take(gate.LimitStartRate(now, mtgate.StartRate(limit)))
 				} else {
-					take(gate.Limit(now, 0))
+					take(gate.LimitStartRate(now, 0))
 				}
 			}
 		}
@@ -68,7 +68,7 @@
 // that would start it, so unless Next returns a time it waits until it expires.
 func TestNextCoversStartRateLimit(t *testing.T) {
 	gate := urgentGate(9)
-	gate.Limit(0, 1)
+	gate.LimitStartRate(0, 1)
 	ticket := func(n mtgate.Number) mtgate.Ticket {
 		return mtgate.Ticket{Number: n, Class: "look", Objective: at(5 * time.Second), Deadline: at(9 * time.Second)}
 	}
@@ -83,7 +83,7 @@
 // with the time after which it can start.
 func TestRefusesOnArrivalWhatRateLimitMakesLate(t *testing.T) {
 	gate := urgentGate(9)
-	gate.Limit(0, 1)
+	gate.LimitStartRate(0, 1)
 	ticket := func(n mtgate.Number) mtgate.Ticket {
 		return mtgate.Ticket{Number: n, Class: "look", Objective: at(1500 * time.Millisecond), Deadline: at(9 * time.Second)}
 	}
@@ -100,8 +100,8 @@
 // the last second may already use up the server's limit.
 func TestCountsStartsBeforeRestart(t *testing.T) {
 	gate := urgentGate(9)
-	gate.Unseen(0)
-	gate.Limit(0, 3)
+	gate.AssumeUnknownStarts(0)
+	gate.LimitStartRate(0, 3)
 	ticket := mtgate.Ticket{Number: 1, Class: "look", Objective: at(5 * time.Second), Deadline: at(9 * time.Second)}
 	assert.Equal(t, len(started(gate.Offer(0, ticket))), 0)
 	assert.Equal(t, len(started(gate.Expire(at(900*time.Millisecond)))), 0)
@@ -139,14 +139,14 @@
 // another server; judged by the average it was refused only after its time was over.
 func TestSlowdownRefusesLateRequests(t *testing.T) {
 	gate := urgentGate(1)
-	gate.Expect("", "look", 200*time.Millisecond)
+	gate.SetExpectedService("", "look", 200*time.Millisecond)
 	ticket := func(n mtgate.Number) mtgate.Ticket {
 		return mtgate.Ticket{Number: n, Class: "look", Objective: at(900 * time.Millisecond), Deadline: at(2500 * time.Millisecond)}
 	}
 	gate.Offer(0, ticket(1))
 	assert.Equal(t, refusals(gate.Offer(0, ticket(2))), 0, "in time at the usual speed")
-	gate.Slow(0, 3)
+	gate.SetSlowdown(0, 3)
 	assert.Equal(t, refusals(gate.Offer(0, ticket(3))), 1)
-	gate.Slow(0, 1)
+	gate.SetSlowdown(0, 1)
 	assert.Equal(t, refusals(gate.Offer(0, ticket(4))), 0)
 }
--- a/core/mtgate/stop.go
+++ b/core/mtgate/stop.go
@@ -8,13 +8,13 @@
 	"magnoliaturn/core/mtreply"
 )
 
-// Hold is the treatment of waiting and new requests in a stopped range.
-type Hold int
+// StopMode is the treatment of waiting and new requests in a stopped range.
+type StopMode int
 
 // The ways to stop a range.
 const (
 	// RefuseNew refuses them at once with CauseMoving.
-	RefuseNew Hold = iota
+	RefuseNew StopMode = iota
 	// HoldNew lets up to MaxHeld of them wait for Resume or Release, each until its
 	// time to give up.
 	HoldNew
@@ -26,7 +26,7 @@
 // stoppedRange is a range in which no requests start.
 type stoppedRange struct {
 	low, high mtid.Point
-	mode      Hold
+	mode      StopMode
 	inFlight  int
 	idle      bool // no requests in flight, and reported
 	held      []*Entry
@@ -40,9 +40,9 @@
 
 // Stop takes the range from low to high, both inclusive, out of service for a
 // planned move: no request in it starts any more, and waiting requests are treated
-// like new ones. Quiet is emitted once nothing in the range is in flight. The same
+// like new ones. RangeIdle is emitted once nothing in the range is in flight. The same
 // range must not be stopped again before Resume or Release.
-func (g *Gate[O]) Stop(now mtclock.Instant, low, high mtid.Point, mode Hold) []Effect {
+func (g *Gate[O]) Stop(now mtclock.Instant, low, high mtid.Point, mode StopMode) []Effect {
 	g.begin(now)
 	s := &stoppedRange{low: low, high: high, mode: mode, inFlight: g.InFlight(low, high)}
 	g.stopped = append(g.stopped, s)
@@ -128,7 +128,7 @@
 	for _, s := range g.stopped {
 		if s.inFlight == 0 && !s.idle {
 			s.idle = true
-			g.effects = append(g.effects, Quiet{Low: s.low, High: s.high})
+			g.effects = append(g.effects, RangeIdle{Low: s.low, High: s.high})
 		}
 	}
 	if g.draining && !g.idle && len(g.running) == 0 {
--- a/core/mtgate/urgent_test.go
+++ b/core/mtgate/urgent_test.go
@@ -13,7 +13,7 @@
 )
 
 func urgentGate(slots int) *mtgate.Gate[*mtgate.Urgent] {
-	gate := mtgate.New(mtgate.NewUrgent(), mtgate.Limits{Patience: 1})
+	gate := mtgate.New(mtgate.NewUrgent(), mtgate.Limits{MaxWaitFraction: 1})
 	gate.Declare("", mtbundle.Class{Name: "pay", Priority: -1, Queue: 100})
 	gate.Declare("", mtbundle.Class{Name: "look", Priority: -2, Queue: 100})
 	gate.Resize(0, slots, slots)
@@ -63,7 +63,7 @@
 
 // A full gate sheds the request that would start last, not the one that arrived last.
 func TestUrgentVictim(t *testing.T) {
-	gate := mtgate.New(mtgate.NewUrgent(), mtgate.Limits{Patience: 1, Waiting: 1})
+	gate := mtgate.New(mtgate.NewUrgent(), mtgate.Limits{MaxWaitFraction: 1, Waiting: 1})
 	gate.Declare("", mtbundle.Class{Name: "pay", Priority: -1, Queue: 100})
 	gate.Declare("", mtbundle.Class{Name: "look", Priority: -2, Queue: 100})
 	gate.Resize(0, 1, 1)
@@ -84,7 +84,7 @@
 // checks, which take a quarter of a second, found none before their deadline.
 func TestLateRequestsLeaveSlotsForNestedOnes(t *testing.T) {
 	gate := urgentGate(4)
-	gate.Expect("", "look", 2500*time.Millisecond)
+	gate.SetExpectedService("", "look", 2500*time.Millisecond)
 	number := mtgate.Number(0)
 	offer := func(now time.Duration, class mtid.Class, nested bool) int {
 		number++
--- a/core/mtheader/mtheader.go
+++ b/core/mtheader/mtheader.go
@@ -42,11 +42,11 @@
 	Deadline = "Deadline"
 )
 
-// Until is set in the reply to an announcement: the time, in nanoseconds of the VM's
+// ServeUntil is set in the reply to an announcement: the time, in nanoseconds of the VM's
 // boot-time clock, until which the daemon's lease is certain to be valid. A server
 // that announces Grants cancels its running keyed requests after that time, unless a
 // later reply or a request's StartBy has extended it.
-const Until = "Serve-Until"
+const ServeUntil = "Serve-Until"
 
 // Prefix is the path prefix under which callers reach services.
 const Prefix = "/v1"
--- a/core/mtheader/names.go
+++ b/core/mtheader/names.go
@@ -4,25 +4,26 @@
 // are forwarded unchanged. A deployment may set names of its own; the meaning of the
 // values is the same.
 type Names struct {
-	ID        string // identifier of the request; the server echoes it
-	Deadline  string // remaining time in milliseconds
-	Key       string // number of the key
-	Caller    string // service on the VM where the request originated
-	Server    string // incarnation of the server that the request is for
-	Answerer  string // incarnation of the server that answers
-	Signature string // marks an answer as coming from the server itself
-	NotRun    string // present if the server did not run the request
-	Cold      string // in answers to health checks: for how many more milliseconds the server is cold
+	ID              string // identifier of the request; the server echoes it
+	Deadline        string // remaining time in milliseconds
+	Key             string // number of the key
+	Caller          string // service on the VM where the request originated
+	TargetServer    string // incarnation of the server that the request is for
+	AnsweringServer string // incarnation of the server that answers
+	Signature       string // marks an answer as coming from the server itself
+	NotRun          string // present if the server did not run the request
+	ColdRemaining   string // in answers to health checks: for how many more milliseconds the server is cold
 }
 
-// Passed are the default names.
-var Passed = Names{
-	ID:        "Request-Id",
-	Deadline:  "Request-Deadline-Ms",
-	Key:       "Shard-Key",
-	Caller:    "Caller-Service",
-	Server:    "Server-Id",
-	Answerer:  "Server-Answering",
-	Signature: "Reply-Signature",
-	NotRun:    "Request-Not-Run",
+// DefaultNames are the product's own header names. ColdRemaining is empty, so that health
+// checks don't read a cold time from answers.
+var DefaultNames = Names{
+	ID:              "Request-Id",
+	Deadline:        "Request-Deadline-Ms",
+	Key:             "Shard-Key",
+	Caller:          "Caller-Service",
+	TargetServer:    "Server-Id",
+	AnsweringServer: "Server-Answering",
+	Signature:       "Reply-Signature",
+	NotRun:          "Request-Not-Run",
 }
--- a/core/mtrequest/mtrequest.go
+++ b/core/mtrequest/mtrequest.go
@@ -28,9 +28,9 @@
 // String returns the canonical form with dashes.
 func (id ID) String() string { return uuid.UUID(id).String() }
 
-// Made returns the time at which the identifier was created, by its creator's wall
+// CreatedAt returns the time at which the identifier was created, by its creator's wall
 // clock.
-func (id ID) Made() time.Time {
+func (id ID) CreatedAt() time.Time {
 	ms := int64(id[0])<<40 | int64(id[1])<<32 | int64(id[2])<<24 | int64(id[3])<<16 | int64(id[4])<<8 | int64(id[5])
 	return time.UnixMilli(ms)
 }
@@ -94,12 +94,12 @@
 	// Suspect is set if the request is suspected of crashing backend servers: by the
 	// ingress as a hint, by the owner as its decision. A suspect request runs alone.
 	Suspect bool
-	// Exposed is set by the owner if it recently took the key over from a lost daemon,
+	// RecentTakeover is set by the owner if it recently took the key over from a lost daemon,
 	// so that the request may be the one that crashed that daemon's VM.
-	Exposed bool
-	// Begun, if not nil, is called when the owner begins to run a suspect request: at
+	RecentTakeover bool
+	// OnBegun, if not nil, is called when the owner begins to run a suspect request: at
 	// the owner to notify the ingress, and at the ingress when it is notified.
-	Begun func()
+	OnBegun func()
 }
 
 // Fingerprint returns a hash of the request's service, key, class, method, path, query
--- a/core/mtretry/mtretry.go
+++ b/core/mtretry/mtretry.go
@@ -149,7 +149,7 @@
 
 // Next implements Policy.
 func (p *Budgeted) Next(now mtclock.Instant, a Attempt) (time.Duration, bool) {
-	if !safeToResend(a) || !Promising(a) {
+	if !safeToResend(a) || !MaySucceed(a) {
 		return 0, false
 	}
 	// Following a newer route costs no backend server any time and usually succeeds,
@@ -212,24 +212,24 @@
 	return max(refused.RetryAfter, 0)
 }
 
-// Promising reports whether another try may have a different outcome than the last.
-func Promising(a Attempt) bool {
+// MaySucceed reports whether another try may have a different outcome than the last.
+func MaySucceed(a Attempt) bool {
 	var refused *mtreply.RefusedError
 	if errors.As(a.Err, &refused) {
-		return refused.RetryAfter >= 0 && promisingRefusal(refused.Cause, a.Elsewhere)
+		return refused.RetryAfter >= 0 && retryableRefusal(refused.Cause, a.Elsewhere)
 	}
 	var unknown *mtreply.UnknownError
 	if errors.As(a.Err, &unknown) {
-		return promisingUnknown(unknown.Cause)
+		return retryableUnknown(unknown.Cause)
 	}
 	return true
 }
 
-// promisingRefusal is Promising for the causes of a refusal. Causes that concern the
+// retryableRefusal is MaySucceed for the causes of a refusal. Causes that concern the
 // load or health of one server justify a retry only at another server: the owner of a
 // key has already weighed the request, and a retry would add to the load for which it
 // was refused.
-func promisingRefusal(cause mtreply.Cause, elsewhere bool) bool {
+func retryableRefusal(cause mtreply.Cause, elsewhere bool) bool {
 	switch cause {
 	case mtreply.CauseStaleRoute, mtreply.CauseNoOwner, mtreply.CauseNoLease,
 		mtreply.CauseMoving, mtreply.CauseUnreachable, mtreply.CauseFenced,
@@ -242,9 +242,9 @@
 	return false
 }
 
-// promisingUnknown is Promising for the causes of an unknown outcome. It matters only
+// retryableUnknown is MaySucceed for the causes of an unknown outcome. It matters only
 // for idempotent requests.
-func promisingUnknown(cause mtreply.Cause) bool {
+func retryableUnknown(cause mtreply.Cause) bool {
 	switch cause {
 	case mtreply.CauseLost, mtreply.CauseTruncated, mtreply.CauseTimeout:
 		return true
--- a/io/mtbackend/mtbackend.go
+++ b/io/mtbackend/mtbackend.go
@@ -215,16 +215,16 @@
 		return Health{}, &mtreply.UnknownError{Cause: mtreply.CauseLost, Err: err}
 	}
 	_ = response.Body.Close()
-	return Health{Server: mtid.Server(response.Header.Get(c.Names.Answerer)), Cold: c.cold(response.Header)}, nil
+	return Health{Server: mtid.Server(response.Header.Get(c.Names.AnsweringServer)), Cold: c.cold(response.Header)}, nil
 }
 
 // cold returns for how long a server says that it stays cold. One that says nothing that
 // can be read is as warm as its beats tell.
 func (c *Client) cold(h http.Header) time.Duration {
-	if c.Names.Cold == "" {
+	if c.Names.ColdRemaining == "" {
 		return 0
 	}
-	ms, err := strconv.ParseFloat(h.Get(c.Names.Cold), 64)
+	ms, err := strconv.ParseFloat(h.Get(c.Names.ColdRemaining), 64)
 	if err != nil || ms < 0 || ms > mostCold {
 		return 0
 	}
@@ -256,7 +256,7 @@
 	}
 	header[c.Names.ID] = []string{string(call.ID)}
 	header[c.Names.Deadline] = []string{strconv.FormatInt(max(left.Milliseconds(), 1), 10)}
-	header[c.Names.Server] = []string{string(target.Server)}
+	header[c.Names.TargetServer] = []string{string(target.Server)}
 	header[c.Names.Caller] = []string{string(call.Caller)}
 	if call.Keyed {
 		header[c.Names.Key] = []string{strconv.Itoa(int(call.Key))}
@@ -339,7 +339,7 @@
 // was not run.
 func (c *Client) refusal(response *http.Response, target Target) error {
 	if response.StatusCode == http.StatusMisdirectedRequest {
-		if other := response.Header.Get(c.Names.Answerer); other != "" && other != string(target.Server) {
+		if other := response.Header.Get(c.Names.AnsweringServer); other != "" && other != string(target.Server) {
 			return &mtreply.RefusedError{Cause: mtreply.CauseNoServer, RetryAfter: unreachableRetry, Detail: "another server has the address"}
 		}
 		return &mtreply.RefusedError{Cause: mtreply.CauseFenced, RetryAfter: unreachableRetry, Detail: "the server does not hold the key"}
--- a/io/mtbackend/mtbackend_test.go
+++ b/io/mtbackend/mtbackend_test.go
@@ -61,7 +61,7 @@
 		s.requests = append(s.requests, r.Method+" "+r.RequestURI)
 		n := len(s.requests)
 		s.mu.Unlock()
-		if !answer(n, conn, r.Header.Get(mtheader.Passed.ID)) {
+		if !answer(n, conn, r.Header.Get(mtheader.DefaultNames.ID)) {
 			return
 		}
 	}
@@ -84,7 +84,7 @@
 func client(t *testing.T) (*mtbackend.Client, *mttime.Clock) {
 	t.Helper()
 	clock := mttime.New()
-	c, cleanUp := mtbackend.New(mtbackend.Config{Names: mtheader.Passed, Clock: clock})
+	c, cleanUp := mtbackend.New(mtbackend.Config{Names: mtheader.DefaultNames, Clock: clock})
 	t.Cleanup(cleanUp)
 	return c, clock
 }
--- a/io/mtforward/mtforward_test.go
+++ b/io/mtforward/mtforward_test.go
@@ -33,7 +33,7 @@
 }
 
 func (*host) Load() mtcall.Load {
-	return mtcall.Load{Running: 3, Waiting: 2, Slots: 10, Service: time.Second, Demand: 1.5}
+	return mtcall.Load{Running: 3, Waiting: 2, Slots: 10, ServiceTime: time.Second, Demand: 1.5}
 }
 
 // news notes what a daemon hears.
--- a/io/mtforward/server.go
+++ b/io/mtforward/server.go
@@ -219,14 +219,14 @@
 func wireLoad(l mtcall.Load) *mtwire.ForwardLoad {
 	return &mtwire.ForwardLoad{
 		Running: uint32(l.Running), Waiting: uint32(l.Waiting), Slots: uint32(l.Slots),
-		ServiceUs: l.Service.Microseconds(), Demand: float32(l.Demand),
+		ServiceUs: l.ServiceTime.Microseconds(), Demand: float32(l.Demand),
 	}
 }
 
 func readLoad(w *mtwire.ForwardLoad) mtcall.Load {
 	return mtcall.Load{
 		Running: int(w.GetRunning()), Waiting: int(w.GetWaiting()), Slots: int(w.GetSlots()),
-		Service: micros(w.GetServiceUs()), Demand: float64(w.GetDemand()),
+		ServiceTime: micros(w.GetServiceUs()), Demand: float64(w.GetDemand()),
 	}
 }
 
--- a/io/mtgate/mtgate.go
+++ b/io/mtgate/mtgate.go
@@ -43,7 +43,7 @@
 	waiters map[mtgate.Number]chan *mtreply.RefusedError
 	slots   int
 	conns   int
-	pace    mtgate.Pace
+	pace    mtgate.StartRate
 	slow    float64       // the multiple that the gate was told
 	ahead   time.Duration // of Now before Steady, when it was looked last
 	alarm   *time.Timer
@@ -75,7 +75,7 @@
 func (d *Door[O]) Expect(business mtid.Business, class mtid.Class, usual time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.core.Expect(business, class, usual)
+	d.core.SetExpectedService(business, class, usual)
 }
 
 // Resize brings the gate's limits in line with the backend server. It is called
@@ -92,7 +92,7 @@
 
 // Limit bounds how many requests are started in a second; zero is no limit. It is called
 // often, and costs a comparison when nothing changed.
-func (d *Door[O]) Limit(pace mtgate.Pace) {
+func (d *Door[O]) Limit(pace mtgate.StartRate) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.pace == pace {
@@ -100,7 +100,7 @@
 	}
 	d.pace = pace
 	d.ahead = d.clock.Now().Sub(d.clock.Steady())
-	d.run(d.core.Limit(d.now(), pace))
+	d.run(d.core.LimitStartRate(d.now(), pace))
 }
 
 // leastSlower is by how much the multiple has to differ until the gate is told.
@@ -115,7 +115,7 @@
 		return
 	}
 	d.slow = multiple
-	d.run(d.core.Slow(d.now(), multiple))
+	d.run(d.core.SetSlowdown(d.now(), multiple))
 }
 
 // Unseen says that requests may have been started a moment ago that the Door knows nothing
@@ -123,7 +123,7 @@
 func (d *Door[O]) Unseen() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.core.Unseen(d.now())
+	d.core.AssumeUnknownStarts(d.now())
 }
 
 // now returns the present time. While starts are limited it looks whether the clock has
@@ -136,7 +136,7 @@
 	}
 	ahead := now.Sub(d.clock.Steady())
 	if jump := ahead - d.ahead; jump > 0 {
-		d.core.Jumped(jump)
+		d.core.ClockJumped(jump)
 	}
 	d.ahead = ahead
 	return now
@@ -270,7 +270,7 @@
 			d.tell(e.Ticket.Number, nil)
 		case mtgate.Refuse:
 			d.tell(e.Ticket.Number, e.Err)
-		case mtgate.Quiet:
+		case mtgate.RangeIdle:
 			d.quiet(e.Low, e.High)
 		case mtgate.Idle:
 			close(d.idle)
--- a/io/mtgate/mtgate_test.go
+++ b/io/mtgate/mtgate_test.go
@@ -21,7 +21,7 @@
 // held until somebody comes by.
 func TestWhoWaitsTooLongIsRefusedWithoutAnyOtherEvent(t *testing.T) {
 	clock := mttime.New()
-	door := iogate.New(clock, mtgate.NewFIFO(), mtgate.Limits{Waiting: 16, Patience: 1}, func(mtid.Point, mtid.Point) {})
+	door := iogate.New(clock, mtgate.NewFIFO(), mtgate.Limits{Waiting: 16, MaxWaitFraction: 1}, func(mtid.Point, mtid.Point) {})
 	door.Resize(1, 1)
 	end, err := door.Admit(context.Background(), mtgate.Ticket{Deadline: clock.Now().Add(time.Hour)})
 	assert.NilError(t, err)
--- a/io/mthost/load.go
+++ b/io/mthost/load.go
@@ -124,10 +124,10 @@
 	defer h.meterMu.Unlock()
 	now := h.Clock.Now()
 	return mtcall.Load{
-		Running: running,
-		Waiting: waiting,
-		Slots:   record.Slots,
-		Service: h.service(now),
-		Demand:  h.meter.Demand(now),
+		Running:     running,
+		Waiting:     waiting,
+		Slots:       record.Slots,
+		ServiceTime: h.service(now),
+		Demand:      h.meter.Demand(now),
 	}
 }
--- a/io/mthost/mthost.go
+++ b/io/mthost/mthost.go
@@ -153,9 +153,9 @@
 	zone        mtzone.Door
 	shut        bool // the gate is closed for the zone
 	warmth      mtbackend.Warmth
-	most        mtgate.Pace     // while the server is cold; zero is no limit
-	cold        bool            // the gate is limited to it
-	awake       mtclock.Instant // this process ran then
+	most        mtgate.StartRate // while the server is cold; zero is no limit
+	cold        bool             // the gate is limited to it
+	awake       mtclock.Instant  // this process ran then
 
 	runMu   sync.Mutex
 	running map[mtcall.ID]int // calls at the server, by identifier
@@ -210,7 +210,7 @@
 func quiet(mtid.Point, mtid.Point) {}
 
 func (h *Host) newDoor() *iogate.Door[*mtgate.Urgent] {
-	limits := mtgate.Limits{Waiting: waiting, Patience: 1}
+	limits := mtgate.Limits{Waiting: waiting, MaxWaitFraction: 1}
 	door := iogate.New(h.Clock, mtgate.NewUrgent(), limits, quiet)
 	for _, r := range h.routes {
 		declare(door, r)
@@ -328,7 +328,7 @@
 		slog.String("id", string(u.call.ID)), slog.String("route", string(u.call.Route)),
 		slog.String("server", record.Life.String()), slog.String("state", string(record.State)),
 		slog.Int("running", load.Running), slog.Int("waiting", load.Waiting), slog.Int("slots", load.Slots),
-		slog.String("service", load.Service.String()),
+		slog.String("service", load.ServiceTime.String()),
 		slog.String("left", u.call.Deadline.Sub(u.host.Clock.Now()).String()), slog.String("error", u.err.Error()),
 	}
 	if u.call.Keyed {
@@ -343,7 +343,7 @@
 	if err != nil {
 		return nil, err
 	}
-	mark := call.Print()
+	mark := call.Fingerprint()
 	if err := h.contain(arrived, mark, call.Proven); err != nil {
 		return nil, err
 	}
--- a/io/mthost/zone.go
+++ b/io/mthost/zone.go
@@ -33,7 +33,7 @@
 
 // Warmup sets how many calls the server is given in any one second while it is cold. Zero
 // is no limit.
-func (h *Host) Warmup(most mtgate.Pace) {
+func (h *Host) Warmup(most mtgate.StartRate) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.most = most
@@ -110,7 +110,7 @@
 func (h *Host) fitWarmth() {
 	now := h.Clock.Steady()
 	cold := h.most > 0 && (h.warmth.Cold(now) || h.zone.Closed())
-	var pace mtgate.Pace
+	var pace mtgate.StartRate
 	if cold {
 		pace = h.most
 	}
--- a/io/mtingress/mtingress.go
+++ b/io/mtingress/mtingress.go
@@ -178,12 +178,12 @@
 	}
 	call.Route, call.Idempotent, call.Priority = route.Name, route.Idempotent, route.Priority
 	call.Nested = in.Parent(call.ID)
-	call.Objective, call.Usual = now.Add(route.Objective), route.Usual()
+	call.Objective, call.TypicalService = now.Add(route.Objective), route.Usual()
 	left := route.Timeout
 	if ms, err := strconv.ParseInt(r.Header.Get(in.Names.Deadline), 10, 64); err == nil {
 		given := time.Duration(ms) * time.Millisecond
 		left = min(left, given)
-		call.Given = now.Add(given)
+		call.CallerDeadline = now.Add(given)
 	}
 	call.Deadline = now.Add(left)
 	if in.closing.Load() {
@@ -211,18 +211,18 @@
 	}
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	call.First = in.attempts.Recall(now, call.Print(), call.Given)
-	call.Objective = call.Objective.Add(call.First.Sub(now))
+	call.FirstArrived = in.attempts.FirstArrival(now, call.Fingerprint(), call.CallerDeadline)
+	call.Objective = call.Objective.Add(call.FirstArrived.Sub(now))
 }
 
 // remember notes a call that failed, after which its caller may ask again.
 func (in *Ingress) remember(call *mtcall.Call, status int) {
-	if call.First == 0 || status < http.StatusInternalServerError {
+	if call.FirstArrived == 0 || status < http.StatusInternalServerError {
 		return
 	}
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.attempts.Failed(in.Clock.Now(), call.Print(), call.First, call.Given)
+	in.attempts.RecordFailure(in.Clock.Now(), call.Fingerprint(), call.FirstArrived, call.CallerDeadline)
 }
 
 // readKey reads the key of a call to a service that is divided by key.
@@ -277,7 +277,7 @@
 // own reports whether the system sets a field itself.
 func (in *Ingress) own(name string) bool {
 	n := in.Names
-	return name == n.ID || name == n.Deadline || name == n.Key || name == n.Caller || name == n.Server
+	return name == n.ID || name == n.Deadline || name == n.Key || name == n.Caller || name == n.TargetServer
 }
 
 // connectionFields returns the fields that the Connection field names.
--- a/io/mtingress/send.go
+++ b/io/mtingress/send.go
@@ -149,7 +149,7 @@
 	s.retry.First(flow)
 	s.mu.Unlock()
 	state := &sending{}
-	mark := call.Print()
+	mark := call.Fingerprint()
 	call.Proven = s.Host.Proven(mark)
 	for {
 		member, err := s.target(call, state)
@@ -247,7 +247,7 @@
 	// A call that is late already isn't worth looking for room in other zones: it
 	// would take the slots of calls that are still in time, and the bytes cost more
 	// than a late answer is worth.
-	if full(refused.Cause) && call.Late(s.Clock.Now(), call.Usual) {
+	if full(refused.Cause) && call.Late(s.Clock.Now(), call.TypicalService) {
 		return false
 	}
 	return state.bounced <= bounces
@@ -414,13 +414,13 @@
 func (s *Sender) report(member mtdirectory.Member) mtchoice.Report {
 	if member.Daemon == s.Self {
 		load := s.Host.Load()
-		return mtchoice.Report{Busy: load.Running + load.Waiting, Service: load.Service, At: s.Clock.Now()}
+		return mtchoice.Report{Busy: load.Running + load.Waiting, Service: load.ServiceTime, At: s.Clock.Now()}
 	}
 	r, ok := s.Peers.Report(member.Daemon)
 	if !ok {
 		return mtchoice.Report{}
 	}
-	return mtchoice.Report{Busy: r.Running + r.Waiting, Service: r.Service, At: r.At}
+	return mtchoice.Report{Busy: r.Running + r.Waiting, Service: r.ServiceTime, At: r.At}
 }
 
 // kind says what an end tells of the server.
--- a/io/mtingress/send_test.go
+++ b/io/mtingress/send_test.go
@@ -271,7 +271,7 @@
 	clock := mttime.New()
 	ingress := mtingress.New(mtingress.Config{
 		Denies: func(mtclock.Instant) bool { return true },
-		Names:  mtheader.Passed, Service: "own", Parent: func(mtcall.ID) bool { return false }, Send: s, Clock: clock, Log: slog.New(slog.DiscardHandler),
+		Names:  mtheader.DefaultNames, Service: "own", Parent: func(mtcall.ID) bool { return false }, Send: s, Clock: clock, Log: slog.New(slog.DiscardHandler),
 		Done: func(*mtcall.Call, *mtcall.Answer, int, error, time.Duration) {},
 	})
 	router := echo.New()
@@ -293,7 +293,7 @@
 	r := httptest.NewRequest(http.MethodGet, target, nil)
 	r.Host = "maps.example"
 	if id != "" {
-		r.Header.Set(mtheader.Passed.ID, id)
+		r.Header.Set(mtheader.DefaultNames.ID, id)
 	}
 	for i := 0; i+1 < len(header); i += 2 {
 		r.Header.Set(header[i], header[i+1])
@@ -331,7 +331,7 @@
 			handler.ServeHTTP(w, test.request)
 			assert.Equal(t, w.Code, test.status)
 			assert.Equal(t, w.Header().Get("Retry-After") != "", test.retry)
-			assert.Equal(t, w.Header().Get(mtheader.Passed.ID), test.request.Header.Get(mtheader.Passed.ID))
+			assert.Equal(t, w.Header().Get(mtheader.DefaultNames.ID), test.request.Header.Get(mtheader.DefaultNames.ID))
 		})
 	}
 }
@@ -354,8 +354,8 @@
 	s := &sent{answer: &mtcall.Answer{Status: http.StatusTeapot, Header: []mtcall.Field{{Name: "X-A", Value: "1"}, {Name: "X-A", Value: "2"}}, Body: []byte("tea")}}
 	ingress, clock, handler := newIngress(t, s)
 	ingress.Configure(configuration(t, 1))
-	r := request("/plans/a%2Fb?x=%31", "id-7", mtheader.Passed.Key, "4096", mtheader.Passed.Caller, "forged",
-		mtheader.Passed.Deadline, "700", "Connection", "X-Hop", "X-Hop", "1", "X-Kept", "2", mtheader.Passed.Server, "forged")
+	r := request("/plans/a%2Fb?x=%31", "id-7", mtheader.DefaultNames.Key, "4096", mtheader.DefaultNames.Caller, "forged",
+		mtheader.DefaultNames.Deadline, "700", "Connection", "X-Hop", "X-Hop", "1", "X-Kept", "2", mtheader.DefaultNames.TargetServer, "forged")
 	w := httptest.NewRecorder()
 	handler.ServeHTTP(w, r)
 	assert.Equal(t, w.Code, http.StatusTeapot)
@@ -408,14 +408,14 @@
 	clock := &stepped{now: mtclock.Instant(time.Hour)}
 	ingress := mtingress.New(mtingress.Config{
 		Denies: func(mtclock.Instant) bool { return true },
-		Names:  mtheader.Passed, Service: "own", Parent: func(mtcall.ID) bool { return false }, Send: s, Clock: clock, Log: slog.New(slog.DiscardHandler),
+		Names:  mtheader.DefaultNames, Service: "own", Parent: func(mtcall.ID) bool { return false }, Send: s, Clock: clock, Log: slog.New(slog.DiscardHandler),
 		Done: func(*mtcall.Call, *mtcall.Answer, int, error, time.Duration) {},
 	})
 	router := echo.New()
 	router.Any("/*", ingress.Handle)
 	ingress.Configure(configuration(t, 1))
 	ask := func(deadline string) time.Duration {
-		router.ServeHTTP(httptest.NewRecorder(), request("/plans/1", "1", mtheader.Passed.Key, "1", mtheader.Passed.Deadline, deadline))
+		router.ServeHTTP(httptest.NewRecorder(), request("/plans/1", "1", mtheader.DefaultNames.Key, "1", mtheader.DefaultNames.Deadline, deadline))
 		return s.call.Objective.Sub(clock.now)
 	}
 	assert.Equal(t, ask("5000"), time.Second)
--- a/io/mtmesh/news.go
+++ b/io/mtmesh/news.go
@@ -172,7 +172,7 @@
 		return
 	}
 	m.Host().Declare(c.Routes())
-	m.Host().Warmup(mtgate.Pace(m.config.Warmup.Most(c.Services[m.config.Service].ColdRate)))
+	m.Host().Warmup(mtgate.StartRate(m.config.Warmup.Most(c.Services[m.config.Service].ColdRate)))
 	if m.learner.tree().Source(m.config.Daemon) {
 		go m.spread()
 	}
--- a/io/mtmesh/standing.go
+++ b/io/mtmesh/standing.go
@@ -46,12 +46,12 @@
 		}
 		if member.Daemon == m.config.Daemon {
 			load := m.Host().Load()
-			s.Demand, s.Service, s.Known = load.Demand, load.Service, true
+			s.Demand, s.Service, s.Known = load.Demand, load.ServiceTime, true
 			self = s
 			continue
 		}
 		if r, ok := peers.Report(member.Daemon); ok && now.Sub(r.At) < reportLife {
-			s.Demand, s.Service, s.Known = r.Demand, r.Service, true
+			s.Demand, s.Service, s.Known = r.Demand, r.ServiceTime, true
 		}
 		others = append(others, s)
 	}
--- a/io/mtmesh/tally.go
+++ b/io/mtmesh/tally.go
@@ -75,7 +75,7 @@
 	default:
 		end = EndInTime
 	}
-	if call.Second() {
+	if call.IsRetry() {
 		return againPrefix + end
 	}
 	return end
@@ -92,6 +92,6 @@
 		return
 	}
 	r.log.Log(context.Background(), mtmetric.Sum, "second", "service", string(r.service), "ends", ends,
-		"running", load.Running, "waiting", load.Waiting, "slots", load.Slots, "pace", load.Service.String(),
+		"running", load.Running, "waiting", load.Waiting, "slots", load.Slots, "pace", load.ServiceTime.String(),
 		"demand", load.Demand, "moved", moved, "store", calls)
 }
--- a/io/mtowner/recent.go
+++ b/io/mtowner/recent.go
@@ -194,8 +194,8 @@
 	memory := o.recent(r.Service)
 	memory.adopt(o.Clock, self, tables[mtshard.ChunkOf(r.Point(), len(tables))])
 	lost, ok := memory.lost(r.Point())
-	r.Exposed = ok && o.Clock.Wall().Before(lost.Add(exposure))
-	if r.Exposed && class.Idempotent && !r.Minted && !r.ID.Made().After(lost) {
+	r.RecentTakeover = ok && o.Clock.Wall().Before(lost.Add(exposure))
+	if r.RecentTakeover && class.Idempotent && !r.Minted && !r.ID.CreatedAt().After(lost) {
 		r.Suspect = true
 	}
 }
--- a/io/mtowner/recent_test.go
+++ b/io/mtowner/recent_test.go
@@ -311,7 +311,7 @@
 			r.Class, r.Minted = tt.class, tt.minted
 			b.clock.pass(tt.after)
 			b.Serve(context.Background(), r)
-			assert.Equal(t, r.Exposed, tt.exposed)
+			assert.Equal(t, r.RecentTakeover, tt.exposed)
 			assert.Equal(t, r.Suspect, tt.suspect)
 		})
 	}
--- a/io/mtpoison/mtpoison.go
+++ b/io/mtpoison/mtpoison.go
@@ -150,7 +150,7 @@
 // Judge says what is known of a request. It is called at the ingress and at the
 // owner.
 func (w *Watch) Judge(r *mtrequest.Request) mtpoison.Verdict {
-	if r.Exposed {
+	if r.RecentTakeover {
 		w.settle()
 	}
 	w.mu.Lock()
@@ -182,7 +182,7 @@
 // exposed.
 func (w *Watch) Start(r *mtrequest.Request, address string) func(error) {
 	ended := func(error) {}
-	if r.Ingress == w.Self() && (r.Exposed || r.Suspect) {
+	if r.Ingress == w.Self() && (r.RecentTakeover || r.Suspect) {
 		ended = w.attend(r)
 	}
 	n := w.started(r)
@@ -197,8 +197,8 @@
 	defer w.mu.Unlock()
 	n := w.number()
 	w.table.Started(n, mtpoison.Print(r.Fingerprint()), r.Suspect)
-	if r.Suspect && r.Begun != nil {
-		r.Begun()
+	if r.Suspect && r.OnBegun != nil {
+		r.OnBegun()
 	}
 	return n
 }
--- a/io/mtrelay/mtrelay.go
+++ b/io/mtrelay/mtrelay.go
@@ -90,8 +90,8 @@
 	ctx, sent := mtconn.Watch(ctx)
 	var header metadata.MD
 	w, err := mtwire.NewPeerClient(conn).Relay(ctx, wireRequest(r, frontier), grpc.Header(&header))
-	if len(header.Get(begunHeader)) > 0 && r.Begun != nil {
-		r.Begun()
+	if len(header.Get(begunHeader)) > 0 && r.OnBegun != nil {
+		r.OnBegun()
 	}
 	if err != nil {
 		return nil, mtconn.Explain(ctx, err, sent, unreachableRetry)
--- a/io/mtrelay/mtrelay_test.go
+++ b/io/mtrelay/mtrelay_test.go
@@ -84,8 +84,8 @@
 	assert.Assert(t, got.Deadline.After(0))
 	got.Deadline = 0
 	// A function can't be compared; TestBegunIsHeard says what it does.
-	assert.Assert(t, got.Begun != nil)
-	got.Begun = nil
+	assert.Assert(t, got.OnBegun != nil)
+	got.OnBegun = nil
 	assert.DeepEqual(t, got, want)
 	assert.DeepEqual(t, back, reply)
 	assert.Equal(t, frontier, mtid.Revision(44))
@@ -96,13 +96,13 @@
 	for _, begin := range []bool{false, true} {
 		address, _ := serve(t, func(_ context.Context, r *mtrequest.Request) *mtrequest.Reply {
 			if begin {
-				r.Begun()
+				r.OnBegun()
 			}
 			return &mtrequest.Reply{Outcome: mtreply.Unknown, Cause: mtreply.CauseLost}
 		}, noHint)
 		heard := false
 		r := request()
-		r.Begun = func() { heard = true }
+		r.OnBegun = func() { heard = true }
 		_, err := client(t).Relay(context.Background(), address, r, 0, plenty)
 		assert.NilError(t, err)
 		assert.Equal(t, heard, begin)
--- a/io/mtrelay/server.go
+++ b/io/mtrelay/server.go
@@ -56,7 +56,7 @@
 	}
 	r := readRequest(id, w)
 	r.Deadline = s.clock.Now().Add(time.Until(deadline))
-	r.Begun = func() { _ = grpc.SendHeader(ctx, metadata.Pairs(begunHeader, "1")) }
+	r.OnBegun = func() { _ = grpc.SendHeader(ctx, metadata.Pairs(begunHeader, "1")) }
 	s.hint(mtid.Revision(w.GetFrontier()), r.Ingress)
 	reply := s.owner.Serve(ctx, r)
 	return wireReply(id, reply, s.view.Now().Frontier()), nil
--- a/io/mtrouter/mtrouter.go
+++ b/io/mtrouter/mtrouter.go
@@ -236,7 +236,7 @@
 	if target.IsZero() {
 		return &mtrequest.Reply{Outcome: mtreply.NotRun, Cause: mtreply.CauseNoOwner, RetryAfter: time.Second}
 	}
-	q.Suspect, q.Begun = false, nil
+	q.Suspect, q.OnBegun = false, nil
 	switch r.Poison.Judge(q) {
 	case mtpoison.Quarantined:
 		return mtrequest.FromError(quarantined)
@@ -255,7 +255,7 @@
 		return &mtrequest.Reply{Outcome: mtreply.NotRun, Cause: mtreply.CauseExpired, RetryAfter: -1}
 	}
 	relayed := r.Poison.Relay(q, target)
-	q.Begun = relayed.Begun
+	q.OnBegun = relayed.Begun
 	reply, err := r.Peers.Relay(ctx, record.Relay, q, r.View.Now().Frontier(), left)
 	relayed.End(err, err == nil && reply.Outcome == mtreply.Answered)
 	if err != nil {
--- a/io/mtserver/mtserver_test.go
+++ b/io/mtserver/mtserver_test.go
@@ -235,5 +235,5 @@
 	response := httptest.NewRecorder()
 	assert.NilError(t, pool.Announce(echo.New().NewContext(request, response)))
 	assert.Equal(t, response.Code, http.StatusNoContent)
-	assert.Equal(t, response.Header().Get(mtheader.Until), "77")
+	assert.Equal(t, response.Header().Get(mtheader.ServeUntil), "77")
 }
--- a/io/mtserver/pool.go
+++ b/io/mtserver/pool.go
@@ -77,7 +77,7 @@
 	}
 	p.Put(a)
 	if p.grant != nil {
-		c.Response().Header().Set(mtheader.Until, strconv.FormatInt(p.grant(), 10))
+		c.Response().Header().Set(mtheader.ServeUntil, strconv.FormatInt(p.grant(), 10))
 	}
 	return c.NoContent(http.StatusNoContent)
 }
--- a/io/mtstandin/announce.go
+++ b/io/mtstandin/announce.go
@@ -77,7 +77,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	_, _ = io.Copy(io.Discard, response.Body)
-	if until, err := strconv.ParseInt(response.Header.Get(mtheader.Until), 10, 64); err == nil {
+	if until, err := strconv.ParseInt(response.Header.Get(mtheader.ServeUntil), 10, 64); err == nil {
 		s.granted(until)
 	}
 	if response.StatusCode >= http.StatusMultipleChoices {
--- a/io/mtstandin/server_test.go
+++ b/io/mtstandin/server_test.go
@@ -263,7 +263,7 @@
 				if asked.Add(1) > 1 {
 					panic(http.ErrAbortHandler)
 				}
-				w.Header().Set(mtheader.Until, strconv.FormatInt(clock.Boot()+int64(tt.lease), 10))
+				w.Header().Set(mtheader.ServeUntil, strconv.FormatInt(clock.Boot()+int64(tt.lease), 10))
 			}))
 			defer daemon.Close()
 			s := setting()
