--- a/core/mtannounce/mtannounce.go
+++ b/core/mtannounce/mtannounce.go
@@ -1,13 +1,14 @@
-// Package mtannounce is what a backend server says of itself to the daemon on
-// its own VM. There is no list of backend servers: a server announces itself
-// every second, and one that falls silent for Lifetime is no longer used.
+// Package mtannounce defines the announcement that a backend server sends to the
+// daemon on its VM. There is no configured list of backend servers: a server
+// announces itself every second, and a server without an announcement within
+// Lifetime is no longer used.
 //
 // # Usage
 //
-//	if faults := announcement.Check(); len(faults) > 0 { ... 422 ... }
+//	if invalid := announcement.Check(); len(invalid) > 0 { ... 422 ... }
 //
-// The JSON form is the protocol. Load and Health are hints: what the daemon
-// counts itself decides.
+// The JSON encoding is the protocol. The announced load is only a hint: the daemon
+// decides by the requests that it counts itself.
 package mtannounce
 
 import (
@@ -19,21 +20,22 @@
 	"magnoliaturn/core/mtid"
 )
 
-// Lifetime is how long an announcement holds.
+// Lifetime is the time for which an announcement is valid.
 const Lifetime = 3 * time.Second
 
-// GrantPeriod is how often a server that announces Grants does so: several times
-// within a lease, so that one lost answer cancels nothing.
+// GrantPeriod is the interval between announcements of a server that sets Grants.
+// There are several of them within a lease, so that one lost reply does not cancel
+// running requests.
 const GrantPeriod = 250 * time.Millisecond
 
-// State is what the server says of its readiness.
+// State is the readiness that a server announces.
 type State string
 
 // The states of a backend server.
 const (
-	Cold     State = "cold"     // ready, but slower until its caches fill
-	Ready    State = "ready"    // ready for its full share
-	Draining State = "draining" // finishes what it has; wants no new work
+	Cold     State = "cold"     // accepts requests, but is slower until its caches fill
+	Ready    State = "ready"    // accepts its full share of requests
+	Draining State = "draining" // finishes its running requests and accepts no new ones
 )
 
 // Announcement describes one backend server.
@@ -41,22 +43,22 @@
 	Business    mtid.Business `json:"business"`
 	Service     mtid.Service  `json:"service"`
 	Address     string        `json:"address"`     // host:port of its HTTP listener
-	Slots       int           `json:"slots"`       // requests that it runs at once
-	Connections int           `json:"connections"` // connections that it takes
-	Epochs      bool          `json:"epochs"`      // it refuses epochs below the highest seen for a key
-	Deadlines   bool          `json:"deadlines"`   // it honours Start-By and Deadline
-	Grants      bool          `json:"grants"`      // it cancels what it runs when its daemon's lease ends
+	Slots       int           `json:"slots"`       // maximum number of concurrent requests
+	Connections int           `json:"connections"` // maximum number of connections
+	Epochs      bool          `json:"epochs"`      // rejects epochs below the highest seen for a key
+	Deadlines   bool          `json:"deadlines"`   // honours the headers Start-By and Deadline
+	Grants      bool          `json:"grants"`      // cancels running requests when its daemon's lease ends
 	State       State         `json:"state"`
-	Load        float64       `json:"load"` // its own estimate, 0 to 1
+	Load        float64       `json:"load"` // the server's own estimate, 0 to 1
 }
 
-// Bounds of what a server may announce.
+// Upper limits of the values that a server may announce.
 const (
 	MaxSlots       = 4096
 	MaxConnections = 65536
 )
 
-// FieldError says that a field is outside its accepted range.
+// FieldError reports an announced field with an invalid value.
 type FieldError struct {
 	Field  string
 	Value  string
@@ -68,31 +70,31 @@
 	return fmt.Sprintf("announcement: %s is %q, accepted: %s", e.Field, e.Value, e.Accept)
 }
 
-// Check returns every fault of a at once.
+// Check validates a and returns all invalid fields.
 func (a *Announcement) Check() []*FieldError {
-	var faults []*FieldError
-	fault := func(field, value, accept string) {
-		faults = append(faults, &FieldError{Field: field, Value: value, Accept: accept})
+	var invalid []*FieldError
+	reject := func(field, value, accept string) {
+		invalid = append(invalid, &FieldError{Field: field, Value: value, Accept: accept})
 	}
 	if a.Business == "" {
-		fault("business", "", "a name")
+		reject("business", "", "a name")
 	}
 	if a.Service == "" {
-		fault("service", "", "a name")
+		reject("service", "", "a name")
 	}
 	if _, _, err := net.SplitHostPort(a.Address); err != nil {
-		fault("address", a.Address, "host:port")
+		reject("address", a.Address, "host:port")
 	}
 	if a.Slots < 1 || a.Slots > MaxSlots {
-		fault("slots", strconv.Itoa(a.Slots), fmt.Sprintf("1 to %d", MaxSlots))
+		reject("slots", strconv.Itoa(a.Slots), fmt.Sprintf("1 to %d", MaxSlots))
 	}
 	if a.Connections < 1 || a.Connections > MaxConnections {
-		fault("connections", strconv.Itoa(a.Connections), fmt.Sprintf("1 to %d", MaxConnections))
+		reject("connections", strconv.Itoa(a.Connections), fmt.Sprintf("1 to %d", MaxConnections))
 	}
 	switch a.State {
 	case Cold, Ready, Draining:
 	default:
-		fault("state", string(a.State), "cold, ready or draining")
+		reject("state", string(a.State), "cold, ready or draining")
 	}
-	return faults
+	return invalid
 }
--- a/core/mtclock/fusion.go
+++ b/core/mtclock/fusion.go
@@ -2,53 +2,55 @@
 
 import "time"
 
-// anchorSpan is how long a Fusion measures from one set of readings before it
-// takes a newer one. Measuring each step from the one before would add up the
-// jitter between the three clocks at every reading and run fast under load.
-const anchorSpan = time.Second
+// anchorInterval is how long elapsed time is measured from one reading (the
+// anchor) before a newer reading replaces it. If each reading were measured from
+// the previous one, the jitter between the three clocks would add up with every
+// reading, and the result would run fast under load.
+const anchorInterval = time.Second
 
-// Reading is what the three clocks of a VM said at about the same moment, in
-// nanoseconds from origins of their own.
+// Reading holds the values of the three clocks of a VM, read at about the same
+// time, in nanoseconds since the origin of each clock.
 type Reading struct {
 	Monotonic int64 // stops while the VM is suspended
-	Boot      int64 // goes on while the VM is suspended
-	Wall      int64 // may step in either direction
+	Boot      int64 // continues while the VM is suspended
+	Wall      int64 // may step forward or back
 }
 
-// Fusion turns readings of three clocks into one elapsed time that is never
-// too short: the largest of the three deltas.
+// Fusion combines the readings of three clocks into one elapsed time that is
+// never too short: the largest of the three deltas.
 //
-// The failure it guards against is a frozen VM that wakes up as though nothing
-// had happened. Its monotonic clock may have stood still, and a restored
-// snapshot's boot-time clock too; a lease measured by either alone would still
-// seem valid. A clock that ran too fast only costs a renewal.
+// It guards against a frozen VM that resumes as if no time had passed. Its
+// monotonic clock may have stopped, and so may the boot-time clock of a restored
+// snapshot; a lease measured by either of them alone would still appear valid. A
+// clock that runs too fast only costs an extra renewal.
 //
-// It is therefore for whoever must stop in time. Whoever must wait long enough
-// (a witness) needs the opposite, and reads the monotonic clock alone: a wall
-// clock that steps forward would let its promise end early.
+// It is meant for code that must stop in time, such as the holder of a lease.
+// Code that must wait long enough, such as a witness, needs the opposite and reads
+// only the monotonic clock: a wall clock that steps forward would end its promise
+// early.
 //
-// The zero Fusion is ready. It is not safe for concurrent use.
+// The zero Fusion is ready to use. It is not safe for concurrent use.
 type Fusion struct {
-	anchor Reading
-	base   Instant
-	now    Instant
-	begun  bool
+	anchor  Reading
+	base    Instant
+	now     Instant
+	started bool
 }
 
-// Advance takes the next reading and returns the present instant. Instants
-// never go back. The first one is the boot-time reading.
+// Advance processes the next reading and returns the current instant, which is
+// never earlier than the previous one. The first instant is the boot-time reading.
 func (f *Fusion) Advance(r Reading) Instant {
-	if !f.begun {
-		f.begun = true
+	if !f.started {
+		f.started = true
 		f.base, f.now = Instant(r.Boot), Instant(r.Boot)
 		f.anchor = r
 		return f.now
 	}
-	passed := max(r.Monotonic-f.anchor.Monotonic, r.Boot-f.anchor.Boot, r.Wall-f.anchor.Wall, 0)
-	f.now = max(f.now, f.base+Instant(passed))
-	if f.now.Sub(f.base) >= anchorSpan || r.Wall < f.anchor.Wall {
-		// A wall clock that stepped back would hide a later freeze for as long
-		// as it takes to catch up, so measuring starts anew from here.
+	elapsed := max(r.Monotonic-f.anchor.Monotonic, r.Boot-f.anchor.Boot, r.Wall-f.anchor.Wall, 0)
+	f.now = max(f.now, f.base+Instant(elapsed))
+	if f.now.Sub(f.base) >= anchorInterval || r.Wall < f.anchor.Wall {
+		// After a step back, the wall clock would not reveal a freeze until it
+		// has caught up with the anchor, so a new anchor is set.
 		f.base, f.anchor = f.now, r
 	}
 	return f.now
--- a/core/mtclock/fusion_test.go
+++ b/core/mtclock/fusion_test.go
@@ -13,19 +13,19 @@
 const second = int64(time.Second)
 
 // A VM is frozen and resumed. Depending on how, one, two or none of its clocks
-// saw the time pass. A daemon that trusted the wrong one would serve on a lease
-// that a taker had ended long before.
-func TestFusionTakesTheLargestDelta(t *testing.T) {
+// advanced during the freeze. A daemon that relied on a clock that stopped would
+// serve under a lease that a claimant had already revoked.
+func TestFusedClockTakesLargestDelta(t *testing.T) {
 	tests := []struct {
 		name string
 		next mtclock.Reading
 		want time.Duration
 	}{
 		{"all agree", mtclock.Reading{Monotonic: second, Boot: second, Wall: second}, time.Second},
-		{"suspended: monotonic stood still", mtclock.Reading{Boot: 5 * second, Wall: 5 * second}, 5 * time.Second},
-		{"snapshot: only the wall clock moved on", mtclock.Reading{Wall: 5 * second}, 5 * time.Second},
+		{"suspended: monotonic clock stopped", mtclock.Reading{Boot: 5 * second, Wall: 5 * second}, 5 * time.Second},
+		{"snapshot: only the wall clock advanced", mtclock.Reading{Wall: 5 * second}, 5 * time.Second},
 		{"wall clock stepped back", mtclock.Reading{Monotonic: second, Boot: second, Wall: -9 * second}, time.Second},
-		{"everything went back", mtclock.Reading{Monotonic: -1, Boot: -1, Wall: -1}, 0},
+		{"all went back", mtclock.Reading{Monotonic: -1, Boot: -1, Wall: -1}, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -36,10 +36,10 @@
 	}
 }
 
-// The wall clock is set back by an hour, and soon after the VM is frozen in a
-// way that only the wall clock notices. The freeze must show at once, not when
-// the wall clock has caught up with its old value.
-func TestFusionSeesFreezeAfterStepBack(t *testing.T) {
+// The wall clock is set back by an hour. Soon after, the VM is frozen so that only
+// the wall clock advances. The freeze must be detected at once, not only when the
+// wall clock has caught up with its old value.
+func TestFusedClockDetectsFreezeAfterStepBack(t *testing.T) {
 	var f mtclock.Fusion
 	f.Advance(mtclock.Reading{Wall: 3600 * second})
 	before := f.Advance(mtclock.Reading{Monotonic: 1, Boot: 1, Wall: 0})
@@ -47,7 +47,7 @@
 	assert.Equal(t, after.Sub(before), 5*time.Second)
 }
 
-func TestFusionNeverGoesBackNorFallsBehind(t *testing.T) {
+func TestFusedClockIsMonotonicAndNeverTooSlow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var f mtclock.Fusion
 		var r mtclock.Reading
--- a/core/mtclock/mtclock.go
+++ b/core/mtclock/mtclock.go
@@ -1,9 +1,9 @@
-// Package mtclock gives the decisions their notion of time.
+// Package mtclock defines the time that the packages without I/O work with.
 //
-// An Instant counts elapsed nanoseconds on this VM since its boot, and is
-// what leases, queues and deadlines are measured with. Decisions never read a
-// clock: the present Instant is an argument. Wall time (time.Time) is passed
-// beside it only where an age has to be compared across VMs.
+// An Instant counts the nanoseconds since the VM booted. Leases, queues and
+// deadlines are measured in Instants. Decisions never read a clock: they get the
+// current Instant as an argument. Wall time (time.Time) is passed in addition only
+// where an age has to be compared across VMs.
 //
 // # Usage
 //
@@ -13,18 +13,18 @@
 
 import "time"
 
-// Instant is a point in elapsed time on this VM, in nanoseconds since boot.
-// Instants of different VMs must never be compared.
+// Instant is a point in time on this VM, in nanoseconds since boot. Instants of
+// different VMs must never be compared.
 type Instant int64
 
 // Add returns the instant d after i.
 func (i Instant) Add(d time.Duration) Instant { return i + Instant(d) }
 
-// Sub returns the time from j to i.
+// Sub returns the duration from j to i.
 func (i Instant) Sub(j Instant) time.Duration { return time.Duration(i - j) }
 
-// Before reports whether i lies before j.
+// Before reports whether i is earlier than j.
 func (i Instant) Before(j Instant) bool { return i < j }
 
-// After reports whether i lies after j.
+// After reports whether i is later than j.
 func (i Instant) After(j Instant) bool { return i > j }
--- a/core/mtid/mtid.go
+++ b/core/mtid/mtid.go
@@ -1,18 +1,17 @@
-// Package mtid names the things that every other package speaks of:
-// businesses, services, keys, daemons and the counters that fence them.
+// Package mtid defines the identifiers that all other packages use: those of
+// businesses, services, keys and daemons, and the counters that fence them.
 //
-// Every identifier has a type of its own, so that a function which takes a
-// zone can't be handed a region, and a version can't be compared with an
-// epoch. The package holds no state and imports no other package of this
-// module.
+// Every kind of identifier has its own type, so that the compiler rejects a
+// region where a zone is expected, or a comparison of a version with an epoch.
+// The package holds no state and imports no other package of this module.
 //
 // # Usage
 //
 //	ref := mtid.Ref{Business: "ratins", Service: "dispatch"}
 //	point := ref.Point("hotel-7/room-214")
 //
-// A Point is where a key lies on the 64-bit ring that shards divide. All
-// functions are safe for concurrent use.
+// A Point is the position of a key on the 64-bit hash ring, which is divided into
+// shards. All functions are safe for concurrent use.
 package mtid
 
 import (
@@ -22,46 +21,47 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Business names a tenant: the owner of services and of their bundle.
+// Business is the name of a tenant, which owns services and their bundle.
 type Business string
 
-// Service names a group of backend servers within one business.
+// Service is the name of a group of backend servers within a business.
 type Service string
 
-// Key names the unit of ownership within a service, as the caller spells it.
+// Key is the unit of ownership within a service, as sent by the caller.
 type Key string
 
-// Class names a kind of request within a service, for example "status".
+// Class is the name of a kind of request within a service, for example "status".
 type Class string
 
-// Daemon names one router process; its VM keeps the name over restarts.
+// Daemon is the name of the router process on a VM. It stays the same when the
+// process restarts.
 type Daemon string
 
-// Zone names an availability zone.
+// Zone is the name of an availability zone.
 type Zone string
 
-// Region names a group of availability zones.
+// Region is the name of a group of availability zones.
 type Region string
 
-// Incarnation counts the lives of one daemon. It grows by one with each
-// registration in the platform's store; zero means not registered.
+// Incarnation counts the registrations of a daemon in the platform's store. Each
+// registration increments it by one; zero means not registered.
 type Incarnation uint64
 
-// Epoch is the fencing token of a shard. It grows with each change of owner,
-// and no two owners of one key ever carry the same one.
+// Epoch is the fencing token of a shard. It increases with every change of owner,
+// and no two owners of a key ever have the same epoch.
 type Epoch uint64
 
-// Version counts the accepted writes of one value in the platform's store.
-// Zero means that the value does not exist.
+// Version counts the successful writes of a value in the platform's store. Zero
+// means that the value does not exist.
 type Version uint64
 
-// Revision counts the accepted writes of the platform's store as a whole.
+// Revision counts the successful writes to the platform's store as a whole.
 type Revision uint64
 
-// Point is a place on the 64-bit hash ring of a service.
+// Point is a position on the 64-bit hash ring of a service.
 type Point uint64
 
-// Holder is one life of one daemon: the unit that owns shards and is fenced.
+// Holder is one incarnation of a daemon: the unit that owns shards and is fenced.
 type Holder struct {
 	Daemon      Daemon
 	Incarnation Incarnation
@@ -77,12 +77,12 @@
 	return cmp.Or(cmp.Compare(h.Daemon, other.Daemon), cmp.Compare(h.Incarnation, other.Incarnation))
 }
 
-// IsZero reports whether h names no daemon.
+// IsZero reports whether h is the zero value, which refers to no daemon.
 func (h Holder) IsZero() bool {
 	return h == Holder{}
 }
 
-// Ref names a service within its business.
+// Ref identifies a service by its business and its name.
 type Ref struct {
 	Business Business
 	Service  Service
@@ -93,8 +93,9 @@
 	return string(r.Business) + "/" + string(r.Service)
 }
 
-// Point returns where key lies on the ring of r. The separator is a zero
-// byte, which names can't contain, so that no two keys share an input.
+// Point returns the position of key on the ring of r. The hashed parts are
+// separated by zero bytes, which names cannot contain, so that different keys
+// never have the same hash input.
 func (r Ref) Point(key Key) Point {
 	var d xxhash.Digest
 	d.Reset()
@@ -106,9 +107,8 @@
 	return Point(d.Sum64())
 }
 
-// Rank returns the rendezvous weight of daemon d for point p. The daemon with
-// the highest rank is the first choice for p; ties don't matter, since callers
-// break them by name.
+// Rank returns the rendezvous hashing weight of daemon d for point p. The daemon
+// with the highest rank is the first choice for p. Callers break ties by name.
 func Rank(d Daemon, p Point) uint64 {
 	var h xxhash.Digest
 	h.ResetWithSeed(uint64(p))
@@ -116,19 +116,20 @@
 	return h.Sum64()
 }
 
-// Number is a key of a numbered key space: services whose keys lie side by side
-// in load, and are divided by ranges of numbers, not by hashes.
+// Number is a key of a service with numbered keys. Keys with adjacent numbers have
+// similar load, so these services are partitioned into ranges of numbers instead
+// of by hash.
 type Number uint16
 
-// LastNumber is the highest key of a numbered key space.
+// LastNumber is the highest numbered key.
 const LastNumber Number = 1<<16 - 1
 
-// numberShift takes a number to the high bits of a Point.
+// numberShift moves a number to the high bits of a Point.
 const numberShift = 48
 
-// Point returns the first point of the ring that stands for n, so that what
-// works on ranges of the ring works on ranges of numbers.
+// Point returns the first point of the ring that represents n. Code for ranges of
+// the ring thereby also works for ranges of numbers.
 func (n Number) Point() Point { return Point(n) << numberShift }
 
-// LastPoint returns the last point that stands for n.
+// LastPoint returns the last point of the ring that represents n.
 func (n Number) LastPoint() Point { return n.Point() | (1<<numberShift - 1) }
--- a/core/mtmember/mtmember.go
+++ b/core/mtmember/mtmember.go
@@ -1,18 +1,18 @@
 // Package mtmember decides how a daemon writes its own record: how it registers
-// under a new incarnation, changes its witnesses, offers or state, and finds
-// out what became of a write whose answer was lost.
+// a new incarnation, changes its witnesses, offers or state, and determines the
+// outcome of a write whose response was lost.
 //
 // # Usage
 //
 //	m := mtmember.New(profile, firstSequence)
 //	switch step := m.Next(); step.Kind {
 //	case mtmember.Read:  ... get the record: m.Seen(record, version) or m.Missing()
-//	case mtmember.Fence: ... have the former life revoked by its witnesses: m.Fenced(version)
+//	case mtmember.Fence: ... have the previous incarnation revoked by its witnesses: m.Fenced(version)
 //	case mtmember.Write: ... swap: m.Landed, m.Seen (conflict), m.Unknown or m.Refused
-//	case mtmember.Idle:  ... registered; m.Change to write something new
+//	case mtmember.Idle:  ... registered; m.Change to start another write
 //	}
 //
-// A Member is a pure state machine, and not safe for concurrent use.
+// A Member is a state machine without I/O. It is not safe for concurrent use.
 package mtmember
 
 import (
@@ -20,26 +20,28 @@
 	"magnoliaturn/core/mtroster"
 )
 
-// Kind is what a member does next.
+// Kind is the action that a Step requests.
 type Kind int
 
 // The kinds of a step.
 const (
-	Read  Kind = iota // read the own record
-	Fence             // have the former life revoked
+	Read  Kind = iota // read the daemon's record
+	Fence             // have the previous incarnation revoked
 	Write             // write Record, expecting Expected
 	Idle              // nothing to do
 )
 
-// Step is what a member does next.
+// Step is the next action of a member.
 type Step struct {
 	Kind Kind
-	// Record and Expected are what to write, or whose life to fence.
+	// For Write: the record to write and the version that it replaces. For
+	// Fence: the record of the previous incarnation and its version.
 	Record   *mtroster.Record
 	Expected mtid.Version
 }
 
-// Profile is what a daemon knows of itself before it registers.
+// Profile holds the configured identity and addresses of a daemon, which are known
+// before it registers.
 type Profile struct {
 	Daemon mtid.Daemon
 	Zone   mtid.Zone
@@ -50,39 +52,39 @@
 	Admin  string
 }
 
-// attempt is a write whose outcome is not known yet.
-type attempt struct {
+// pendingWrite is a write whose outcome is not known yet.
+type pendingWrite struct {
 	record   *mtroster.Record
 	expected mtid.Version
-	// doubt says that a try of it got no answer: it may still land.
-	doubt bool
+	// uncertain is set once an attempt got no response: it may still be applied.
+	uncertain bool
 }
 
-// Member is one process's knowledge of its own record.
+// Member tracks the record of a daemon on behalf of one process of it.
 type Member struct {
 	profile  Profile
 	sequence uint64
 
-	known   bool // record and version are what the store last showed
+	known   bool // record and version are current; if false, they have to be read again
 	record  *mtroster.Record
 	version mtid.Version
-	fenced  mtid.Version // the version whose former life is fenced
+	fenced  mtid.Version // version of the record under which the previous incarnation was fenced
 	holder  mtid.Holder  // zero until registered
-	revoked bool         // holder was revoked by a taker
-	writing *attempt
+	revoked bool         // holder was revoked or replaced
+	writing *pendingWrite
 	offers  []mtroster.Offer
 	state   mtroster.State
 }
 
-// New returns the member of a process that just began. Its writes are numbered
-// from first, which no other process of this daemon may reach: the present wall
-// time in nanoseconds is.
+// New returns the member of a process that has just started. Its writes are
+// numbered upwards from first. The numbers must not overlap with those of another
+// process of this daemon, so callers pass the current wall time in nanoseconds.
 func New(profile Profile, first uint64) *Member {
 	return &Member{profile: profile, sequence: first}
 }
 
-// Holder returns the life under which the process is registered; zero if it is
-// not, or if that life was revoked.
+// Holder returns the incarnation under which the process is registered. It is
+// zero if the process is not registered or the incarnation was revoked.
 func (m *Member) Holder() mtid.Holder {
 	if m.revoked {
 		return mtid.Holder{}
@@ -90,16 +92,18 @@
 	return m.holder
 }
 
-// Record returns the own record as last known to stand in the store.
+// Record returns the daemon's record and its version, as last known from the
+// store.
 func (m *Member) Record() (*mtroster.Record, mtid.Version) { return m.record, m.version }
 
-// Writing reports whether the outcome of a write is unknown or awaited.
+// Writing reports whether a write is pending or its outcome is unknown.
 func (m *Member) Writing() bool { return m.writing != nil }
 
-// Next returns what to do now.
+// Next returns the next action. It is Idle only while the process is registered
+// and has nothing to write.
 func (m *Member) Next() Step {
 	switch {
-	case m.writing != nil && m.writing.doubt && !m.known:
+	case m.writing != nil && m.writing.uncertain && !m.known:
 		return Step{Kind: Read}
 	case m.writing != nil:
 		return Step{Kind: Write, Record: m.writing.record, Expected: m.writing.expected}
@@ -108,22 +112,23 @@
 	case m.Holder() != mtid.Holder{}:
 		return Step{Kind: Idle}
 	case m.mustFence() && !m.published():
-		m.try(m.publication())
+		m.startWrite(m.publication())
 	case m.mustFence():
 		return Step{Kind: Fence, Record: m.record, Expected: m.version}
 	default:
-		m.try(m.registration())
+		m.startWrite(m.registration())
 	}
 	return m.Next()
 }
 
-// Seen takes the record that stands in the store: after a read, or with the
-// conflict that refused a write.
+// Seen processes the record that was read from the store, or that the store
+// returned with the conflict of a write.
 //
-// While a write is in doubt, a record of the version that it expected proves
-// nothing: the write may be on its way still, and a holder that took it for
-// lost would act on a record that is about to change. Writing it again settles
-// it, since of the two only one can succeed, and either makes the other fail.
+// While the outcome of a write is unknown, a record at the version that the
+// write expected proves nothing: the write may still be in transit, and a holder
+// that considered it failed would act on a record that is about to change.
+// Repeating the write determines the outcome, since only one of the two attempts
+// can succeed and makes the other one fail.
 func (m *Member) Seen(record *mtroster.Record, version mtid.Version) {
 	if version < m.version {
 		return
@@ -134,71 +139,74 @@
 		return
 	}
 	m.writing = nil
-	m.stand(record, version)
+	m.setStored(record, version)
 	if w != nil && record.Stamp == w.record.Stamp {
-		m.adopt()
+		m.register()
 	}
 }
 
-// Missing says that the store has no record of this daemon.
+// Missing reports that the store has no record of this daemon.
 func (m *Member) Missing() {
 	m.known = true
 	if m.writing == nil {
-		m.stand(nil, 0)
+		m.setStored(nil, 0)
 	}
 }
 
-// Stale says that the live state shows a version of the own record that this
-// process did not write; the next step reads it.
+// Stale reports the version that the live state has of the daemon's record. If it
+// is newer than the known one, another process wrote it, and the next step reads
+// the record.
 func (m *Member) Stale(version mtid.Version) {
 	if version > m.version {
 		m.known = false
 	}
 }
 
-// Landed says that the write succeeded and made that version.
+// Landed reports that the write succeeded and created a version.
 func (m *Member) Landed(version mtid.Version) {
 	w := m.writing
 	m.writing = nil
 	m.known = true
-	m.stand(w.record, version)
-	m.adopt()
+	m.setStored(w.record, version)
+	m.register()
 }
 
-// Unknown says that no answer to the write came back.
+// Unknown reports that no response to the write was received.
 func (m *Member) Unknown() {
-	m.writing.doubt = true
+	m.writing.uncertain = true
 	m.known = false
 }
 
-// Refused says that the store did not take the write. An earlier try of it may
-// still land all the same, and then it stays in doubt.
+// Refused reports that the store rejected the write. If an earlier attempt got no
+// response, that one may still be applied, and the outcome remains unknown.
 func (m *Member) Refused() {
-	if m.writing.doubt {
+	if m.writing.uncertain {
 		m.known = false
 		return
 	}
 	m.writing = nil
 }
 
-// Fenced says that a majority of the witnesses of the former life agreed to
-// revoke it under the record of that version.
+// Fenced reports that the previous incarnation is fenced: a majority of the
+// witnesses that its record names at this version agreed to revoke it.
 func (m *Member) Fenced(version mtid.Version) { m.fenced = version }
 
-// Change begins to write next, which is made from Record. It returns false if
-// the process is not registered or another write is under way.
+// Change starts to write next, which has to be a modified copy of the record that
+// Record returns. It returns false if the process is not registered or another
+// write is pending.
 func (m *Member) Change(next *mtroster.Record) bool {
 	if m.Holder().IsZero() || m.writing != nil || !m.known {
 		return false
 	}
 	next.Holder = m.holder
 	next.Stamp = mtroster.Stamp{Writer: m.holder}
-	m.try(next)
+	m.startWrite(next)
 	return true
 }
 
-// stand notes what the store holds.
-func (m *Member) stand(record *mtroster.Record, version mtid.Version) {
+// setStored updates what is known of the store, and detects that the incarnation
+// of this process was revoked or replaced.
+func (m *Member) setStored(record *mtroster.Record, version mtid.Version) {
 	m.record, m.version = record, version
 	if record == nil || m.holder.IsZero() {
 		return
@@ -208,8 +216,9 @@
 	}
 }
 
-// adopt takes over a registration of this process that stands in the store.
-func (m *Member) adopt() {
+// register switches to the incarnation in the record if the record is a valid
+// registration by this process.
+func (m *Member) register() {
 	h := m.record.Holder
 	registered := h.Daemon == m.profile.Daemon && m.record.Stamp.Writer == h && m.record.Live()
 	if registered && m.Holder() != h {
@@ -217,38 +226,40 @@
 	}
 }
 
-// try begins a write of next over what stands.
-func (m *Member) try(next *mtroster.Record) {
+// startWrite starts to write next over the version that is in the store.
+func (m *Member) startWrite(next *mtroster.Record) {
 	m.sequence++
 	next.Stamp.Sequence = m.sequence
-	m.writing = &attempt{record: next, expected: m.version}
+	m.writing = &pendingWrite{record: next, expected: m.version}
 }
 
-// mustFence reports whether the record's life may still hold promises. One that
-// never had a witness, left in order or was revoked can't.
+// mustFence reports whether the incarnation in the record may still hold promises
+// of its witnesses. One that never had witnesses, shut down cleanly or was revoked
+// cannot.
 func (m *Member) mustFence() bool {
 	return m.record != nil && m.record.Live() && len(m.record.Witnesses) > 0 && m.fenced != m.version
 }
 
-// published reports whether the record shows where this process is reached.
+// published reports whether the record has the addresses of this process.
 func (m *Member) published() bool {
 	return m.record.Relay == m.profile.Relay && m.record.Renew == m.profile.Renew
 }
 
-// publication is the former life's record with this process's addresses. When
-// all VMs are replaced at once, each waits for others to revoke its former
-// life, and none could be asked at the address in its old record.
+// publication returns the record of the previous incarnation with the addresses of
+// this process. If all VMs are replaced at once, each daemon waits for witnesses to
+// revoke its previous incarnation, and none of those witnesses could be reached at
+// the address in its old record.
 func (m *Member) publication() *mtroster.Record {
 	next := *m.record
 	next.Stamp = mtroster.Stamp{Writer: mtid.Holder{Daemon: m.profile.Daemon}}
-	m.locate(&next)
+	m.setAddresses(&next)
 	return &next
 }
 
-// registration is the first record of a new life.
+// registration returns the first record of a new incarnation.
 func (m *Member) registration() *mtroster.Record {
 	next := &mtroster.Record{Offers: m.offers, State: m.state}
-	m.locate(next)
+	m.setAddresses(next)
 	incarnation := mtid.Incarnation(1)
 	if m.record != nil {
 		incarnation = max(m.record.Holder.Incarnation+1, m.record.Revoked)
@@ -259,12 +270,12 @@
 	return next
 }
 
-// Carry sets the offers and state of the next registration.
+// Carry sets the offers and the state that the next registration will publish.
 func (m *Member) Carry(offers []mtroster.Offer, state mtroster.State) {
 	m.offers, m.state = offers, state
 }
 
-func (m *Member) locate(r *mtroster.Record) {
+func (m *Member) setAddresses(r *mtroster.Record) {
 	r.Zone, r.Region = m.profile.Zone, m.profile.Region
 	r.Relay, r.Renew = m.profile.Relay, m.profile.Renew
 	r.Caller, r.Admin = m.profile.Caller, m.profile.Admin
--- a/core/mtmember/mtmember_test.go
+++ b/core/mtmember/mtmember_test.go
@@ -12,12 +12,12 @@
 
 var profile = mtmember.Profile{Daemon: "d", Zone: "old-town", Region: "riga", Relay: "10.0.0.1:1", Renew: "10.0.0.1:2"}
 
-func life(n mtid.Incarnation) mtid.Holder { return mtid.Holder{Daemon: "d", Incarnation: n} }
+func holder(n mtid.Incarnation) mtid.Holder { return mtid.Holder{Daemon: "d", Incarnation: n} }
 
-// former is the record of an earlier life.
-func former(n mtid.Incarnation) *mtroster.Record {
+// previous returns the record of a previous incarnation.
+func previous(n mtid.Incarnation) *mtroster.Record {
 	return &mtroster.Record{
-		Holder: life(n), Revoked: n, Relay: profile.Relay, Renew: profile.Renew,
+		Holder: holder(n), Revoked: n, Relay: profile.Relay, Renew: profile.Renew,
 		Witnesses: []mtid.Holder{{Daemon: "w", Incarnation: 1}},
 	}
 }
@@ -29,18 +29,18 @@
 	step := m.Next()
 	assert.Equal(t, step.Kind, mtmember.Write)
 	m.Landed(1)
-	assert.Equal(t, m.Holder(), life(1))
+	assert.Equal(t, m.Holder(), holder(1))
 	return m
 }
 
-func TestRegistrationFollowsTheFormerLife(t *testing.T) {
-	moved := former(4)
+func TestFirstStepDependsOnPreviousRecord(t *testing.T) {
+	moved := previous(4)
 	moved.Relay = "10.9.9.9:1"
-	gone := former(4)
-	gone.State = mtroster.Gone
-	revoked := former(4)
+	left := previous(4)
+	left.State = mtroster.Gone
+	revoked := previous(4)
 	revoked.Revoked = 6
-	unwitnessed := former(4)
+	unwitnessed := previous(4)
 	unwitnessed.Witnesses = nil
 	tests := []struct {
 		name   string
@@ -48,12 +48,12 @@
 		want   mtmember.Kind
 		holder mtid.Holder // in the record that is written
 	}{
-		{"none", nil, mtmember.Write, life(1)},
-		{"one that may hold promises", former(4), mtmember.Fence, life(4)},
-		{"one known at another address", moved, mtmember.Write, life(4)},
-		{"one that left", gone, mtmember.Write, life(5)},
-		{"one that was revoked", revoked, mtmember.Write, life(6)},
-		{"one that never had a lease", unwitnessed, mtmember.Write, life(5)},
+		{"none", nil, mtmember.Write, holder(1)},
+		{"may hold promises", previous(4), mtmember.Fence, holder(4)},
+		{"has another address", moved, mtmember.Write, holder(4)},
+		{"left", left, mtmember.Write, holder(5)},
+		{"revoked", revoked, mtmember.Write, holder(6)},
+		{"never had witnesses", unwitnessed, mtmember.Write, holder(5)},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -72,35 +72,36 @@
 	}
 }
 
-// Witnesses revoked the former life under one version of its record, and the
-// record has moved on since. It may name others now, who were not asked.
-func TestFenceCountsForItsVersionOnly(t *testing.T) {
+// The witnesses revoked the previous incarnation under one version of its record,
+// which has changed since. The new version may name other witnesses, which have not
+// revoked anything.
+func TestFenceAppliesToOneVersionOnly(t *testing.T) {
 	m := mtmember.New(profile, 100)
-	m.Seen(former(4), 9)
+	m.Seen(previous(4), 9)
 	m.Fenced(9)
-	assert.Equal(t, m.Next().Record.Holder, life(5))
-	m.Seen(former(4), 10)
+	assert.Equal(t, m.Next().Record.Holder, holder(5))
+	m.Seen(previous(4), 10)
 	step := m.Next()
 	assert.Equal(t, step.Kind, mtmember.Fence)
 	assert.Equal(t, step.Expected, mtid.Version(10))
 	m.Fenced(10)
-	assert.Equal(t, m.Next().Record.Holder, life(5))
+	assert.Equal(t, m.Next().Record.Holder, holder(5))
 }
 
-// The store's answer to a change is lost, and a read shows the old record. The
-// write may still land. A member that gave it up would go by the old set of
-// witnesses while the store comes to name the new one.
-func TestWriteInDoubtStaysUntilTheVersionMoves(t *testing.T) {
+// The response to a write is lost, and a read returns the old record. The write may
+// still be applied. A member that abandoned it would rely on the old set of
+// witnesses although the store names the new set later.
+func TestUncertainWriteStaysPendingUntilVersionChanges(t *testing.T) {
 	tests := []struct {
 		name   string
 		settle func(m *mtmember.Member, written *mtroster.Record)
 		holder mtid.Holder
 		zone   mtid.Zone
 	}{
-		{"it landed after all", func(m *mtmember.Member, w *mtroster.Record) { m.Seen(w, 2) }, life(1), "new"},
-		{"the second try landed", func(m *mtmember.Member, _ *mtroster.Record) { m.Landed(2) }, life(1), "new"},
-		{"a taker was first", func(m *mtmember.Member, _ *mtroster.Record) {
-			m.Seen(&mtroster.Record{Holder: life(1), Revoked: 2}, 2)
+		{"first attempt succeeded", func(m *mtmember.Member, w *mtroster.Record) { m.Seen(w, 2) }, holder(1), "new"},
+		{"second attempt succeeded", func(m *mtmember.Member, _ *mtroster.Record) { m.Landed(2) }, holder(1), "new"},
+		{"revoked by a claimant", func(m *mtmember.Member, _ *mtroster.Record) {
+			m.Seen(&mtroster.Record{Holder: holder(1), Revoked: 2}, 2)
 		}, mtid.Holder{}, ""},
 	}
 	for _, tt := range tests {
@@ -117,7 +118,7 @@
 			assert.Assert(t, m.Writing())
 			assert.DeepEqual(t, m.Next(), written)
 			m.Refused()
-			assert.Assert(t, m.Writing(), "a refused second try says nothing about the first")
+			assert.Assert(t, m.Writing(), "rejection of the second attempt must not settle the first")
 			m.Seen(old, 1)
 			assert.DeepEqual(t, m.Next(), written)
 			tt.settle(m, written.Record)
@@ -129,7 +130,7 @@
 	}
 }
 
-func TestRefusedWriteIsDropped(t *testing.T) {
+func TestRejectedWriteIsDropped(t *testing.T) {
 	m := registered(t)
 	record, _ := m.Record()
 	next := *record
@@ -139,25 +140,26 @@
 	assert.Equal(t, m.Next().Kind, mtmember.Idle)
 }
 
-// Two processes run under one name by mistake and register at the same time.
-// The store lets one in. If the other took that registration for its own, two
-// processes would hold one lease.
+// Two processes are started under the same name by mistake and register at the same
+// time. The store accepts only one write. If the other process mistook that
+// registration for its own, two processes would hold the same lease.
 func TestOnlyOneOfTwoProcessesRegisters(t *testing.T) {
 	first, second := mtmember.New(profile, 100), mtmember.New(profile, 5000)
 	first.Missing()
 	second.Missing()
-	one, other := first.Next(), second.Next()
-	assert.Equal(t, one.Record.Holder, other.Record.Holder)
+	firstWrite, secondWrite := first.Next(), second.Next()
+	assert.Equal(t, firstWrite.Record.Holder, secondWrite.Record.Holder)
 	first.Landed(1)
-	second.Seen(one.Record, 1)
-	assert.Equal(t, first.Holder(), life(1))
+	second.Seen(firstWrite.Record, 1)
+	assert.Equal(t, first.Holder(), holder(1))
 	assert.Assert(t, second.Holder().IsZero())
-	assert.Equal(t, second.Next().Record.Holder, life(2))
+	assert.Equal(t, second.Next().Record.Holder, holder(2))
 }
 
-// A registration landed although its answer was lost, and the daemon was taken
-// over before it looked. It must not enter a life that is revoked already.
-func TestRegistrationRevokedBeforeItWasKnown(t *testing.T) {
+// A registration succeeded although its response was lost, and the incarnation was
+// revoked before the daemon read the record. The daemon must not start to use an
+// incarnation that is already revoked.
+func TestRevokedRegistrationIsNotUsed(t *testing.T) {
 	m := mtmember.New(profile, 100)
 	m.Missing()
 	written := m.Next().Record
@@ -166,11 +168,11 @@
 	revoked.Revoked = 2
 	m.Seen(&revoked, 2)
 	assert.Assert(t, m.Holder().IsZero())
-	assert.Equal(t, m.Next().Record.Holder, life(2))
+	assert.Equal(t, m.Next().Record.Holder, holder(2))
 }
 
 func TestReadOfAnOlderVersionIsIgnored(t *testing.T) {
 	m := registered(t)
-	m.Seen(&mtroster.Record{Holder: life(1), Revoked: 2}, 0)
-	assert.Equal(t, m.Holder(), life(1))
+	m.Seen(&mtroster.Record{Holder: holder(1), Revoked: 2}, 0)
+	assert.Equal(t, m.Holder(), holder(1))
 }
--- a/core/mtroster/mtroster.go
+++ b/core/mtroster/mtroster.go
@@ -1,16 +1,17 @@
-// Package mtroster keeps the records of the daemons: who lives where, under
-// which incarnation, with which witnesses and which backend servers.
+// Package mtroster defines the records of the daemons: the addresses, the
+// incarnation, the witnesses and the backend servers of each.
 //
-// A record is written by compare-and-swap: by its own daemon to register, to
-// change witnesses, offers or state, and by a taker to revoke it. The store's
-// order decides; a daemon whose write fails reads again.
+// Records are written by compare-and-swap: by their own daemon, to register or to
+// change its witnesses, offers or state, and by a claimant that takes over the
+// daemon's keys, to revoke its incarnation. The store decides the order of the
+// writes. A daemon whose write fails reads the record again.
 //
 // # Usage
 //
 //	record, err := mtroster.Decode(entry.Value)
 //	value, err := record.Encode(stamp)
 //
-// Records are values; a decoded one shares no memory with its input.
+// Records are plain values. A decoded record shares no memory with its input.
 package mtroster
 
 import (
@@ -23,17 +24,18 @@
 	"magnoliaturn/core/mtwire"
 )
 
-// State is what a daemon says of itself.
+// State is the state that a daemon publishes in its record.
 type State uint32
 
 // The states of a daemon.
 const (
-	Serving State = iota // owns shards and may be given more
-	Leaving              // owns shards, takes no new ones, hands all over
-	Gone                 // left in order; owns nothing
+	Serving State = iota // owns shards and may be assigned more
+	Leaving              // hands over its shards and accepts no new ones
+	Gone                 // shut down after handing over all its shards
 )
 
-// String returns the state's name.
+// String returns the name of the state in lower case, or its number if this
+// release does not know the state.
 func (s State) String() string {
 	switch s {
 	case Serving:
@@ -46,13 +48,14 @@
 	return fmt.Sprintf("state %d", uint32(s))
 }
 
-// Stamp names one write: who made it, and which of its writes it was.
+// Stamp identifies one write by its writer and a sequence number. A writer whose
+// response was lost uses it to recognize its own write in the store.
 type Stamp struct {
 	Writer   mtid.Holder
-	Sequence uint64
+	Sequence uint64 // unique among the writes of the daemon
 }
 
-// Offer is a backend server on the daemon's VM.
+// Offer describes a backend server on the daemon's VM.
 type Offer struct {
 	Service     mtid.Ref
 	Slots       int
@@ -67,26 +70,28 @@
 	Holder mtid.Holder
 	Zone   mtid.Zone
 	Region mtid.Region
-	Relay  string // address for gRPC, host:port
-	Renew  string // address for datagrams, host:port
+	Relay  string // gRPC address for other daemons, host:port
+	Renew  string // address for lease datagrams, host:port
 	Caller string // address for callers, host:port
 	Admin  string // address for operators, host:port
 	State  State
-	// Witnesses are the lives whose majority can grant or revoke the lease.
+	// Witnesses are the daemon incarnations of which a majority can grant or
+	// revoke the lease of Holder.
 	Witnesses []mtid.Holder
 	Offers    []Offer
-	// Revoked is the lowest incarnation of this daemon that may still serve;
-	// all below it are fenced for good. A record with Holder.Incarnation
-	// below Revoked belongs to a lost life.
+	// Revoked is the lowest incarnation of this daemon that may still serve.
+	// All incarnations below it are fenced permanently. If Holder.Incarnation
+	// is below Revoked, Holder itself has been revoked.
 	Revoked mtid.Incarnation
 }
 
-// Live reports whether the record's own incarnation may hold a lease.
+// Live reports whether the incarnation named in the record may hold a lease: it
+// has neither left nor been revoked.
 func (r *Record) Live() bool {
 	return r.State != Gone && r.Holder.Incarnation >= r.Revoked
 }
 
-// Offer returns the backend server of that service, if the daemon has one.
+// Offer returns the daemon's backend server for a service, if it has one.
 func (r *Record) Offer(ref mtid.Ref) (Offer, bool) {
 	i := slices.IndexFunc(r.Offers, func(o Offer) bool { return o.Service == ref })
 	if i < 0 {
@@ -95,16 +100,16 @@
 	return r.Offers[i], true
 }
 
-// DecodeError says that a stored record can't be read.
+// DecodeError reports that a stored record could not be decoded.
 type DecodeError struct{ Err error }
 
 // Error implements error.
-func (e *DecodeError) Error() string { return "roster: record can't be read: " + e.Err.Error() }
+func (e *DecodeError) Error() string { return "roster: cannot decode record: " + e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the error that the protobuf decoder reported.
 func (e *DecodeError) Unwrap() error { return e.Err }
 
-// Encode returns the stored form of r.
+// Encode returns the protobuf encoding of r. It is deterministic.
 func (r *Record) Encode() ([]byte, error) {
 	w := &mtwire.Record{
 		Stamp:   r.Stamp.Wire(),
@@ -122,12 +127,12 @@
 		w.Witnesses = append(w.Witnesses, WireHolder(h))
 	}
 	for _, o := range r.Offers {
-		w.Offers = append(w.Offers, wireOffer(o))
+		w.Offers = append(w.Offers, offerToWire(o))
 	}
 	return proto.MarshalOptions{Deterministic: true}.Marshal(w)
 }
 
-// Decode reads a stored record. It fails with a *DecodeError.
+// Decode decodes a stored record. It fails with a *DecodeError.
 func Decode(value []byte) (*Record, error) {
 	w := &mtwire.Record{}
 	if err := proto.Unmarshal(value, w); err != nil {
@@ -149,32 +154,32 @@
 		r.Witnesses = append(r.Witnesses, ReadHolder(h))
 	}
 	for _, o := range w.GetOffers() {
-		r.Offers = append(r.Offers, readOffer(o))
+		r.Offers = append(r.Offers, offerFromWire(o))
 	}
 	return r, nil
 }
 
-// Wire returns the stored form of s.
+// Wire converts s to its protobuf message.
 func (s Stamp) Wire() *mtwire.Stamp {
 	return &mtwire.Stamp{Writer: WireHolder(s.Writer), Sequence: s.Sequence}
 }
 
-// ReadStamp returns the stamp that w stands for; nil gives the zero stamp.
+// ReadStamp converts a protobuf message to a Stamp; nil gives the zero Stamp.
 func ReadStamp(w *mtwire.Stamp) Stamp {
 	return Stamp{Writer: ReadHolder(w.GetWriter()), Sequence: w.GetSequence()}
 }
 
-// WireHolder returns the stored form of h.
+// WireHolder converts h to its protobuf message.
 func WireHolder(h mtid.Holder) *mtwire.Holder {
 	return &mtwire.Holder{Daemon: string(h.Daemon), Incarnation: uint64(h.Incarnation)}
 }
 
-// ReadHolder returns the holder that w stands for; nil gives the zero holder.
+// ReadHolder converts a protobuf message to a Holder; nil gives the zero Holder.
 func ReadHolder(w *mtwire.Holder) mtid.Holder {
 	return mtid.Holder{Daemon: mtid.Daemon(w.GetDaemon()), Incarnation: mtid.Incarnation(w.GetIncarnation())}
 }
 
-func wireOffer(o Offer) *mtwire.Offer {
+func offerToWire(o Offer) *mtwire.Offer {
 	return &mtwire.Offer{
 		Business:    string(o.Service.Business),
 		Service:     string(o.Service.Service),
@@ -185,7 +190,7 @@
 	}
 }
 
-func readOffer(w *mtwire.Offer) Offer {
+func offerFromWire(w *mtwire.Offer) Offer {
 	return Offer{
 		Service:     mtid.Ref{Business: mtid.Business(w.GetBusiness()), Service: mtid.Service(w.GetService())},
 		Slots:       int(w.GetSlots()),
--- a/core/mtstore/mtstore.go
+++ b/core/mtstore/mtstore.go
@@ -1,10 +1,11 @@
-// Package mtstore is what the system asks of the platform's key-value store:
-// get, compare-and-swap, lease and watch, with errors that keep apart the three
+// Package mtstore defines the interface to the platform's key-value store: get,
+// compare-and-swap, leases and watches, with errors that distinguish the three
 // ways in which a call can fail.
 //
 // The distinction matters for safety. A *ConflictError proves that nothing was
-// written. An *UnknownError proves nothing: the write may have landed, or may
-// land later. An *UnavailableError proves that the store never took the call.
+// written. An *UnknownError proves nothing: the write may have been applied, or may
+// still be applied later. An *UnavailableError proves that the store did not accept
+// the call.
 //
 // # Usage
 //
@@ -12,7 +13,7 @@
 //	var conflict *mtstore.ConflictError
 //	if errors.As(err, &conflict) { ... conflict.Current ... }
 //
-// Implementations live in io/mtstore; each passes the same contract tests.
+// The implementations are in io/mtstore. All of them pass the same contract tests.
 package mtstore
 
 import (
@@ -23,114 +24,115 @@
 	"magnoliaturn/core/mtid"
 )
 
-// MaxValue is the largest value that the platform's store takes, in bytes.
+// MaxValue is the largest value that the platform's store accepts, in bytes.
 const MaxValue = 1 << 20
 
-// LeaseID names a lease of the store. The empty one means none.
+// LeaseID identifies a lease of the store. The empty LeaseID means no lease.
 type LeaseID string
 
-// Entry is one named value. A zero Version with no Value is a name that was
-// deleted, which watches report.
+// Entry is a named value. Watches report a deleted name as an Entry with a zero
+// Version and no Value.
 type Entry struct {
 	Name     string
 	Value    []byte
-	Version  mtid.Version  // writes of this name, from 1
-	Revision mtid.Revision // of the store when this version was written
+	Version  mtid.Version  // number of writes of this name, from 1
+	Revision mtid.Revision // revision of the store that wrote this version
 }
 
-// Changes is what a watch returns: the newest version of each name that
-// changed after the revision that was asked for, in order of Revision.
+// Changes is the result of a watch: the newest version of each name that changed
+// after the requested revision, in order of Revision.
 type Changes struct {
 	Entries []Entry
-	// Revision is the frontier: every change up to it is in Entries or was
-	// known to the watcher before.
+	// Revision is the frontier: every change up to it is in Entries or not
+	// after the requested revision.
 	Revision mtid.Revision
-	// More says that the answer was cut at the store's size limit; the next
-	// watch from Revision continues it.
+	// More is set if the result was truncated at the store's size limit. The
+	// next watch after Revision continues it.
 	More bool
 }
 
-// Store is the platform's store. All methods are safe for concurrent use, and
-// honour the context's deadline. No decision may rest on a store lease alone:
-// it can lapse while its holder is paused.
+// Store is the platform's key-value store. All methods are safe for concurrent use
+// and honour the deadline of the context. No decision may rely on a store lease
+// alone, since it can expire while its holder is paused.
 type Store interface {
-	// Get returns the entry with that name, or a *MissingError.
+	// Get returns the entry with a name. It fails with a *MissingError if there
+	// is none.
 	Get(ctx context.Context, name string) (Entry, error)
-	// Swap writes value under name if its version is still expected (0: the
-	// name must not exist) and returns the new version. It fails with a
+	// Swap writes value under name if the name is still at the expected version
+	// (0: it must not exist), and returns the new version. It fails with a
 	// *ConflictError, *UnknownError, *UnavailableError or *RejectedError, or
 	// with a *LapsedError if the lease no longer exists.
 	Swap(ctx context.Context, name string, expected mtid.Version, value []byte, lease LeaseID) (mtid.Version, error)
-	// Watch waits up to wait for a change to a name with that prefix after the
-	// revision, and returns all such changes. From revision 0 it returns the
-	// whole present state at once. With no change in time it returns none.
+	// Watch waits up to wait for a change after a revision to a name with the
+	// prefix, and returns all such changes. After revision 0 it returns the whole
+	// current state immediately. If nothing changes in time, it returns no entries.
 	Watch(ctx context.Context, prefix string, after mtid.Revision, wait time.Duration) (Changes, error)
-	// Grant makes a lease; entries written with it vanish when it lapses.
+	// Grant creates a lease. Entries written under it are deleted when it expires.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// Renew prolongs a lease, or fails with a *LapsedError.
+	// Renew extends a lease. It fails with a *LapsedError if the lease has expired.
 	Renew(ctx context.Context, lease LeaseID) error
 }
 
-// Condition is what has to hold of a name for a guarded write: its version, or
-// that it does not exist (version 0).
+// Condition is a precondition of SwapIf: the name must be at the version, or must
+// not exist if the version is 0.
 type Condition struct {
 	Name    string
 	Version mtid.Version
 }
 
-// MostConditions is how many conditions a guarded write may have. The users' store
-// takes 32 entries in one step, and the written name is two of them: what is
-// expected of it and what is put there.
+// MostConditions is the maximum number of conditions of SwapIf. The users' store
+// accepts 32 entries in a transaction, and the written name needs two of them: one
+// for its expected version and one for its new value.
 const MostConditions = 30
 
-// Guarded is a Store that writes one name under conditions on others, all or
-// nothing, and ends leases. Whoever takes over from a lost process has to write
-// in one step with the proof that it is still lost: between two steps it could
-// come back and be owner again.
+// Guarded is a Store that can also write a name atomically under conditions on
+// other names, and end leases. A takeover from a lost process must check that the
+// process is still lost in the same transaction that writes the new owner, since
+// between two transactions the process could return and become owner again.
 //
-// The versions of a Guarded store are its revisions, so that those of different
+// A Guarded store uses its revisions as versions, so that versions of different
 // names can be compared: the higher one was written later.
 type Guarded interface {
 	Store
-	// SwapIf is Swap under further conditions, MostConditions of them at most. It
-	// fails like Swap; a *ConflictError names the first of the conditions that does not hold.
+	// SwapIf is Swap with up to MostConditions additional conditions. It fails like
+	// Swap. A *ConflictError names the first condition that does not hold.
 	SwapIf(ctx context.Context, conditions []Condition, name string, expected mtid.Version, value []byte, lease LeaseID) (mtid.Version, error)
-	// End ends a lease, with everything that was written under it. A lease that
-	// is gone already is no failure.
+	// End ends a lease and deletes everything that was written under it. It
+	// succeeds if the lease has already expired.
 	End(ctx context.Context, lease LeaseID) error
 }
 
-// CompactedError says that the changes after the revision that a watch asked for
-// are forgotten. The watcher has to read everything again, and what it no longer
-// finds then was deleted.
+// CompactedError reports that the store no longer has the changes after the
+// revision that a watch requested. The watcher has to read the whole state again;
+// names that are missing from it were deleted.
 type CompactedError struct{ After mtid.Revision }
 
 // Error implements error.
 func (e *CompactedError) Error() string {
-	return fmt.Sprintf("store: changes after revision %d are forgotten", e.After)
+	return fmt.Sprintf("store: changes after revision %d have been compacted", e.After)
 }
 
-// MissingError says that the name has no value.
+// MissingError reports that a name does not exist in the store.
 type MissingError struct{ Name string }
 
 // Error implements error.
 func (e *MissingError) Error() string { return fmt.Sprintf("store: %s does not exist", e.Name) }
 
-// ConflictError says that a swap was refused since the version had moved on:
-// the write did not take effect and never will.
+// ConflictError reports that a swap was rejected because the name was not at the
+// expected version: the write was not applied and never will be.
 type ConflictError struct {
 	Name     string
 	Expected mtid.Version
-	Current  Entry // what won; may be empty if the name does not exist
+	Current  Entry // the entry in the store; may be empty if the name does not exist
 }
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("store: %s is at version %d, not %d", e.Name, e.Current.Version, e.Expected)
+	return fmt.Sprintf("store: %s is at version %d, expected %d", e.Name, e.Current.Version, e.Expected)
 }
 
-// UnknownError says that a call was sent and no answer came back: a write may
-// have taken effect, or may still do so later.
+// UnknownError reports that a call was sent and no response was received: a write
+// may have been applied, or may still be applied later.
 type UnknownError struct {
 	Op   string
 	Name string
@@ -142,10 +144,10 @@
 	return fmt.Sprintf("store: outcome of %s %s is unknown: %v", e.Op, e.Name, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error with which the call ended.
 func (e *UnknownError) Unwrap() error { return e.Err }
 
-// UnavailableError says that the store did not take the call: nothing was done.
+// UnavailableError reports that the store did not accept a call: nothing was done.
 type UnavailableError struct {
 	Op  string
 	Err error
@@ -153,20 +155,20 @@
 
 // Error implements error.
 func (e *UnavailableError) Error() string {
-	return fmt.Sprintf("store: not available for %s: %v", e.Op, e.Err)
+	return fmt.Sprintf("store: unavailable for %s: %v", e.Op, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error that kept the call from reaching the store.
 func (e *UnavailableError) Unwrap() error { return e.Err }
 
-// LapsedError says that a lease no longer exists.
+// LapsedError reports that a lease has expired or was ended.
 type LapsedError struct{ Lease LeaseID }
 
 // Error implements error.
-func (e *LapsedError) Error() string { return fmt.Sprintf("store: lease %s lapsed", e.Lease) }
+func (e *LapsedError) Error() string { return fmt.Sprintf("store: lease %s has expired", e.Lease) }
 
-// RejectedError says that the store refused a call as malformed, for example a
-// value over MaxValue: nothing was done, and asking again won't help.
+// RejectedError reports that the store rejected a call as invalid, for example
+// because the value exceeds MaxValue: nothing was done, and a retry will fail again.
 type RejectedError struct {
 	Op     string
 	Reason string
--- a/core/mtstore/names.go
+++ b/core/mtstore/names.go
@@ -6,8 +6,8 @@
 	"magnoliaturn/core/mtid"
 )
 
-// Prefixes under which the system keeps its values. Everything below Live is
-// known to every daemon; the rest is read on demand.
+// Prefixes of the names in the store. All daemons hold a copy of everything below
+// Live; the rest is read on demand.
 const (
 	Live   = "live/"
 	Roster = Live + "roster/"
@@ -20,7 +20,7 @@
 // RosterName returns the name of a daemon's record.
 func RosterName(d mtid.Daemon) string { return Roster + string(d) }
 
-// BundleName returns the name of the bundle that is in force for a business.
+// BundleName returns the name of the bundle in force of a business.
 func BundleName(b mtid.Business) string { return Bundle + string(b) }
 
 // ShardName returns the name of one chunk of a service's assignment.
@@ -28,14 +28,16 @@
 	return fmt.Sprintf("%s%s/%d", Shard, r, chunk)
 }
 
-// KeptBundles is how many former bundles of a business the store keeps: names
-// are used in turn, since the store deletes nothing.
+// KeptBundles is the number of previous bundles of a business that the store
+// retains. Since nothing is deleted from the store, their names are reused
+// cyclically.
 const KeptBundles = 64
 
-// DraftName returns the name of the open proposals of a business.
+// DraftName returns the name of the entry with the open proposals of a business.
 func DraftName(b mtid.Business) string { return Draft + string(b) }
 
-// PastName returns the name that a former bundle is kept under.
+// PastName returns the name under which a previous bundle of a business is
+// retained.
 func PastName(b mtid.Business, version mtid.Version) string {
 	return fmt.Sprintf("%s%s/%d", Past, b, version%KeptBundles)
 }
--- a/core/mtview/mtview.go
+++ b/core/mtview/mtview.go
@@ -1,10 +1,10 @@
-// Package mtview is a daemon's copy of the live state: the roster, the bundles
-// in force and the assignments, with the store's revision up to which the copy
-// is complete.
+// Package mtview holds a daemon's local copy of the live state: the roster, the
+// bundles in force and the assignments, together with the store revision up to
+// which the copy is complete (the frontier).
 //
-// The revision (the frontier) is all that daemons have to tell each other: who
-// hears of a higher one asks for the delta after its own. Assignments travel as
-// steps where the asker is not too far behind, else whole.
+// Daemons only have to exchange their frontiers: a daemon that receives a higher
+// one pulls the delta after its own. Assignments are sent as steps if the
+// receiver is not too far behind, otherwise in full.
 //
 // # Usage
 //
@@ -13,8 +13,8 @@
 //	shard, ok := view.Now().Lookup(ref, ref.Point(key))
 //	delta := view.Delta(after, 64<<10, false)
 //
-// A View is safe for concurrent use. A Snapshot is immutable. Nothing in a view
-// ever goes back: a value is replaced only by one of a higher revision.
+// A View is safe for concurrent use. A Snapshot is immutable. Values never go
+// back to an older state: a value is only replaced by one with a higher revision.
 package mtview
 
 import (
@@ -33,39 +33,40 @@
 	"magnoliaturn/core/mtstore"
 )
 
-// Item is one changed value of the live state, whole or as steps.
+// Item is a changed value of the live state, either in full or as steps.
 type Item struct {
 	Name     string
 	Version  mtid.Version
 	Revision mtid.Revision
 	Value    []byte
-	Steps    []mtshard.Step // only for assignments, instead of Value
+	Steps    []mtshard.Step // set instead of Value, for assignments only
 }
 
-// Delta is what changed after one revision and up to another.
+// Delta holds the changes after one revision, up to and including another.
 type Delta struct {
 	After    mtid.Revision
 	Revision mtid.Revision
-	// More says that the delta was cut at a size limit; asking again after
-	// Revision continues it.
+	// More is set if the delta was truncated at a size limit. The next delta
+	// after Revision continues it.
 	More  bool
 	Items []Item
 }
 
-// ItemError says that a value of the live state can't be used. The copy keeps
-// the former one, and its frontier does not pass the value.
+// ItemError reports a value of the live state that could not be applied. The view
+// keeps the previous value, and its frontier does not advance past the failed one.
 type ItemError struct {
 	Name string
 	Err  error
 }
 
 // Error implements error.
-func (e *ItemError) Error() string { return fmt.Sprintf("view: %s: %v", e.Name, e.Err) }
+func (e *ItemError) Error() string { return fmt.Sprintf("view: cannot apply %s: %v", e.Name, e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns the reason why the value could not be applied.
 func (e *ItemError) Unwrap() error { return e.Err }
 
-// VersionError says that a table's own version differs from the store's.
+// VersionError reports that the version encoded in a table differs from the
+// version of its entry in the store.
 type VersionError struct {
 	Table mtid.Version
 	Store mtid.Version
@@ -73,15 +74,15 @@
 
 // Error implements error.
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("table of version %d stored as version %d", e.Table, e.Store)
+	return fmt.Sprintf("table has version %d, but its store entry has version %d", e.Table, e.Store)
 }
 
-// KeptMarks is how many past revisions of a chunk are remembered, to find the
-// steps that an asker lacks.
+// KeptMarks is the number of past versions of a chunk whose revisions are
+// remembered, to find the steps that a receiver of a delta is missing.
 const KeptMarks = mtshard.KeptSteps
 
-// mark says that a chunk was at version when the view was at revision.
-type mark struct {
+// historyEntry records the store revision at which a chunk reached a version.
+type historyEntry struct {
 	version  mtid.Version
 	revision mtid.Revision
 }
@@ -93,67 +94,70 @@
 	record   *mtroster.Record
 	bundle   *mtbundle.Bundle
 	table    *mtshard.Table
-	marks    []mark
+	history  []historyEntry // oldest first
 }
 
-// View is the copy. The zero View is not usable; call New.
+// View is a copy of the live state that is updated by deltas. The zero View is
+// not usable; call New.
 type View struct {
-	mu  sync.Mutex // held by writers; readers load now
-	now atomic.Pointer[Snapshot]
+	mu      sync.Mutex // held by writers only; readers load current
+	current atomic.Pointer[Snapshot]
 }
 
 // New returns an empty view at revision zero.
 func New() *View {
 	v := &View{}
-	v.now.Store(&Snapshot{
+	v.current.Store(&Snapshot{
 		values: map[string]value{},
 		tables: map[mtid.Ref][]*mtshard.Table{},
 	})
 	return v
 }
 
-// Now returns the present snapshot. It is called for each request and costs one
-// atomic load.
-func (v *View) Now() *Snapshot { return v.now.Load() }
+// Now returns the current snapshot. It is called for every request and costs
+// one atomic load.
+func (v *View) Now() *Snapshot { return v.current.Load() }
 
-// Merge takes a delta in and returns the names that changed. A value that can't
-// be used is reported by an *ItemError after all others were taken in; then the
-// frontier stays, so that the delta is asked for again.
+// Merge applies a delta and returns the names whose values changed. If a value
+// cannot be applied, the others still are, and Merge returns an *ItemError. The
+// frontier then does not advance, so that the delta is requested again.
 func (v *View) Merge(d Delta) ([]string, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	old := v.now.Load()
+	old := v.current.Load()
 	next := old.clone()
 	var changed []string
 	var failed error
 	for _, item := range d.Items {
-		took, err := next.take(item)
+		applied, err := next.apply(item)
 		if err != nil {
 			failed = &ItemError{Name: item.Name, Err: err}
 			continue
 		}
-		if took {
+		if applied {
 			changed = append(changed, item.Name)
 		}
 	}
-	// A delta that begins after the frontier leaves a hole before it: its values
-	// are good, but the frontier must not claim what lies in the hole.
+	// A delta that begins after the frontier leaves a gap. Its values are valid,
+	// but the frontier must not advance past the changes missing in the gap.
 	if failed == nil && d.After <= next.frontier {
 		next.frontier = max(next.frontier, d.Revision)
 	}
 	next.index(changed)
-	v.now.Store(next)
+	v.current.Store(next)
 	return changed, failed
 }
 
-// Delta returns what changed after a revision, cut near limit bytes at a
-// revision's border. With whole, assignments are never sent as steps.
+// Delta returns the changes after a revision, truncated between two revisions
+// once it holds about limit bytes. If full is set, assignments are never sent as
+// steps.
 //
-// An asker that took in a cut delta has passed revisions whose values were
-// replaced since, without ever holding those values. The steps that it seems to
-// lack then don't fit, its Merge fails with a *mtshard.GapError inside an
-// *ItemError, and it asks for the whole.
-func (v *View) Delta(after mtid.Revision, limit int, whole bool) Delta {
+// After a truncated delta, the frontier of the receiver may have passed
+// revisions whose values were replaced in the meantime and which it never held.
+// The steps that it appears to be missing then do not apply: its Merge fails
+// with an *ItemError that wraps a *mtshard.GapError, and it has to request a
+// full delta.
+func (v *View) Delta(after mtid.Revision, limit int, full bool) Delta {
 	s := v.Now()
 	d := Delta{After: after, Revision: s.frontier}
 	for _, name := range s.changedAfter(after) {
@@ -161,7 +165,7 @@
 			d.More = true
 			break
 		}
-		item := s.item(name, after, whole)
+		item := s.item(name, after, full)
 		limit -= len(item.Value) + len(item.Name) + 64*len(item.Steps)
 		d.Items = append(d.Items, item)
 	}
@@ -171,32 +175,32 @@
 	return d
 }
 
-// Wrote takes in a value that is known to be in the store at a version, though
-// not at which revision: one that this daemon wrote, or that a peer wrote and
-// told of. The frontier stays, and item.Revision is ignored. It reports whether
-// the value was new.
+// Wrote applies a value whose version in the store is known but whose revision
+// is not, because this daemon wrote it or a peer reported its own write. The
+// frontier does not change, and item.Revision is ignored. It returns whether
+// the version was newer than the one in the view.
 func (v *View) Wrote(item Item) (bool, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	old := v.now.Load()
+	old := v.current.Load()
 	before := old.values[item.Name]
 	if item.Version <= before.version {
 		return false, nil
 	}
-	fresh := value{version: item.Version, revision: before.revision}
-	if err := fresh.read(item, before); err != nil {
+	updated := value{version: item.Version, revision: before.revision}
+	if err := updated.decode(item, before); err != nil {
 		return false, &ItemError{Name: item.Name, Err: err}
 	}
-	// No mark: the steps of this version get theirs with its revision.
-	fresh.marks = before.marks
+	// The version enters the history later, together with its revision.
+	updated.history = before.history
 	next := old.clone()
-	next.values[item.Name] = fresh
+	next.values[item.Name] = updated
 	next.index([]string{item.Name})
-	v.now.Store(next)
+	v.current.Store(next)
 	return true, nil
 }
 
-// FromStore returns the delta that a watch of the store stands for.
+// FromStore converts the result of a store watch to a delta.
 func FromStore(after mtid.Revision, c mtstore.Changes) Delta {
 	d := Delta{After: after, Revision: c.Revision, More: c.More}
 	for _, e := range c.Entries {
@@ -205,7 +209,7 @@
 	return d
 }
 
-// Snapshot is the live state at one moment. It is immutable.
+// Snapshot is an immutable copy of the live state at one point in time.
 type Snapshot struct {
 	frontier mtid.Revision
 	values   map[string]value
@@ -216,10 +220,10 @@
 // Frontier returns the revision up to which the snapshot is complete.
 func (s *Snapshot) Frontier() mtid.Revision { return s.frontier }
 
-// Roster returns all records, ordered by daemon.
+// Roster returns the records of all daemons, ordered by daemon.
 func (s *Snapshot) Roster() []*mtroster.Record { return s.roster }
 
-// Record returns a daemon's record with its version in the store.
+// Record returns a daemon's record and its version in the store.
 func (s *Snapshot) Record(d mtid.Daemon) (*mtroster.Record, mtid.Version, bool) {
 	v, ok := s.values[mtstore.RosterName(d)]
 	if !ok || v.record == nil {
@@ -246,7 +250,7 @@
 	return out
 }
 
-// Services returns the services that have an assignment, ordered.
+// Services returns the services that have an assignment, ordered by name.
 func (s *Snapshot) Services() []mtid.Ref {
 	refs := slices.Collect(maps.Keys(s.tables))
 	slices.SortFunc(refs, func(a, b mtid.Ref) int { return cmp.Compare(a.String(), b.String()) })
@@ -262,11 +266,12 @@
 	return tables[chunk], true
 }
 
-// Tables returns the chunks of a service's assignment; unknown ones are nil.
+// Tables returns the chunks of a service's assignment. Chunks that are not known
+// yet are nil.
 func (s *Snapshot) Tables(ref mtid.Ref) []*mtshard.Table { return s.tables[ref] }
 
-// Lookup returns the shard that covers a point of a service. It is called for
-// each request.
+// Lookup returns the shard that covers a point on the ring of a service. It is
+// called for every request.
 func (s *Snapshot) Lookup(ref mtid.Ref, p mtid.Point) (mtshard.Shard, bool) {
 	tables := s.tables[ref]
 	if len(tables) == 0 {
@@ -288,37 +293,38 @@
 	}
 }
 
-// take stores one item if it is newer than what the snapshot holds.
-func (s *Snapshot) take(item Item) (bool, error) {
+// apply stores an item if it is newer than the value in the snapshot.
+func (s *Snapshot) apply(item Item) (bool, error) {
 	old := s.values[item.Name]
-	// The version guards against going back after Wrote, which knows a version
-	// before its revision.
+	// Comparing revisions is not enough: Wrote stores a new version under the
+	// revision of the old one, and an older version must not replace it.
 	if item.Revision <= old.revision || item.Version < old.version {
 		return false, nil
 	}
 	next := value{version: item.Version, revision: item.Revision}
-	if err := next.read(item, old); err != nil {
+	if err := next.decode(item, old); err != nil {
 		return false, err
 	}
 	s.values[item.Name] = next
 	return true, nil
 }
 
-func (v *value) read(item Item, old value) error {
+func (v *value) decode(item Item, old value) error {
 	switch {
 	case strings.HasPrefix(item.Name, mtstore.Roster):
-		return v.readRecord(item)
+		return v.decodeRecord(item)
 	case strings.HasPrefix(item.Name, mtstore.Bundle):
-		return v.readBundle(item)
+		return v.decodeBundle(item)
 	case strings.HasPrefix(item.Name, mtstore.Shard):
-		return v.readTable(item, old)
+		return v.decodeTable(item, old)
 	}
-	// A kind that this release does not know is passed on to newer daemons.
+	// Values of kinds unknown to this release are stored undecoded, so that newer
+	// daemons can pull them from this one.
 	v.bytes = item.Value
 	return nil
 }
 
-func (v *value) readRecord(item Item) error {
+func (v *value) decodeRecord(item Item) error {
 	v.bytes = item.Value
 	if len(item.Value) == 0 {
 		return nil
@@ -328,7 +334,7 @@
 	return err
 }
 
-func (v *value) readBundle(item Item) error {
+func (v *value) decodeBundle(item Item) error {
 	v.bytes = item.Value
 	if len(item.Value) == 0 {
 		return nil
@@ -338,7 +344,7 @@
 	return err
 }
 
-func (v *value) readTable(item Item, old value) error {
+func (v *value) decodeTable(item Item, old value) error {
 	table, err := newTable(item, old.table)
 	if err != nil {
 		return err
@@ -347,9 +353,9 @@
 		return &VersionError{Table: table.Version, Store: item.Version}
 	}
 	v.table = table
-	v.marks = append(slices.Clone(old.marks), mark{version: item.Version, revision: item.Revision})
-	if over := len(v.marks) - KeptMarks; over > 0 {
-		v.marks = v.marks[over:]
+	v.history = append(slices.Clone(old.history), historyEntry{version: item.Version, revision: item.Revision})
+	if excess := len(v.history) - KeptMarks; excess > 0 {
+		v.history = v.history[excess:]
 	}
 	return nil
 }
@@ -364,7 +370,8 @@
 	return old.Replay(item.Steps)
 }
 
-// index rebuilds what is derived from the values that changed.
+// index rebuilds the roster and the tables if one of the changed names belongs
+// to them.
 func (s *Snapshot) index(changed []string) {
 	roster, tables := false, false
 	for _, name := range changed {
@@ -407,7 +414,8 @@
 	}
 }
 
-// changedAfter returns the names that changed after a revision, oldest first.
+// changedAfter returns the names that changed after a revision, oldest change
+// first.
 func (s *Snapshot) changedAfter(after mtid.Revision) []string {
 	var names []string
 	for name, v := range s.values {
@@ -421,29 +429,30 @@
 	return names
 }
 
-// item returns the value of name for an asker that is complete up to after.
-func (s *Snapshot) item(name string, after mtid.Revision, whole bool) Item {
+// item returns the value of name for a receiver whose frontier is after.
+func (s *Snapshot) item(name string, after mtid.Revision, full bool) Item {
 	v := s.values[name]
 	item := Item{Name: name, Version: v.version, Revision: v.revision, Value: v.bytes}
 	if v.table == nil {
 		return item
 	}
-	if steps, ok := v.stepsAfter(after); ok && !whole {
+	if steps, ok := v.stepsAfter(after); ok && !full {
 		item.Steps = steps
 		return item
 	}
-	// Encode can't fail on a table that was decoded or replayed; if it ever
-	// did, the asker would see a gap and read the store.
+	// Encode cannot fail on a table that was decoded or replayed. If it did, the
+	// receiver would find a gap and read the value from the store.
 	item.Value, _ = v.table.Encode()
 	return item
 }
 
-// stepsAfter returns the steps that an asker complete up to after most likely
-// lacks: it should hold the version of the newest mark that is not after it.
+// stepsAfter returns the steps that a receiver whose frontier is after most
+// likely lacks. It assumes that the receiver holds the newest version in the
+// history whose revision is not higher than after.
 func (v *value) stepsAfter(after mtid.Revision) ([]mtshard.Step, bool) {
-	for i := len(v.marks) - 1; i >= 0; i-- {
-		if v.marks[i].revision <= after {
-			return v.table.Since(v.marks[i].version)
+	for i := len(v.history) - 1; i >= 0; i-- {
+		if v.history[i].revision <= after {
+			return v.table.Since(v.history[i].version)
 		}
 	}
 	return nil, false
--- a/core/mtview/mtview_test.go
+++ b/core/mtview/mtview_test.go
@@ -17,43 +17,43 @@
 
 var ref = mtid.Ref{Business: "bundesamt", Service: "registry"}
 
-// history is a store that remembers only the newest value of each name.
-type history struct {
+// fakeStore retains only the newest value of each name.
+type fakeStore struct {
 	revision mtid.Revision
 	entries  map[string]mtview.Item
 	table    *mtshard.Table
 }
 
-func newHistory() *history {
-	return &history{entries: map[string]mtview.Item{}, table: mtshard.New(ref, 0, 1)}
+func newFakeStore() *fakeStore {
+	return &fakeStore{entries: map[string]mtview.Item{}, table: mtshard.New(ref, 0, 1)}
 }
 
-func (h *history) put(name string, value []byte) {
-	h.revision++
-	h.entries[name] = mtview.Item{
-		Name: name, Version: h.entries[name].Version + 1, Revision: h.revision, Value: value,
+func (s *fakeStore) put(name string, value []byte) {
+	s.revision++
+	s.entries[name] = mtview.Item{
+		Name: name, Version: s.entries[name].Version + 1, Revision: s.revision, Value: value,
 	}
 }
 
-func (h *history) record(d mtid.Daemon) {
-	r := mtroster.Record{Holder: mtid.Holder{Daemon: d, Incarnation: mtid.Incarnation(h.revision + 1)}}
+func (s *fakeStore) record(d mtid.Daemon) {
+	r := mtroster.Record{Holder: mtid.Holder{Daemon: d, Incarnation: mtid.Incarnation(s.revision + 1)}}
 	value, _ := r.Encode()
-	h.put(mtstore.RosterName(d), value)
+	s.put(mtstore.RosterName(d), value)
 }
 
-func (h *history) change(ops ...mtshard.Op) {
-	next, err := h.table.Apply(mtroster.Stamp{Sequence: uint64(h.revision)}, ops...)
+func (s *fakeStore) change(ops ...mtshard.Op) {
+	next, err := s.table.Apply(mtroster.Stamp{Sequence: uint64(s.revision)}, ops...)
 	if err != nil {
 		return
 	}
-	h.table = next
+	s.table = next
 	value, _ := next.Encode()
-	h.put(mtstore.ShardName(ref, 0), value)
+	s.put(mtstore.ShardName(ref, 0), value)
 }
 
-func (h *history) since(after mtid.Revision) mtview.Delta {
-	d := mtview.Delta{After: after, Revision: h.revision}
-	for _, item := range h.entries {
+func (s *fakeStore) since(after mtid.Revision) mtview.Delta {
+	d := mtview.Delta{After: after, Revision: s.revision}
+	for _, item := range s.entries {
 		if item.Revision > after {
 			d.Items = append(d.Items, item)
 		}
@@ -61,7 +61,8 @@
 	return d
 }
 
-// pull does what a daemon does: it asks for the whole where steps don't fit.
+// pull does what a daemon does: it requests a full delta if the steps do not
+// apply.
 func pull(t *rapid.T, from, to *mtview.View, limit int) {
 	_, err := to.Merge(from.Delta(to.Now().Frontier(), limit, false))
 	var gap *mtshard.GapError
@@ -71,25 +72,25 @@
 	assert.NilError(t, err)
 }
 
-// A daemon that pulls only from peers must end with what the store holds, at
-// whichever points it pulled, and never see a version go back.
-func TestPeersSpreadWhatTheStoreHolds(t *testing.T) {
+// A daemon that only pulls from peers must converge to the state of the store,
+// no matter when it pulled, and must never return to an older version.
+func TestPullsConvergeToStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := newHistory()
+		store := newFakeStore()
 		views := []*mtview.View{mtview.New(), mtview.New(), mtview.New()}
 		versions := make([]mtid.Version, len(views))
 		holders := []mtid.Holder{{Daemon: "a", Incarnation: 1}, {Daemon: "b", Incarnation: 1}}
-		h.change(mtshard.Create{Shards: 3, Among: holders})
+		store.change(mtshard.Create{Shards: 3, Among: holders})
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
-				h.record(mtid.Daemon(fmt.Sprintf("d%d", rapid.IntRange(0, 3).Draw(t, "daemon"))))
+				store.record(mtid.Daemon(fmt.Sprintf("d%d", rapid.IntRange(0, 3).Draw(t, "daemon"))))
 			case 1:
-				h.change(mtshard.Split{Point: mtid.Point(rapid.Uint64().Draw(t, "point"))})
+				store.change(mtshard.Split{Point: mtid.Point(rapid.Uint64().Draw(t, "point"))})
 			case 2:
-				h.change(mtshard.Move{Low: 0, To: rapid.SampledFrom(holders).Draw(t, "to")})
+				store.change(mtshard.Move{Low: 0, To: rapid.SampledFrom(holders).Draw(t, "to")})
 			case 3:
-				_, err := views[0].Merge(h.since(views[0].Now().Frontier()))
+				_, err := views[0].Merge(store.since(views[0].Now().Frontier()))
 				assert.NilError(t, err)
 			case 4:
 				from := rapid.IntRange(0, 2).Draw(t, "from")
@@ -104,65 +105,66 @@
 				}
 			}
 		}
-		_, err := views[0].Merge(h.since(views[0].Now().Frontier()))
+		_, err := views[0].Merge(store.since(views[0].Now().Frontier()))
 		assert.NilError(t, err)
 		pull(t, views[0], views[2], 1<<20)
-		assert.Equal(t, views[2].Now().Frontier(), h.revision)
+		assert.Equal(t, views[2].Now().Frontier(), store.revision)
 		table, _ := views[2].Now().Table(ref, 0)
-		assert.DeepEqual(t, table.Shards, h.table.Shards)
-		assert.Equal(t, len(views[2].Now().Roster()), len(h.entries)-1)
+		assert.DeepEqual(t, table.Shards, store.table.Shards)
+		assert.Equal(t, len(views[2].Now().Roster()), len(store.entries)-1)
 	})
 }
 
-// A daemon pulls in pieces: the first piece ends after a table was written and
-// before the same table was written again, so it has passed the first version
-// without holding it. The step to the second doesn't fit, and without asking
-// for the whole the daemon would route by no table at all.
-func TestStepsAfterCutDelta(t *testing.T) {
-	h := newHistory()
-	source, follower := mtview.New(), mtview.New()
-	h.change(mtshard.Create{Shards: 1, Among: []mtid.Holder{{Daemon: "a", Incarnation: 1}}})
-	h.record("a")
-	_, err := source.Merge(h.since(0))
+// A truncated delta ends at a revision between two writes of one table, after the
+// first of them was already replaced. The frontier passes the first version, which
+// the daemon never held, so the step to the second does not apply. If the daemon
+// did not request a full delta, it would have no table to route by.
+func TestTruncatedDeltaRequiresFullDelta(t *testing.T) {
+	store := newFakeStore()
+	upstream, follower := mtview.New(), mtview.New()
+	store.change(mtshard.Create{Shards: 1, Among: []mtid.Holder{{Daemon: "a", Incarnation: 1}}})
+	store.record("a")
+	_, err := upstream.Merge(store.since(0))
 	assert.NilError(t, err)
-	h.change(mtshard.Split{Point: 1})
-	_, err = source.Merge(h.since(2))
+	store.change(mtshard.Split{Point: 1})
+	_, err = upstream.Merge(store.since(2))
 	assert.NilError(t, err)
-	_, err = follower.Merge(source.Delta(0, 1, false))
+	_, err = follower.Merge(upstream.Delta(0, 1, false))
 	assert.NilError(t, err)
-	_, err = follower.Merge(source.Delta(follower.Now().Frontier(), 1<<20, false))
+	_, err = follower.Merge(upstream.Delta(follower.Now().Frontier(), 1<<20, false))
 	var gap *mtshard.GapError
 	assert.Assert(t, errors.As(err, &gap), "got %v, want a GapError", err)
-	_, err = follower.Merge(source.Delta(follower.Now().Frontier(), 1<<20, true))
+	_, err = follower.Merge(upstream.Delta(follower.Now().Frontier(), 1<<20, true))
 	assert.NilError(t, err)
-	assert.Equal(t, follower.Now().Frontier(), source.Now().Frontier())
+	assert.Equal(t, follower.Now().Frontier(), upstream.Now().Frontier())
 }
 
-// A delta that begins after what a daemon knows leaves a hole. If the frontier
-// passed it, the daemon would never ask for what lies in the hole, and an old
-// bundle would stay in force there.
-func TestHoleKeepsFrontier(t *testing.T) {
-	h := newHistory()
-	h.record("a")
-	h.record("b")
+// A delta that begins after the frontier of a daemon leaves a gap. If the frontier
+// advanced past the gap, the daemon would never request the missing changes, and
+// could keep using an old bundle.
+func TestGapDoesNotAdvanceFrontier(t *testing.T) {
+	store := newFakeStore()
+	store.record("a")
+	store.record("b")
 	v := mtview.New()
-	_, err := v.Merge(h.since(1))
+	_, err := v.Merge(store.since(1))
 	assert.NilError(t, err)
 	assert.Equal(t, v.Now().Frontier(), mtid.Revision(0))
 	_, _, ok := v.Now().Record("b")
 	assert.Assert(t, ok)
 }
 
-// An older value arrives late, from a peer that is behind. The newer one stays.
-func TestOldValueChangesNothing(t *testing.T) {
-	h := newHistory()
-	h.record("a")
-	old := h.since(0)
-	h.record("a")
+// An outdated value that arrives late, from a peer that is behind, must not
+// replace the newer one.
+func TestStaleDeltaIsIgnored(t *testing.T) {
+	store := newFakeStore()
+	store.record("a")
+	stale := store.since(0)
+	store.record("a")
 	v := mtview.New()
-	_, err := v.Merge(h.since(0))
+	_, err := v.Merge(store.since(0))
 	assert.NilError(t, err)
-	changed, err := v.Merge(old)
+	changed, err := v.Merge(stale)
 	assert.NilError(t, err)
 	assert.Equal(t, len(changed), 0)
 	record, version, _ := v.Now().Record("a")
@@ -170,14 +172,14 @@
 	assert.Equal(t, record.Holder.Incarnation, mtid.Incarnation(2))
 }
 
-// A value of the store is damaged. Everything else must come into force, and
-// the frontier must not claim the damaged one.
-func TestDamagedValueKeepsFrontier(t *testing.T) {
-	h := newHistory()
-	h.record("a")
-	h.put(mtstore.RosterName("b"), []byte{0xff})
+// A value in the store is corrupt. All other values must be applied, and the
+// frontier must not advance past the corrupt one.
+func TestCorruptValueDoesNotAdvanceFrontier(t *testing.T) {
+	store := newFakeStore()
+	store.record("a")
+	store.put(mtstore.RosterName("b"), []byte{0xff})
 	v := mtview.New()
-	_, err := v.Merge(h.since(0))
+	_, err := v.Merge(store.since(0))
 	var got *mtview.ItemError
 	assert.Assert(t, errors.As(err, &got), "got %v, want an ItemError", err)
 	assert.Equal(t, got.Name, mtstore.RosterName("b"))
@@ -186,26 +188,26 @@
 	assert.Assert(t, ok)
 }
 
-// A daemon wrote a table and knows its version before the store's revision of
-// it. It must use the new one at once, and take the same version again with its
-// revision later.
-func TestWroteCountsAtOnce(t *testing.T) {
-	h := newHistory()
+// A daemon that wrote a table knows the new version before its revision. It must
+// use the new table immediately, and later accept the same version again together
+// with its revision.
+func TestOwnWriteIsVisibleImmediately(t *testing.T) {
+	store := newFakeStore()
 	a := mtid.Holder{Daemon: "a", Incarnation: 1}
 	b := mtid.Holder{Daemon: "b", Incarnation: 1}
-	h.change(mtshard.Create{Shards: 1, Among: []mtid.Holder{a}})
+	store.change(mtshard.Create{Shards: 1, Among: []mtid.Holder{a}})
 	v := mtview.New()
-	_, err := v.Merge(h.since(0))
+	_, err := v.Merge(store.since(0))
 	assert.NilError(t, err)
-	h.change(mtshard.Move{Low: 0, To: b})
-	item := h.entries[mtstore.ShardName(ref, 0)]
-	fresh, err := v.Wrote(mtview.Item{Name: item.Name, Version: item.Version, Value: item.Value})
+	store.change(mtshard.Move{Low: 0, To: b})
+	item := store.entries[mtstore.ShardName(ref, 0)]
+	updated, err := v.Wrote(mtview.Item{Name: item.Name, Version: item.Version, Value: item.Value})
 	assert.NilError(t, err)
-	assert.Assert(t, fresh)
+	assert.Assert(t, updated)
 	shard, _ := v.Now().Lookup(ref, 1)
 	assert.Equal(t, shard.Owner, b)
 	assert.Equal(t, v.Now().Frontier(), mtid.Revision(1))
-	_, err = v.Merge(h.since(1))
+	_, err = v.Merge(store.since(1))
 	assert.NilError(t, err)
 	assert.Equal(t, v.Now().Frontier(), mtid.Revision(2))
 }
