--- a/core/mtwire/mtwire.go
+++ b/core/mtwire/mtwire.go
@@ -1,10 +1,11 @@
-// Package mtwire holds the protobuf messages that daemons exchange and that
-// they keep in the platform's store, with the generated code committed so that
-// a build needs no generator.
+// Package mtwire contains the protobuf messages that daemons exchange and store in
+// the platform's store. The generated code is committed, so that a build needs no
+// generator.
 //
-// The .proto files name no Go types of their own; the packages of the domain
-// convert to and from them. Field numbers are never used again once released:
-// values in the store outlive every process.
+// The messages are used for encoding only; the packages that work with the data
+// define their own Go types and convert to and from the messages. Field numbers
+// are never reused once released, because values in the store outlive every
+// process.
 //
 // # Usage
 //
