--- a/cmd/capacity/fleet.go
+++ b/cmd/capacity/fleet.go
@@ -217,6 +217,6 @@
 }
 
 func inForce(view *mtview.View, version mtid.Version) bool {
-	bundle, ok := view.Now().Bundle(business)
+	bundle, ok := view.Snapshot().Bundle(business)
 	return ok && bundle.Version >= version
 }
--- a/cmd/capacity/loss.go
+++ b/cmd/capacity/loss.go
@@ -132,7 +132,7 @@
 	for _, d := range f.Living() {
 		view, err := mtkernel.Lookup[*mtview.View](d.Kernel(), mtdaemon.NameView)
 		must(err)
-		for _, table := range view.Now().Tables(ref) {
+		for _, table := range view.Snapshot().Tables(ref) {
 			for _, shard := range table.Shards {
 				if lost[shard.Owner] {
 					return false
--- a/cmd/capacity/moves.go
+++ b/cmd/capacity/moves.go
@@ -138,7 +138,7 @@
 func pick(random *rand.Rand, d *mtdaemon.Daemon, ref mtid.Ref) mtshard.Shard {
 	view, err := mtkernel.Lookup[*mtview.View](d.Kernel(), mtdaemon.NameView)
 	must(err)
-	tables := view.Now().Tables(ref)
+	tables := view.Snapshot().Tables(ref)
 	table := tables[random.IntN(len(tables))]
 	return table.Shards[random.IntN(len(table.Shards))]
 }
--- a/cmd/capacity/state.go
+++ b/cmd/capacity/state.go
@@ -90,8 +90,8 @@
 	}
 	for i, h := range w.holders {
 		record := &mtroster.Record{
-			Stamp: mtroster.Stamp{Writer: h, Sequence: uint64(i)}, Holder: h, Zone: "old-town", Region: "riga",
-			Relay: "10.20.100.111:8081", Renew: "10.20.100.111:8081", Caller: "10.20.100.111:8080", Admin: "10.20.100.111:8083",
+			WriteID: mtroster.WriteID{Writer: h, Sequence: uint64(i)}, Holder: h, Zone: "old-town", Region: "riga",
+			RelayAddress: "10.20.100.111:8081", RenewAddress: "10.20.100.111:8081", CallerAddress: "10.20.100.111:8080", AdminAddress: "10.20.100.111:8083",
 			Witnesses: []mtid.Holder{w.holders[(i+1)%daemons], w.holders[(i+2)%daemons], w.holders[(i+3)%daemons]},
 			Offers:    []mtroster.Offer{{Service: w.ref, Slots: 12, Connections: 130, Epochs: true}},
 		}
@@ -102,7 +102,7 @@
 	shards := daemons * shardsPerDaemon
 	chunks := (shards + chunkShards - 1) / chunkShards
 	for c := range chunks {
-		table, err := mtshard.New(w.ref, c, chunks).Apply(mtroster.Stamp{}, mtshard.Create{Shards: shards / chunks, Among: w.near(c, chunks)})
+		table, err := mtshard.New(w.ref, c, chunks).Apply(mtroster.WriteID{}, mtshard.Create{Shards: shards / chunks, Among: w.near(c, chunks)})
 		must(err)
 		w.tables = append(w.tables, table)
 	}
@@ -190,7 +190,7 @@
 	const rounds = 1 << 20
 	begin := time.Now()
 	for i := range rounds {
-		view.Now().Lookup(w.ref, mtid.Point(uint64(i)*0x9e3779b97f4a7c15))
+		view.Snapshot().Lookup(w.ref, mtid.Point(uint64(i)*0x9e3779b97f4a7c15))
 	}
 	return time.Since(begin) / rounds
 }
@@ -202,7 +202,7 @@
 	begin := time.Now()
 	for i := range rounds {
 		shard := table.Shards[i*7%len(table.Shards)]
-		next, err := table.Apply(mtroster.Stamp{Writer: w.holders[0], Sequence: uint64(i)},
+		next, err := table.Apply(mtroster.WriteID{Writer: w.holders[0], Sequence: uint64(i)},
 			mtshard.Move{Low: shard.Low, To: w.holders[(i*13)%len(w.holders)]})
 		must(err)
 		s.moveBytes = w.merge(view, next)
@@ -241,7 +241,7 @@
 		if len(op.Lost) == 0 {
 			continue
 		}
-		next, err := t.Apply(mtroster.Stamp{Writer: w.holders[len(w.holders)-1]}, t.Short(op))
+		next, err := t.Apply(mtroster.WriteID{Writer: w.holders[len(w.holders)-1]}, t.Short(op))
 		must(err)
 		w.tables[i] = next
 		size += w.merge(view, next)
--- a/core/mtannounce/mtannounce.go
+++ b/core/mtannounce/mtannounce.go
@@ -1,7 +1,7 @@
 // Package mtannounce defines the announcement that a backend server sends to the
 // daemon on its VM. There is no configured list of backend servers: a server
-// announces itself every second, and a server without an announcement within
-// Lifetime is no longer used.
+// announces itself every second, and a server without an announcement within TTL is
+// no longer used.
 //
 // # Usage
 //
@@ -20,13 +20,13 @@
 	"magnoliaturn/core/mtid"
 )
 
-// Lifetime is the time for which an announcement is valid.
-const Lifetime = 3 * time.Second
+// TTL is the time for which an announcement is valid.
+const TTL = 3 * time.Second
 
-// GrantPeriod is the interval between announcements of a server that sets Grants.
-// There are several of them within a lease, so that one lost reply does not cancel
-// running requests.
-const GrantPeriod = 250 * time.Millisecond
+// GrantAnnounceInterval is the interval between announcements of a server that sets
+// Grants. There are several of them within a lease, so that one lost reply does not
+// cancel running requests.
+const GrantAnnounceInterval = 250 * time.Millisecond
 
 // State is the readiness that a server announces.
 type State string
--- a/core/mtbackend/mtbackend.go
+++ b/core/mtbackend/mtbackend.go
@@ -47,13 +47,13 @@
 
 // Record is what a daemon publishes.
 type Record struct {
-	Daemon  mtid.Daemon  `json:"daemon"`
-	Address string       `json:"address"` // of the daemon, for other daemons
-	Zone    mtid.Zone    `json:"zone"`
-	Service mtid.Service `json:"service"`
-	Life    mtid.Life    `json:"-"` // the present life, or the last one if it has ended
-	Slots   int          `json:"slots"`
-	State   State        `json:"state"`
+	Daemon  mtid.Daemon            `json:"daemon"`
+	Address string                 `json:"address"` // of the daemon, for other daemons
+	Zone    mtid.Zone              `json:"zone"`
+	Service mtid.Service           `json:"service"`
+	Life    mtid.ServerIncarnation `json:"-"` // the present life, or the last one if it has ended
+	Slots   int                    `json:"slots"`
+	State   State                  `json:"state"`
 	// Link is the bandwidth of the VM's own link. Those with the widest ones tell
 	// the others what changes.
 	Link Rate `json:"link"`
@@ -67,7 +67,7 @@
 // Beat is what a backend server says of itself to the daemon beside it, about
 // once a second.
 type Beat struct {
-	Life     mtid.Life
+	Life     mtid.ServerIncarnation
 	Address  string // host:port of its HTTP listener
 	Service  mtid.Service
 	Slots    int
@@ -89,7 +89,7 @@
 
 // Runs reports whether the record proves that this life of the server may still
 // hold keys: it is the one that the daemon knows, or the daemon knows none yet.
-func (r Record) Runs(life mtid.Life) bool {
+func (r Record) Runs(life mtid.ServerIncarnation) bool {
 	if r.State == Unknown {
 		return true
 	}
@@ -108,13 +108,13 @@
 // stored is the form in which a record lies in the platform's store.
 type stored struct {
 	Record
-	Server mtid.Server `json:"server"`
-	Born   mtid.Birth  `json:"born,omitempty"`
+	Server mtid.Server    `json:"server"`
+	Born   mtid.StartTime `json:"born,omitempty"`
 }
 
 // Encode returns the stored form of r.
 func (r Record) Encode() ([]byte, error) {
-	return json.Marshal(stored{Record: r, Server: r.Life.Server, Born: r.Life.Born})
+	return json.Marshal(stored{Record: r, Server: r.Life.Server, Born: r.Life.Started})
 }
 
 // Decode reads a stored record. It fails with a *DecodeError.
@@ -128,7 +128,7 @@
 		return Record{}, &DecodeError{Err: err}
 	}
 	r := s.Record
-	r.Life = mtid.Life{Server: s.Server, Born: s.Born}
+	r.Life = mtid.ServerIncarnation{Server: s.Server, Started: s.Born}
 	if err := r.check(); err != nil {
 		return Record{}, &DecodeError{Err: err}
 	}
--- a/core/mtbundle/life.go
+++ b/core/mtbundle/life.go
@@ -158,7 +158,7 @@
 // where the store's version is the proposal's less one. If it is in force
 // already, Accept returns it and true, so that a retried request succeeds. It
 // fails with a *ConflictError, a *MissingError or an *UnsignedError.
-func (l *Life) Accept(now time.Time, version mtid.Version, digest, accepter string, stamp mtroster.Stamp) (next *Stored, done bool, err error) {
+func (l *Life) Accept(now time.Time, version mtid.Version, digest, accepter string, stamp mtroster.WriteID) (next *Stored, done bool, err error) {
 	if l.accepted(version, digest) {
 		return l.InForce, true, nil
 	}
--- a/core/mtbundle/life_test.go
+++ b/core/mtbundle/life_test.go
@@ -21,7 +21,7 @@
 
 var (
 	now   = time.UnixMilli(1_700_000_000_000).UTC()
-	stamp = mtroster.Stamp{Writer: mtid.Holder{Daemon: "d1", Incarnation: 1}, Sequence: 1}
+	stamp = mtroster.WriteID{Writer: mtid.Holder{Daemon: "d1", Incarnation: 1}, Sequence: 1}
 )
 
 // person has a signer's key.
--- a/core/mtbundle/stored.go
+++ b/core/mtbundle/stored.go
@@ -25,7 +25,7 @@
 	Text       []byte
 	Proposer   string
 	Signatures []Signature
-	Stamp      mtroster.Stamp // of the write that accepted it
+	Stamp      mtroster.WriteID // of the write that accepted it
 	Accepter   string
 	Proposed   time.Time
 	Accepted   time.Time // zero while it is proposed
@@ -86,7 +86,7 @@
 		Version:  mtid.Version(w.GetVersion()),
 		Text:     slices.Clone(w.GetText()),
 		Proposer: w.GetProposer(),
-		Stamp:    mtroster.ReadStamp(w.GetStamp()),
+		Stamp:    mtroster.WriteIDFromWire(w.GetStamp()),
 		Accepter: w.GetAccepter(),
 		Proposed: moment(w.GetProposedMs()),
 		Accepted: moment(w.GetAcceptedMs()),
--- a/core/mtcall/mtcall.go
+++ b/core/mtcall/mtcall.go
@@ -45,7 +45,7 @@
 	Service    mtid.Service
 	Route      mtid.Class // names the route, for queues and histograms
 	Keyed      bool       // Key tells which server has to run it
-	Key        mtid.Number
+	Key        mtid.KeyNumber
 	Idempotent bool
 	// Nested says that a backend server waits for it: it is part of a request
 	// that has used other servers' time already.
--- a/core/mtclock/fusion.go
+++ b/core/mtclock/fusion.go
@@ -16,7 +16,7 @@
 	Wall      int64 // may step forward or back
 }
 
-// Fusion combines the readings of three clocks into one elapsed time that is
+// FusedClock combines the readings of three clocks into one elapsed time that is
 // never too short: the largest of the three deltas.
 //
 // It guards against a frozen VM that resumes as if no time had passed. Its
@@ -29,8 +29,8 @@
 // only the monotonic clock: a wall clock that steps forward would end its promise
 // early.
 //
-// The zero Fusion is ready to use. It is not safe for concurrent use.
-type Fusion struct {
+// The zero FusedClock is ready to use. It is not safe for concurrent use.
+type FusedClock struct {
 	anchor  Reading
 	base    Instant
 	now     Instant
@@ -39,7 +39,7 @@
 
 // Advance processes the next reading and returns the current instant, which is
 // never earlier than the previous one. The first instant is the boot-time reading.
-func (f *Fusion) Advance(r Reading) Instant {
+func (f *FusedClock) Advance(r Reading) Instant {
 	if !f.started {
 		f.started = true
 		f.base, f.now = Instant(r.Boot), Instant(r.Boot)
--- a/core/mtclock/fusion_test.go
+++ b/core/mtclock/fusion_test.go
@@ -29,7 +29,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var f mtclock.Fusion
+			var f mtclock.FusedClock
 			start := f.Advance(mtclock.Reading{})
 			assert.Equal(t, f.Advance(tt.next).Sub(start), tt.want)
 		})
@@ -40,7 +40,7 @@
 // the wall clock advances. The freeze must be detected at once, not only when the
 // wall clock has caught up with its old value.
 func TestFusedClockDetectsFreezeAfterStepBack(t *testing.T) {
-	var f mtclock.Fusion
+	var f mtclock.FusedClock
 	f.Advance(mtclock.Reading{Wall: 3600 * second})
 	before := f.Advance(mtclock.Reading{Monotonic: 1, Boot: 1, Wall: 0})
 	after := f.Advance(mtclock.Reading{Monotonic: 2, Boot: 2, Wall: 5 * second})
@@ -49,7 +49,7 @@
 
 func TestFusedClockIsMonotonicAndNeverTooSlow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var f mtclock.Fusion
+		var f mtclock.FusedClock
 		var r mtclock.Reading
 		start := f.Advance(r)
 		last, monotonic := start, int64(0)
--- a/core/mtid/mtid.go
+++ b/core/mtid/mtid.go
@@ -116,20 +116,20 @@
 	return h.Sum64()
 }
 
-// Number is a key of a service with numbered keys. Keys with adjacent numbers have
-// similar load, so these services are partitioned into ranges of numbers instead
+// KeyNumber is a key of a service with numbered keys. Adjacent keys tend to be busy
+// at the same time, so these services are partitioned by ranges of numbers instead
 // of by hash.
-type Number uint16
+type KeyNumber uint16
 
-// LastNumber is the highest numbered key.
-const LastNumber Number = 1<<16 - 1
+// LastKeyNumber is the highest numbered key.
+const LastKeyNumber KeyNumber = 1<<16 - 1
 
 // numberShift moves a number to the high bits of a Point.
 const numberShift = 48
 
 // Point returns the first point of the ring that represents n. Code for ranges of
 // the ring thereby also works for ranges of numbers.
-func (n Number) Point() Point { return Point(n) << numberShift }
+func (n KeyNumber) Point() Point { return Point(n) << numberShift }
 
 // LastPoint returns the last point of the ring that represents n.
-func (n Number) LastPoint() Point { return n.Point() | (1<<numberShift - 1) }
+func (n KeyNumber) LastPoint() Point { return n.Point() | (1<<numberShift - 1) }
--- a/core/mtid/server.go
+++ b/core/mtid/server.go
@@ -9,36 +9,38 @@
 // under the same name, so the name alone does not identify an incarnation.
 type Server string
 
-// Birth is the start time of an incarnation of a backend server, in Unix
+// StartTime is the start time of an incarnation of a backend server, in Unix
 // milliseconds as reported by the server. It distinguishes and orders the
 // incarnations of one server, and is never compared with a clock of the daemons.
 // Zero means that the server does not report it.
-type Birth int64
+type StartTime int64
 
-// Life is one incarnation of a backend server: the unit that owns keys and runs
-// requests. A new incarnation has none of the state of the previous one.
-type Life struct {
-	Server Server
-	Born   Birth
+// ServerIncarnation is one incarnation of a backend server: the unit that owns keys
+// and runs requests. A new incarnation has none of the state of the previous one.
+type ServerIncarnation struct {
+	Server  Server
+	Started StartTime
 }
 
-// IsZero reports whether l is the zero value, which refers to no server.
-func (l Life) IsZero() bool { return l == Life{} }
+// IsZero reports whether i is the zero value, which refers to no server.
+func (i ServerIncarnation) IsZero() bool { return i == ServerIncarnation{} }
 
-// Before reports whether l and other are incarnations of the same server and l
+// Before reports whether i and other are incarnations of the same server and i
 // started earlier.
-func (l Life) Before(other Life) bool { return l.Server == other.Server && l.Born < other.Born }
+func (i ServerIncarnation) Before(other ServerIncarnation) bool {
+	return i.Server == other.Server && i.Started < other.Started
+}
 
 // Compare orders incarnations by server name, then by start time.
-func (l Life) Compare(other Life) int {
-	return cmp.Or(cmp.Compare(l.Server, other.Server), cmp.Compare(l.Born, other.Born))
+func (i ServerIncarnation) Compare(other ServerIncarnation) int {
+	return cmp.Or(cmp.Compare(i.Server, other.Server), cmp.Compare(i.Started, other.Started))
 }
 
 // String returns "name@start", or only the name if the server does not report its
 // start time.
-func (l Life) String() string {
-	if l.Born == 0 {
-		return string(l.Server)
+func (i ServerIncarnation) String() string {
+	if i.Started == 0 {
+		return string(i.Server)
 	}
-	return fmt.Sprintf("%s@%d", l.Server, l.Born)
+	return fmt.Sprintf("%s@%d", i.Server, i.Started)
 }
--- a/core/mtload/mtload.go
+++ b/core/mtload/mtload.go
@@ -80,7 +80,7 @@
 // Wire returns the form of r that is sent, cut to the bounds.
 func (r *Report) Wire() *mtwire.LoadReport {
 	w := &mtwire.LoadReport{
-		From:     mtroster.WireHolder(r.From),
+		From:     mtroster.HolderToWire(r.From),
 		Business: string(r.Service.Business),
 		Service:  string(r.Service.Service),
 		Sequence: r.Sequence,
@@ -115,7 +115,7 @@
 		return nil, &FieldError{Field: "points", Accept: "two equal columns of at most 8"}
 	}
 	r := &Report{
-		From:     mtroster.ReadHolder(w.GetFrom()),
+		From:     mtroster.HolderFromWire(w.GetFrom()),
 		Service:  mtid.Ref{Business: mtid.Business(w.GetBusiness()), Service: mtid.Service(w.GetService())},
 		Sequence: w.GetSequence(),
 		Load:     slots(w.GetLoad()),
--- a/core/mtmember/mtmember.go
+++ b/core/mtmember/mtmember.go
@@ -6,9 +6,9 @@
 //
 //	m := mtmember.New(profile, firstSequence)
 //	switch step := m.Next(); step.Kind {
-//	case mtmember.Read:  ... get the record: m.Seen(record, version) or m.Missing()
-//	case mtmember.Fence: ... have the previous incarnation revoked by its witnesses: m.Fenced(version)
-//	case mtmember.Write: ... swap: m.Landed, m.Seen (conflict), m.Unknown or m.Refused
+//	case mtmember.Read:  ... get the record: m.Observe(record, version) or m.ObserveMissing()
+//	case mtmember.Fence: ... have the previous incarnation revoked by its witnesses: m.MarkFenced(version)
+//	case mtmember.Write: ... swap: m.WriteSucceeded, m.Observe (conflict), m.WriteUnknown or m.WriteRejected
 //	case mtmember.Idle:  ... registered; m.Change to start another write
 //	}
 //
@@ -43,13 +43,13 @@
 // Profile holds the configured identity and addresses of a daemon, which are known
 // before it registers.
 type Profile struct {
-	Daemon mtid.Daemon
-	Zone   mtid.Zone
-	Region mtid.Region
-	Relay  string
-	Renew  string
-	Caller string
-	Admin  string
+	Daemon        mtid.Daemon
+	Zone          mtid.Zone
+	Region        mtid.Region
+	RelayAddress  string
+	RenewAddress  string
+	CallerAddress string
+	AdminAddress  string
 }
 
 // pendingWrite is a write whose outcome is not known yet.
@@ -96,8 +96,8 @@
 // store.
 func (m *Member) Record() (*mtroster.Record, mtid.Version) { return m.record, m.version }
 
-// Writing reports whether a write is pending or its outcome is unknown.
-func (m *Member) Writing() bool { return m.writing != nil }
+// WritePending reports whether a write is pending or its outcome is unknown.
+func (m *Member) WritePending() bool { return m.writing != nil }
 
 // Next returns the next action. It is Idle only while the process is registered
 // and has nothing to write.
@@ -121,7 +121,7 @@
 	return m.Next()
 }
 
-// Seen processes the record that was read from the store, or that the store
+// Observe processes the record that was read from the store, or that the store
 // returned with the conflict of a write.
 //
 // While the outcome of a write is unknown, a record at the version that the
@@ -129,7 +129,7 @@
 // that considered it failed would act on a record that is about to change.
 // Repeating the write determines the outcome, since only one of the two attempts
 // can succeed and makes the other one fail.
-func (m *Member) Seen(record *mtroster.Record, version mtid.Version) {
+func (m *Member) Observe(record *mtroster.Record, version mtid.Version) {
 	if version < m.version {
 		return
 	}
@@ -140,30 +140,30 @@
 	}
 	m.writing = nil
 	m.setStored(record, version)
-	if w != nil && record.Stamp == w.record.Stamp {
+	if w != nil && record.WriteID == w.record.WriteID {
 		m.register()
 	}
 }
 
-// Missing reports that the store has no record of this daemon.
-func (m *Member) Missing() {
+// ObserveMissing reports that the store has no record of this daemon.
+func (m *Member) ObserveMissing() {
 	m.known = true
 	if m.writing == nil {
 		m.setStored(nil, 0)
 	}
 }
 
-// Stale reports the version that the live state has of the daemon's record. If it
-// is newer than the known one, another process wrote it, and the next step reads
-// the record.
-func (m *Member) Stale(version mtid.Version) {
+// ObserveVersion reports the version that the live state has of the daemon's
+// record. If it is newer than the known one, another process wrote it, and the next
+// step reads the record.
+func (m *Member) ObserveVersion(version mtid.Version) {
 	if version > m.version {
 		m.known = false
 	}
 }
 
-// Landed reports that the write succeeded and created a version.
-func (m *Member) Landed(version mtid.Version) {
+// WriteSucceeded reports that the write succeeded and created a version.
+func (m *Member) WriteSucceeded(version mtid.Version) {
 	w := m.writing
 	m.writing = nil
 	m.known = true
@@ -171,15 +171,15 @@
 	m.register()
 }
 
-// Unknown reports that no response to the write was received.
-func (m *Member) Unknown() {
+// WriteUnknown reports that no response to the write was received.
+func (m *Member) WriteUnknown() {
 	m.writing.uncertain = true
 	m.known = false
 }
 
-// Refused reports that the store rejected the write. If an earlier attempt got no
-// response, that one may still be applied, and the outcome remains unknown.
-func (m *Member) Refused() {
+// WriteRejected reports that the store rejected the write. If an earlier attempt got
+// no response, that one may still be applied, and the outcome remains unknown.
+func (m *Member) WriteRejected() {
 	if m.writing.uncertain {
 		m.known = false
 		return
@@ -187,9 +187,9 @@
 	m.writing = nil
 }
 
-// Fenced reports that the previous incarnation is fenced: a majority of the
+// MarkFenced reports that the previous incarnation is fenced: a majority of the
 // witnesses that its record names at this version agreed to revoke it.
-func (m *Member) Fenced(version mtid.Version) { m.fenced = version }
+func (m *Member) MarkFenced(version mtid.Version) { m.fenced = version }
 
 // Change starts to write next, which has to be a modified copy of the record that
 // Record returns. It returns false if the process is not registered or another
@@ -199,7 +199,7 @@
 		return false
 	}
 	next.Holder = m.holder
-	next.Stamp = mtroster.Stamp{Writer: m.holder}
+	next.WriteID = mtroster.WriteID{Writer: m.holder}
 	m.startWrite(next)
 	return true
 }
@@ -211,7 +211,7 @@
 	if record == nil || m.holder.IsZero() {
 		return
 	}
-	if record.Holder != m.holder || record.Revoked > m.holder.Incarnation {
+	if record.Holder != m.holder || record.RevokedBelow > m.holder.Incarnation {
 		m.revoked = true
 	}
 }
@@ -220,7 +220,7 @@
 // registration by this process.
 func (m *Member) register() {
 	h := m.record.Holder
-	registered := h.Daemon == m.profile.Daemon && m.record.Stamp.Writer == h && m.record.Live()
+	registered := h.Daemon == m.profile.Daemon && m.record.WriteID.Writer == h && m.record.MayHoldLease()
 	if registered && m.Holder() != h {
 		m.holder, m.revoked = h, false
 	}
@@ -229,7 +229,7 @@
 // startWrite starts to write next over the version that is in the store.
 func (m *Member) startWrite(next *mtroster.Record) {
 	m.sequence++
-	next.Stamp.Sequence = m.sequence
+	next.WriteID.Sequence = m.sequence
 	m.writing = &pendingWrite{record: next, expected: m.version}
 }
 
@@ -237,12 +237,12 @@
 // of its witnesses. One that never had witnesses, shut down cleanly or was revoked
 // cannot.
 func (m *Member) mustFence() bool {
-	return m.record != nil && m.record.Live() && len(m.record.Witnesses) > 0 && m.fenced != m.version
+	return m.record != nil && m.record.MayHoldLease() && len(m.record.Witnesses) > 0 && m.fenced != m.version
 }
 
 // published reports whether the record has the addresses of this process.
 func (m *Member) published() bool {
-	return m.record.Relay == m.profile.Relay && m.record.Renew == m.profile.Renew
+	return m.record.RelayAddress == m.profile.RelayAddress && m.record.RenewAddress == m.profile.RenewAddress
 }
 
 // publication returns the record of the previous incarnation with the addresses of
@@ -251,7 +251,7 @@
 // the address in its old record.
 func (m *Member) publication() *mtroster.Record {
 	next := *m.record
-	next.Stamp = mtroster.Stamp{Writer: mtid.Holder{Daemon: m.profile.Daemon}}
+	next.WriteID = mtroster.WriteID{Writer: mtid.Holder{Daemon: m.profile.Daemon}}
 	m.setAddresses(&next)
 	return &next
 }
@@ -262,21 +262,22 @@
 	m.setAddresses(next)
 	incarnation := mtid.Incarnation(1)
 	if m.record != nil {
-		incarnation = max(m.record.Holder.Incarnation+1, m.record.Revoked)
+		incarnation = max(m.record.Holder.Incarnation+1, m.record.RevokedBelow)
 	}
 	next.Holder = mtid.Holder{Daemon: m.profile.Daemon, Incarnation: incarnation}
-	next.Revoked = incarnation
-	next.Stamp.Writer = next.Holder
+	next.RevokedBelow = incarnation
+	next.WriteID.Writer = next.Holder
 	return next
 }
 
-// Carry sets the offers and the state that the next registration will publish.
-func (m *Member) Carry(offers []mtroster.Offer, state mtroster.State) {
+// PrepareRegistration sets the offers and the state that the next registration
+// will publish.
+func (m *Member) PrepareRegistration(offers []mtroster.Offer, state mtroster.State) {
 	m.offers, m.state = offers, state
 }
 
 func (m *Member) setAddresses(r *mtroster.Record) {
 	r.Zone, r.Region = m.profile.Zone, m.profile.Region
-	r.Relay, r.Renew = m.profile.Relay, m.profile.Renew
-	r.Caller, r.Admin = m.profile.Caller, m.profile.Admin
+	r.RelayAddress, r.RenewAddress = m.profile.RelayAddress, m.profile.RenewAddress
+	r.CallerAddress, r.AdminAddress = m.profile.CallerAddress, m.profile.AdminAddress
 }
--- a/core/mtmember/mtmember_test.go
+++ b/core/mtmember/mtmember_test.go
@@ -10,14 +10,14 @@
 	"magnoliaturn/core/mtroster"
 )
 
-var profile = mtmember.Profile{Daemon: "d", Zone: "old-town", Region: "riga", Relay: "10.0.0.1:1", Renew: "10.0.0.1:2"}
+var profile = mtmember.Profile{Daemon: "d", Zone: "old-town", Region: "riga", RelayAddress: "10.0.0.1:1", RenewAddress: "10.0.0.1:2"}
 
 func holder(n mtid.Incarnation) mtid.Holder { return mtid.Holder{Daemon: "d", Incarnation: n} }
 
 // previous returns the record of a previous incarnation.
 func previous(n mtid.Incarnation) *mtroster.Record {
 	return &mtroster.Record{
-		Holder: holder(n), Revoked: n, Relay: profile.Relay, Renew: profile.Renew,
+		Holder: holder(n), RevokedBelow: n, RelayAddress: profile.RelayAddress, RenewAddress: profile.RenewAddress,
 		Witnesses: []mtid.Holder{{Daemon: "w", Incarnation: 1}},
 	}
 }
@@ -25,21 +25,21 @@
 func registered(t *testing.T) *mtmember.Member {
 	t.Helper()
 	m := mtmember.New(profile, 100)
-	m.Missing()
+	m.ObserveMissing()
 	step := m.Next()
 	assert.Equal(t, step.Kind, mtmember.Write)
-	m.Landed(1)
+	m.WriteSucceeded(1)
 	assert.Equal(t, m.Holder(), holder(1))
 	return m
 }
 
 func TestFirstStepDependsOnPreviousRecord(t *testing.T) {
 	moved := previous(4)
-	moved.Relay = "10.9.9.9:1"
+	moved.RelayAddress = "10.9.9.9:1"
 	left := previous(4)
 	left.State = mtroster.Gone
 	revoked := previous(4)
-	revoked.Revoked = 6
+	revoked.RevokedBelow = 6
 	unwitnessed := previous(4)
 	unwitnessed.Witnesses = nil
 	tests := []struct {
@@ -60,14 +60,14 @@
 			m := mtmember.New(profile, 100)
 			assert.Equal(t, m.Next().Kind, mtmember.Read)
 			if tt.record == nil {
-				m.Missing()
+				m.ObserveMissing()
 			} else {
-				m.Seen(tt.record, 9)
+				m.Observe(tt.record, 9)
 			}
 			step := m.Next()
 			assert.Equal(t, step.Kind, tt.want)
 			assert.Equal(t, step.Record.Holder, tt.holder)
-			assert.Equal(t, step.Record.Relay, profile.Relay)
+			assert.Equal(t, step.Record.RelayAddress, profile.RelayAddress)
 		})
 	}
 }
@@ -77,14 +77,14 @@
 // revoked anything.
 func TestFenceAppliesToOneVersionOnly(t *testing.T) {
 	m := mtmember.New(profile, 100)
-	m.Seen(previous(4), 9)
-	m.Fenced(9)
+	m.Observe(previous(4), 9)
+	m.MarkFenced(9)
 	assert.Equal(t, m.Next().Record.Holder, holder(5))
-	m.Seen(previous(4), 10)
+	m.Observe(previous(4), 10)
 	step := m.Next()
 	assert.Equal(t, step.Kind, mtmember.Fence)
 	assert.Equal(t, step.Expected, mtid.Version(10))
-	m.Fenced(10)
+	m.MarkFenced(10)
 	assert.Equal(t, m.Next().Record.Holder, holder(5))
 }
 
@@ -98,10 +98,10 @@
 		holder mtid.Holder
 		zone   mtid.Zone
 	}{
-		{"first attempt succeeded", func(m *mtmember.Member, w *mtroster.Record) { m.Seen(w, 2) }, holder(1), "new"},
-		{"second attempt succeeded", func(m *mtmember.Member, _ *mtroster.Record) { m.Landed(2) }, holder(1), "new"},
+		{"first attempt succeeded", func(m *mtmember.Member, w *mtroster.Record) { m.Observe(w, 2) }, holder(1), "new"},
+		{"second attempt succeeded", func(m *mtmember.Member, _ *mtroster.Record) { m.WriteSucceeded(2) }, holder(1), "new"},
 		{"revoked by a claimant", func(m *mtmember.Member, _ *mtroster.Record) {
-			m.Seen(&mtroster.Record{Holder: holder(1), Revoked: 2}, 2)
+			m.Observe(&mtroster.Record{Holder: holder(1), RevokedBelow: 2}, 2)
 		}, mtid.Holder{}, ""},
 	}
 	for _, tt := range tests {
@@ -112,17 +112,17 @@
 			next.Zone = "new"
 			assert.Assert(t, m.Change(&next))
 			written := m.Next()
-			m.Unknown()
+			m.WriteUnknown()
 			assert.Equal(t, m.Next().Kind, mtmember.Read)
-			m.Seen(old, 1)
-			assert.Assert(t, m.Writing())
+			m.Observe(old, 1)
+			assert.Assert(t, m.WritePending())
 			assert.DeepEqual(t, m.Next(), written)
-			m.Refused()
-			assert.Assert(t, m.Writing(), "rejection of the second attempt must not settle the first")
-			m.Seen(old, 1)
+			m.WriteRejected()
+			assert.Assert(t, m.WritePending(), "rejection of the second attempt must not settle the first")
+			m.Observe(old, 1)
 			assert.DeepEqual(t, m.Next(), written)
 			tt.settle(m, written.Record)
-			assert.Assert(t, !m.Writing())
+			assert.Assert(t, !m.WritePending())
 			assert.Equal(t, m.Holder(), tt.holder)
 			record, _ := m.Record()
 			assert.Equal(t, record.Zone, tt.zone)
@@ -135,8 +135,8 @@
 	record, _ := m.Record()
 	next := *record
 	m.Change(&next)
-	m.Refused()
-	assert.Assert(t, !m.Writing())
+	m.WriteRejected()
+	assert.Assert(t, !m.WritePending())
 	assert.Equal(t, m.Next().Kind, mtmember.Idle)
 }
 
@@ -145,12 +145,12 @@
 // registration for its own, two processes would hold the same lease.
 func TestOnlyOneOfTwoProcessesRegisters(t *testing.T) {
 	first, second := mtmember.New(profile, 100), mtmember.New(profile, 5000)
-	first.Missing()
-	second.Missing()
+	first.ObserveMissing()
+	second.ObserveMissing()
 	firstWrite, secondWrite := first.Next(), second.Next()
 	assert.Equal(t, firstWrite.Record.Holder, secondWrite.Record.Holder)
-	first.Landed(1)
-	second.Seen(firstWrite.Record, 1)
+	first.WriteSucceeded(1)
+	second.Observe(firstWrite.Record, 1)
 	assert.Equal(t, first.Holder(), holder(1))
 	assert.Assert(t, second.Holder().IsZero())
 	assert.Equal(t, second.Next().Record.Holder, holder(2))
@@ -161,18 +161,18 @@
 // incarnation that is already revoked.
 func TestRevokedRegistrationIsNotUsed(t *testing.T) {
 	m := mtmember.New(profile, 100)
-	m.Missing()
+	m.ObserveMissing()
 	written := m.Next().Record
-	m.Unknown()
+	m.WriteUnknown()
 	revoked := *written
-	revoked.Revoked = 2
-	m.Seen(&revoked, 2)
+	revoked.RevokedBelow = 2
+	m.Observe(&revoked, 2)
 	assert.Assert(t, m.Holder().IsZero())
 	assert.Equal(t, m.Next().Record.Holder, holder(2))
 }
 
 func TestReadOfAnOlderVersionIsIgnored(t *testing.T) {
 	m := registered(t)
-	m.Seen(&mtroster.Record{Holder: holder(1), Revoked: 2}, 0)
+	m.Observe(&mtroster.Record{Holder: holder(1), RevokedBelow: 2}, 0)
 	assert.Equal(t, m.Holder(), holder(1))
 }
--- a/core/mtmove/mtmove_test.go
+++ b/core/mtmove/mtmove_test.go
@@ -23,7 +23,7 @@
 )
 
 func table(t assert.TestingT) *mtshard.Table {
-	created, err := mtshard.New(ref, 0, 1).Apply(mtroster.Stamp{}, mtshard.Create{Shards: 2, Among: []mtid.Holder{a}})
+	created, err := mtshard.New(ref, 0, 1).Apply(mtroster.WriteID{}, mtshard.Create{Shards: 2, Among: []mtid.Holder{a}})
 	assert.NilError(t, err)
 	return created
 }
@@ -96,7 +96,7 @@
 	_, err := moves.Want(0, first, 0, b)
 	assert.NilError(t, err)
 	moves.Quiet(0, place)
-	split, err := first.Apply(mtroster.Stamp{}, mtshard.Split{Point: 9})
+	split, err := first.Apply(mtroster.WriteID{}, mtshard.Split{Point: 9})
 	assert.NilError(t, err)
 	moves.See(0, split)
 	got := moves.HandedOver(0, place)
@@ -108,7 +108,7 @@
 // beside it would be for the same version, and one of the two would be refused
 // for nothing; they go in one write after it.
 func TestWritesOfAChunkComeOneByOne(t *testing.T) {
-	first, err := mtshard.New(ref, 0, 1).Apply(mtroster.Stamp{}, mtshard.Create{Shards: 3, Among: []mtid.Holder{a}})
+	first, err := mtshard.New(ref, 0, 1).Apply(mtroster.WriteID{}, mtshard.Create{Shards: 3, Among: []mtid.Holder{a}})
 	assert.NilError(t, err)
 	moves := mtmove.New(a, 4)
 	var writes []mtmove.Write
@@ -122,7 +122,7 @@
 		}
 	}
 	assert.Equal(t, len(writes), 1)
-	second, err := first.Apply(mtroster.Stamp{}, writes[0].Ops...)
+	second, err := first.Apply(mtroster.WriteID{}, writes[0].Ops...)
 	assert.NilError(t, err)
 	effects := moves.Wrote(0, second, mtmove.Landed)
 	assert.Equal(t, len(effects), 2) // the release of the first, the write of the others
@@ -164,7 +164,7 @@
 		return false
 	}
 	w.steps++
-	next, err := write.Table.Apply(mtroster.Stamp{Writer: a, Sequence: w.steps}, write.Ops...)
+	next, err := write.Table.Apply(mtroster.WriteID{Writer: a, Sequence: w.steps}, write.Ops...)
 	assert.NilError(w.t, err)
 	w.stored = next
 	return true
@@ -195,7 +195,7 @@
 func (w *world) planner() {
 	point := mtid.Point(rapid.Uint64().Draw(w.t, "point"))
 	w.steps++
-	next, err := w.stored.Apply(mtroster.Stamp{Writer: b, Sequence: w.steps}, mtshard.Split{Point: point})
+	next, err := w.stored.Apply(mtroster.WriteID{Writer: b, Sequence: w.steps}, mtshard.Split{Point: point})
 	if err == nil {
 		w.stored = next
 	}
--- a/core/mtplan/create.go
+++ b/core/mtplan/create.go
@@ -88,7 +88,7 @@
 		to := total * float64(chunk+1) / float64(chunks)
 		among, quota := share(row, from, to, each)
 		create := mtshard.Create{Shards: each, Among: among}
-		table, err := mtshard.New(mtid.Ref{}, chunk, chunks).Apply(mtroster.Stamp{}, create)
+		table, err := mtshard.New(mtid.Ref{}, chunk, chunks).Apply(mtroster.WriteID{}, create)
 		if err != nil {
 			return nil
 		}
--- a/core/mtplan/create_test.go
+++ b/core/mtplan/create_test.go
@@ -76,7 +76,7 @@
 			counts := make(map[mtid.Holder]int)
 			all := 0
 			for chunk, ops := range laid {
-				table, err := mtshard.New(mtid.Ref{}, chunk, tt.chunks).Apply(mtroster.Stamp{}, ops...)
+				table, err := mtshard.New(mtid.Ref{}, chunk, tt.chunks).Apply(mtroster.WriteID{}, ops...)
 				assert.NilError(t, err)
 				assert.Assert(t, len(table.Shards) > 0)
 				all += len(table.Shards)
--- a/core/mtplan/planner_test.go
+++ b/core/mtplan/planner_test.go
@@ -330,7 +330,7 @@
 		among = append(among, holder("gone"))
 		var tables []*mtshard.Table
 		for chunk := range chunks {
-			table, err := mtshard.New(mtid.Ref{}, chunk, chunks).Apply(mtroster.Stamp{}, mtshard.Create{Shards: rapid.IntRange(1, 12).Draw(t, "shards"), Among: among})
+			table, err := mtshard.New(mtid.Ref{}, chunk, chunks).Apply(mtroster.WriteID{}, mtshard.Create{Shards: rapid.IntRange(1, 12).Draw(t, "shards"), Among: among})
 			assert.NilError(t, err)
 			tables = append(tables, table)
 		}
@@ -358,7 +358,7 @@
 	assert.Assert(t, len(plan.Moves) <= mtplan.MaxMoves)
 	next := slices.Clone(tables)
 	for chunk, ops := range plan.Ops {
-		table, err := next[chunk].Apply(mtroster.Stamp{}, ops...)
+		table, err := next[chunk].Apply(mtroster.WriteID{}, ops...)
 		assert.NilError(t, err)
 		next[chunk] = table
 	}
@@ -379,7 +379,7 @@
 			continue
 		}
 		chunk := mtshard.ChunkOf(m.Low, len(tables))
-		table, err := next[chunk].Apply(mtroster.Stamp{}, mtshard.Move{Low: m.Low, To: m.To})
+		table, err := next[chunk].Apply(mtroster.WriteID{}, mtshard.Move{Low: m.Low, To: m.To})
 		assert.NilError(t, err)
 		next[chunk] = table
 	}
@@ -416,7 +416,7 @@
 	}
 	var tables []*mtshard.Table
 	for chunk, ops := range mtplan.Lay(shards, chunks, members) {
-		table, err := mtshard.New(mtid.Ref{}, chunk, chunks).Apply(mtroster.Stamp{}, ops...)
+		table, err := mtshard.New(mtid.Ref{}, chunk, chunks).Apply(mtroster.WriteID{}, ops...)
 		assert.NilError(b, err)
 		tables = append(tables, table)
 	}
--- a/core/mtpoison/evidence.go
+++ b/core/mtpoison/evidence.go
@@ -203,7 +203,7 @@
 	w := &mtwire.Evidence{}
 	for _, c := range d.Crashes {
 		wc := &mtwire.Crash{
-			Holder:   mtroster.WireHolder(c.Loss.Holder),
+			Holder:   mtroster.HolderToWire(c.Loss.Holder),
 			Loss:     c.Loss.Count,
 			AgeMs:    age(now, c.At),
 			Complete: c.Complete,
@@ -225,7 +225,7 @@
 func wireQuarantine(now mtclock.Instant, s Quarantine) *mtwire.Quarantine {
 	w := &mtwire.Quarantine{Print: uint64(s.Print), AgeMs: age(now, s.Asked)}
 	if !s.IfLost.IsZero() {
-		w.IfLost = mtroster.WireHolder(s.IfLost)
+		w.IfLost = mtroster.HolderToWire(s.IfLost)
 	}
 	return w
 }
@@ -244,7 +244,7 @@
 	var d Digest
 	for _, wc := range w.GetCrashes() {
 		c := Crash{
-			Loss:     Loss{Holder: mtroster.ReadHolder(wc.GetHolder()), Count: wc.GetLoss()},
+			Loss:     Loss{Holder: mtroster.HolderFromWire(wc.GetHolder()), Count: wc.GetLoss()},
 			At:       since(now, wc.GetAgeMs()),
 			Complete: wc.GetComplete(),
 		}
@@ -263,7 +263,7 @@
 		d.Quarantines = append(d.Quarantines, Quarantine{
 			Print:  Print(s.GetPrint()),
 			Asked:  since(now, s.GetAgeMs()),
-			IfLost: mtroster.ReadHolder(s.GetIfLost()),
+			IfLost: mtroster.HolderFromWire(s.GetIfLost()),
 		})
 	}
 	return d, nil
--- a/core/mtrange/codec.go
+++ b/core/mtrange/codec.go
@@ -57,7 +57,7 @@
 		low := int(r.Low)
 		for len(changed) > 0 && int(changed[0].Low) <= int(r.High) {
 			if int(changed[0].Low) > low {
-				next.Ranges = append(next.Ranges, part(r, mtid.Number(low), changed[0].Low-1))
+				next.Ranges = append(next.Ranges, part(r, mtid.KeyNumber(low), changed[0].Low-1))
 			}
 			low = max(low, int(changed[0].High)+1)
 			if int(changed[0].High) > int(r.High) {
@@ -67,7 +67,7 @@
 			changed = changed[1:]
 		}
 		if low <= int(r.High) {
-			next.Ranges = append(next.Ranges, part(r, mtid.Number(low), r.High))
+			next.Ranges = append(next.Ranges, part(r, mtid.KeyNumber(low), r.High))
 		}
 	}
 	return next, nil
@@ -119,11 +119,11 @@
 }
 
 func wireOwner(o Owner) *mtwire.RangeOwner {
-	return &mtwire.RangeOwner{Daemon: string(o.Daemon), Server: string(o.Life.Server), Born: int64(o.Life.Born)}
+	return &mtwire.RangeOwner{Daemon: string(o.Daemon), Server: string(o.Life.Server), Born: int64(o.Life.Started)}
 }
 
 func readOwner(w *mtwire.RangeOwner) Owner {
-	life := mtid.Life{Server: mtid.Server(w.GetServer()), Born: mtid.Birth(w.GetBorn())}
+	life := mtid.ServerIncarnation{Server: mtid.Server(w.GetServer()), Started: mtid.StartTime(w.GetBorn())}
 	return Owner{Daemon: mtid.Daemon(w.GetDaemon()), Life: life}
 }
 
@@ -145,7 +145,7 @@
 		}
 		want = int(r.High) + 1
 	}
-	if want != int(mtid.LastNumber)+1 {
+	if want != int(mtid.LastKeyNumber)+1 {
 		return nil, &DecodeError{Reason: "not all keys are covered"}
 	}
 	return &Table{Service: mtid.Service(w.GetService()), Next: mtid.Epoch(w.GetNext()), Ranges: ranges}, nil
@@ -187,7 +187,7 @@
 	for i, low := range w.GetLows() {
 		high, place, epoch := w.GetHighs()[i], w.GetOwner()[i], w.GetEpochs()[i]
 		switch {
-		case low < least || high < low || high > uint32(mtid.LastNumber):
+		case low < least || high < low || high > uint32(mtid.LastKeyNumber):
 			return nil, nil, &DecodeError{Reason: fmt.Sprintf("range %d to %d is out of order", low, high)}
 		case epoch >= w.GetNext():
 			return nil, nil, &DecodeError{Reason: fmt.Sprintf("epoch %d is not below the next one", epoch)}
@@ -195,7 +195,7 @@
 			return nil, nil, &DecodeError{Reason: fmt.Sprintf("owner %d is not named", place)}
 		}
 		ranges = append(ranges, Range{
-			Low: mtid.Number(low), High: mtid.Number(high), Epoch: mtid.Epoch(epoch),
+			Low: mtid.KeyNumber(low), High: mtid.KeyNumber(high), Epoch: mtid.Epoch(epoch),
 			Owner: readOwner(w.GetOwners()[place]),
 		})
 		least = high + 1
--- a/core/mtrange/codec_test.go
+++ b/core/mtrange/codec_test.go
@@ -143,5 +143,5 @@
 		assert.Equal(t, int(r.Low), want)
 		want = int(r.High) + 1
 	}
-	assert.Equal(t, want, int(mtid.LastNumber)+1)
+	assert.Equal(t, want, int(mtid.LastKeyNumber)+1)
 }
--- a/core/mtrange/meter.go
+++ b/core/mtrange/meter.go
@@ -25,7 +25,7 @@
 //
 // It isn't safe for concurrent use.
 type Meter struct {
-	work [int(mtid.LastNumber) + 1]float32 // seconds of server time in memory
+	work [int(mtid.LastKeyNumber) + 1]float32 // seconds of server time in memory
 	sum  float64
 	at   mtclock.Instant
 	// scale turns stored work into present work: all of it fades by one number
@@ -36,7 +36,7 @@
 
 // span is a run of keys that came to the server not long ago.
 type span struct {
-	low, high mtid.Number
+	low, high mtid.KeyNumber
 	since     mtclock.Instant
 	sum       float64 // of its keys' work, in seconds
 	at        mtclock.Instant
@@ -60,7 +60,7 @@
 	return 1 - left(max(now.Sub(s.since), leastAge))
 }
 
-func (s *span) covers(key mtid.Number) bool { return s.low <= key && key <= s.high }
+func (s *span) covers(key mtid.KeyNumber) bool { return s.low <= key && key <= s.high }
 
 // add counts work of the span's keys, and lets the past count less.
 func (s *span) add(now mtclock.Instant, work float64) {
@@ -79,7 +79,7 @@
 func NewMeter(now mtclock.Instant) *Meter { return &Meter{at: now, scale: 1} }
 
 // Arrive counts a request for a key that takes about so long.
-func (m *Meter) Arrive(now mtclock.Instant, key mtid.Number, takes time.Duration) {
+func (m *Meter) Arrive(now mtclock.Instant, key mtid.KeyNumber, takes time.Duration) {
 	m.fade(now)
 	m.work[key] += float32(takes.Seconds() / m.scale)
 	m.sum += takes.Seconds()
@@ -90,14 +90,14 @@
 
 // Gain says that keys came to the server just now, so that nothing was measured of
 // them yet.
-func (m *Meter) Gain(now mtclock.Instant, low, high mtid.Number) {
+func (m *Meter) Gain(now mtclock.Instant, low, high mtid.KeyNumber) {
 	m.Forget(now, low, high)
 	m.young = slices.DeleteFunc(m.young, func(s *span) bool { return now.Sub(s.since) > grownUp })
 	m.young = append(m.young, &span{low: low, high: high, since: now, at: now})
 }
 
 // youngAt returns the youngest run that holds the key, or nil.
-func (m *Meter) youngAt(key mtid.Number) *span {
+func (m *Meter) youngAt(key mtid.KeyNumber) *span {
 	for i := len(m.young) - 1; i >= 0; i-- {
 		if m.young[i].covers(key) {
 			return m.young[i]
@@ -118,7 +118,7 @@
 }
 
 // Of returns the offered work of one key, in slots.
-func (m *Meter) Of(now mtclock.Instant, key mtid.Number) float64 {
+func (m *Meter) Of(now mtclock.Instant, key mtid.KeyNumber) float64 {
 	m.fade(now)
 	work := float64(m.work[key]) * m.scale / MeterMemory.Seconds()
 	if work == 0 {
@@ -131,7 +131,7 @@
 }
 
 // Forget drops what was measured of keys that have gone to another owner.
-func (m *Meter) Forget(now mtclock.Instant, low, high mtid.Number) {
+func (m *Meter) Forget(now mtclock.Instant, low, high mtid.KeyNumber) {
 	m.fade(now)
 	for key := int(low); key <= int(high); key++ {
 		if m.work[key] == 0 {
@@ -140,7 +140,7 @@
 		work := float64(m.work[key]) * m.scale
 		m.sum -= work
 		m.work[key] = 0
-		if s := m.youngAt(mtid.Number(key)); s != nil {
+		if s := m.youngAt(mtid.KeyNumber(key)); s != nil {
 			s.add(now, -min(work, s.sum))
 		}
 	}
--- a/core/mtrange/mtrange.go
+++ b/core/mtrange/mtrange.go
@@ -27,7 +27,7 @@
 // Owner is a life of a backend server, with the daemon beside it.
 type Owner struct {
 	Daemon mtid.Daemon
-	Life   mtid.Life
+	Life   mtid.ServerIncarnation
 }
 
 // IsZero reports whether o names no server.
@@ -40,8 +40,8 @@
 
 // Range is a run of keys with one owner, both ends included.
 type Range struct {
-	Low   mtid.Number
-	High  mtid.Number
+	Low   mtid.KeyNumber
+	High  mtid.KeyNumber
 	Owner Owner
 	Epoch mtid.Epoch
 	// Warmth is what the former owner left for the next one, so that it starts
@@ -53,7 +53,7 @@
 func (r Range) Keys() int { return int(r.High) - int(r.Low) + 1 }
 
 // Covers reports whether the key lies in the range.
-func (r Range) Covers(key mtid.Number) bool { return r.Low <= key && key <= r.High }
+func (r Range) Covers(key mtid.KeyNumber) bool { return r.Low <= key && key <= r.High }
 
 // Table is the whole assignment of one service.
 type Table struct {
@@ -61,12 +61,12 @@
 	// Next is the epoch of the next change. It only grows, so that no two
 	// owners of one key ever carry the same epoch, nor the later one a lower.
 	Next   mtid.Epoch
-	Ranges []Range // in order, without gaps, from 0 to mtid.LastNumber
+	Ranges []Range // in order, without gaps, from 0 to mtid.LastKeyNumber
 }
 
 // RangeError says that a change does not fit its table.
 type RangeError struct {
-	Low, High mtid.Number
+	Low, High mtid.KeyNumber
 	Reason    string
 }
 
@@ -79,10 +79,10 @@
 // *RangeError if there are none.
 func Spread(service mtid.Service, owners []Owner) (*Table, error) {
 	if len(owners) == 0 {
-		return nil, &RangeError{High: mtid.LastNumber, Reason: "no owner to give keys to"}
+		return nil, &RangeError{High: mtid.LastKeyNumber, Reason: "no owner to give keys to"}
 	}
 	t := &Table{Service: service, Next: 1}
-	for i, part := range pieces(0, mtid.LastNumber, len(owners)) {
+	for i, part := range pieces(0, mtid.LastKeyNumber, len(owners)) {
 		part.Owner = owners[i]
 		part.Epoch = t.Next
 		t.Next++
@@ -92,20 +92,20 @@
 }
 
 // pieces divides low to high into n runs of nearly equal width.
-func pieces(low, high mtid.Number, n int) []Range {
+func pieces(low, high mtid.KeyNumber, n int) []Range {
 	keys := int(high) - int(low) + 1
 	n = min(n, keys)
 	out := make([]Range, 0, n)
 	for i := range n {
 		from, to := i*keys/n, (i+1)*keys/n-1
-		out = append(out, Range{Low: low + mtid.Number(from), High: low + mtid.Number(to)})
+		out = append(out, Range{Low: low + mtid.KeyNumber(from), High: low + mtid.KeyNumber(to)})
 	}
 	return out
 }
 
 // Lookup returns the range of a key. It is called for each request.
-func (t *Table) Lookup(key mtid.Number) (Range, bool) {
-	i, found := slices.BinarySearchFunc(t.Ranges, key, func(r Range, key mtid.Number) int {
+func (t *Table) Lookup(key mtid.KeyNumber) (Range, bool) {
+	i, found := slices.BinarySearchFunc(t.Ranges, key, func(r Range, key mtid.KeyNumber) int {
 		switch {
 		case r.High < key:
 			return -1
@@ -163,7 +163,7 @@
 
 // Move gives the keys from low to high, which have one owner, to another one,
 // with what the former owner left for it. It fails with a *RangeError.
-func (t *Table) Move(low, high mtid.Number, to Owner, warmth string) (*Table, error) {
+func (t *Table) Move(low, high mtid.KeyNumber, to Owner, warmth string) (*Table, error) {
 	if low > high {
 		return nil, &RangeError{Low: low, High: high, Reason: "is empty"}
 	}
@@ -184,7 +184,7 @@
 
 // around returns what is left of a range before and behind the keys from low to
 // high, which lie in it: one part each, or none.
-func (r Range) around(low, high mtid.Number) (before, after []Range) {
+func (r Range) around(low, high mtid.KeyNumber) (before, after []Range) {
 	if r.Low < low {
 		before = []Range{part(r, r.Low, low-1)}
 	}
@@ -195,7 +195,7 @@
 }
 
 // part returns the keys from low to high of a range, with all else as it is.
-func part(r Range, low, high mtid.Number) Range {
+func part(r Range, low, high mtid.KeyNumber) Range {
 	r.Low, r.High = low, high
 	return r
 }
@@ -212,7 +212,7 @@
 // It fails with a *RangeError if there are no survivors.
 func (t *Table) Take(lost func(Owner) bool, survivors []Owner) (*Table, error) {
 	if len(survivors) == 0 {
-		return nil, &RangeError{High: mtid.LastNumber, Reason: "no survivor to give keys to"}
+		return nil, &RangeError{High: mtid.LastKeyNumber, Reason: "no survivor to give keys to"}
 	}
 	next := &Table{Service: t.Service, Next: t.Next}
 	shares := t.Shares()
--- a/core/mtrange/mtrange_test.go
+++ b/core/mtrange/mtrange_test.go
@@ -15,7 +15,7 @@
 )
 
 func owner(n int) mtrange.Owner {
-	return mtrange.Owner{Daemon: mtid.Daemon("d" + strconv.Itoa(n)), Life: mtid.Life{Server: mtid.Server("s" + strconv.Itoa(n)), Born: mtid.Birth(n)}}
+	return mtrange.Owner{Daemon: mtid.Daemon("d" + strconv.Itoa(n)), Life: mtid.ServerIncarnation{Server: mtid.Server("s" + strconv.Itoa(n)), Started: mtid.StartTime(n)}}
 }
 
 func owners(n int) []mtrange.Owner {
@@ -48,7 +48,7 @@
 		r := rapid.SampledFrom(table.Ranges).Draw(t, "range")
 		low := rapid.IntRange(int(r.Low), int(r.High)).Draw(t, "low")
 		high := rapid.IntRange(low, int(r.High)).Draw(t, "high")
-		next, err := table.Move(mtid.Number(low), mtid.Number(high), to, "warm")
+		next, err := table.Move(mtid.KeyNumber(low), mtid.KeyNumber(high), to, "warm")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -74,7 +74,7 @@
 	}
 	patched(t, before, after)
 	for _, r := range after.Ranges {
-		for _, key := range []mtid.Number{r.Low, r.High} {
+		for _, key := range []mtid.KeyNumber{r.Low, r.High} {
 			old, _ := before.Lookup(key)
 			if old.Owner != r.Owner && r.Epoch < before.Next {
 				t.Fatalf("key %d went from %v to %v at epoch %d, not above %d", key, old.Owner, r.Owner, r.Epoch, before.Next-1)
@@ -105,7 +105,7 @@
 func TestAnOverloadedOwnerGivesPartOfItsWork(t *testing.T) {
 	now := 10 * second
 	meter := mtrange.NewMeter(now)
-	for key := range mtid.Number(200) {
+	for key := range mtid.KeyNumber(200) {
 		for range 3 {
 			meter.Arrive(now, 1000+key, 100*time.Millisecond)
 		}
@@ -165,7 +165,7 @@
 	now := 10 * second
 	meter := mtrange.NewMeter(now)
 	for range 12 {
-		for key := range mtid.Number(60) {
+		for key := range mtid.KeyNumber(60) {
 			meter.Arrive(now, 3000+key, 200*time.Millisecond)
 		}
 	}
@@ -183,7 +183,7 @@
 	runs := mtrange.CutAll(now, []mtrange.Range{{Low: 0, High: 4999, Owner: owner(0)}}, meter, gifts)
 	assert.Assert(t, len(runs) >= 6, "%d runs", len(runs))
 	left := self.Demand
-	taken := make(map[mtid.Number]bool)
+	taken := make(map[mtid.KeyNumber]bool)
 	for _, r := range runs {
 		for key := r.Low; key <= r.High; key++ {
 			assert.Assert(t, !taken[key], "key %d goes to two servers", key)
@@ -201,7 +201,7 @@
 	table, err := mtrange.Spread("maps", owners(6))
 	assert.NilError(t, err)
 	next := owner(2)
-	next.Life.Born++
+	next.Life.Started++
 	taken, err := table.Take(func(o mtrange.Owner) bool { return o == owner(2) }, []mtrange.Owner{owner(0), next, owner(5)})
 	assert.NilError(t, err)
 	assert.Equal(t, taken.Keys(next), table.Keys(owner(2)))
--- a/core/mtrange/relief.go
+++ b/core/mtrange/relief.go
@@ -159,7 +159,7 @@
 
 // Run is a run of keys that goes to another server.
 type Run struct {
-	Low, High mtid.Number
+	Low, High mtid.KeyNumber
 	To        Owner
 }
 
@@ -187,7 +187,7 @@
 
 // Cut finds the run of keys whose work comes closest to amount, from either end
 // of one of the ranges. A whole range may be cut off, but never the last one.
-func Cut(now mtclock.Instant, ranges []Range, meter *Meter, amount float64) (low, high mtid.Number, ok bool) {
+func Cut(now mtclock.Instant, ranges []Range, meter *Meter, amount float64) (low, high mtid.KeyNumber, ok bool) {
 	bestWork := 0.0
 	for _, r := range ranges {
 		for _, fromLow := range []bool{true, false} {
@@ -200,9 +200,9 @@
 			}
 			bestWork, ok = work, true
 			if fromLow {
-				low, high = r.Low, r.Low+mtid.Number(n-1)
+				low, high = r.Low, r.Low+mtid.KeyNumber(n-1)
 			} else {
-				low, high = r.High-mtid.Number(n-1), r.High
+				low, high = r.High-mtid.KeyNumber(n-1), r.High
 			}
 		}
 	}
@@ -213,9 +213,9 @@
 // a little more, and their work.
 func run(now mtclock.Instant, r Range, meter *Meter, amount float64, fromLow bool) (n int, work float64) {
 	for n < r.Keys() {
-		key := r.Low + mtid.Number(n)
+		key := r.Low + mtid.KeyNumber(n)
 		if !fromLow {
-			key = r.High - mtid.Number(n)
+			key = r.High - mtid.KeyNumber(n)
 		}
 		more := work + meter.Of(now, key)
 		if more > amount*tooMuch {
--- a/core/mtrange/spill.go
+++ b/core/mtrange/spill.go
@@ -54,7 +54,7 @@
 
 // piece is a run of keys with its work, in slots.
 type piece struct {
-	low, high mtid.Number
+	low, high mtid.KeyNumber
 	work      float64
 }
 
@@ -64,7 +64,7 @@
 	total := 0.0
 	for _, r := range ranges {
 		for key := int(r.Low); key <= int(r.High); key++ {
-			total += meter.Of(now, mtid.Number(key))
+			total += meter.Of(now, mtid.KeyNumber(key))
 		}
 	}
 	count := min(most, int(math.Ceil(total/leastGift)))
@@ -84,8 +84,8 @@
 	var pieces []piece
 	p := piece{low: r.Low}
 	for key := int(r.Low); key <= int(r.High); key++ {
-		p.work += meter.Of(now, mtid.Number(key))
-		p.high = mtid.Number(key)
+		p.work += meter.Of(now, mtid.KeyNumber(key))
+		p.high = mtid.KeyNumber(key)
 		if p.work >= share && key < int(r.High) {
 			pieces = append(pieces, p)
 			p = piece{low: p.high + 1}
--- a/core/mtrange/spill_test.go
+++ b/core/mtrange/spill_test.go
@@ -16,7 +16,7 @@
 // moment, one of them with a hot run. Whole ranges would double the work of ten others.
 func TestAZoneSpillsItsKeysEvenly(t *testing.T) {
 	owner := func(i int) mtrange.Owner {
-		return mtrange.Owner{Daemon: mtid.Daemon(fmt.Sprintf("vm-%d", i)), Life: mtid.Life{Server: mtid.Server(fmt.Sprintf("s-%d", i))}}
+		return mtrange.Owner{Daemon: mtid.Daemon(fmt.Sprintf("vm-%d", i)), Life: mtid.ServerIncarnation{Server: mtid.Server(fmt.Sprintf("s-%d", i))}}
 	}
 	now := mtclock.Instant(time.Minute)
 	const slots, usual, each = 9, 5.0, 1600
@@ -32,18 +32,18 @@
 			work = 3 * usual
 		}
 		meter := mtrange.NewMeter(0)
-		r := mtrange.Range{Low: mtid.Number(i * each), High: mtid.Number((i+1)*each - 1), Owner: owner(i)}
+		r := mtrange.Range{Low: mtid.KeyNumber(i * each), High: mtid.KeyNumber((i+1)*each - 1), Owner: owner(i)}
 		for key := int(r.Low); key <= int(r.High); key += 16 {
-			meter.Arrive(now, mtid.Number(key), time.Duration(work*float64(mtrange.MeterMemory)/100))
+			meter.Arrive(now, mtid.KeyNumber(key), time.Duration(work*float64(mtrange.MeterMemory)/100))
 		}
 		total := 0.0
-		covered := make(map[mtid.Number]bool)
+		covered := make(map[mtid.KeyNumber]bool)
 		for _, run := range mtrange.Spill(now, []mtrange.Range{r}, meter, mtrange.Turn{Place: i, Of: 10}, others) {
 			for key := int(run.Low); key <= int(run.High); key++ {
-				assert.Assert(t, !covered[mtid.Number(key)], "key %d goes to two servers", key)
-				covered[mtid.Number(key)] = true
-				loads[run.To] += meter.Of(now, mtid.Number(key))
-				total += meter.Of(now, mtid.Number(key))
+				assert.Assert(t, !covered[mtid.KeyNumber(key)], "key %d goes to two servers", key)
+				covered[mtid.KeyNumber(key)] = true
+				loads[run.To] += meter.Of(now, mtid.KeyNumber(key))
+				total += meter.Of(now, mtid.KeyNumber(key))
 			}
 		}
 		assert.Equal(t, len(covered), each, "every key leaves")
--- a/core/mtrange/spread_test.go
+++ b/core/mtrange/spread_test.go
@@ -58,11 +58,11 @@
 	for i, o := range f.owners {
 		f.speed[o] = []float64{0.6, 1, 1.4}[i%3]
 		f.meters[o] = mtrange.NewMeter(f.now)
-		f.meters[o].Gain(f.now, 0, mtid.LastNumber)
+		f.meters[o].Gain(f.now, 0, mtid.LastKeyNumber)
 	}
 	f.rate = utilization * float64(servers*simSlots) / simWork.Seconds()
 	sum := 0.0
-	for i := range int(mtid.LastNumber) + 1 {
+	for i := range int(mtid.LastKeyNumber) + 1 {
 		// Busy keys lie side by side, and their rates follow a power law.
 		sum += math.Pow(float64(i%8192)+1, -0.57)
 		f.weights = append(f.weights, sum)
@@ -70,9 +70,9 @@
 	return f
 }
 
-func (f *fleetLoad) key() mtid.Number {
+func (f *fleetLoad) key() mtid.KeyNumber {
 	if f.random.Float64() < f.hot.share {
-		return mtid.Number(f.hot.from + f.random.IntN(f.hot.keys))
+		return mtid.KeyNumber(f.hot.from + f.random.IntN(f.hot.keys))
 	}
 	x := f.random.Float64() * f.weights[len(f.weights)-1]
 	low, high := 0, len(f.weights)-1
@@ -83,7 +83,7 @@
 			high = m
 		}
 	}
-	return mtid.Number(low)
+	return mtid.KeyNumber(low)
 }
 
 func (f *fleetLoad) standing(o mtrange.Owner) mtrange.Standing {
--- a/core/mtrange/transfer.go
+++ b/core/mtrange/transfer.go
@@ -9,7 +9,7 @@
 type Transfer struct {
 	From      Owner
 	Epoch     mtid.Epoch // under which From had the keys when the transfer began
-	Low, High mtid.Number
+	Low, High mtid.KeyNumber
 	To        Owner
 	Warmth    string
 }
@@ -61,11 +61,11 @@
 func ReadBatch(w *mtwire.RangeBatch) (Batch, error) {
 	b := Batch{Service: mtid.Service(w.GetService()), Daemon: mtid.Daemon(w.GetDaemon()), Record: mtid.Version(w.GetRecord()), Known: mtid.Epoch(w.GetKnown())}
 	for _, t := range w.GetTransfers() {
-		if t.GetLow() > t.GetHigh() || t.GetHigh() > uint32(mtid.LastNumber) {
+		if t.GetLow() > t.GetHigh() || t.GetHigh() > uint32(mtid.LastKeyNumber) {
 			return Batch{}, &DecodeError{Reason: "a transfer names no run of keys"}
 		}
 		b.Transfers = append(b.Transfers, Transfer{
-			From: readOwner(t.GetFrom()), Epoch: mtid.Epoch(t.GetEpoch()), Low: mtid.Number(t.GetLow()), High: mtid.Number(t.GetHigh()),
+			From: readOwner(t.GetFrom()), Epoch: mtid.Epoch(t.GetEpoch()), Low: mtid.KeyNumber(t.GetLow()), High: mtid.KeyNumber(t.GetHigh()),
 			To: readOwner(t.GetTo()), Warmth: t.GetWarmth(),
 		})
 	}
--- a/core/mtrange/transfer_test.go
+++ b/core/mtrange/transfer_test.go
@@ -18,8 +18,8 @@
 	whole, err := proto.Marshal(mtrange.Batch{
 		Service: "maps", Daemon: "a", Record: 7, Known: 5,
 		Transfers: []mtrange.Transfer{{
-			From: mtrange.Owner{Daemon: "a", Life: mtid.Life{Server: "s", Born: 3}}, Epoch: 4, Low: 10, High: mtid.LastNumber,
-			To: mtrange.Owner{Daemon: "b", Life: mtid.Life{Server: "t"}}, Warmth: "warm",
+			From: mtrange.Owner{Daemon: "a", Life: mtid.ServerIncarnation{Server: "s", Started: 3}}, Epoch: 4, Low: 10, High: mtid.LastKeyNumber,
+			To: mtrange.Owner{Daemon: "b", Life: mtid.ServerIncarnation{Server: "t"}}, Warmth: "warm",
 		}},
 	}.Wire())
 	assert.NilError(f, err)
--- a/core/mtroster/mtroster.go
+++ b/core/mtroster/mtroster.go
@@ -48,9 +48,9 @@
 	return fmt.Sprintf("state %d", uint32(s))
 }
 
-// Stamp identifies one write by its writer and a sequence number. A writer whose
+// WriteID identifies one write by its writer and a sequence number. A writer whose
 // response was lost uses it to recognize its own write in the store.
-type Stamp struct {
+type WriteID struct {
 	Writer   mtid.Holder
 	Sequence uint64 // unique among the writes of the daemon
 }
@@ -66,29 +66,29 @@
 
 // Record is a daemon's entry in the roster.
 type Record struct {
-	Stamp  Stamp
-	Holder mtid.Holder
-	Zone   mtid.Zone
-	Region mtid.Region
-	Relay  string // gRPC address for other daemons, host:port
-	Renew  string // address for lease datagrams, host:port
-	Caller string // address for callers, host:port
-	Admin  string // address for operators, host:port
-	State  State
+	WriteID       WriteID
+	Holder        mtid.Holder
+	Zone          mtid.Zone
+	Region        mtid.Region
+	RelayAddress  string // gRPC address for other daemons, host:port
+	RenewAddress  string // address for lease datagrams, host:port
+	CallerAddress string // address for callers, host:port
+	AdminAddress  string // address for operators, host:port
+	State         State
 	// Witnesses are the daemon incarnations of which a majority can grant or
 	// revoke the lease of Holder.
 	Witnesses []mtid.Holder
 	Offers    []Offer
-	// Revoked is the lowest incarnation of this daemon that may still serve.
+	// RevokedBelow is the lowest incarnation of this daemon that may still serve.
 	// All incarnations below it are fenced permanently. If Holder.Incarnation
-	// is below Revoked, Holder itself has been revoked.
-	Revoked mtid.Incarnation
+	// is below RevokedBelow, Holder itself has been revoked.
+	RevokedBelow mtid.Incarnation
 }
 
-// Live reports whether the incarnation named in the record may hold a lease: it
-// has neither left nor been revoked.
-func (r *Record) Live() bool {
-	return r.State != Gone && r.Holder.Incarnation >= r.Revoked
+// MayHoldLease reports whether the incarnation named in the record may hold a
+// lease: it has neither left nor been revoked.
+func (r *Record) MayHoldLease() bool {
+	return r.State != Gone && r.Holder.Incarnation >= r.RevokedBelow
 }
 
 // Offer returns the daemon's backend server for a service, if it has one.
@@ -112,19 +112,19 @@
 // Encode returns the protobuf encoding of r. It is deterministic.
 func (r *Record) Encode() ([]byte, error) {
 	w := &mtwire.Record{
-		Stamp:   r.Stamp.Wire(),
-		Holder:  WireHolder(r.Holder),
+		Stamp:   r.WriteID.Wire(),
+		Holder:  HolderToWire(r.Holder),
 		Zone:    string(r.Zone),
 		Region:  string(r.Region),
-		Relay:   r.Relay,
-		Renew:   r.Renew,
-		Caller:  r.Caller,
-		Admin:   r.Admin,
+		Relay:   r.RelayAddress,
+		Renew:   r.RenewAddress,
+		Caller:  r.CallerAddress,
+		Admin:   r.AdminAddress,
 		State:   uint32(r.State),
-		Revoked: uint64(r.Revoked),
+		Revoked: uint64(r.RevokedBelow),
 	}
 	for _, h := range r.Witnesses {
-		w.Witnesses = append(w.Witnesses, WireHolder(h))
+		w.Witnesses = append(w.Witnesses, HolderToWire(h))
 	}
 	for _, o := range r.Offers {
 		w.Offers = append(w.Offers, offerToWire(o))
@@ -139,19 +139,19 @@
 		return nil, &DecodeError{Err: err}
 	}
 	r := &Record{
-		Stamp:   ReadStamp(w.GetStamp()),
-		Holder:  ReadHolder(w.GetHolder()),
-		Zone:    mtid.Zone(w.GetZone()),
-		Region:  mtid.Region(w.GetRegion()),
-		Relay:   w.GetRelay(),
-		Renew:   w.GetRenew(),
-		Caller:  w.GetCaller(),
-		Admin:   w.GetAdmin(),
-		State:   State(w.GetState()),
-		Revoked: mtid.Incarnation(w.GetRevoked()),
+		WriteID:       WriteIDFromWire(w.GetStamp()),
+		Holder:        HolderFromWire(w.GetHolder()),
+		Zone:          mtid.Zone(w.GetZone()),
+		Region:        mtid.Region(w.GetRegion()),
+		RelayAddress:  w.GetRelay(),
+		RenewAddress:  w.GetRenew(),
+		CallerAddress: w.GetCaller(),
+		AdminAddress:  w.GetAdmin(),
+		State:         State(w.GetState()),
+		RevokedBelow:  mtid.Incarnation(w.GetRevoked()),
 	}
 	for _, h := range w.GetWitnesses() {
-		r.Witnesses = append(r.Witnesses, ReadHolder(h))
+		r.Witnesses = append(r.Witnesses, HolderFromWire(h))
 	}
 	for _, o := range w.GetOffers() {
 		r.Offers = append(r.Offers, offerFromWire(o))
@@ -159,23 +159,23 @@
 	return r, nil
 }
 
-// Wire converts s to its protobuf message.
-func (s Stamp) Wire() *mtwire.Stamp {
-	return &mtwire.Stamp{Writer: WireHolder(s.Writer), Sequence: s.Sequence}
+// Wire converts id to its protobuf message.
+func (id WriteID) Wire() *mtwire.Stamp {
+	return &mtwire.Stamp{Writer: HolderToWire(id.Writer), Sequence: id.Sequence}
 }
 
-// ReadStamp converts a protobuf message to a Stamp; nil gives the zero Stamp.
-func ReadStamp(w *mtwire.Stamp) Stamp {
-	return Stamp{Writer: ReadHolder(w.GetWriter()), Sequence: w.GetSequence()}
+// WriteIDFromWire converts a protobuf message to a WriteID; nil gives the zero WriteID.
+func WriteIDFromWire(w *mtwire.Stamp) WriteID {
+	return WriteID{Writer: HolderFromWire(w.GetWriter()), Sequence: w.GetSequence()}
 }
 
-// WireHolder converts h to its protobuf message.
-func WireHolder(h mtid.Holder) *mtwire.Holder {
+// HolderToWire converts h to its protobuf message.
+func HolderToWire(h mtid.Holder) *mtwire.Holder {
 	return &mtwire.Holder{Daemon: string(h.Daemon), Incarnation: uint64(h.Incarnation)}
 }
 
-// ReadHolder converts a protobuf message to a Holder; nil gives the zero Holder.
-func ReadHolder(w *mtwire.Holder) mtid.Holder {
+// HolderFromWire converts a protobuf message to a Holder; nil gives the zero Holder.
+func HolderFromWire(w *mtwire.Holder) mtid.Holder {
 	return mtid.Holder{Daemon: mtid.Daemon(w.GetDaemon()), Incarnation: mtid.Incarnation(w.GetIncarnation())}
 }
 
--- a/core/mtscene/run.go
+++ b/core/mtscene/run.go
@@ -241,7 +241,7 @@
 // compare-and-swap that lost would be planned anew.
 func (r *run[P]) apply(chunk int, ops ...mtshard.Op) bool {
 	r.stamps++
-	stamp := mtroster.Stamp{Writer: r.holder(0), Sequence: r.stamps}
+	stamp := mtroster.WriteID{Writer: r.holder(0), Sequence: r.stamps}
 	next, err := r.tables[chunk].Apply(stamp, ops...)
 	if err != nil {
 		return false
--- a/core/mtshard/codec.go
+++ b/core/mtshard/codec.go
@@ -45,7 +45,7 @@
 		if !ok {
 			place = uint32(len(w.Owners))
 			places[s.Owner] = place
-			w.Owners = append(w.Owners, mtroster.WireHolder(s.Owner))
+			w.Owners = append(w.Owners, mtroster.HolderToWire(s.Owner))
 		}
 		w.Lows = append(w.Lows, uint64(s.Low))
 		w.Owner = append(w.Owner, place)
@@ -111,7 +111,7 @@
 func ReadSteps(w []*mtwire.Step) []Step {
 	var out []Step
 	for _, s := range w {
-		step := Step{Version: mtid.Version(s.GetVersion()), Stamp: mtroster.ReadStamp(s.GetStamp())}
+		step := Step{Version: mtid.Version(s.GetVersion()), Stamp: mtroster.WriteIDFromWire(s.GetStamp())}
 		for _, op := range s.GetOps() {
 			step.Ops = append(step.Ops, readOp(op))
 		}
@@ -136,7 +136,7 @@
 	case Merge:
 		return &mtwire.Op{Kind: &mtwire.Op_Merge{Merge: &mtwire.Merge{Low: uint64(o.Low)}}}
 	case Move:
-		return &mtwire.Op{Kind: &mtwire.Op_Move{Move: &mtwire.Move{Low: uint64(o.Low), To: mtroster.WireHolder(o.To)}}}
+		return &mtwire.Op{Kind: &mtwire.Op_Move{Move: &mtwire.Move{Low: uint64(o.Low), To: mtroster.HolderToWire(o.To)}}}
 	case Failover:
 		return &mtwire.Op{Kind: &mtwire.Op_Failover{Failover: &mtwire.Failover{Lost: wireHolders(o.Lost), Among: wireHolders(o.Among)}}}
 	case Evict:
@@ -170,7 +170,7 @@
 	case *mtwire.Op_Merge:
 		return Merge{Low: mtid.Point(k.Merge.GetLow())}
 	case *mtwire.Op_Move:
-		return Move{Low: mtid.Point(k.Move.GetLow()), To: mtroster.ReadHolder(k.Move.GetTo())}
+		return Move{Low: mtid.Point(k.Move.GetLow()), To: mtroster.HolderFromWire(k.Move.GetTo())}
 	case *mtwire.Op_Failover:
 		return Failover{Lost: readHolders(k.Failover.GetLost()), Among: readHolders(k.Failover.GetAmong())}
 	case *mtwire.Op_Evict:
@@ -182,7 +182,7 @@
 func wireHolders(hs []mtid.Holder) []*mtwire.Holder {
 	var out []*mtwire.Holder
 	for _, h := range hs {
-		out = append(out, mtroster.WireHolder(h))
+		out = append(out, mtroster.HolderToWire(h))
 	}
 	return out
 }
@@ -190,7 +190,7 @@
 func readHolders(ws []*mtwire.Holder) []mtid.Holder {
 	var out []mtid.Holder
 	for _, w := range ws {
-		out = append(out, mtroster.ReadHolder(w))
+		out = append(out, mtroster.HolderFromWire(w))
 	}
 	return out
 }
--- a/core/mtshard/mtshard.go
+++ b/core/mtshard/mtshard.go
@@ -56,7 +56,7 @@
 // Step is the change that made one version.
 type Step struct {
 	Version mtid.Version
-	Stamp   mtroster.Stamp
+	Stamp   mtroster.WriteID
 	Ops     []Op
 }
 
@@ -132,7 +132,7 @@
 
 // Apply returns the table after one step of ops. t stays as it was. It fails
 // with an *OpError, and then nothing has changed.
-func (t *Table) Apply(stamp mtroster.Stamp, ops ...Op) (*Table, error) {
+func (t *Table) Apply(stamp mtroster.WriteID, ops ...Op) (*Table, error) {
 	next := *t
 	next.Shards = slices.Clone(t.Shards)
 	next.Version++
@@ -196,7 +196,7 @@
 
 // Wrote returns the step with that stamp, if it is among the kept ones. A
 // writer whose answer was lost calls it to learn whether its write landed.
-func (t *Table) Wrote(stamp mtroster.Stamp) (Step, bool) {
+func (t *Table) Wrote(stamp mtroster.WriteID) (Step, bool) {
 	i := slices.IndexFunc(t.Steps, func(s Step) bool { return s.Stamp == stamp })
 	if i < 0 {
 		return Step{}, false
--- a/core/mtshard/mtshard_test.go
+++ b/core/mtshard/mtshard_test.go
@@ -19,7 +19,7 @@
 	a    = mtid.Holder{Daemon: "a", Incarnation: 1}
 	b    = mtid.Holder{Daemon: "b", Incarnation: 1}
 	c    = mtid.Holder{Daemon: "c", Incarnation: 2}
-	none = mtroster.Stamp{}
+	none = mtroster.WriteID{}
 )
 
 func created(t *testing.T) *mtshard.Table {
@@ -152,7 +152,7 @@
 // handed over. If it trusted one of a move that was given up, a payment that ran
 // at the old owner meanwhile would run again.
 func TestOriginOfShard(t *testing.T) {
-	by := func(h mtid.Holder) mtroster.Stamp { return mtroster.Stamp{Writer: h} }
+	by := func(h mtid.Holder) mtroster.WriteID { return mtroster.WriteID{Writer: h} }
 	create := mtshard.Create{Shards: 2, Among: []mtid.Holder{a}}
 	type step struct {
 		by  mtid.Holder
--- a/core/mtstore/mtstore.go
+++ b/core/mtstore/mtstore.go
@@ -55,13 +55,13 @@
 // and honour the deadline of the context. No decision may rely on a store lease
 // alone, since it can expire while its holder is paused.
 type Store interface {
-	// Get returns the entry with a name. It fails with a *MissingError if there
+	// Get returns the entry with a name. It fails with a *NotFoundError if there
 	// is none.
 	Get(ctx context.Context, name string) (Entry, error)
 	// Swap writes value under name if the name is still at the expected version
 	// (0: it must not exist), and returns the new version. It fails with a
 	// *ConflictError, *UnknownError, *UnavailableError or *RejectedError, or
-	// with a *LapsedError if the lease no longer exists.
+	// with a *LeaseExpiredError if the lease no longer exists.
 	Swap(ctx context.Context, name string, expected mtid.Version, value []byte, lease LeaseID) (mtid.Version, error)
 	// Watch waits up to wait for a change after a revision to a name with the
 	// prefix, and returns all such changes. After revision 0 it returns the whole
@@ -69,7 +69,7 @@
 	Watch(ctx context.Context, prefix string, after mtid.Revision, wait time.Duration) (Changes, error)
 	// Grant creates a lease. Entries written under it are deleted when it expires.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// Renew extends a lease. It fails with a *LapsedError if the lease has expired.
+	// Renew extends a lease. It fails with a *LeaseExpiredError if the lease has expired.
 	Renew(ctx context.Context, lease LeaseID) error
 }
 
@@ -80,21 +80,21 @@
 	Version mtid.Version
 }
 
-// MostConditions is the maximum number of conditions of SwapIf. The users' store
+// MaxConditions is the maximum number of conditions of SwapIf. The users' store
 // accepts 32 entries in a transaction, and the written name needs two of them: one
 // for its expected version and one for its new value.
-const MostConditions = 30
+const MaxConditions = 30
 
-// Guarded is a Store that can also write a name atomically under conditions on
-// other names, and end leases. A takeover from a lost process must check that the
+// ConditionalStore is a Store that can also write a name atomically under conditions
+// on other names, and end leases. A takeover from a lost process must check that the
 // process is still lost in the same transaction that writes the new owner, since
 // between two transactions the process could return and become owner again.
 //
-// A Guarded store uses its revisions as versions, so that versions of different
+// A ConditionalStore uses its revisions as versions, so that versions of different
 // names can be compared: the higher one was written later.
-type Guarded interface {
+type ConditionalStore interface {
 	Store
-	// SwapIf is Swap with up to MostConditions additional conditions. It fails like
+	// SwapIf is Swap with up to MaxConditions additional conditions. It fails like
 	// Swap. A *ConflictError names the first condition that does not hold.
 	SwapIf(ctx context.Context, conditions []Condition, name string, expected mtid.Version, value []byte, lease LeaseID) (mtid.Version, error)
 	// End ends a lease and deletes everything that was written under it. It
@@ -112,11 +112,11 @@
 	return fmt.Sprintf("store: changes after revision %d have been compacted", e.After)
 }
 
-// MissingError reports that a name does not exist in the store.
-type MissingError struct{ Name string }
+// NotFoundError reports that a name does not exist in the store.
+type NotFoundError struct{ Name string }
 
 // Error implements error.
-func (e *MissingError) Error() string { return fmt.Sprintf("store: %s does not exist", e.Name) }
+func (e *NotFoundError) Error() string { return fmt.Sprintf("store: %s does not exist", e.Name) }
 
 // ConflictError reports that a swap was rejected because the name was not at the
 // expected version: the write was not applied and never will be.
@@ -161,11 +161,13 @@
 // Unwrap returns the error that kept the call from reaching the store.
 func (e *UnavailableError) Unwrap() error { return e.Err }
 
-// LapsedError reports that a lease has expired or was ended.
-type LapsedError struct{ Lease LeaseID }
+// LeaseExpiredError reports that a lease has expired or was ended.
+type LeaseExpiredError struct{ Lease LeaseID }
 
 // Error implements error.
-func (e *LapsedError) Error() string { return fmt.Sprintf("store: lease %s has expired", e.Lease) }
+func (e *LeaseExpiredError) Error() string {
+	return fmt.Sprintf("store: lease %s has expired", e.Lease)
+}
 
 // RejectedError reports that the store rejected a call as invalid, for example
 // because the value exceeds MaxValue: nothing was done, and a retry will fail again.
--- a/core/mttakeover/failover.go
+++ b/core/mttakeover/failover.go
@@ -28,13 +28,13 @@
 	if !ok {
 		return false
 	}
-	return h.Incarnation < record.Revoked || (record.State == mtroster.Gone && h.Incarnation <= record.Holder.Incarnation)
+	return h.Incarnation < record.RevokedBelow || (record.State == mtroster.Gone && h.Incarnation <= record.Holder.Incarnation)
 }
 
 // live reports whether the roster names h as a daemon's present life.
 func (r Roster) live(h mtid.Holder) bool {
 	record, ok := r[h.Daemon]
-	return ok && record.Live() && record.Holder == h
+	return ok && record.MayHoldLease() && record.Holder == h
 }
 
 // Turn returns how long self waits before it takes over the daemon of record,
@@ -45,13 +45,13 @@
 	var ready []mtid.Daemon
 	for _, w := range record.Witnesses {
 		// The witness's next life knows as well that it is asked no more.
-		if other, ok := roster[w.Daemon]; ok && other.Live() {
+		if other, ok := roster[w.Daemon]; ok && other.MayHoldLease() {
 			ready = append(ready, w.Daemon)
 		}
 	}
 	if len(ready) == 0 {
 		for d, other := range roster {
-			if other.Live() && d != record.Holder.Daemon {
+			if other.MayHoldLease() && d != record.Holder.Daemon {
 				ready = append(ready, d)
 			}
 		}
@@ -64,7 +64,7 @@
 func ChunkTurn(self mtid.Daemon, table *mtshard.Table, roster Roster) (time.Duration, bool) {
 	var ready []mtid.Daemon
 	for d, record := range roster {
-		if record.Live() {
+		if record.MayHoldLease() {
 			ready = append(ready, d)
 		}
 	}
--- a/core/mttakeover/fences.go
+++ b/core/mttakeover/fences.go
@@ -32,8 +32,8 @@
 		f.seen = make(map[mtid.Daemon]fence)
 	}
 	d := record.Holder.Daemon
-	if record.Revoked > f.seen[d].revoked {
-		f.seen[d] = fence{revoked: record.Revoked, since: now}
+	if record.RevokedBelow > f.seen[d].revoked {
+		f.seen[d] = fence{revoked: record.RevokedBelow, since: now}
 	}
 }
 
--- a/core/mttakeover/model_test.go
+++ b/core/mttakeover/model_test.go
@@ -37,7 +37,7 @@
 	version  mtid.Version // of the value; of a write, the one that it expects
 	record   *mtroster.Record
 	table    *mtshard.Table
-	stampOf  mtroster.Stamp
+	stampOf  mtroster.WriteID
 	accepted bool
 }
 
@@ -122,9 +122,9 @@
 	m.sequence += 1000
 	p.lives++
 	p.member = mtmember.New(mtmember.Profile{
-		Daemon: p.name, Zone: "a", Region: "r", Relay: fmt.Sprint(p.name, p.lives), Renew: "x",
+		Daemon: p.name, Zone: "a", Region: "r", RelayAddress: fmt.Sprint(p.name, p.lives), RenewAddress: "x",
 	}, m.sequence)
-	p.member.Carry([]mtroster.Offer{{Service: modelRef}}, mtroster.Serving)
+	p.member.PrepareRegistration([]mtroster.Offer{{Service: modelRef}}, mtroster.Serving)
 	p.lease = nil
 	p.witness = mtwitness.New(p.name, m.clock(p))
 	p.sequence = 0
@@ -264,7 +264,7 @@
 		}
 		h := p.lease.Holder()
 		m.happened["may serve"]++
-		if m.records[p.name].record.Revoked > h.Incarnation {
+		if m.records[p.name].record.RevokedBelow > h.Incarnation {
 			m.fail("%v may serve, and is revoked", h)
 		}
 		if p.table == nil {
@@ -302,7 +302,7 @@
 	m.now += (passed + time.Millisecond).Truncate(time.Millisecond)
 	taker := m.procs[m.pick(daemons)]
 	m.refresh(taker)
-	if record, ok := taker.roster[p.name]; ok && taker != p && record.Live() {
+	if record, ok := taker.roster[p.name]; ok && taker != p && record.MayHoldLease() {
 		taker.takeover = mttakeover.New(record, taker.versions[p.name])
 		m.take(taker)
 		m.take(taker)
@@ -396,11 +396,11 @@
 		return
 	}
 	if current, ok := m.records[p.name]; ok {
-		p.member.Seen(current.record, current.version)
+		p.member.Observe(current.record, current.version)
 		m.vouch(p)
 		return
 	}
-	p.member.Missing()
+	p.member.ObserveMissing()
 }
 
 // vouch notes that the store just showed or took p's own record.
@@ -415,7 +415,7 @@
 		p.fence = mttakeover.New(step.Record, step.Expected)
 	}
 	if m.ask(p, p.fence).Kind == mttakeover.Write {
-		p.member.Fenced(step.Expected)
+		p.member.MarkFenced(step.Expected)
 	}
 }
 
@@ -428,14 +428,14 @@
 	var unknown *unknownError
 	switch {
 	case err == nil:
-		p.member.Landed(got.version)
+		p.member.WriteSucceeded(got.version)
 		m.vouch(p)
 	case errors.As(err, &refused):
-		p.member.Refused()
+		p.member.WriteRejected()
 	case errors.As(err, &unknown):
-		p.member.Unknown()
+		p.member.WriteUnknown()
 	default:
-		p.member.Seen(got.record, got.version)
+		p.member.Observe(got.record, got.version)
 		m.happened["own write refused"]++
 	}
 }
@@ -454,10 +454,10 @@
 		p.witness.Register(h.Incarnation)
 		p.lease.Adopt(mtlease.Set{Version: version, Witnesses: record.Witnesses})
 		m.happened["registered"]++
-	case !h.IsZero() && !p.member.Writing() && p.lease.Current().Version != version:
+	case !h.IsZero() && !p.member.WritePending() && p.lease.Current().Version != version:
 		p.lease.Settle(mtlease.Set{Version: version, Witnesses: record.Witnesses})
 		m.happened["set changed"]++
-	case !h.IsZero() && !p.member.Writing() && p.lease.Current().Version == version:
+	case !h.IsZero() && !p.member.WritePending() && p.lease.Current().Version == version:
 		p.lease.Withdraw()
 	}
 }
@@ -466,7 +466,7 @@
 // they have promised yet: safety must not rest on Ready.
 func (m *model) propose(p *process) {
 	record, version := p.member.Record()
-	if p.lease == nil || p.member.Holder().IsZero() || p.member.Writing() {
+	if p.lease == nil || p.member.Holder().IsZero() || p.member.WritePending() {
 		return
 	}
 	next := *record
@@ -527,7 +527,7 @@
 	if p.takeover == nil {
 		target := m.procs[m.pick(daemons)].name
 		record, ok := p.roster[target]
-		if !ok || target == p.name || !record.Live() {
+		if !ok || target == p.name || !record.MayHoldLease() {
 			return
 		}
 		p.takeover = mttakeover.New(record, p.versions[target])
@@ -547,7 +547,7 @@
 
 func (m *model) revoke(p *process, t *mttakeover.Takeover) {
 	m.sequence++
-	stamp := mtroster.Stamp{Writer: mtid.Holder{Daemon: p.name}, Sequence: m.sequence}
+	stamp := mtroster.WriteID{Writer: mtid.Holder{Daemon: p.name}, Sequence: m.sequence}
 	name := string(t.Target().Daemon)
 	got, err := m.swap(stored{name: name, version: t.Version(), record: t.Revoked(stamp)})
 	var conflict *conflictError
@@ -583,7 +583,7 @@
 // failover lets p write what it believes is due, from what it knows.
 func (m *model) failover(p *process) {
 	m.sequence++
-	stamp := mtroster.Stamp{Writer: mtid.Holder{Daemon: p.name}, Sequence: m.sequence}
+	stamp := mtroster.WriteID{Writer: mtid.Holder{Daemon: p.name}, Sequence: m.sequence}
 	if p.table == nil {
 		m.create(p, stamp)
 		return
@@ -600,10 +600,10 @@
 	m.put(p, stamp, next)
 }
 
-func (m *model) create(p *process, stamp mtroster.Stamp) {
+func (m *model) create(p *process, stamp mtroster.WriteID) {
 	var among []mtid.Holder
 	for _, q := range m.procs {
-		if r, ok := p.roster[q.name]; ok && r.Live() {
+		if r, ok := p.roster[q.name]; ok && r.MayHoldLease() {
 			among = append(among, r.Holder)
 		}
 	}
@@ -613,7 +613,7 @@
 	}
 }
 
-func (m *model) put(p *process, stamp mtroster.Stamp, next *mtshard.Table) {
+func (m *model) put(p *process, stamp mtroster.WriteID, next *mtshard.Table) {
 	got, err := m.swap(stored{name: tableName, version: next.Version - 1, table: next, stampOf: stamp})
 	var conflict *conflictError
 	switch {
--- a/core/mttakeover/mttakeover.go
+++ b/core/mttakeover/mttakeover.go
@@ -100,7 +100,7 @@
 
 // Next returns what to do now.
 func (t *Takeover) Next(now mtclock.Instant) Step {
-	if t.record.Holder != t.target || !t.record.Live() {
+	if t.record.Holder != t.target || !t.record.MayHoldLease() {
 		return Step{Kind: Done}
 	}
 	if t.fenced() {
@@ -173,10 +173,10 @@
 
 // Revoked returns the record that fences the life. It is written only where
 // Next said Write, expecting Version.
-func (t *Takeover) Revoked(stamp mtroster.Stamp) *mtroster.Record {
+func (t *Takeover) Revoked(stamp mtroster.WriteID) *mtroster.Record {
 	next := *t.record
-	next.Stamp = stamp
-	next.Revoked = t.target.Incarnation + 1
+	next.WriteID = stamp
+	next.RevokedBelow = t.target.Incarnation + 1
 	return &next
 }
 
--- a/core/mttakeover/mttakeover_test.go
+++ b/core/mttakeover/mttakeover_test.go
@@ -27,7 +27,7 @@
 
 func lostRecord() *mtroster.Record {
 	return &mtroster.Record{
-		Holder: lost, Revoked: 3, Witnesses: []mtid.Holder{w1, w2, w3},
+		Holder: lost, RevokedBelow: 3, Witnesses: []mtid.Holder{w1, w2, w3},
 		Offers: []mtroster.Offer{{Service: modelRef}},
 	}
 }
@@ -53,7 +53,7 @@
 	assert.DeepEqual(t, step.Witnesses, []mtid.Holder{w2, w3})
 	tk.Replied(start.Add(busy.Wait), tk.Request(w2), granted)
 	assert.Equal(t, tk.Next(start).Kind, mttakeover.Write)
-	assert.Equal(t, tk.Revoked(mtroster.Stamp{}).Revoked, lost.Incarnation+1)
+	assert.Equal(t, tk.Revoked(mtroster.WriteID{}).RevokedBelow, lost.Incarnation+1)
 }
 
 // A witness agrees for one version of the record, the holder moves on to the
@@ -83,7 +83,7 @@
 	tk.Replied(start, tk.Request(w3), granted)
 	tk.Seen(lostRecord(), 7)
 	assert.Equal(t, tk.Next(start).Kind, mttakeover.Write)
-	tk.Seen(tk.Revoked(mtroster.Stamp{}), 8)
+	tk.Seen(tk.Revoked(mtroster.WriteID{}), 8)
 	assert.Equal(t, tk.Next(start).Kind, mttakeover.Done)
 }
 
@@ -106,8 +106,8 @@
 	fast := int64(mtlease.Silence) * mtlease.DriftShare / (mtlease.DriftShare + 1)
 	assert.Assert(t, fast >= int64(mtlease.Vouch+mtlease.Length))
 	var f mttakeover.Fences
-	f.Note(start, &mtroster.Record{Holder: w1, Revoked: 2})
-	f.Note(start.Add(time.Second), &mtroster.Record{Holder: w1, Revoked: 2})
+	f.Note(start, &mtroster.Record{Holder: w1, RevokedBelow: 2})
+	f.Note(start.Add(time.Second), &mtroster.Record{Holder: w1, RevokedBelow: 2})
 	next := mtid.Holder{Daemon: "w1", Incarnation: 2}
 	assert.Assert(t, !f.Silent(start.Add(mtlease.Silence-1), w1))
 	assert.Assert(t, f.Silent(start.Add(mtlease.Silence), w1))
@@ -118,7 +118,7 @@
 func TestNewerLifeNeedsNoTakeover(t *testing.T) {
 	tk := mttakeover.New(lostRecord(), 7)
 	next := lostRecord()
-	next.Holder.Incarnation, next.Revoked = 4, 4
+	next.Holder.Incarnation, next.RevokedBelow = 4, 4
 	tk.Seen(next, 9)
 	assert.Equal(t, tk.Next(start).Kind, mttakeover.Done)
 }
@@ -129,7 +129,7 @@
 		h := mtid.Holder{Daemon: mtid.Daemon(fmt.Sprintf("d%d", i)), Incarnation: 1}
 		roster[h.Daemon] = &mtroster.Record{Holder: h}
 	}
-	roster["w1"] = &mtroster.Record{Holder: w1, Revoked: 2}
+	roster["w1"] = &mtroster.Record{Holder: w1, RevokedBelow: 2}
 	roster["w2"] = &mtroster.Record{Holder: mtid.Holder{Daemon: "w2", Incarnation: 2}}
 	ready := func() (delays map[mtid.Daemon]time.Duration) {
 		delays = make(map[mtid.Daemon]time.Duration)
@@ -150,11 +150,11 @@
 }
 
 func TestFailoverGivesToLiveOffering(t *testing.T) {
-	table, err := mtshard.New(modelRef, 0, 1).Apply(mtroster.Stamp{}, mtshard.Create{Shards: 8, Among: []mtid.Holder{lost, w1}})
+	table, err := mtshard.New(modelRef, 0, 1).Apply(mtroster.WriteID{}, mtshard.Create{Shards: 8, Among: []mtid.Holder{lost, w1}})
 	assert.NilError(t, err)
 	offers := []mtroster.Offer{{Service: modelRef}}
 	fenced := lostRecord()
-	fenced.Revoked = 4
+	fenced.RevokedBelow = 4
 	roster := mttakeover.Roster{
 		"w1":      {Holder: w1, Offers: offers},
 		"leaving": {Holder: mtid.Holder{Daemon: "leaving", Incarnation: 1}, Offers: offers, State: mtroster.Leaving},
@@ -212,7 +212,7 @@
 	var records []*mtroster.Record
 	for i := range 480 {
 		h := mtid.Holder{Daemon: mtid.Daemon(fmt.Sprintf("old-town-%d", i)), Incarnation: 1}
-		records = append(records, &mtroster.Record{Holder: h, Revoked: 1})
+		records = append(records, &mtroster.Record{Holder: h, RevokedBelow: 1})
 	}
 	var f mttakeover.Fences
 	for b.Loop() {
--- a/core/mtview/mtview.go
+++ b/core/mtview/mtview.go
@@ -10,7 +10,7 @@
 //
 //	view := mtview.New()
 //	changed, err := view.Merge(delta)
-//	shard, ok := view.Now().Lookup(ref, ref.Point(key))
+//	shard, ok := view.Snapshot().Lookup(ref, ref.Point(key))
 //	delta := view.Delta(after, 64<<10, false)
 //
 // A View is safe for concurrent use. A Snapshot is immutable. Values never go
@@ -77,9 +77,9 @@
 	return fmt.Sprintf("table has version %d, but its store entry has version %d", e.Table, e.Store)
 }
 
-// KeptMarks is the number of past versions of a chunk whose revisions are
+// MaxHistory is the number of past versions of a chunk whose revisions are
 // remembered, to find the steps that a receiver of a delta is missing.
-const KeptMarks = mtshard.KeptSteps
+const MaxHistory = mtshard.KeptSteps
 
 // historyEntry records the store revision at which a chunk reached a version.
 type historyEntry struct {
@@ -114,9 +114,9 @@
 	return v
 }
 
-// Now returns the current snapshot. It is called for every request and costs
+// Snapshot returns the current snapshot. It is called for every request and costs
 // one atomic load.
-func (v *View) Now() *Snapshot { return v.current.Load() }
+func (v *View) Snapshot() *Snapshot { return v.current.Load() }
 
 // Merge applies a delta and returns the names whose values changed. If a value
 // cannot be applied, the others still are, and Merge returns an *ItemError. The
@@ -158,7 +158,7 @@
 // with an *ItemError that wraps a *mtshard.GapError, and it has to request a
 // full delta.
 func (v *View) Delta(after mtid.Revision, limit int, full bool) Delta {
-	s := v.Now()
+	s := v.Snapshot()
 	d := Delta{After: after, Revision: s.frontier}
 	for _, name := range s.changedAfter(after) {
 		if limit <= 0 {
@@ -175,11 +175,11 @@
 	return d
 }
 
-// Wrote applies a value whose version in the store is known but whose revision
+// ApplyWrite applies a value whose version in the store is known but whose revision
 // is not, because this daemon wrote it or a peer reported its own write. The
 // frontier does not change, and item.Revision is ignored. It returns whether
 // the version was newer than the one in the view.
-func (v *View) Wrote(item Item) (bool, error) {
+func (v *View) ApplyWrite(item Item) (bool, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	old := v.current.Load()
@@ -296,7 +296,7 @@
 // apply stores an item if it is newer than the value in the snapshot.
 func (s *Snapshot) apply(item Item) (bool, error) {
 	old := s.values[item.Name]
-	// Comparing revisions is not enough: Wrote stores a new version under the
+	// Comparing revisions is not enough: ApplyWrite stores a new version under the
 	// revision of the old one, and an older version must not replace it.
 	if item.Revision <= old.revision || item.Version < old.version {
 		return false, nil
@@ -311,11 +311,11 @@
 
 func (v *value) decode(item Item, old value) error {
 	switch {
-	case strings.HasPrefix(item.Name, mtstore.Roster):
+	case strings.HasPrefix(item.Name, mtstore.RosterPrefix):
 		return v.decodeRecord(item)
-	case strings.HasPrefix(item.Name, mtstore.Bundle):
+	case strings.HasPrefix(item.Name, mtstore.BundlePrefix):
 		return v.decodeBundle(item)
-	case strings.HasPrefix(item.Name, mtstore.Shard):
+	case strings.HasPrefix(item.Name, mtstore.ShardPrefix):
 		return v.decodeTable(item, old)
 	}
 	// Values of kinds unknown to this release are stored undecoded, so that newer
@@ -354,7 +354,7 @@
 	}
 	v.table = table
 	v.history = append(slices.Clone(old.history), historyEntry{version: item.Version, revision: item.Revision})
-	if excess := len(v.history) - KeptMarks; excess > 0 {
+	if excess := len(v.history) - MaxHistory; excess > 0 {
 		v.history = v.history[excess:]
 	}
 	return nil
@@ -375,8 +375,8 @@
 func (s *Snapshot) index(changed []string) {
 	roster, tables := false, false
 	for _, name := range changed {
-		roster = roster || strings.HasPrefix(name, mtstore.Roster)
-		tables = tables || strings.HasPrefix(name, mtstore.Shard)
+		roster = roster || strings.HasPrefix(name, mtstore.RosterPrefix)
+		tables = tables || strings.HasPrefix(name, mtstore.ShardPrefix)
 	}
 	if roster {
 		s.indexRoster()
--- a/core/mtview/mtview_test.go
+++ b/core/mtview/mtview_test.go
@@ -42,7 +42,7 @@
 }
 
 func (s *fakeStore) change(ops ...mtshard.Op) {
-	next, err := s.table.Apply(mtroster.Stamp{Sequence: uint64(s.revision)}, ops...)
+	next, err := s.table.Apply(mtroster.WriteID{Sequence: uint64(s.revision)}, ops...)
 	if err != nil {
 		return
 	}
@@ -64,10 +64,10 @@
 // pull does what a daemon does: it requests a full delta if the steps do not
 // apply.
 func pull(t *rapid.T, from, to *mtview.View, limit int) {
-	_, err := to.Merge(from.Delta(to.Now().Frontier(), limit, false))
+	_, err := to.Merge(from.Delta(to.Snapshot().Frontier(), limit, false))
 	var gap *mtshard.GapError
 	if errors.As(err, &gap) {
-		_, err = to.Merge(from.Delta(to.Now().Frontier(), limit, true))
+		_, err = to.Merge(from.Delta(to.Snapshot().Frontier(), limit, true))
 	}
 	assert.NilError(t, err)
 }
@@ -90,7 +90,7 @@
 			case 2:
 				store.change(mtshard.Move{Low: 0, To: rapid.SampledFrom(holders).Draw(t, "to")})
 			case 3:
-				_, err := views[0].Merge(store.since(views[0].Now().Frontier()))
+				_, err := views[0].Merge(store.since(views[0].Snapshot().Frontier()))
 				assert.NilError(t, err)
 			case 4:
 				from := rapid.IntRange(0, 2).Draw(t, "from")
@@ -99,19 +99,19 @@
 				pull(t, views[from], views[to], limit)
 			}
 			for i, v := range views {
-				if table, ok := v.Now().Table(ref, 0); ok {
+				if table, ok := v.Snapshot().Table(ref, 0); ok {
 					assert.Assert(t, table.Version >= versions[i])
 					versions[i] = table.Version
 				}
 			}
 		}
-		_, err := views[0].Merge(store.since(views[0].Now().Frontier()))
+		_, err := views[0].Merge(store.since(views[0].Snapshot().Frontier()))
 		assert.NilError(t, err)
 		pull(t, views[0], views[2], 1<<20)
-		assert.Equal(t, views[2].Now().Frontier(), store.revision)
-		table, _ := views[2].Now().Table(ref, 0)
+		assert.Equal(t, views[2].Snapshot().Frontier(), store.revision)
+		table, _ := views[2].Snapshot().Table(ref, 0)
 		assert.DeepEqual(t, table.Shards, store.table.Shards)
-		assert.Equal(t, len(views[2].Now().Roster()), len(store.entries)-1)
+		assert.Equal(t, len(views[2].Snapshot().Roster()), len(store.entries)-1)
 	})
 }
 
@@ -131,12 +131,12 @@
 	assert.NilError(t, err)
 	_, err = follower.Merge(upstream.Delta(0, 1, false))
 	assert.NilError(t, err)
-	_, err = follower.Merge(upstream.Delta(follower.Now().Frontier(), 1<<20, false))
+	_, err = follower.Merge(upstream.Delta(follower.Snapshot().Frontier(), 1<<20, false))
 	var gap *mtshard.GapError
 	assert.Assert(t, errors.As(err, &gap), "got %v, want a GapError", err)
-	_, err = follower.Merge(upstream.Delta(follower.Now().Frontier(), 1<<20, true))
+	_, err = follower.Merge(upstream.Delta(follower.Snapshot().Frontier(), 1<<20, true))
 	assert.NilError(t, err)
-	assert.Equal(t, follower.Now().Frontier(), upstream.Now().Frontier())
+	assert.Equal(t, follower.Snapshot().Frontier(), upstream.Snapshot().Frontier())
 }
 
 // A delta that begins after the frontier of a daemon leaves a gap. If the frontier
@@ -149,8 +149,8 @@
 	v := mtview.New()
 	_, err := v.Merge(store.since(1))
 	assert.NilError(t, err)
-	assert.Equal(t, v.Now().Frontier(), mtid.Revision(0))
-	_, _, ok := v.Now().Record("b")
+	assert.Equal(t, v.Snapshot().Frontier(), mtid.Revision(0))
+	_, _, ok := v.Snapshot().Record("b")
 	assert.Assert(t, ok)
 }
 
@@ -167,7 +167,7 @@
 	changed, err := v.Merge(stale)
 	assert.NilError(t, err)
 	assert.Equal(t, len(changed), 0)
-	record, version, _ := v.Now().Record("a")
+	record, version, _ := v.Snapshot().Record("a")
 	assert.Equal(t, version, mtid.Version(2))
 	assert.Equal(t, record.Holder.Incarnation, mtid.Incarnation(2))
 }
@@ -183,8 +183,8 @@
 	var got *mtview.ItemError
 	assert.Assert(t, errors.As(err, &got), "got %v, want an ItemError", err)
 	assert.Equal(t, got.Name, mtstore.RosterName("b"))
-	assert.Equal(t, v.Now().Frontier(), mtid.Revision(0))
-	_, _, ok := v.Now().Record("a")
+	assert.Equal(t, v.Snapshot().Frontier(), mtid.Revision(0))
+	_, _, ok := v.Snapshot().Record("a")
 	assert.Assert(t, ok)
 }
 
@@ -201,13 +201,13 @@
 	assert.NilError(t, err)
 	store.change(mtshard.Move{Low: 0, To: b})
 	item := store.entries[mtstore.ShardName(ref, 0)]
-	updated, err := v.Wrote(mtview.Item{Name: item.Name, Version: item.Version, Value: item.Value})
+	updated, err := v.ApplyWrite(mtview.Item{Name: item.Name, Version: item.Version, Value: item.Value})
 	assert.NilError(t, err)
 	assert.Assert(t, updated)
-	shard, _ := v.Now().Lookup(ref, 1)
+	shard, _ := v.Snapshot().Lookup(ref, 1)
 	assert.Equal(t, shard.Owner, b)
-	assert.Equal(t, v.Now().Frontier(), mtid.Revision(1))
+	assert.Equal(t, v.Snapshot().Frontier(), mtid.Revision(1))
 	_, err = v.Merge(store.since(1))
 	assert.NilError(t, err)
-	assert.Equal(t, v.Now().Frontier(), mtid.Revision(2))
+	assert.Equal(t, v.Snapshot().Frontier(), mtid.Revision(2))
 }
--- a/examples/breakfast/main.go
+++ b/examples/breakfast/main.go
@@ -110,7 +110,7 @@
 		return err
 	}
 	shards, versions := 0, mtid.Version(0)
-	for _, table := range view.Now().Tables(dispatch) {
+	for _, table := range view.Snapshot().Tables(dispatch) {
 		shards += len(table.Shards)
 		versions += table.Version
 	}
@@ -130,7 +130,7 @@
 		return 0, err
 	}
 	owns := func(low mtid.Point) bool {
-		shard, ok := view.Now().Lookup(dispatch, low)
+		shard, ok := view.Snapshot().Lookup(dispatch, low)
 		return ok && shard.Owner == d.Self()
 	}
 	return owner.Meter(dispatch).Report(d.Now(), d.Self(), dispatch, owns).Load, nil
--- a/io/mtadmin/live.go
+++ b/io/mtadmin/live.go
@@ -82,11 +82,11 @@
 		Zone:        r.Zone,
 		Region:      r.Region,
 		State:       r.State.String(),
-		Live:        r.Live(),
-		Caller:      r.Caller,
-		Relay:       r.Relay,
-		Renew:       r.Renew,
-		Admin:       r.Admin,
+		Live:        r.MayHoldLease(),
+		Caller:      r.CallerAddress,
+		Relay:       r.RelayAddress,
+		Renew:       r.RenewAddress,
+		Admin:       r.AdminAddress,
 		Witnesses:   []string{},
 		Offers:      []OfferDocument{},
 	}
@@ -212,14 +212,14 @@
 	}
 	if r, ok := s.record(shard.Owner.Daemon); ok {
 		d.Live = live(r, shard.Owner)
-		d.Caller = r.Caller
+		d.Caller = r.CallerAddress
 	}
 	return c.JSON(http.StatusOK, d)
 }
 
 // live reports whether that life of the record's daemon may still serve.
 func live(r *mtroster.Record, owner mtid.Holder) bool {
-	return r.Holder == owner && r.Live()
+	return r.Holder == owner && r.MayHoldLease()
 }
 
 // drain takes a daemon out of service. Since that moves the keys of every
--- a/io/mtadmin/mtadmin_test.go
+++ b/io/mtadmin/mtadmin_test.go
@@ -54,7 +54,7 @@
 	}
 	entry, ok := v.entries[name]
 	if !ok {
-		return entry, &mtstore.MissingError{Name: name}
+		return entry, &mtstore.NotFoundError{Name: name}
 	}
 	return entry, nil
 }
@@ -90,7 +90,7 @@
 }
 
 func (d *daemon) Dial(r *mtroster.Record) (grpc.ClientConnInterface, error) {
-	return d.fleet.connections[r.Relay], nil
+	return d.fleet.connections[r.RelayAddress], nil
 }
 
 func (d *daemon) Suspects() []mtadmin.Suspect {
@@ -162,11 +162,11 @@
 		t.Cleanup(web.Close)
 		f.urls = append(f.urls, web.URL)
 		f.records = append(f.records, &mtroster.Record{
-			Holder: holder, Zone: "old-town", Relay: relay, Caller: "127.0.0.1:1",
+			Holder: holder, Zone: "old-town", RelayAddress: relay, CallerAddress: "127.0.0.1:1",
 			Offers: []mtroster.Offer{{Service: dispatch, Slots: 12, Connections: 130}},
 		})
 	}
-	table, err := mtshard.New(dispatch, 0, 1).Apply(mtroster.Stamp{}, mtshard.Create{Shards: 8, Among: holders})
+	table, err := mtshard.New(dispatch, 0, 1).Apply(mtroster.WriteID{}, mtshard.Create{Shards: 8, Among: holders})
 	assert.NilError(t, err)
 	f.table = table
 	return f
@@ -400,7 +400,7 @@
 	// One more is in the roster and can't be reached.
 	lost := *f.records[0]
 	lost.Holder.Daemon = "lost"
-	lost.Relay = f.relayNobody(t)
+	lost.RelayAddress = f.relayNobody(t)
 	f.records = append(f.records, &lost)
 	page, err := f.client("view", 1).Force(t.Context(), "ratins")
 	assert.NilError(t, err)
@@ -460,7 +460,7 @@
 	assert.Equal(t, status.Bundles["ratins"], mtid.Version(4))
 	// The owner's former life may not serve any more.
 	for _, r := range f.records {
-		r.Revoked = 4
+		r.RevokedBelow = 4
 	}
 	owner, err = client.Owner(ctx, dispatch, "hotel-7/room-214")
 	assert.NilError(t, err)
--- a/io/mtadmin/page.go
+++ b/io/mtadmin/page.go
@@ -207,7 +207,7 @@
 			Name:  a.record.Holder.String(),
 			Zone:  a.record.Zone,
 			State: a.record.State.String(),
-			Live:  a.record.Live(),
+			Live:  a.record.MayHoldLease(),
 		}
 		if a.err != nil {
 			d.Error = "no answer"
--- a/io/mtadmin/report.go
+++ b/io/mtadmin/report.go
@@ -46,7 +46,7 @@
 // daemon must not take the present one out of service.
 func (i *Informer) Drain(ctx context.Context, request *mtwire.DrainRequest) (*mtwire.DrainReply, error) {
 	self := i.server.config.Self
-	if mtroster.ReadHolder(request.GetHolder()) != self.Holder() {
+	if mtroster.HolderFromWire(request.GetHolder()) != self.Holder() {
 		return nil, status.Error(codes.FailedPrecondition, "another life of this daemon is meant")
 	}
 	if err := self.Drain(ctx); err != nil {
@@ -58,7 +58,7 @@
 // report returns this daemon's own report.
 func (s *Server) report() *mtwire.ReportReply {
 	reply := &mtwire.ReportReply{
-		Holder:   mtroster.WireHolder(s.config.Self.Holder()),
+		Holder:   mtroster.HolderToWire(s.config.Self.Holder()),
 		Frontier: uint64(s.config.View.Frontier()),
 		Bundles:  make(map[string]uint64),
 	}
@@ -150,7 +150,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	_, err = client.Drain(ctx, &mtwire.DrainRequest{Holder: mtroster.WireHolder(r.Holder)})
+	_, err = client.Drain(ctx, &mtwire.DrainRequest{Holder: mtroster.HolderToWire(r.Holder)})
 	if err != nil {
 		return &UnreachableError{Daemon: r.Holder.Daemon, Err: err}
 	}
@@ -162,7 +162,7 @@
 func (s *Server) asked(c echo.Context) ([]*mtroster.Record, string, error) {
 	var alive []*mtroster.Record
 	for _, r := range s.records() {
-		if r.Live() {
+		if r.MayHoldLease() {
 			alive = append(alive, r)
 		}
 	}
--- a/io/mtcommit/mtcommit.go
+++ b/io/mtcommit/mtcommit.go
@@ -49,7 +49,7 @@
 // Config is what a Committer works with.
 type Config struct {
 	Directory *mtdirectory.Directory
-	Store     mtstore.Guarded
+	Store     mtstore.ConditionalStore
 	Log       *slog.Logger
 	// Inform tells a daemon of an assignment that gives it keys, as far as it differs
 	// from the one at an epoch. It must not block, and may be nil.
@@ -153,7 +153,7 @@
 		if slices.Contains(conditions, p.condition) {
 			continue
 		}
-		if len(conditions) == mtstore.MostConditions {
+		if len(conditions) == mtstore.MaxConditions {
 			batch := slices.Clone(q.waiting[:i])
 			q.waiting = slices.Delete(q.waiting, 0, i)
 			return batch
--- a/io/mtcommit/mtcommit_test.go
+++ b/io/mtcommit/mtcommit_test.go
@@ -41,7 +41,7 @@
 func name(i int) mtid.Daemon { return mtid.Daemon(fmt.Sprintf("vm-%02d", i)) }
 
 func owner(i int) mtrange.Owner {
-	return mtrange.Owner{Daemon: name(i), Life: mtid.Life{Server: mtid.Server(name(i))}}
+	return mtrange.Owner{Daemon: name(i), Life: mtid.ServerIncarnation{Server: mtid.Server(name(i))}}
 }
 
 func (f *fleet) record(i int) mtid.Version {
@@ -50,7 +50,7 @@
 	}.Encode()
 	assert.NilError(f.t, err)
 	entry, err := f.store.Get(context.Background(), mtstore.BackendName(name(i)))
-	var missing *mtstore.MissingError
+	var missing *mtstore.NotFoundError
 	if !errors.As(err, &missing) {
 		assert.NilError(f.t, err)
 	}
--- a/io/mtdaemon/admin.go
+++ b/io/mtdaemon/admin.go
@@ -86,7 +86,7 @@
 
 // Dial implements mtadmin.Dialer.
 func (p dialer) Dial(record *mtroster.Record) (grpc.ClientConnInterface, error) {
-	return p.relay.Conn(record.Relay)
+	return p.relay.Conn(record.RelayAddress)
 }
 
 // self is the daemon as its administration API asks it.
--- a/io/mtdaemon/admin_test.go
+++ b/io/mtdaemon/admin_test.go
@@ -17,9 +17,9 @@
 // admin returns the base URL of a daemon's administration API.
 func (m *member) admin(t *testing.T) string {
 	t.Helper()
-	record, _, ok := m.view(t).Now().Record(m.daemon.Self().Daemon)
+	record, _, ok := m.view(t).Snapshot().Record(m.daemon.Self().Daemon)
 	assert.Assert(t, ok)
-	return "http://" + record.Admin
+	return "http://" + record.AdminAddress
 }
 
 // get asks a daemon's administration API.
--- a/io/mtdaemon/figures.go
+++ b/io/mtdaemon/figures.go
@@ -153,7 +153,7 @@
 		metrics.Publish("store", store.Vars())
 	}
 	metrics.Gauge("lease", "leftNs", d.leaseLeft)
-	metrics.Gauge("view", "frontier", func() any { return mtkernel.Need[*mtview.View](d.kernel, NameView).Now().Frontier() })
+	metrics.Gauge("view", "frontier", func() any { return mtkernel.Need[*mtview.View](d.kernel, NameView).Snapshot().Frontier() })
 	metrics.Gauge("owner", "gates", d.gates)
 	if keys := mtkernel.Need[*credentialSet](d.kernel, NameKeys).tls; keys != nil {
 		wall := mtkernel.Need[*mttime.Clock](d.kernel, NameClock).Wall
@@ -187,11 +187,11 @@
 
 // measure looks at every service once.
 func (d *Daemon) measure(f *figures) {
-	snapshot := mtkernel.Need[*mtview.View](d.kernel, NameView).Now()
+	snapshot := mtkernel.Need[*mtview.View](d.kernel, NameView).Snapshot()
 	now := mtkernel.Need[*mttime.Clock](d.kernel, NameClock).Now()
 	live := func(h mtid.Holder) bool {
 		record, _, ok := snapshot.Record(h.Daemon)
-		return ok && record.Holder == h && record.Live()
+		return ok && record.Holder == h && record.MayHoldLease()
 	}
 	for _, ref := range snapshot.Services() {
 		f.meter(ref).Observe(now, snapshot.Tables(ref), live, f.load(now, ref))
--- a/io/mtdaemon/listen.go
+++ b/io/mtdaemon/listen.go
@@ -142,11 +142,11 @@
 
 // CallerAddress returns the address for callers of a live holder, or nothing.
 func (a addresses) CallerAddress(h mtid.Holder) string {
-	record, _, ok := a.view.Now().Record(h.Daemon)
+	record, _, ok := a.view.Snapshot().Record(h.Daemon)
 	if !ok || record.Holder != h {
 		return ""
 	}
-	return record.Caller
+	return record.CallerAddress
 }
 
 func (d *Daemon) local() http.Handler {
--- a/io/mtdaemon/member.go
+++ b/io/mtdaemon/member.go
@@ -93,24 +93,24 @@
 // liveView is the copy of the live state in the form that the duties ask for.
 type liveView struct{ *mtview.View }
 
-func (v liveView) Roster() []*mtroster.Record { return v.Now().Roster() }
+func (v liveView) Roster() []*mtroster.Record { return v.Snapshot().Roster() }
 
 func (v liveView) Record(d mtid.Daemon) (*mtroster.Record, mtid.Version, bool) {
-	return v.Now().Record(d)
+	return v.Snapshot().Record(d)
 }
 
-func (v liveView) Frontier() mtid.Revision { return v.Now().Frontier() }
+func (v liveView) Frontier() mtid.Revision { return v.Snapshot().Frontier() }
 
 func (v liveView) Table(ref mtid.Ref, chunk int) (*mtshard.Table, bool) {
-	return v.Now().Table(ref, chunk)
+	return v.Snapshot().Table(ref, chunk)
 }
 
-func (v liveView) Bundles() []*mtbundle.Bundle { return v.Now().Bundles() }
+func (v liveView) Bundles() []*mtbundle.Bundle { return v.Snapshot().Bundles() }
 
 // Tables returns every known chunk of every service.
 func (v liveView) Tables() []*mtshard.Table {
 	var out []*mtshard.Table
-	s := v.Now()
+	s := v.Snapshot()
 	for _, ref := range s.Services() {
 		for _, table := range s.Tables(ref) {
 			if table != nil {
@@ -149,7 +149,7 @@
 // urgent reports whether callers wait for the change of a value. Records change
 // more often, and only the daemons themselves go by them.
 func urgent(name string) bool {
-	return strings.HasPrefix(name, mtstore.Shard) || strings.HasPrefix(name, mtstore.Bundle)
+	return strings.HasPrefix(name, mtstore.ShardPrefix) || strings.HasPrefix(name, mtstore.BundlePrefix)
 }
 
 func (d *Daemon) addMember() error {
@@ -158,7 +158,7 @@
 	member, cleanUp := mtmember.New(mtmember.Config{
 		Profile: coremember.Profile{
 			Daemon: s.Name, Zone: s.Zone, Region: s.Region,
-			Relay: at.Relay, Renew: at.Renew, Caller: at.Caller, Admin: at.Admin,
+			RelayAddress: at.Relay, RenewAddress: at.Renew, CallerAddress: at.Caller, AdminAddress: at.Admin,
 		},
 		Store: mtkernel.Need[mtstore.Store](d.kernel, NameStore),
 		View:  liveView{mtkernel.Need[*mtview.View](d.kernel, NameView)},
@@ -177,7 +177,7 @@
 // wrote takes in a value that this daemon wrote or read outside a watch.
 func (d *Daemon) wrote(e mtstore.Entry) {
 	item := mtview.Item{Name: e.Name, Version: e.Version, Value: e.Value}
-	if _, err := mtkernel.Need[*mtview.View](d.kernel, NameView).Wrote(item); err != nil {
+	if _, err := mtkernel.Need[*mtview.View](d.kernel, NameView).ApplyWrite(item); err != nil {
 		d.config.Log.Debug("value does not follow the known one", "error", err)
 	}
 	mtkernel.Need[*mtsync.Sync](d.kernel, NameSync).Refresh()
@@ -195,7 +195,7 @@
 	ticker := time.NewTicker(enterPoll)
 	defer ticker.Stop()
 	for {
-		record, _, ok := mtkernel.Need[*mtview.View](d.kernel, NameView).Now().Record(d.config.Settings.Name)
+		record, _, ok := mtkernel.Need[*mtview.View](d.kernel, NameView).Snapshot().Record(d.config.Settings.Name)
 		if !ok || record.State == state {
 			return
 		}
@@ -252,7 +252,7 @@
 	if !ok || record.Holder != to {
 		return nil, &mtreply.RefusedError{Cause: mtreply.CauseUnreachable, Detail: to.String() + " is not in the roster"}
 	}
-	conn, err := l.relay.Conn(record.Relay)
+	conn, err := l.relay.Conn(record.RelayAddress)
 	if err != nil {
 		return nil, err
 	}
--- a/io/mtdaemon/mtdaemon.go
+++ b/io/mtdaemon/mtdaemon.go
@@ -125,8 +125,8 @@
 }
 
 // Stamp returns a stamp that no other write carries.
-func (d *Daemon) Stamp() mtroster.Stamp {
-	return mtroster.Stamp{Writer: d.Self(), Sequence: d.sequence.Add(1)}
+func (d *Daemon) Stamp() mtroster.WriteID {
+	return mtroster.WriteID{Writer: d.Self(), Sequence: d.sequence.Add(1)}
 }
 
 func (d *Daemon) addMetrics() error {
@@ -203,8 +203,8 @@
 	view := mtkernel.Need[*mtview.View](d.kernel, NameView)
 	sync := mtkernel.Need[*mtsync.Sync](d.kernel, NameSync)
 	return func(peer mtid.Daemon, frontier mtid.Revision) {
-		if record, _, ok := view.Now().Record(peer); ok {
-			sync.Hint(record.Relay, frontier)
+		if record, _, ok := view.Snapshot().Record(peer); ok {
+			sync.Hint(record.RelayAddress, frontier)
 		}
 	}
 }
@@ -232,7 +232,7 @@
 		Quiet:   d.quiet,
 	})
 	mtkernel.Need[*mtsync.Sync](d.kernel, NameSync).OnChange(func(names []string) {
-		if slices.ContainsFunc(names, func(name string) bool { return strings.HasPrefix(name, mtstore.Shard) }) {
+		if slices.ContainsFunc(names, func(name string) bool { return strings.HasPrefix(name, mtstore.ShardPrefix) }) {
 			owner.Adopt()
 		}
 	})
--- a/io/mtdaemon/mtdaemon_test.go
+++ b/io/mtdaemon/mtdaemon_test.go
@@ -255,7 +255,7 @@
 	close(stopped)
 	sending.Wait()
 	assert.Equal(t, strings.Join(lost, "\n"), "")
-	for _, table := range members[1].view(t).Now().Tables(dispatch) {
+	for _, table := range members[1].view(t).Snapshot().Tables(dispatch) {
 		assert.Equal(t, len(table.Owned(holder)), 0)
 	}
 }
@@ -297,7 +297,7 @@
 	assert.Equal(t, response.Header.Get(mtheader.Outcome), "answered")
 	members[0].kill()
 	answers(t, members[1], key)
-	shard, _ := members[1].view(t).Now().Lookup(dispatch, dispatch.Point(mtid.Key(key)))
+	shard, _ := members[1].view(t).Snapshot().Lookup(dispatch, dispatch.Point(mtid.Key(key)))
 	assert.Assert(t, shard.Owner != lost)
 	assert.Assert(t, shard.Epoch > epoch)
 	resent, _, err := members[2].send(key, "send", response.Header.Get(mtheader.ID))
@@ -308,14 +308,14 @@
 	assert.NilError(t, err)
 	record, err := mtroster.Decode(entry.Value)
 	assert.NilError(t, err)
-	assert.Assert(t, !record.Live())
+	assert.Assert(t, !record.MayHoldLease())
 }
 
 // owned returns a key that holder owns, with its epoch.
 func owned(t *testing.T, m *member, holder mtid.Holder) (string, mtid.Epoch) {
 	for i := range 1000 {
 		key := fmt.Sprintf("room-%d", i)
-		if shard, _ := m.view(t).Now().Lookup(dispatch, dispatch.Point(mtid.Key(key))); shard.Owner == holder {
+		if shard, _ := m.view(t).Snapshot().Lookup(dispatch, dispatch.Point(mtid.Key(key))); shard.Owner == holder {
 			return key, shard.Epoch
 		}
 	}
@@ -353,6 +353,6 @@
 	members[0].hush()
 	members[0].backend.Close()
 	answers(t, members[1], key)
-	shard, _ := members[1].view(t).Now().Lookup(dispatch, dispatch.Point(mtid.Key(key)))
+	shard, _ := members[1].view(t).Snapshot().Lookup(dispatch, dispatch.Point(mtid.Key(key)))
 	assert.Assert(t, shard.Owner != holder)
 }
--- a/io/mtdaemon/poison_test.go
+++ b/io/mtdaemon/poison_test.go
@@ -249,7 +249,7 @@
 			continue
 		}
 		alive++
-		shard, ok := m.view(t).Now().Lookup(dispatch, point)
+		shard, ok := m.view(t).Snapshot().Lookup(dispatch, point)
 		if ok && shard.Owner == m.daemon.Self() {
 			return m, alive
 		}
--- a/io/mtdirectory/foreign_test.go
+++ b/io/mtdirectory/foreign_test.go
@@ -70,8 +70,8 @@
 		t.Run(name, func(t *testing.T) {
 			store := mtstandin.NewRevisions(time.Now)
 			store.Put(mtstore.BackendName("b"), []byte(text))
-			store.Put(mtstore.Backend, []byte("no name at all"))
-			store.Put(mtstore.Range+"maps", []byte("no assignment"))
+			store.Put(mtstore.BackendPrefix, []byte("no name at all"))
+			store.Put(mtstore.RangePrefix+"maps", []byte("no assignment"))
 			a := start(t, store, "a")
 			until(t, "a has read all", func() bool { return a.Now().Revision != 0 })
 			view := a.Now()
--- a/io/mtdirectory/keeper.go
+++ b/io/mtdirectory/keeper.go
@@ -218,7 +218,7 @@
 			return nil // a record is published shortly after a renewal
 		}
 		err := k.Store.Renew(ctx, k.lease)
-		var lapsed *mtstore.LapsedError
+		var lapsed *mtstore.LeaseExpiredError
 		if !errors.As(err, &lapsed) {
 			if err == nil {
 				k.renewed = sent
@@ -250,7 +250,7 @@
 	for range conflicts {
 		version, err := k.Store.Swap(ctx, name, k.version, value, k.lease)
 		var conflict *mtstore.ConflictError
-		var lapsed *mtstore.LapsedError
+		var lapsed *mtstore.LeaseExpiredError
 		switch {
 		case err == nil:
 			k.version, k.written = version, wanted
--- a/io/mtdirectory/member.go
+++ b/io/mtdirectory/member.go
@@ -49,7 +49,7 @@
 		if e.Revision > u.Changes.Revision {
 			continue // heard of since the reading began
 		}
-		if present[name] || e.Version == 0 && !strings.HasPrefix(name, mtstore.Backend) {
+		if present[name] || e.Version == 0 && !strings.HasPrefix(name, mtstore.BackendPrefix) {
 			continue
 		}
 		e = mtstore.Entry{Name: name, Revision: u.Changes.Revision}
@@ -71,7 +71,7 @@
 // takeMember takes in the record of a daemon, or its end.
 func (d *Directory) takeMember(v *View, now mtclock.Instant, e mtstore.Entry) {
 	d.rolled(v)
-	name := mtid.Daemon(strings.TrimPrefix(e.Name, mtstore.Backend))
+	name := mtid.Daemon(strings.TrimPrefix(e.Name, mtstore.BackendPrefix))
 	delete(v.Foreign, name)
 	if e.Version == 0 {
 		// One that was never seen is noted too. It may have stood between a reading of
--- a/io/mtdirectory/mtdirectory.go
+++ b/io/mtdirectory/mtdirectory.go
@@ -45,7 +45,7 @@
 // Config is what a Directory works with.
 type Config struct {
 	Self  mtid.Daemon
-	Store mtstore.Guarded
+	Store mtstore.ConditionalStore
 	Clock clock
 	Log   *slog.Logger
 	// Lease is how long the own record outlives this daemon.
@@ -343,18 +343,18 @@
 
 // assigned returns the service whose assignment an entry is, or false.
 func assigned(e mtstore.Entry) (mtid.Service, bool) {
-	service, ok := strings.CutPrefix(e.Name, mtstore.Range)
+	service, ok := strings.CutPrefix(e.Name, mtstore.RangePrefix)
 	return mtid.Service(service), ok
 }
 
 // take takes in one entry, and reports whether it is of the product's own kinds.
 func (d *Directory) take(v *View, now mtclock.Instant, e mtstore.Entry) bool {
 	switch {
-	case strings.HasPrefix(e.Name, mtstore.Backend):
+	case strings.HasPrefix(e.Name, mtstore.BackendPrefix):
 		d.takeMember(v, now, e)
-	case strings.HasPrefix(e.Name, mtstore.Range):
+	case strings.HasPrefix(e.Name, mtstore.RangePrefix):
 		d.takeAssignment(v, e)
-	case strings.HasPrefix(e.Name, mtstore.Zone):
+	case strings.HasPrefix(e.Name, mtstore.ZonePrefix):
 		d.takeZone(v, e)
 	default:
 		return false
--- a/io/mtdirectory/mtdirectory_test.go
+++ b/io/mtdirectory/mtdirectory_test.go
@@ -32,7 +32,7 @@
 }
 
 func record(daemon mtid.Daemon) mtbackend.Record {
-	return mtbackend.Record{Daemon: daemon, Address: "a:1", Service: "maps", Life: mtid.Life{Server: "s"}, Slots: 3, State: mtbackend.Ready}
+	return mtbackend.Record{Daemon: daemon, Address: "a:1", Service: "maps", Life: mtid.ServerIncarnation{Server: "s"}, Slots: 3, State: mtbackend.Ready}
 }
 
 func until(t *testing.T, what string, done func() bool) {
@@ -238,7 +238,7 @@
 	store := mtstandin.NewRevisions(time.Now)
 	b := start(t, store, "b")
 	lease := leased(t, store)
-	table, err := mtrange.Spread("maps", []mtrange.Owner{{Daemon: "a", Life: mtid.Life{Server: "s"}}})
+	table, err := mtrange.Spread("maps", []mtrange.Owner{{Daemon: "a", Life: mtid.ServerIncarnation{Server: "s"}}})
 	assert.NilError(t, err)
 	value, err := table.Encode()
 	assert.NilError(t, err)
@@ -285,7 +285,7 @@
 func TestAssignmentsAreLearnedByPatches(t *testing.T) {
 	store := mtstandin.NewRevisions(time.Now)
 	watching := start(t, store, "a")
-	table, err := mtrange.Spread("maps", []mtrange.Owner{{Daemon: "a", Life: mtid.Life{Server: "s"}}, {Daemon: "b", Life: mtid.Life{Server: "t"}}})
+	table, err := mtrange.Spread("maps", []mtrange.Owner{{Daemon: "a", Life: mtid.ServerIncarnation{Server: "s"}}, {Daemon: "b", Life: mtid.ServerIncarnation{Server: "t"}}})
 	assert.NilError(t, err)
 	put := func() {
 		value, err := table.Encode()
@@ -302,8 +302,8 @@
 	t.Cleanup(cleanUp)
 	source.pupil = pupil
 	close(ready)
-	for key := range mtid.Number(20) {
-		table, err = table.Move(key*10, key*10+3, mtrange.Owner{Daemon: "b", Life: mtid.Life{Server: "t"}}, "")
+	for key := range mtid.KeyNumber(20) {
+		table, err = table.Move(key*10, key*10+3, mtrange.Owner{Daemon: "b", Life: mtid.ServerIncarnation{Server: "t"}}, "")
 		assert.NilError(t, err)
 		put()
 	}
@@ -316,7 +316,7 @@
 	last, err := mtrange.Decode(taught.Entries[len(taught.Entries)-1].Value)
 	assert.NilError(t, err, "what it passes on must be whole")
 	assert.DeepEqual(t, last, table)
-	table, err = table.Move(900, 909, mtrange.Owner{Daemon: "b", Life: mtid.Life{Server: "t"}}, "")
+	table, err = table.Move(900, 909, mtrange.Owner{Daemon: "b", Life: mtid.ServerIncarnation{Server: "t"}}, "")
 	assert.NilError(t, err)
 	put()
 	until(t, "the pupil has the next table", func() bool { return pupil.Now().Assignments["maps"].Next == table.Next })
@@ -340,9 +340,9 @@
 func TestLearnNeverGoesBack(t *testing.T) {
 	store := mtstandin.NewRevisions(time.Now)
 	b := start(t, store, "b")
-	first, err := mtrange.Spread("maps", []mtrange.Owner{{Daemon: "a", Life: mtid.Life{Server: "s"}}})
+	first, err := mtrange.Spread("maps", []mtrange.Owner{{Daemon: "a", Life: mtid.ServerIncarnation{Server: "s"}}})
 	assert.NilError(t, err)
-	second, err := first.Move(0, 9, mtrange.Owner{Daemon: "b", Life: mtid.Life{Server: "t"}}, "")
+	second, err := first.Move(0, 9, mtrange.Owner{Daemon: "b", Life: mtid.ServerIncarnation{Server: "t"}}, "")
 	assert.NilError(t, err)
 	b.Learn(mtdirectory.Assignment{Table: second, Version: 9})
 	b.Learn(mtdirectory.Assignment{Table: first, Version: 8})
--- a/io/mtdirectory/zone.go
+++ b/io/mtdirectory/zone.go
@@ -10,7 +10,7 @@
 // takeZone takes in the operators' order that takes an availability zone out of service,
 // or its end, which is newer than what is known.
 func (d *Directory) takeZone(v *View, e mtstore.Entry) {
-	zone := mtid.Zone(strings.TrimPrefix(e.Name, mtstore.Zone))
+	zone := mtid.Zone(strings.TrimPrefix(e.Name, mtstore.ZonePrefix))
 	d.rolled(v)
 	if e.Version == 0 {
 		v.Out = v.Out.Without(zone, e.Revision)
@@ -23,7 +23,7 @@
 // known reports whether as much or more is known of an order about a zone: it was read
 // outside the watch, which brings it later. It is called with mu held.
 func (d *Directory) known(e mtstore.Entry) bool {
-	return strings.HasPrefix(e.Name, mtstore.Zone) && d.entries[e.Name].Revision >= e.Revision
+	return strings.HasPrefix(e.Name, mtstore.ZonePrefix) && d.entries[e.Name].Revision >= e.Revision
 }
 
 // Recheck takes in a reading of all that operators have written, made outside the watch.
@@ -48,13 +48,13 @@
 	present := make(map[string]bool)
 	for _, e := range read.Entries {
 		present[e.Name] = true
-		if strings.HasPrefix(e.Name, mtstore.Zone) && !d.known(e) {
+		if strings.HasPrefix(e.Name, mtstore.ZonePrefix) && !d.known(e) {
 			newer = append(newer, e)
 		}
 	}
 	for name, e := range d.entries {
 		gone := e.Version != 0 && !present[name] && e.Revision < read.Revision
-		if gone && strings.HasPrefix(name, mtstore.Zone) {
+		if gone && strings.HasPrefix(name, mtstore.ZonePrefix) {
 			newer = append(newer, mtstore.Entry{Name: name, Revision: read.Revision})
 		}
 	}
--- a/io/mtdirectory/zone_test.go
+++ b/io/mtdirectory/zone_test.go
@@ -67,7 +67,7 @@
 // recheck reads all that operators have written and compares the copy with it.
 func recheck(t *testing.T, store *mtstandin.Revisions, d *mtdirectory.Directory, zones []mtid.Zone) {
 	t.Helper()
-	read, err := store.Watch(context.Background(), mtstore.Zone, 0, 0)
+	read, err := store.Watch(context.Background(), mtstore.ZonePrefix, 0, 0)
 	assert.NilError(t, err)
 	d.Recheck(read)
 	for _, z := range zones {
--- a/io/mtfleet/mtfleet.go
+++ b/io/mtfleet/mtfleet.go
@@ -272,7 +272,7 @@
 	if err != nil {
 		return false
 	}
-	tables := view.Now().Tables(ref)
+	tables := view.Snapshot().Tables(ref)
 	for _, table := range tables {
 		if table == nil || len(table.Shards) == 0 {
 			return false
--- a/io/mtfleet/run.go
+++ b/io/mtfleet/run.go
@@ -101,7 +101,7 @@
 	if err != nil {
 		return err
 	}
-	for _, table := range view.Now().Tables(ref) {
+	for _, table := range view.Snapshot().Tables(ref) {
 		for _, shard := range table.Owned(from) {
 			return mover.Move(ctx, from, ref, shard.Low, to)
 		}
--- a/io/mtforward/server.go
+++ b/io/mtforward/server.go
@@ -186,7 +186,7 @@
 		Service:    mtid.Service(w.GetService()),
 		Route:      mtid.Class(w.GetRoute()),
 		Keyed:      w.GetKeyed(),
-		Key:        mtid.Number(w.GetKey()),
+		Key:        mtid.KeyNumber(w.GetKey()),
 		Idempotent: w.GetIdempotent(),
 		Nested:     w.GetNested(),
 		Repeat:     w.GetRepeat(),
--- a/io/mtgrant/move.go
+++ b/io/mtgrant/move.go
@@ -156,7 +156,7 @@
 // move takes keys of a range back from the server and gives them to another
 // owner. New calls for them wait at the gate meanwhile, and go to the new owner
 // once the assignment names it.
-func (g *Grants) move(ctx context.Context, r mtrange.Range, low, high mtid.Number, to mtrange.Owner, why string) {
+func (g *Grants) move(ctx context.Context, r mtrange.Range, low, high mtid.KeyNumber, to mtrange.Owner, why string) {
 	record, address := g.Host.Record()
 	if !g.beginMove(r, low, high, record.State == mtbackend.Draining) {
 		return
@@ -189,7 +189,7 @@
 // that they stay here. A write whose outcome is not known is tried again until
 // the store tells: were the keys granted here meanwhile, it might still land,
 // and two servers would hold them.
-func (g *Grants) hand(r mtrange.Range, low, high mtid.Number, to mtrange.Owner, warmth string) bool {
+func (g *Grants) hand(r mtrange.Range, low, high mtid.KeyNumber, to mtrange.Owner, warmth string) bool {
 	ctx := g.stopping
 	doubt, direct := false, false
 	wanted := mtrange.Transfer{From: r.Owner, Epoch: r.Epoch, Low: low, High: high, To: to, Warmth: warmth}
@@ -283,7 +283,7 @@
 // other parts may move at the same time. It refuses while an unanswered order may put a
 // released key back into force, and for keys that have not been granted yet, unless the
 // server is leaving: they are never granted to it.
-func (g *Grants) beginMove(r mtrange.Range, low, high mtid.Number, leaving bool) bool {
+func (g *Grants) beginMove(r mtrange.Range, low, high mtid.KeyNumber, leaving bool) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for i, held := range g.grants {
@@ -302,7 +302,7 @@
 				continue
 			}
 			part := *held
-			part.Low, part.High, part.moving = mtid.Number(p.low), mtid.Number(p.high), p.moving
+			part.Low, part.High, part.moving = mtid.KeyNumber(p.low), mtid.KeyNumber(p.high), p.moving
 			parts = append(parts, &part)
 		}
 		g.grants = slices.Concat(g.grants[:i:i], parts, g.grants[i+1:])
@@ -312,7 +312,7 @@
 }
 
 // endMove forgets the grant of moved keys.
-func (g *Grants) endMove(low mtid.Number) {
+func (g *Grants) endMove(low mtid.KeyNumber) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.grants = slices.DeleteFunc(g.grants, func(held *grant) bool {
@@ -327,7 +327,7 @@
 
 // abandon takes keys back into service here, after a move that failed. They are
 // granted anew, since they may have been released.
-func (g *Grants) abandon(r mtrange.Range, low, high mtid.Number) {
+func (g *Grants) abandon(r mtrange.Range, low, high mtid.KeyNumber) {
 	g.mu.Lock()
 	for _, held := range g.grants {
 		if held.moving && held.Low == low && held.Epoch == r.Epoch {
--- a/io/mtgrant/mtgrant.go
+++ b/io/mtgrant/mtgrant.go
@@ -56,7 +56,7 @@
 	// Release takes keys back. It returns once nothing runs on them, with what
 	// the next owner needs to start warm. After a failure the order may still
 	// be carried out.
-	Release(ctx context.Context, address string, low, high mtid.Number, epoch mtid.Epoch) (warmth string, err error)
+	Release(ctx context.Context, address string, low, high mtid.KeyNumber, epoch mtid.Epoch) (warmth string, err error)
 }
 
 // SupersededError says that a server has seen a higher epoch.
@@ -89,17 +89,17 @@
 // host is the backend server on this VM.
 type host interface {
 	Record() (mtbackend.Record, string)
-	Stop(low, high mtid.Number)
-	Resume(low, high mtid.Number)
-	Release(low, high mtid.Number)
+	Stop(low, high mtid.KeyNumber)
+	Resume(low, high mtid.KeyNumber)
+	Release(low, high mtid.KeyNumber)
 	Cut(ranges []mtrange.Range, gifts []mtrange.Gift) []mtrange.Run
 	Spill(ranges []mtrange.Range, turn mtrange.Turn, others []mtrange.Standing) []mtrange.Run
-	Forget(low, high mtid.Number)
-	Gain(low, high mtid.Number)
-	Suspect(life mtid.Life)
+	Forget(low, high mtid.KeyNumber)
+	Gain(low, high mtid.KeyNumber)
+	Suspect(life mtid.ServerIncarnation)
 	// Bound reports whether an order that is sent now reaches that life of the
 	// server, and no other.
-	Bound(life mtid.Life) bool
+	Bound(life mtid.ServerIncarnation) bool
 }
 
 // Config is what a Grants works with.
@@ -109,7 +109,7 @@
 	Keyed     func() bool // the configuration in force divides the service by key
 	Hold      time.Duration
 	Directory *mtdirectory.Directory
-	Store     mtstore.Guarded
+	Store     mtstore.ConditionalStore
 	Host      host
 	Port      Port
 	Clock     clock
@@ -132,11 +132,11 @@
 // grant is a range as the server has been told of it.
 type grant struct {
 	mtrange.Range
-	life    mtid.Life       // of the server
-	granted mtclock.Instant // when the last answered order was sent; zero if none
-	ordered bool            // an order was sent, answered or not
-	moving  bool            // stopped at the gate, on its way to another owner
-	overdue bool            // was renewed because the record is about to lapse
+	life    mtid.ServerIncarnation // of the server
+	granted mtclock.Instant        // when the last answered order was sent; zero if none
+	ordered bool                   // an order was sent, answered or not
+	moving  bool                   // stopped at the gate, on its way to another owner
+	overdue bool                   // was renewed because the record is about to lapse
 }
 
 // Grants keeps the grants of one server.
@@ -154,7 +154,7 @@
 	// doubt is until when an order that was not answered may still be in force,
 	// for each life of the server. A key that is released while such an order
 	// is on its way would be held again.
-	doubt     map[mtid.Life]mtclock.Instant
+	doubt     map[mtid.ServerIncarnation]mtclock.Instant
 	lasts     mtclock.Instant // until when any order may be in force
 	behind    mtclock.Instant // since when the copy is older than the own record; zero if it isn't
 	moved     mtclock.Instant // the end of the last relief, or a look that led to none
@@ -181,7 +181,7 @@
 
 // New starts the duties and returns the Grants and its clean-up function.
 func New(config Config) (*Grants, func()) {
-	g := &Grants{Config: config, wake: make(chan struct{}, 1), doubt: make(map[mtid.Life]mtclock.Instant)}
+	g := &Grants{Config: config, wake: make(chan struct{}, 1), doubt: make(map[mtid.ServerIncarnation]mtclock.Instant)}
 	config.Directory.OnChange(g.Wake)
 	// A former process of this daemon may have ordered a grant just before its end.
 	g.lasts = config.Clock.Now().Add(orderTimeout + g.longest())
@@ -216,7 +216,7 @@
 
 // Holds fails with a *mtreply.RefusedError unless that life of the server was
 // granted the key.
-func (g *Grants) Holds(life mtid.Life, key mtid.Number) error {
+func (g *Grants) Holds(life mtid.ServerIncarnation, key mtid.KeyNumber) error {
 	now := g.Clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -233,7 +233,7 @@
 }
 
 // elsewhere says why the server does not hold the key.
-func (g *Grants) elsewhere(life mtid.Life, key mtid.Number) error {
+func (g *Grants) elsewhere(life mtid.ServerIncarnation, key mtid.KeyNumber) error {
 	assignment, ok := g.Directory.Now().Assignments[g.Service]
 	if !ok {
 		return &mtreply.RefusedError{Cause: mtreply.CauseNoOwner, RetryAfter: grantRetry}
@@ -258,7 +258,7 @@
 
 // Fenced makes the duty grant the key again, which the server says it does not
 // hold: an order to release it may have been carried out late.
-func (g *Grants) Fenced(key mtid.Number) {
+func (g *Grants) Fenced(key mtid.KeyNumber) {
 	g.mu.Lock()
 	for _, held := range g.grants {
 		if held.Covers(key) {
@@ -302,7 +302,7 @@
 
 // Clear takes all keys from a life of the server that owns none. An order that
 // was meant for a former life at the same address may have reached it.
-func (g *Grants) Clear(ctx context.Context, life mtid.Life, address string) error {
+func (g *Grants) Clear(ctx context.Context, life mtid.ServerIncarnation, address string) error {
 	view := g.Directory.Now()
 	if view.Revision == 0 {
 		// Whose keys these are is not known yet, and nobody else hears of the new
@@ -318,7 +318,7 @@
 			return ctx.Err()
 		}
 	}
-	_, err := g.Port.Release(ctx, address, 0, mtid.LastNumber, assignment.Next-1)
+	_, err := g.Port.Release(ctx, address, 0, mtid.LastKeyNumber, assignment.Next-1)
 	return err
 }
 
@@ -357,7 +357,7 @@
 
 // known returns the grants of a range: as they were, the part that is left of a
 // wider one, or a new one.
-func (g *Grants) known(life mtid.Life, r mtrange.Range) []*grant {
+func (g *Grants) known(life mtid.ServerIncarnation, r mtrange.Range) []*grant {
 	var inside []*grant
 	keys := 0
 	for _, held := range g.grants {
--- a/io/mtgrant/mtgrant_test.go
+++ b/io/mtgrant/mtgrant_test.go
@@ -75,13 +75,13 @@
 	return h.record
 }
 
-func (*host) Stop(mtid.Number, mtid.Number)    {}
-func (*host) Resume(mtid.Number, mtid.Number)  {}
-func (*host) Release(mtid.Number, mtid.Number) {}
-func (*host) Forget(mtid.Number, mtid.Number)  {}
-func (*host) Gain(mtid.Number, mtid.Number)    {}
-func (*host) Suspect(mtid.Life)                {}
-func (h *host) Bound(mtid.Life) bool           { return !h.unbound.Load() }
+func (*host) Stop(mtid.KeyNumber, mtid.KeyNumber)    {}
+func (*host) Resume(mtid.KeyNumber, mtid.KeyNumber)  {}
+func (*host) Release(mtid.KeyNumber, mtid.KeyNumber) {}
+func (*host) Forget(mtid.KeyNumber, mtid.KeyNumber)  {}
+func (*host) Gain(mtid.KeyNumber, mtid.KeyNumber)    {}
+func (*host) Suspect(mtid.ServerIncarnation)         {}
+func (h *host) Bound(mtid.ServerIncarnation) bool    { return !h.unbound.Load() }
 
 // Spill gives each range to one of the others, in turn.
 func (*host) Spill(ranges []mtrange.Range, _ mtrange.Turn, others []mtrange.Standing) []mtrange.Run {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-func (p *port) Release(_ context.Context, _ string, low, high mtid.Number, epoch mtid.Epoch) (string, error) {
+func (p *port) Release(_ context.Context, _ string, low, high mtid.KeyNumber, epoch mtid.Epoch) (string, error) {
 	p.note("release %d-%d at %d", low, high, epoch)
 	return "warm", nil
 }
@@ -173,8 +173,8 @@
 	delegate func(ctx context.Context, b mtrange.Batch) ([]mtrange.Outcome, bool)
 }
 
-func lifeOf(daemon mtid.Daemon) mtid.Life {
-	return mtid.Life{Server: mtid.Server("of-" + daemon), Born: 1}
+func lifeOf(daemon mtid.Daemon) mtid.ServerIncarnation {
+	return mtid.ServerIncarnation{Server: mtid.Server("of-" + daemon), Started: 1}
 }
 
 func record(daemon mtid.Daemon, s mtbackend.State) mtbackend.Record {
@@ -254,7 +254,7 @@
 // turns lets the duties look several times.
 func (f *fleet) turns() { time.Sleep(700 * time.Millisecond) }
 
-func (f *fleet) owner(key mtid.Number) mtid.Daemon {
+func (f *fleet) owner(key mtid.KeyNumber) mtid.Daemon {
 	a, ok := f.directory.Now().Assignments[service]
 	if !ok {
 		return ""
@@ -295,7 +295,7 @@
 	f.grants.Wake()
 	f.until("a renewal is under way", func() bool { return f.port.count("grant 0-") == 2 })
 	f.directory.Publish(f.host.set(mtbackend.Draining))
-	f.until("the other range has moved", func() bool { return f.owner(mtid.LastNumber) == "b" })
+	f.until("the other range has moved", func() bool { return f.owner(mtid.LastKeyNumber) == "b" })
 	close(gate)
 	f.until("all keys have moved", func() bool { return f.owner(0) == "b" })
 	f.turns()
@@ -351,9 +351,9 @@
 	f.clock.advance(hold)
 	f.directory.Publish(record("a", mtbackend.Ready))
 	f.turns()
-	assert.Equal(t, f.owner(mtid.LastNumber), mtid.Daemon("b"), "taken while a grant may still be in force")
+	assert.Equal(t, f.owner(mtid.LastKeyNumber), mtid.Daemon("b"), "taken while a grant may still be in force")
 	f.clock.advance(lease + time.Second)
-	f.until("the keys are taken over", func() bool { return f.owner(mtid.LastNumber) == "a" })
+	f.until("the keys are taken over", func() bool { return f.owner(mtid.LastKeyNumber) == "a" })
 	f.until("and granted", func() bool { return f.port.count("grant") >= 2 })
 }
 
@@ -371,7 +371,7 @@
 	f.clock.advance(lastOrder + hold)
 	f.directory.Publish(record("a", mtbackend.Ready))
 	f.turns()
-	assert.Equal(t, f.owner(mtid.LastNumber), mtid.Daemon("b"), "taken while a grant may still be in force")
+	assert.Equal(t, f.owner(mtid.LastKeyNumber), mtid.Daemon("b"), "taken while a grant may still be in force")
 }
 
 // All VMs of a large fleet lose power while the store is away, and once it is back
@@ -390,7 +390,7 @@
 	f.start()
 	f.until("all keys are taken over", func() bool {
 		a, ok := f.directory.Now().Assignments[service]
-		return ok && a.Keys(ownerOf("a")) == int(mtid.LastNumber)+1
+		return ok && a.Keys(ownerOf("a")) == int(mtid.LastKeyNumber)+1
 	})
 }
 
@@ -400,7 +400,7 @@
 	for name, change := range map[string]func(r *mtbackend.Record){
 		"ended":                     func(r *mtbackend.Record) { r.State = mtbackend.Ended },
 		"another life":              func(r *mtbackend.Record) { r.Life.Server = "next" },
-		"another life of that name": func(r *mtbackend.Record) { r.Life.Born++ },
+		"another life of that name": func(r *mtbackend.Record) { r.Life.Started++ },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, "a", "b")
@@ -428,7 +428,7 @@
 	f.clock.advance(hold + lease + time.Minute)
 	f.directory.Publish(record("a", mtbackend.Ready))
 	f.turns()
-	assert.Equal(t, f.owner(mtid.LastNumber), mtid.Daemon("b"))
+	assert.Equal(t, f.owner(mtid.LastKeyNumber), mtid.Daemon("b"))
 }
 
 // A move's taker learns of its keys only by its watch, a tenth of a second later, and
@@ -460,7 +460,7 @@
 	f.clock.advance(time.Minute)
 	f.directory.Publish(record("a", mtbackend.Ready))
 	f.turns()
-	assert.Equal(t, f.owner(mtid.LastNumber), mtid.Daemon("b"))
+	assert.Equal(t, f.owner(mtid.LastKeyNumber), mtid.Daemon("b"))
 }
 
 func asRefused(err error, into **mtreply.RefusedError) bool {
@@ -555,7 +555,7 @@
 	f.grants.Wake()
 	f.until("a renewal is under way", func() bool { return f.port.count("grant") == 2 })
 	cleared := make(chan error)
-	go func() { cleared <- f.grants.Clear(t.Context(), mtid.Life{Server: "next"}, "server") }()
+	go func() { cleared <- f.grants.Clear(t.Context(), mtid.ServerIncarnation{Server: "next"}, "server") }()
 	f.turns()
 	assert.Equal(t, f.port.count("release"), 0, "cleared while an order was under way")
 	close(gate)
@@ -574,7 +574,7 @@
 	f.until("the other is seen", func() bool { return len(f.directory.Now().Members) == 2 })
 	f.turns()
 	f.clock.advance(2 * time.Second)
-	f.until("keys are assigned", func() bool { return f.owner(0) == "a" && f.owner(mtid.LastNumber) == "b" })
+	f.until("keys are assigned", func() bool { return f.owner(0) == "a" && f.owner(mtid.LastKeyNumber) == "b" })
 }
 
 // The daemon that writes for all is cut off with a move in its hands: it may write it
--- a/io/mtgrant/take.go
+++ b/io/mtgrant/take.go
@@ -62,7 +62,7 @@
 	}
 	// Each owner is a condition of the write, and what does not fit into one is
 	// still lost at the next look.
-	lost = lost[:min(len(lost), mtstore.MostConditions)]
+	lost = lost[:min(len(lost), mtstore.MaxConditions)]
 	g.takeOver(ctx, view, assignment, lost, survivors)
 }
 
--- a/io/mthost/end.go
+++ b/io/mthost/end.go
@@ -22,7 +22,7 @@
 // server got calls 2.0 s after the acknowledgement. One that had said so to the former
 // process of its daemon got calls even later. So the time for new work runs only for a
 // life that is in service here; that of another may be over already.
-func (h *Host) acknowledge(life mtid.Life, now mtclock.Instant) {
+func (h *Host) acknowledge(life mtid.ServerIncarnation, now mtclock.Instant) {
 	at := now
 	if h.record.Life != life || h.record.State != mtbackend.Ready {
 		at = now.Add(-h.Drain)
@@ -60,10 +60,10 @@
 // Leave takes in that the server takes itself out. It serves on for a while and
 // exits then. One that does not say when it was born is the life that runs: the
 // leaving is acknowledged, and that binds this daemon.
-func (h *Host) Leave(life mtid.Life) {
+func (h *Host) Leave(life mtid.ServerIncarnation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if life.Born == 0 && life.Server == h.record.Life.Server {
+	if life.Started == 0 && life.Server == h.record.Life.Server {
 		life = h.record.Life
 	}
 	if life.Before(h.record.Life) {
@@ -97,7 +97,7 @@
 }
 
 // failed looks into a failure that says something of the server itself.
-func (h *Host) failed(life mtid.Life, call *mtcall.Call, err error) {
+func (h *Host) failed(life mtid.ServerIncarnation, call *mtcall.Call, err error) {
 	var refused *mtreply.RefusedError
 	if errors.As(err, &refused) {
 		switch refused.Cause {
@@ -120,8 +120,8 @@
 // had under the same epoch, so where lives share a name the key is granted anew
 // only after the next beat, which tells them apart. It costs such a key the time
 // between two beats, and only where the server says when it was born.
-func (h *Host) deny(life mtid.Life, key mtid.Number) {
-	if life.Born == 0 {
+func (h *Host) deny(life mtid.ServerIncarnation, key mtid.KeyNumber) {
+	if life.Started == 0 {
 		h.Fenced(key)
 		return
 	}
@@ -142,7 +142,7 @@
 }
 
 // Suspect is told that an order found nobody at the server's address.
-func (h *Host) Suspect(life mtid.Life) { h.check(life) }
+func (h *Host) Suspect(life mtid.ServerIncarnation) { h.check(life) }
 
 // check finds out whether the server's process is gone, unless a check runs.
 //
@@ -157,7 +157,7 @@
 //     grant. A leaving server takes no new connections and works on, and one that has
 //     taken itself out says nothing more. Taken for ended at once, two servers held its
 //     keys for half a second. Mostly its keys have moved by then.
-func (h *Host) check(life mtid.Life) {
+func (h *Host) check(life mtid.ServerIncarnation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.checking || h.record.Life != life || h.record.State == mtbackend.Ended {
--- a/io/mthost/end_test.go
+++ b/io/mthost/end_test.go
@@ -29,7 +29,7 @@
 			b.Draining = true
 			s.hear(b)
 		},
-		"takes itself out": func(s *stand) { s.host.Leave(mtid.Life{Server: "life"}) },
+		"takes itself out": func(s *stand) { s.host.Leave(mtid.ServerIncarnation{Server: "life"}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newStand(t, "127.0.0.1:1")
@@ -74,10 +74,10 @@
 		},
 		"takes itself out": func(s *stand) {
 			s.hear(s.beat("life", 1))
-			s.host.Leave(mtid.Life{Server: "life"})
+			s.host.Leave(mtid.ServerIncarnation{Server: "life"})
 		},
 		"takes itself out before anything else": func(s *stand) {
-			s.host.Leave(mtid.Life{Server: "life"})
+			s.host.Leave(mtid.ServerIncarnation{Server: "life"})
 			s.hear(s.beat("life", 1))
 		},
 	} {
@@ -128,7 +128,7 @@
 // started again. The record of before says that the server leaves; since nobody knows
 // for how long it has, it gets no new work at all.
 func TestALeavingThatAFormerDaemonAcknowledgedBinds(t *testing.T) {
-	former := mtbackend.Record{Daemon: "a", Life: mtid.Life{Server: "life"}, State: mtbackend.Draining}
+	former := mtbackend.Record{Daemon: "a", Life: mtid.ServerIncarnation{Server: "life"}, State: mtbackend.Draining}
 	for name, order := range map[string]func(s *stand){
 		"known before the server": func(s *stand) {
 			s.host.Former(former)
@@ -215,12 +215,12 @@
 	var lasts atomic.Int64
 	lasts.Store(int64(s.clock.Now().Add(time.Hour)))
 	s.host.Lasts = func() mtclock.Instant { return mtclock.Instant(lasts.Load()) }
-	s.host.Suspect(mtid.Life{})
+	s.host.Suspect(mtid.ServerIncarnation{})
 	time.Sleep(400 * time.Millisecond) // longer than the checks take
 	assert.Equal(t, s.record().State, mtbackend.Unknown)
 	lasts.Store(int64(s.clock.Now()))
 	s.until("the end is told", func(r mtbackend.Record) bool {
-		s.host.Suspect(mtid.Life{})
+		s.host.Suspect(mtid.ServerIncarnation{})
 		return r.State == mtbackend.Ended
 	})
 }
@@ -239,12 +239,12 @@
 	leaving.Address, leaving.Draining = listener.Addr().String(), true
 	assert.NilError(t, listener.Close())
 	s.hear(leaving)
-	s.host.Suspect(mtid.Life{Server: "one"})
+	s.host.Suspect(mtid.ServerIncarnation{Server: "one"})
 	time.Sleep(400 * time.Millisecond) // longer than the checks take
 	assert.Equal(t, s.record().State, mtbackend.Draining)
 	lasts.Store(int64(s.clock.Now()))
 	s.until("the end is told", func(r mtbackend.Record) bool {
-		s.host.Suspect(mtid.Life{Server: "one"})
+		s.host.Suspect(mtid.ServerIncarnation{Server: "one"})
 		return r.State == mtbackend.Ended
 	})
 }
@@ -255,8 +255,8 @@
 func TestADeniedKeyIsGrantedAgainOnlyAfterABeat(t *testing.T) {
 	s := newStand(t, "server")
 	s.server.runs = "one"
-	fenced := make(chan mtid.Number, 8)
-	s.host.Fenced = func(key mtid.Number) { fenced <- key }
+	fenced := make(chan mtid.KeyNumber, 8)
+	s.host.Fenced = func(key mtid.KeyNumber) { fenced <- key }
 	s.hear(s.born(100, 1))
 	s.until("the server is ready", func(r mtbackend.Record) bool { return r.Takes() })
 	s.server.mu.Lock()
@@ -270,7 +270,7 @@
 	assert.Equal(t, len(fenced), 1)
 	assert.Equal(t, s.cause(true), mtreply.CauseFenced)
 	s.hear(s.born(200, 1))
-	s.until("the new life is known", func(r mtbackend.Record) bool { return r.Life.Born == 200 })
+	s.until("the new life is known", func(r mtbackend.Record) bool { return r.Life.Started == 200 })
 	assert.Equal(t, len(fenced), 1, "the new life was granted what the former one had")
 }
 
--- a/io/mthost/load.go
+++ b/io/mthost/load.go
@@ -86,7 +86,7 @@
 }
 
 // Gain says that keys have come to the server just now.
-func (h *Host) Gain(low, high mtid.Number) {
+func (h *Host) Gain(low, high mtid.KeyNumber) {
 	h.meterMu.Lock()
 	defer h.meterMu.Unlock()
 	h.meter.Gain(h.Clock.Now(), low, high)
@@ -110,7 +110,7 @@
 }
 
 // Forget drops the measured work of keys that have gone to another owner.
-func (h *Host) Forget(low, high mtid.Number) {
+func (h *Host) Forget(low, high mtid.KeyNumber) {
 	h.meterMu.Lock()
 	defer h.meterMu.Unlock()
 	h.meter.Forget(h.Clock.Now(), low, high)
--- a/io/mthost/mthost.go
+++ b/io/mthost/mthost.go
@@ -105,12 +105,12 @@
 	Keyed func() bool
 	// Holds reports whether the server has been granted the key; it fails with
 	// a *mtreply.RefusedError. It is called for keyed calls.
-	Holds func(life mtid.Life, key mtid.Number) error
+	Holds func(life mtid.ServerIncarnation, key mtid.KeyNumber) error
 	// Fenced is told that the server denied holding a key that it was granted.
-	Fenced func(key mtid.Number)
+	Fenced func(key mtid.KeyNumber)
 	// Clear takes from a new life of the server what orders meant for a former
 	// one may have given it. It may take a moment.
-	Clear func(ctx context.Context, life mtid.Life, address string) error
+	Clear func(ctx context.Context, life mtid.ServerIncarnation, address string) error
 	// Lasts returns until when an order may be in force at the server. It may be
 	// nil, if orders end by themselves at no known time.
 	Lasts func() mtclock.Instant
@@ -127,9 +127,9 @@
 	record   mtbackend.Record
 	sequence uint64
 	address  string
-	over     map[mtid.Life]bool // lives that have ended
+	over     map[mtid.ServerIncarnation]bool // lives that have ended
 	// leaving is since when lives are known to leave.
-	leaving  map[mtid.Life]mtclock.Instant
+	leaving  map[mtid.ServerIncarnation]mtclock.Instant
 	door     *iogate.Door[*mtgate.Urgent]
 	routes   []mtroute.Route
 	drains   mtclock.Instant // Draining: no new work from then on; zero if not draining
@@ -143,13 +143,13 @@
 	clearAgain mtclock.Instant
 	// identifying says that the server is being asked which life runs.
 	identifying bool
-	beaten      mtclock.Instant      // last beat
-	checked     mtclock.Instant      // last look after a silent server
-	tether      *tether              // nil if there is none
-	tying       bool                 // one is being opened
-	tieAgain    mtclock.Instant      // none is opened before
-	recognised  mtid.Life            // that was known to be at the end of a tether
-	denied      map[mtid.Number]bool // keys that the server said not to hold, since its last beat
+	beaten      mtclock.Instant         // last beat
+	checked     mtclock.Instant         // last look after a silent server
+	tether      *tether                 // nil if there is none
+	tying       bool                    // one is being opened
+	tieAgain    mtclock.Instant         // none is opened before
+	recognised  mtid.ServerIncarnation  // that was known to be at the end of a tether
+	denied      map[mtid.KeyNumber]bool // keys that the server said not to hold, since its last beat
 	zone        mtzone.Door
 	shut        bool // the gate is closed for the zone
 	warmth      mtbackend.Warmth
@@ -177,9 +177,9 @@
 	h := &Host{
 		Config:  config,
 		address: config.Address,
-		over:    make(map[mtid.Life]bool),
-		leaving: make(map[mtid.Life]mtclock.Instant),
-		denied:  make(map[mtid.Number]bool),
+		over:    make(map[mtid.ServerIncarnation]bool),
+		leaving: make(map[mtid.ServerIncarnation]mtclock.Instant),
+		denied:  make(map[mtid.KeyNumber]bool),
 		running: make(map[mtcall.ID]int),
 		pace:    1,
 		times:   make(map[mtid.Class]time.Duration),
@@ -281,13 +281,13 @@
 }
 
 // Stop lets new calls for keys wait, while the keys move to another owner.
-func (h *Host) Stop(low, high mtid.Number) { h.gate().Stop(low.Point(), high.LastPoint()) }
+func (h *Host) Stop(low, high mtid.KeyNumber) { h.gate().Stop(low.Point(), high.LastPoint()) }
 
 // Resume takes keys back into service here.
-func (h *Host) Resume(low, high mtid.Number) { h.gate().Resume(low.Point(), high.LastPoint()) }
+func (h *Host) Resume(low, high mtid.KeyNumber) { h.gate().Resume(low.Point(), high.LastPoint()) }
 
 // Release sends the calls that wait for keys to their new owner.
-func (h *Host) Release(low, high mtid.Number) { h.gate().Release(low.Point(), high.LastPoint()) }
+func (h *Host) Release(low, high mtid.KeyNumber) { h.gate().Release(low.Point(), high.LastPoint()) }
 
 func (h *Host) gate() *iogate.Door[*mtgate.Urgent] {
 	h.mu.Lock()
--- a/io/mthost/mthost_test.go
+++ b/io/mthost/mthost_test.go
@@ -90,12 +90,12 @@
 		},
 		Keyed: func() bool { return s.keyed.Load() },
 		Named: func(service mtid.Service) bool { return service == "desk" },
-		Holds: func(mtid.Life, mtid.Number) error {
+		Holds: func(mtid.ServerIncarnation, mtid.KeyNumber) error {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			return s.holds
 		},
-		Clear: func(context.Context, mtid.Life, string) error {
+		Clear: func(context.Context, mtid.ServerIncarnation, string) error {
 			s.mu.Lock()
 			answer := s.clear
 			s.mu.Unlock()
@@ -104,7 +104,7 @@
 			}
 			return answer()
 		},
-		Fenced: func(mtid.Number) {}, Changed: func() {},
+		Fenced: func(mtid.KeyNumber) {}, Changed: func() {},
 	})
 	host.Declare([]mtroute.Route{{Name: "plans", Objective: 300 * time.Millisecond}})
 	s.host = host
@@ -135,7 +135,7 @@
 }
 
 func (s *stand) beat(server mtid.Server, sequence uint64) mtbackend.Beat {
-	return mtbackend.Beat{Life: mtid.Life{Server: server}, Address: "server", Service: "maps", Slots: 2, Sequence: sequence}
+	return mtbackend.Beat{Life: mtid.ServerIncarnation{Server: server}, Address: "server", Service: "maps", Slots: 2, Sequence: sequence}
 }
 
 // ready brings a life of the server into service.
@@ -277,9 +277,9 @@
 }
 
 // born returns a beat of a life that says when it was born.
-func (s *stand) born(born mtid.Birth, sequence uint64) mtbackend.Beat {
+func (s *stand) born(born mtid.StartTime, sequence uint64) mtbackend.Beat {
 	b := s.beat("one", sequence)
-	b.Life.Born = born
+	b.Life.Started = born
 	return b
 }
 
@@ -296,7 +296,7 @@
 		return nil
 	}
 	s.mu.Unlock()
-	first, second := mtid.Life{Server: "one", Born: 100}, mtid.Life{Server: "one", Born: 200}
+	first, second := mtid.ServerIncarnation{Server: "one", Started: 100}, mtid.ServerIncarnation{Server: "one", Started: 200}
 	s.hear(s.born(100, 50))
 	s.until("the first life is ready", func(r mtbackend.Record) bool { return r.Life == first && r.Takes() })
 	s.hear(s.born(200, 1))
@@ -325,7 +325,7 @@
 	s.mu.Lock()
 	s.path = "/health"
 	s.mu.Unlock()
-	want := mtid.Life{Server: "one", Born: 200}
+	want := mtid.ServerIncarnation{Server: "one", Started: 200}
 	s.until("the later life runs", func(r mtbackend.Record) bool { return r.Life == want && r.Takes() })
 	s.hear(s.born(100, 51))
 	s.hear(s.born(100, 52))
@@ -397,7 +397,7 @@
 		time.Sleep(20 * time.Millisecond)
 		s.hear(s.beat("new", 2+sequence))
 		r := s.record()
-		assert.Assert(t, r.Runs(mtid.Life{Server: "old"}), "the end of the former life was told: %+v", r)
+		assert.Assert(t, r.Runs(mtid.ServerIncarnation{Server: "old"}), "the end of the former life was told: %+v", r)
 	}
 	cleared.Store(true)
 	s.hear(s.beat("new", 9))
--- a/io/mthost/tether.go
+++ b/io/mthost/tether.go
@@ -33,14 +33,14 @@
 // tether is the connection that ends with the server's process.
 type tether struct {
 	conn   net.Conn
-	life   mtid.Life       // that is taken to be at its end
-	opened mtclock.Instant // after it had been opened
-	known  bool            // that life is certainly at its end
+	life   mtid.ServerIncarnation // that is taken to be at its end
+	opened mtclock.Instant        // after it had been opened
+	known  bool                   // that life is certainly at its end
 }
 
 // Bound reports whether whatever is sent to the server's address now reaches that
 // life.
-func (h *Host) Bound(life mtid.Life) bool {
+func (h *Host) Bound(life mtid.ServerIncarnation) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.tether != nil && h.tether.life == life && h.tether.known
@@ -151,7 +151,9 @@
 
 // reborn reports whether the server's name does not tell which life of it answers:
 // a life that was at the end of a connection before may have ended with it.
-func (h *Host) reborn(life mtid.Life) bool { return life.Born != 0 && h.recognised == life }
+func (h *Host) reborn(life mtid.ServerIncarnation) bool {
+	return life.Started != 0 && h.recognised == life
+}
 
 // confirm notes that the life at the end of a connection is known. It is called with
 // mu held.
--- a/io/mthost/tether_test.go
+++ b/io/mthost/tether_test.go
@@ -56,13 +56,13 @@
 func TestNoOrderIsSentOnceTheProcessHasEnded(t *testing.T) {
 	first := newProcess(t, "")
 	s := newStand(t, first.address())
-	one := mtid.Life{Server: "one"}
+	one := mtid.ServerIncarnation{Server: "one"}
 	s.server.runs = "one"
 	former := s.beat("one", 1)
 	former.Address = first.address()
 	s.hear(former)
 	s.until("the life is bound", func(mtbackend.Record) bool { return s.host.Bound(one) })
-	assert.Assert(t, !s.host.Bound(mtid.Life{Server: "one", Born: 1}))
+	assert.Assert(t, !s.host.Bound(mtid.ServerIncarnation{Server: "one", Started: 1}))
 	s.server.mu.Lock()
 	s.server.runs = "two"
 	s.server.mu.Unlock()
@@ -72,18 +72,18 @@
 	b := s.beat("two", 1)
 	b.Address = first.address()
 	s.hear(b)
-	s.until("the new life is bound", func(mtbackend.Record) bool { return s.host.Bound(mtid.Life{Server: "two"}) })
+	s.until("the new life is bound", func(mtbackend.Record) bool { return s.host.Bound(mtid.ServerIncarnation{Server: "two"}) })
 	assert.Assert(t, !s.host.Bound(one))
 }
 
 // Its own connection to the server is reset, and the server has not ended. Where the
 // name tells lives apart the server is asked; where it does not, its next beat tells.
 func TestALifeIsKnownAgainAfterAReset(t *testing.T) {
-	for name, born := range map[string]mtid.Birth{"by its name": 0, "by its birth": 100} {
+	for name, born := range map[string]mtid.StartTime{"by its name": 0, "by its birth": 100} {
 		t.Run(name, func(t *testing.T) {
 			p := newProcess(t, "")
 			s := newStand(t, p.address())
-			life := mtid.Life{Server: "one", Born: born}
+			life := mtid.ServerIncarnation{Server: "one", Started: born}
 			s.server.runs = "one"
 			beat := func(sequence uint64) mtbackend.Beat {
 				b := s.born(born, sequence)
@@ -119,8 +119,8 @@
 	first := newProcess(t, "")
 	s := newStand(t, first.address())
 	s.server.runs = "one"
-	former := mtid.Life{Server: "one", Born: 100}
-	beat := func(born mtid.Birth, sequence uint64) mtbackend.Beat {
+	former := mtid.ServerIncarnation{Server: "one", Started: 100}
+	beat := func(born mtid.StartTime, sequence uint64) mtbackend.Beat {
 		b := s.born(born, sequence)
 		b.Address = first.address()
 		return b
@@ -136,5 +136,5 @@
 	s.hear(beat(100, 2))
 	assert.Assert(t, !s.host.Bound(former), "a late beat passed for one of the life that answers")
 	s.hear(beat(200, 1))
-	s.until("the new life is bound", func(mtbackend.Record) bool { return s.host.Bound(mtid.Life{Server: "one", Born: 200}) })
+	s.until("the new life is bound", func(mtbackend.Record) bool { return s.host.Bound(mtid.ServerIncarnation{Server: "one", Started: 200}) })
 }
--- a/io/mtingress/mtingress.go
+++ b/io/mtingress/mtingress.go
@@ -234,7 +234,7 @@
 	if err != nil {
 		return &requestError{status: http.StatusBadRequest, reason: "key is missing or not a number up to 65535"}
 	}
-	call.Keyed, call.Key = true, mtid.Number(n)
+	call.Keyed, call.Key = true, mtid.KeyNumber(n)
 	return nil
 }
 
--- a/io/mtingress/send_test.go
+++ b/io/mtingress/send_test.go
@@ -65,7 +65,7 @@
 	clock := mttime.New()
 	store := mtstandin.NewRevisions(time.Now)
 	for _, d := range []mtid.Daemon{"b", "c", "d"} {
-		value, err := mtbackend.Record{Daemon: d, Address: string(d) + ":1", Service: "desk", Life: mtid.Life{Server: "s"}, Slots: 10, State: mtbackend.Ready}.Encode()
+		value, err := mtbackend.Record{Daemon: d, Address: string(d) + ":1", Service: "desk", Life: mtid.ServerIncarnation{Server: "s"}, Slots: 10, State: mtbackend.Ready}.Encode()
 		assert.NilError(t, err)
 		store.Put(mtstore.BackendName(d), value)
 	}
@@ -99,7 +99,7 @@
 // keyed makes the call one for a key of a service that daemon b owns.
 func keyed(t *testing.T, sender *mtingress.Sender, call *mtcall.Call) *mtcall.Call {
 	t.Helper()
-	table, err := mtrange.Spread("desk", []mtrange.Owner{{Daemon: "b", Life: mtid.Life{Server: "s"}}})
+	table, err := mtrange.Spread("desk", []mtrange.Owner{{Daemon: "b", Life: mtid.ServerIncarnation{Server: "s"}}})
 	assert.NilError(t, err)
 	sender.Directory.Learn(mtdirectory.Assignment{Table: table, Version: 1})
 	call.Keyed = true
@@ -144,7 +144,7 @@
 		}
 		if n == 4 {
 			own := s.Directory.Now().Assignments["desk"]
-			next, err := own.Move(0, mtid.LastNumber, mtrange.Owner{Daemon: "c", Life: mtid.Life{Server: "s"}}, "")
+			next, err := own.Move(0, mtid.LastKeyNumber, mtrange.Owner{Daemon: "c", Life: mtid.ServerIncarnation{Server: "s"}}, "")
 			assert.NilError(t, err)
 			s.Directory.Learn(mtdirectory.Assignment{Table: next, Version: own.Version + 1})
 		}
@@ -363,7 +363,7 @@
 	assert.DeepEqual(t, w.Header()["X-A"], []string{"1", "2"})
 	assert.Equal(t, s.call.Target, "/plans/a%2Fb?x=%31")
 	assert.Equal(t, s.call.Caller, mtid.Service("own"))
-	assert.Equal(t, s.call.Key, mtid.Number(4096))
+	assert.Equal(t, s.call.Key, mtid.KeyNumber(4096))
 	assert.DeepEqual(t, s.call.Header, []mtcall.Field{{Name: "X-Kept", Value: "2"}})
 	left := s.call.Deadline.Sub(clock.Now())
 	assert.Assert(t, left <= 700*time.Millisecond && left > 0, "left %s", left)
--- a/io/mtmember/bench_test.go
+++ b/io/mtmember/bench_test.go
@@ -155,7 +155,7 @@
 		for _, s := range table.Shards[:8] {
 			ops = append(ops, mtshard.Move{Low: s.Low, To: n.member.Holder()})
 		}
-		next, err := table.Apply(mtroster.Stamp{}, ops...)
+		next, err := table.Apply(mtroster.WriteID{}, ops...)
 		if err != nil {
 			panic(err)
 		}
--- a/io/mtmember/fleet_test.go
+++ b/io/mtmember/fleet_test.go
@@ -58,7 +58,7 @@
 	}
 	entry, ok := s.entries[name]
 	if !ok {
-		return mtstore.Entry{}, &mtstore.MissingError{Name: name}
+		return mtstore.Entry{}, &mtstore.NotFoundError{Name: name}
 	}
 	return entry, nil
 }
@@ -99,7 +99,7 @@
 func (s *fakeStore) decode() {
 	s.records, s.tables = nil, nil
 	for _, name := range slices.Sorted(maps.Keys(s.entries)) {
-		if strings.HasPrefix(name, mtstore.Roster) {
+		if strings.HasPrefix(name, mtstore.RosterPrefix) {
 			if r, err := mtroster.Decode(s.entries[name].Value); err == nil {
 				s.records = append(s.records, r)
 			}
@@ -159,7 +159,7 @@
 	for _, r := range s.Roster() {
 		among = append(among, r.Holder)
 	}
-	table, err := mtshard.New(ref, 0, 1).Apply(mtroster.Stamp{}, mtshard.Create{Shards: shards, Among: among})
+	table, err := mtshard.New(ref, 0, 1).Apply(mtroster.WriteID{}, mtshard.Create{Shards: shards, Among: among})
 	assert.NilError(t, err)
 	value, err := table.Encode()
 	assert.NilError(t, err)
@@ -238,7 +238,7 @@
 	}()
 	member, stopMember := mtmember.New(mtmember.Config{
 		Profile: core.Profile{
-			Daemon: n.name, Zone: n.zone, Region: "riga", Relay: listener.Addr().String(), Renew: duty.Address(),
+			Daemon: n.name, Zone: n.zone, Region: "riga", RelayAddress: listener.Addr().String(), RenewAddress: duty.Address(),
 		},
 		Store: f.store, View: f.store, Lease: duty, Clock: f.clock, Dial: f.dial,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
--- a/io/mtmember/keeper.go
+++ b/io/mtmember/keeper.go
@@ -75,7 +75,7 @@
 // step takes one step and returns how long to wait before the next.
 func (k *keeper) step() time.Duration {
 	offers, state := k.desired()
-	k.own.Carry(offers, state)
+	k.own.PrepareRegistration(offers, state)
 	next := k.own.Next()
 	switch next.Kind {
 	case mtmember.Read:
@@ -86,7 +86,7 @@
 		return k.write(next)
 	}
 	if _, version, ok := k.config.View.Record(k.config.Profile.Daemon); ok {
-		k.own.Stale(version)
+		k.own.ObserveVersion(version)
 	}
 	k.improve(offers, state)
 	return keepTick
@@ -105,7 +105,7 @@
 	k.called = k.config.Clock.Now()
 	entry, err := k.store.get(k.stop, k.name())
 	if missing(err) {
-		k.own.Missing()
+		k.own.ObserveMissing()
 		return 0
 	}
 	if err != nil {
@@ -121,7 +121,7 @@
 		return k.backOff()
 	}
 	k.pause = shortestPause
-	k.own.Seen(record, entry.Version)
+	k.own.Observe(record, entry.Version)
 	k.shown = true
 	k.wrote(entry.Name, entry.Version, entry.Value)
 	return 0
@@ -142,16 +142,16 @@
 	switch outcomeOf(err) {
 	case landed:
 		k.pause = shortestPause
-		k.own.Landed(version)
+		k.own.WriteSucceeded(version)
 		k.shown = true
 		k.wrote(k.name(), version, value)
 		return 0
 	case lost:
 		return k.seen(currentOf(err))
 	case refused:
-		k.own.Refused()
+		k.own.WriteRejected()
 	default:
-		k.own.Unknown()
+		k.own.WriteUnknown()
 	}
 	return k.backOff()
 }
@@ -172,12 +172,12 @@
 		}
 		return 0
 	case mttakeover.Write, mttakeover.Done:
-		k.own.Fenced(next.Expected)
+		k.own.MarkFenced(next.Expected)
 		return 0
 	}
 	if now.After(k.fenceEnd) {
 		k.config.Log.Warn("member: registering without the former life's witnesses", "former", next.Record.Holder)
-		k.own.Fenced(next.Expected)
+		k.own.MarkFenced(next.Expected)
 		return 0
 	}
 	return min(step.Wait, keepTick)
@@ -190,7 +190,7 @@
 		k.enter(holder)
 		return
 	}
-	if holder.IsZero() || k.own.Writing() {
+	if holder.IsZero() || k.own.WritePending() {
 		return
 	}
 	record, version := k.own.Record()
@@ -212,9 +212,9 @@
 		k.shown = false
 		k.config.Lease.Vouch(k.called)
 	}
-	if k.config.Lease.Vouched().Sub(k.config.Clock.Now()) < mtlease.Vouch/2 && !k.own.Writing() {
+	if k.config.Lease.Vouched().Sub(k.config.Clock.Now()) < mtlease.Vouch/2 && !k.own.WritePending() {
 		_, version := k.own.Record()
-		k.own.Stale(version + 1)
+		k.own.ObserveVersion(version + 1)
 	}
 }
 
@@ -331,7 +331,7 @@
 func (k *keeper) sound(current *mtroster.Record) bool {
 	for _, w := range current.Witnesses {
 		record, _, ok := k.config.View.Record(w.Daemon)
-		if !ok || record.Holder != w || !record.Live() {
+		if !ok || record.Holder != w || !record.MayHoldLease() {
 			return false
 		}
 	}
@@ -360,10 +360,10 @@
 	load := make(map[mtid.Holder]int)
 	near := make(map[mtid.Holder]*mtroster.Record) // of the own zone
 	for _, r := range roster {
-		if r.Zone == profile.Zone && r.Live() {
+		if r.Zone == profile.Zone && r.MayHoldLease() {
 			near[r.Holder] = r
 		}
-		if r.Zone != profile.Zone || !r.Live() || r.Holder.Daemon == profile.Daemon {
+		if r.Zone != profile.Zone || !r.MayHoldLease() || r.Holder.Daemon == profile.Daemon {
 			continue
 		}
 		for _, w := range r.Witnesses {
@@ -373,7 +373,7 @@
 	var peers []mtwitness.Candidate
 	for _, r := range roster {
 		_, suspect := k.suspects[r.Holder]
-		if suspect || !r.Live() || r.Holder.Daemon == profile.Daemon {
+		if suspect || !r.MayHoldLease() || r.Holder.Daemon == profile.Daemon {
 			continue
 		}
 		peers = append(peers, mtwitness.Candidate{
--- a/io/mtmember/mtmember_test.go
+++ b/io/mtmember/mtmember_test.go
@@ -22,7 +22,7 @@
 	// The witnesses agreed only after its lease had ended by its own clock.
 	assert.Assert(t, !f.serving(lost))
 	record, _, _ := f.store.Record(lost.name)
-	assert.Assert(t, !record.Live())
+	assert.Assert(t, !record.MayHoldLease())
 	f.start(lost)
 	f.wait("it registered again", func() bool { return lost.member.Holder().Incarnation > holder.Incarnation })
 	f.waitServing()
@@ -114,7 +114,7 @@
 	holder := n.member.Holder()
 	record, version, _ := f.store.Record(n.name)
 	revoked := *record
-	revoked.Revoked = holder.Incarnation + 1
+	revoked.RevokedBelow = holder.Incarnation + 1
 	value, err := revoked.Encode()
 	assert.NilError(t, err)
 	for {
--- a/io/mtmember/outcome.go
+++ b/io/mtmember/outcome.go
@@ -44,6 +44,6 @@
 
 // missing reports whether err says that a name has no value.
 func missing(err error) bool {
-	var m *mtstore.MissingError
+	var m *mtstore.NotFoundError
 	return errors.As(err, &m)
 }
--- a/io/mtmember/taker.go
+++ b/io/mtmember/taker.go
@@ -154,9 +154,9 @@
 		return nil
 	}
 	got, err := mtwire.NewWitnessClient(conn).Revoke(ctx, &mtwire.RevokeRequest{
-		Target:  mtroster.WireHolder(r.Target),
+		Target:  mtroster.HolderToWire(r.Target),
 		Version: uint64(r.Version),
-		Witness: mtroster.WireHolder(r.Witness),
+		Witness: mtroster.HolderToWire(r.Witness),
 	})
 	if err != nil {
 		m.config.Log.Debug("member: witness can't be asked", "witness", r.Witness, "err", err)
@@ -169,7 +169,7 @@
 // have no live state yet, and then reads the record.
 func (m *Member) addressOf(d mtid.Daemon) (string, bool) {
 	if record, _, ok := m.config.View.Record(d); ok {
-		return record.Relay, true
+		return record.RelayAddress, true
 	}
 	entry, err := m.store.get(m.stop, mtstore.RosterName(d))
 	if err != nil {
@@ -179,7 +179,7 @@
 	if err != nil {
 		return "", false
 	}
-	return record.Relay, true
+	return record.RelayAddress, true
 }
 
 // roster returns the live records, with what this process revoked itself.
@@ -190,7 +190,7 @@
 	}
 	m.fenced.Range(func(key, value any) bool {
 		d, record := key.(mtid.Daemon), value.(*mtroster.Record)
-		if known, ok := roster[d]; ok && known.Revoked >= record.Revoked {
+		if known, ok := roster[d]; ok && known.RevokedBelow >= record.RevokedBelow {
 			m.fenced.Delete(d)
 			return true
 		}
@@ -201,8 +201,8 @@
 }
 
 // stamp returns the mark of this process's next write.
-func (m *Member) stamp() mtroster.Stamp {
-	return mtroster.Stamp{Writer: m.Holder(), Sequence: uint64(m.config.Clock.Wall().UnixNano())}
+func (m *Member) stamp() mtroster.WriteID {
+	return mtroster.WriteID{Writer: m.Holder(), Sequence: uint64(m.config.Clock.Wall().UnixNano())}
 }
 
 // fail has the chunks failed over that name a fenced owner.
@@ -244,7 +244,7 @@
 
 // writeChunk writes next over table. It returns done if the write took effect,
 // and else what stands; nil if the store can't be reached.
-func (m *Member) writeChunk(table, next *mtshard.Table, stamp mtroster.Stamp) (current *mtshard.Table, done bool) {
+func (m *Member) writeChunk(table, next *mtshard.Table, stamp mtroster.WriteID) (current *mtshard.Table, done bool) {
 	value, err := next.Encode()
 	if err != nil {
 		m.config.Log.Error("member: chunk can't be written", "service", table.Service, "err", err)
--- a/io/mtmember/watcher.go
+++ b/io/mtmember/watcher.go
@@ -83,7 +83,7 @@
 	seen := make(map[mtid.Holder]bool)
 	for _, record := range w.config.View.Roster() {
 		w.fences.Note(now, record)
-		if !record.Live() || record.Holder.Daemon == w.config.Profile.Daemon || !w.lapsed(now, record) {
+		if !record.MayHoldLease() || record.Holder.Daemon == w.config.Profile.Daemon || !w.lapsed(now, record) {
 			continue
 		}
 		if roster == nil {
@@ -111,7 +111,7 @@
 	}
 	witnessed := slices.ContainsFunc(record.Witnesses, func(o mtid.Holder) bool {
 		other, _, ok := w.config.View.Record(o.Daemon)
-		return ok && other.Live()
+		return ok && other.MayHoldLease()
 	})
 	if witnessed {
 		delete(w.orphans, h)
@@ -156,7 +156,7 @@
 			return
 		}
 		record, version, found := w.config.View.Record(h.Daemon)
-		if !found || record.Holder != h || !record.Live() {
+		if !found || record.Holder != h || !record.MayHoldLease() {
 			continue
 		}
 		if _, running := w.busy.LoadOrStore(h, struct{}{}); running {
--- a/io/mtmesh/mtmesh.go
+++ b/io/mtmesh/mtmesh.go
@@ -80,7 +80,7 @@
 	Server  string         // address of the backend server
 	Callers string         // where callers on this VM send requests
 	Peers   string         // where other daemons send calls
-	Store   mtstore.Guarded
+	Store   mtstore.ConditionalStore
 	Port    mtgrant.Port
 	Names   mtheader.Names
 	// Slowness reads from an answer of the server how long work takes on its machine; it may
@@ -259,9 +259,9 @@
 		Named:   m.named,
 		Keyed:   m.keyed,
 		Publish: directory.Publish,
-		Holds:   func(life mtid.Life, key mtid.Number) error { return grants.Load().Holds(life, key) },
-		Fenced:  func(key mtid.Number) { grants.Load().Fenced(key) },
-		Clear: func(ctx context.Context, life mtid.Life, address string) error {
+		Holds:   func(life mtid.ServerIncarnation, key mtid.KeyNumber) error { return grants.Load().Holds(life, key) },
+		Fenced:  func(key mtid.KeyNumber) { grants.Load().Fenced(key) },
+		Clear: func(ctx context.Context, life mtid.ServerIncarnation, address string) error {
 			return grants.Load().Clear(ctx, life, address)
 		},
 		Lasts: func() mtclock.Instant { return grants.Load().Lasts() },
--- a/io/mtmetric/mtmetric_test.go
+++ b/io/mtmetric/mtmetric_test.go
@@ -146,9 +146,9 @@
 func TestMeter(t *testing.T) {
 	a, b := mtid.Holder{Daemon: "a", Incarnation: 1}, mtid.Holder{Daemon: "b", Incarnation: 1}
 	table := mtshard.New(dispatch, 0, 1)
-	table, err := table.Apply(mtroster.Stamp{}, mtshard.Create{Shards: 4, Among: []mtid.Holder{a}})
+	table, err := table.Apply(mtroster.WriteID{}, mtshard.Create{Shards: 4, Among: []mtid.Holder{a}})
 	assert.NilError(t, err)
-	table, err = table.Apply(mtroster.Stamp{}, mtshard.Move{Low: table.Shards[3].Low, To: b})
+	table, err = table.Apply(mtroster.WriteID{}, mtshard.Move{Low: table.Shards[3].Low, To: b})
 	assert.NilError(t, err)
 	live := map[mtid.Holder]bool{a: true, b: true}
 	isLive := func(h mtid.Holder) bool { return live[h] }
@@ -168,7 +168,7 @@
 	live[b] = false
 	m.Observe(at(time.Second), []*mtshard.Table{table}, isLive, load)
 	near(t, m.Figures().Orphaned, 0.25, 1e-9)
-	table, err = table.Apply(mtroster.Stamp{}, mtshard.Failover{Lost: []mtid.Holder{b}, Among: []mtid.Holder{a}})
+	table, err = table.Apply(mtroster.WriteID{}, mtshard.Failover{Lost: []mtid.Holder{b}, Among: []mtid.Holder{a}})
 	assert.NilError(t, err)
 	m.Observe(at(3*time.Second), []*mtshard.Table{table}, isLive, load)
 	got = m.Figures()
@@ -178,7 +178,7 @@
 	assert.Equal(t, got.Owners, 1)
 
 	// A split moves no key.
-	table, err = table.Apply(mtroster.Stamp{}, mtshard.Split{Point: 5})
+	table, err = table.Apply(mtroster.WriteID{}, mtshard.Split{Point: 5})
 	assert.NilError(t, err)
 	m.Observe(at(4*time.Second), []*mtshard.Table{table}, isLive, load)
 	near(t, m.Figures().Churn, 0.25, 1e-9)
--- a/io/mtmover/mtmover.go
+++ b/io/mtmover/mtmover.go
@@ -67,7 +67,7 @@
 // Config is what a Mover works with.
 type Config struct {
 	Self    func() mtid.Holder
-	Stamp   func() mtroster.Stamp
+	Stamp   func() mtroster.WriteID
 	View    *mtview.View
 	Store   mtstore.Store
 	Gates   gates
@@ -148,7 +148,7 @@
 	if m.moves.Len() == 0 {
 		return
 	}
-	s := m.View.Now()
+	s := m.View.Snapshot()
 	for _, ref := range s.Services() {
 		for _, table := range s.Tables(ref) {
 			if table != nil {
@@ -167,7 +167,7 @@
 		return
 	}
 	offers := m.Offers()
-	s := m.View.Now()
+	s := m.View.Snapshot()
 	for _, ref := range s.Services() {
 		if slices.ContainsFunc(offers, func(o mtroster.Offer) bool { return o.Service == ref }) {
 			continue
@@ -234,14 +234,14 @@
 }
 
 func (m *Mover) begin(now mtclock.Instant, ref mtid.Ref, low mtid.Point, to mtid.Holder) error {
-	s := m.View.Now()
+	s := m.View.Snapshot()
 	place := mtmove.Place{Service: ref, Low: low}
 	tables := s.Tables(ref)
 	if len(tables) == 0 || tables[mtshard.ChunkOf(low, len(tables))] == nil {
 		return &mtmove.WantError{Place: place, Reason: "no such service"}
 	}
 	record, _, ok := s.Record(to.Daemon)
-	if !ok || record.Holder != to || !record.Live() || record.State != mtroster.Serving {
+	if !ok || record.Holder != to || !record.MayHoldLease() || record.State != mtroster.Serving {
 		return &mtmove.WantError{Place: place, Reason: to.String() + " is not serving"}
 	}
 	if _, ok := record.Offer(ref); !ok {
@@ -364,7 +364,7 @@
 // learn makes a written table this daemon's own before anything is released:
 // a request that was held must not find the old owner in the table.
 func (m *Mover) learn(item mtview.Item) {
-	if _, err := m.View.Wrote(item); err != nil {
+	if _, err := m.View.ApplyWrite(item); err != nil {
 		m.Log.Debug("written table does not follow the known one", "error", err)
 	}
 }
@@ -409,7 +409,7 @@
 // ask wishes for the move of every shard that isn't on its way.
 func (m *Mover) ask(ctx context.Context) remaining {
 	self := m.Self()
-	s := m.View.Now()
+	s := m.View.Snapshot()
 	var left remaining
 	for _, ref := range s.Services() {
 		others := Others(s, ref, self)
@@ -432,7 +432,7 @@
 func Others(s *mtview.Snapshot, ref mtid.Ref, self mtid.Holder) []mtid.Holder {
 	var out []mtid.Holder
 	for _, r := range s.Roster() {
-		if _, ok := r.Offer(ref); ok && r.Live() && r.State == mtroster.Serving && r.Holder != self {
+		if _, ok := r.Offer(ref); ok && r.MayHoldLease() && r.State == mtroster.Serving && r.Holder != self {
 			out = append(out, r.Holder)
 		}
 	}
--- a/io/mtmover/mtmover_test.go
+++ b/io/mtmover/mtmover_test.go
@@ -57,7 +57,7 @@
 // Release implements the gates. It notes who owns the shard by this daemon's
 // own copy: a held request that is sent on goes by that.
 func (m *member) Release(ref mtid.Ref, low, _ mtid.Point) {
-	shard, _ := m.view.Now().Lookup(ref, low)
+	shard, _ := m.view.Snapshot().Lookup(ref, low)
 	m.note("release to " + string(shard.Owner.Daemon))
 }
 
@@ -100,14 +100,14 @@
 
 func newPair(t *testing.T) *pair {
 	p := &pair{store: iostore.NewMemory(time.Now)}
-	table, err := mtshard.New(ref, 0, 1).Apply(mtroster.Stamp{}, mtshard.Create{Shards: 1, Among: []mtid.Holder{a}})
+	table, err := mtshard.New(ref, 0, 1).Apply(mtroster.WriteID{}, mtshard.Create{Shards: 1, Among: []mtid.Holder{a}})
 	assert.NilError(t, err)
 	value, err := table.Encode()
 	assert.NilError(t, err)
 	p.put(t, mtstore.ShardName(ref, 0), value)
 	p.a, p.b = p.member(t, a), p.member(t, b)
 	for _, m := range []*member{p.a, p.b} {
-		changes, err := p.store.Watch(context.Background(), mtstore.Live, 0, 0)
+		changes, err := p.store.Watch(context.Background(), mtstore.LivePrefix, 0, 0)
 		assert.NilError(t, err)
 		_, err = m.view.Merge(mtview.FromStore(0, changes))
 		assert.NilError(t, err)
@@ -130,8 +130,8 @@
 	offers := []mtroster.Offer{{Service: ref, Slots: 4, Connections: 4}}
 	mover, cleanUp := mtmover.New(mtmover.Config{
 		Self: func() mtid.Holder { return self },
-		Stamp: func() mtroster.Stamp {
-			return mtroster.Stamp{Writer: self, Sequence: sequence.Add(1)}
+		Stamp: func() mtroster.WriteID {
+			return mtroster.WriteID{Writer: self, Sequence: sequence.Add(1)}
 		},
 		View: m.view, Store: p.store, Gates: m, Recents: m, Conns: client, Clock: mttime.New(),
 		Offers: func() []mtroster.Offer { return offers }, Log: slog.New(slog.DiscardHandler),
@@ -145,7 +145,7 @@
 	mover.Register(server)
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(server.Stop)
-	record := mtroster.Record{Holder: self, Relay: listener.Addr().String(), Offers: offers}
+	record := mtroster.Record{Holder: self, RelayAddress: listener.Addr().String(), Offers: offers}
 	value, err := record.Encode()
 	assert.NilError(t, err)
 	p.put(t, mtstore.RosterName(self.Daemon), value)
@@ -171,7 +171,7 @@
 	p.b.hears("import seen of a")
 	p.a.hears("release to b")
 	assert.Equal(t, p.owner(t), b)
-	shard, _ := p.b.view.Now().Lookup(ref, 0)
+	shard, _ := p.b.view.Snapshot().Lookup(ref, 0)
 	assert.Equal(t, shard.Owner, b)
 }
 
@@ -214,13 +214,13 @@
 // that does not exist any more.
 func TestHandoverToAnEarlierLifeIsRefused(t *testing.T) {
 	p := newPair(t)
-	record, _, _ := p.a.view.Now().Record("b")
-	conn, err := grpc.NewClient("passthrough:///"+record.Relay, grpc.WithTransportCredentials(insecure.NewCredentials()))
+	record, _, _ := p.a.view.Snapshot().Record("b")
+	conn, err := grpc.NewClient("passthrough:///"+record.RelayAddress, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
 	reply, err := mtwire.NewMoverClient(conn).Handover(context.Background(), &mtwire.HandoverRequest{
-		Business: "ratins", Service: "dispatch", From: mtroster.WireHolder(a),
-		To: mtroster.WireHolder(mtid.Holder{Daemon: "b", Incarnation: 7}),
+		Business: "ratins", Service: "dispatch", From: mtroster.HolderToWire(a),
+		To: mtroster.HolderToWire(mtid.Holder{Daemon: "b", Incarnation: 7}),
 	})
 	assert.NilError(t, err)
 	assert.Assert(t, !reply.GetTaken())
@@ -259,7 +259,7 @@
 	assert.NilError(t, p.a.Leave(ctx))
 	assert.Equal(t, p.owner(t), b)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if shard, _ := p.b.view.Now().Lookup(ref, 0); shard.Owner == b {
+		if shard, _ := p.b.view.Snapshot().Lookup(ref, 0); shard.Owner == b {
 			return poll.Success()
 		}
 		return poll.Continue("the new owner does not know yet")
@@ -267,7 +267,7 @@
 	gone := mtroster.Record{Holder: a, State: mtroster.Gone}
 	value, err := gone.Encode()
 	assert.NilError(t, err)
-	_, err = p.b.view.Wrote(mtview.Item{Name: mtstore.RosterName("a"), Version: 2, Value: value})
+	_, err = p.b.view.ApplyWrite(mtview.Item{Name: mtstore.RosterName("a"), Version: 2, Value: value})
 	assert.NilError(t, err)
 	var left *mtmover.LeaveError
 	assert.Assert(t, errors.As(p.b.Leave(ctx), &left))
--- a/io/mtmover/peer.go
+++ b/io/mtmover/peer.go
@@ -34,11 +34,11 @@
 
 // client returns the client of a live peer.
 func (m *Mover) client(peer mtid.Holder) (mtwire.MoverClient, error) {
-	record, _, ok := m.View.Now().Record(peer.Daemon)
+	record, _, ok := m.View.Snapshot().Record(peer.Daemon)
 	if !ok || record.Holder != peer {
 		return nil, &PeerError{Peer: peer, Reason: "not in the roster"}
 	}
-	conn, err := m.Conns.Conn(record.Relay)
+	conn, err := m.Conns.Conn(record.RelayAddress)
 	if err != nil {
 		return nil, &PeerError{Peer: peer, Err: err}
 	}
@@ -61,8 +61,8 @@
 		Business: string(service.Business),
 		Service:  string(service.Service),
 		Low:      uint64(low),
-		Owner:    mtroster.WireHolder(owner),
-		To:       mtroster.WireHolder(to),
+		Owner:    mtroster.HolderToWire(owner),
+		To:       mtroster.HolderToWire(to),
 	})
 	if err != nil {
 		return &PeerError{Peer: owner, Err: err}
@@ -90,8 +90,8 @@
 		Service:  string(e.Place.Service.Service),
 		Low:      uint64(e.Place.Low),
 		High:     uint64(e.High),
-		From:     mtroster.WireHolder(m.Self()),
-		To:       mtroster.WireHolder(e.To),
+		From:     mtroster.HolderToWire(m.Self()),
+		To:       mtroster.HolderToWire(e.To),
 		Recent:   value,
 	})
 	if err != nil {
@@ -143,11 +143,11 @@
 
 // Ask implements mtwire.MoverServer.
 func (s server) Ask(ctx context.Context, w *mtwire.MoveAsk) (*mtwire.MoveAnswer, error) {
-	if owner := mtroster.ReadHolder(w.GetOwner()); owner != s.m.Self() {
+	if owner := mtroster.HolderFromWire(w.GetOwner()); owner != s.m.Self() {
 		return &mtwire.MoveAnswer{Reason: "asked as " + owner.String()}, nil
 	}
 	ref := mtid.Ref{Business: mtid.Business(w.GetBusiness()), Service: mtid.Service(w.GetService())}
-	if err := s.m.want(ctx, ref, mtid.Point(w.GetLow()), mtroster.ReadHolder(w.GetTo())); err != nil {
+	if err := s.m.want(ctx, ref, mtid.Point(w.GetLow()), mtroster.HolderFromWire(w.GetTo())); err != nil {
 		return &mtwire.MoveAnswer{Reason: err.Error()}, nil
 	}
 	return &mtwire.MoveAnswer{Taken: true}, nil
@@ -157,11 +157,11 @@
 func (s server) Handover(_ context.Context, w *mtwire.HandoverRequest) (*mtwire.HandoverReply, error) {
 	// Identifiers taken in by an earlier life are gone: the sender must learn
 	// that before it names this holder as the owner.
-	if to := mtroster.ReadHolder(w.GetTo()); to != s.m.Self() {
+	if to := mtroster.HolderFromWire(w.GetTo()); to != s.m.Self() {
 		return &mtwire.HandoverReply{Reason: "sent to " + to.String()}, nil
 	}
 	ref := mtid.Ref{Business: mtid.Business(w.GetBusiness()), Service: mtid.Service(w.GetService())}
-	if err := s.m.Recents.Import(ref, mtid.Point(w.GetLow()), mtid.Point(w.GetHigh()), mtroster.ReadHolder(w.GetFrom()), w.GetRecent()); err != nil {
+	if err := s.m.Recents.Import(ref, mtid.Point(w.GetLow()), mtid.Point(w.GetHigh()), mtroster.HolderFromWire(w.GetFrom()), w.GetRecent()); err != nil {
 		return &mtwire.HandoverReply{Reason: err.Error()}, nil
 	}
 	return &mtwire.HandoverReply{Taken: true}, nil
--- a/io/mtowner/mtowner.go
+++ b/io/mtowner/mtowner.go
@@ -120,7 +120,7 @@
 
 // declared returns what the bundle in force says of a request.
 func (o *Owner) declared(r *mtrequest.Request) (*mtbundle.Service, *mtbundle.Class, error) {
-	return Declared(o.View.Now(), r)
+	return Declared(o.View.Snapshot(), r)
 }
 
 // Declared returns what the bundle in force says of a request's service and
@@ -152,13 +152,13 @@
 		reply = mtrequest.FromError(err)
 		reply.Owner = o.ownerOf(r)
 	}
-	reply.Frontier = o.View.Now().Frontier()
+	reply.Frontier = o.View.Snapshot().Frontier()
 	return reply
 }
 
 // ownerOf returns who owns a request's key as far as this daemon knows.
 func (o *Owner) ownerOf(r *mtrequest.Request) mtid.Holder {
-	shard, ok := o.View.Now().Lookup(r.Service, r.Point())
+	shard, ok := o.View.Snapshot().Lookup(r.Service, r.Point())
 	if !ok {
 		return mtid.Holder{}
 	}
@@ -256,7 +256,7 @@
 	if err != nil {
 		return verdict{}, err
 	}
-	tables := o.View.Now().Tables(r.Service)
+	tables := o.View.Snapshot().Tables(r.Service)
 	memory.adopt(o.Clock, f.holder, tables[mtshard.ChunkOf(r.Point(), len(tables))])
 	return memory.begin(o.Clock, r)
 }
@@ -275,7 +275,7 @@
 	if service.Kind != mtbundle.Keyed {
 		return fence{holder: holder, until: r.Deadline}, nil
 	}
-	shard, ok := o.View.Now().Lookup(r.Service, r.Point())
+	shard, ok := o.View.Snapshot().Lookup(r.Service, r.Point())
 	if !ok {
 		return fence{}, &mtreply.RefusedError{Cause: mtreply.CauseNoOwner, RetryAfter: time.Second}
 	}
--- a/io/mtowner/recent.go
+++ b/io/mtowner/recent.go
@@ -190,7 +190,7 @@
 // request is a suspect; one that isn't idempotent needn't be, since it is
 // answered as unknown and never run.
 func (o *Owner) expose(r *mtrequest.Request, class *mtbundle.Class, self mtid.Holder) {
-	tables := o.View.Now().Tables(r.Service)
+	tables := o.View.Snapshot().Tables(r.Service)
 	memory := o.recent(r.Service)
 	memory.adopt(o.Clock, self, tables[mtshard.ChunkOf(r.Point(), len(tables))])
 	lost, ok := memory.lost(r.Point())
@@ -213,7 +213,7 @@
 // granted as of then, not as of its first request.
 func (o *Owner) Adopt() {
 	holder, _ := o.Lease.Permit()
-	s := o.View.Now()
+	s := o.View.Snapshot()
 	for _, ref := range s.Services() {
 		for _, table := range s.Tables(ref) {
 			if table != nil && len(table.Owned(holder)) > 0 {
--- a/io/mtowner/recent_test.go
+++ b/io/mtowner/recent_test.go
@@ -61,7 +61,7 @@
 	self     = mtid.Holder{Daemon: "self", Incarnation: 1}
 	other    = mtid.Holder{Daemon: "other", Incarnation: 1}
 	gone     = mtid.Holder{Daemon: "gone", Incarnation: 1}
-	none     = mtroster.Stamp{}
+	none     = mtroster.WriteID{}
 )
 
 // clock stands still; its wall time is set by the test.
--- a/io/mtplanner/mtplanner.go
+++ b/io/mtplanner/mtplanner.go
@@ -65,7 +65,7 @@
 	// is not registered.
 	Self func() mtid.Holder
 	// Stamp returns a stamp that no other write of this daemon carries.
-	Stamp func() mtroster.Stamp
+	Stamp func() mtroster.WriteID
 	// Now returns the present time.
 	Now func() mtclock.Instant
 	Log *slog.Logger
@@ -271,7 +271,7 @@
 func members(roster []*mtroster.Record, ref mtid.Ref) []*mtroster.Record {
 	var found []*mtroster.Record
 	for _, record := range roster {
-		if !record.Live() {
+		if !record.MayHoldLease() {
 			continue
 		}
 		if _, ok := record.Offer(ref); ok {
--- a/io/mtplanner/mtplanner_test.go
+++ b/io/mtplanner/mtplanner_test.go
@@ -61,7 +61,7 @@
 	defer f.mu.Unlock()
 	entry, ok := f.entries[name]
 	if !ok {
-		return mtstore.Entry{}, &mtstore.MissingError{Name: name}
+		return mtstore.Entry{}, &mtstore.NotFoundError{Name: name}
 	}
 	return entry, nil
 }
@@ -137,9 +137,9 @@
 	var sequence uint64
 	p, cleanUp, err := mtplanner.New(mtplanner.Config{
 		Self: func() mtid.Holder { return self },
-		Stamp: func() mtroster.Stamp {
+		Stamp: func() mtroster.WriteID {
 			sequence++
-			return mtroster.Stamp{Writer: self, Sequence: sequence}
+			return mtroster.WriteID{Writer: self, Sequence: sequence}
 		},
 		Now:  (&clock{}).Now,
 		Log:  slog.New(slog.DiscardHandler),
@@ -221,7 +221,7 @@
 		if shard.Low != low || shard.Owner != owner {
 			return &mtreply.RefusedError{Cause: mtreply.CauseStaleRoute}
 		}
-		next, err := table.Apply(mtroster.Stamp{}, mtshard.Move{Low: low, To: to})
+		next, err := table.Apply(mtroster.WriteID{}, mtshard.Move{Low: low, To: to})
 		if err != nil {
 			return err
 		}
@@ -416,7 +416,7 @@
 		}
 		cleanUp, err := mtplanner.NewReporter(mtplanner.Config{
 			Self:  func() mtid.Holder { return self },
-			Stamp: func() mtroster.Stamp { return mtroster.Stamp{} },
+			Stamp: func() mtroster.WriteID { return mtroster.WriteID{} },
 			Now:   c.Now,
 			Log:   slog.New(slog.DiscardHandler),
 			Tick:  time.Millisecond,
--- a/io/mtplanner/writer.go
+++ b/io/mtplanner/writer.go
@@ -19,7 +19,7 @@
 // one can't land any more, or it conflicts, which shows the version that won.
 type writer struct {
 	store mtstore.Store
-	stamp func() mtroster.Stamp
+	stamp func() mtroster.WriteID
 	log   *slog.Logger
 }
 
@@ -56,7 +56,7 @@
 
 // settle looks whether a write with a lost answer has landed. A value without
 // the stamp proves nothing, and counts as not written.
-func (w *writer) settle(ctx context.Context, name string, stamp mtroster.Stamp) bool {
+func (w *writer) settle(ctx context.Context, name string, stamp mtroster.WriteID) bool {
 	entry, err := w.store.Get(ctx, name)
 	if err != nil {
 		w.log.Warn("write in doubt can't be settled yet", "name", name, "error", err)
--- a/io/mtpoison/ask.go
+++ b/io/mtpoison/ask.go
@@ -49,12 +49,12 @@
 	var found []mtid.Holder
 	for _, record := range roster {
 		before := l.lives[record.Holder.Daemon]
-		if !before.IsZero() && (before != record.Holder || !record.Live()) {
+		if !before.IsZero() && (before != record.Holder || !record.MayHoldLease()) {
 			found = append(found, before)
 			l.ended[before] = &loss{at: now}
 		}
 		l.lives[record.Holder.Daemon] = mtid.Holder{}
-		if record.Live() {
+		if record.MayHoldLease() {
 			l.lives[record.Holder.Daemon] = record.Holder
 		}
 	}
@@ -102,7 +102,7 @@
 // whose key came from one of them. Whoever relayed a request there may learn of
 // the loss later than the new owner does, and would tell too late.
 func (w *Watch) settle() {
-	w.look(w.View.Now().Roster())
+	w.look(w.View.Snapshot().Roster())
 	holders, round := w.lost.begin(w.Clock.Now())
 	if len(holders) > 0 {
 		go func() {
@@ -127,7 +127,7 @@
 	defer cancel()
 	lost := &mtwire.Lost{}
 	for _, holder := range holders {
-		lost.Holders = append(lost.Holders, mtroster.WireHolder(holder))
+		lost.Holders = append(lost.Holders, mtroster.HolderToWire(holder))
 	}
 	var asks sync.WaitGroup
 	for _, address := range w.peers(func(*mtroster.Record) bool { return true }) {
@@ -171,7 +171,7 @@
 	defer s.w.mu.Unlock()
 	now := s.w.Clock.Now()
 	for _, holder := range lost.GetHolders() {
-		s.w.table.HolderLost(now, mtroster.ReadHolder(holder))
+		s.w.table.HolderLost(now, mtroster.HolderFromWire(holder))
 	}
 	return mtpoison.Wire(now, s.w.table.Digest(now, digestPrints)), nil
 }
--- a/io/mtpoison/attend.go
+++ b/io/mtpoison/attend.go
@@ -37,7 +37,7 @@
 		return func(error) {}
 	}
 	flight := &mtwire.Flight{
-		Holder:   mtroster.WireHolder(w.Self()),
+		Holder:   mtroster.HolderToWire(w.Self()),
 		Print:    r.Fingerprint(),
 		Business: string(r.Service.Business),
 		Service:  string(r.Service.Service),
@@ -64,8 +64,8 @@
 	self := w.Self()
 	var best *mtroster.Record
 	var bestRank uint64
-	for _, record := range w.View.Now().Roster() {
-		if !record.Live() || record.Holder.Daemon == self.Daemon {
+	for _, record := range w.View.Snapshot().Roster() {
+		if !record.MayHoldLease() || record.Holder.Daemon == self.Daemon {
 			continue
 		}
 		rank := mtid.Rank(record.Holder.Daemon, mtid.Ref{}.Point(mtid.Key(self.Daemon)))
@@ -76,7 +76,7 @@
 	if best == nil {
 		return ""
 	}
-	return best.Relay
+	return best.RelayAddress
 }
 
 // begin sends a begin, on a new stream if need be, and returns what is closed
@@ -214,7 +214,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := w.number()
-	w.table.Relayed(n, mtroster.ReadHolder(flight.GetHolder()), mtpoison.Print(flight.GetPrint()))
+	w.table.Relayed(n, mtroster.HolderFromWire(flight.GetHolder()), mtpoison.Print(flight.GetPrint()))
 	if flight.GetAlone() {
 		w.table.Begun(n)
 	}
--- a/io/mtpoison/mtpoison.go
+++ b/io/mtpoison/mtpoison.go
@@ -117,7 +117,7 @@
 		case <-stop.Done():
 			return
 		case <-look.C:
-			if now := w.View.Now(); now != last {
+			if now := w.View.Snapshot(); now != last {
 				w.look(now.Roster())
 				last = now
 			}
@@ -169,8 +169,8 @@
 
 // live reports whether a holder may own anything.
 func (w *Watch) live(holder mtid.Holder) bool {
-	record, _, ok := w.View.Now().Record(holder.Daemon)
-	return ok && record.Holder == holder && record.Live()
+	record, _, ok := w.View.Snapshot().Record(holder.Daemon)
+	return ok && record.Holder == holder && record.MayHoldLease()
 }
 
 // Start says that a request is sent to the backend server at that address. The
@@ -323,9 +323,9 @@
 func (w *Watch) peers(want func(*mtroster.Record) bool) []string {
 	self := w.Self()
 	var out []string
-	for _, record := range w.View.Now().Roster() {
-		if record.Live() && record.Holder != self && want(record) {
-			out = append(out, record.Relay)
+	for _, record := range w.View.Snapshot().Roster() {
+		if record.MayHoldLease() && record.Holder != self && want(record) {
+			out = append(out, record.RelayAddress)
 		}
 	}
 	return out
--- a/io/mtpoison/mtpoison_test.go
+++ b/io/mtpoison/mtpoison_test.go
@@ -70,7 +70,7 @@
 	for _, d := range daemons {
 		for i, other := range daemons {
 			d.put(t, mtid.Version(1), mtid.Revision(i+1), &mtroster.Record{
-				Holder: holder(other.name), Relay: other.address, Offers: []mtroster.Offer{{Service: dispatch, Slots: 1}},
+				Holder: holder(other.name), RelayAddress: other.address, Offers: []mtroster.Offer{{Service: dispatch, Slots: 1}},
 			})
 		}
 	}
@@ -82,7 +82,7 @@
 	value, err := record.Encode()
 	assert.NilError(t, err)
 	item := mtview.Item{Name: mtstore.RosterName(record.Holder.Daemon), Version: version, Revision: revision, Value: value}
-	_, err = d.view.Merge(mtview.Delta{After: d.view.Now().Frontier(), Revision: revision, Items: []mtview.Item{item}})
+	_, err = d.view.Merge(mtview.Delta{After: d.view.Snapshot().Frontier(), Revision: revision, Items: []mtview.Item{item}})
 	assert.NilError(t, err)
 }
 
@@ -176,6 +176,6 @@
 	relayed.Begun()
 	relayed.End(broken, false)
 	assert.Equal(t, other.Judge(request("room-1")), mtpoison.Suspect)
-	other.put(t, 2, 9, &mtroster.Record{Holder: holder("c"), Relay: daemons[2].address, Revoked: 2})
+	other.put(t, 2, 9, &mtroster.Record{Holder: holder("c"), RelayAddress: daemons[2].address, RevokedBelow: 2})
 	assert.Equal(t, other.Judge(request("room-1")), mtpoison.Quarantined)
 }
--- a/io/mtrelay/server.go
+++ b/io/mtrelay/server.go
@@ -59,7 +59,7 @@
 	r.Begun = func() { _ = grpc.SendHeader(ctx, metadata.Pairs(begunHeader, "1")) }
 	s.hint(mtid.Revision(w.GetFrontier()), r.Ingress)
 	reply := s.owner.Serve(ctx, r)
-	return wireReply(id, reply, s.view.Now().Frontier()), nil
+	return wireReply(id, reply, s.view.Snapshot().Frontier()), nil
 }
 
 // begunHeader is sent ahead of the reply when the owner begins to run a request
@@ -86,7 +86,7 @@
 		ContentType: r.ContentType,
 		Body:        r.Body,
 		Frontier:    uint64(frontier),
-		Ingress:     mtroster.WireHolder(r.Ingress),
+		Ingress:     mtroster.HolderToWire(r.Ingress),
 		Suspect:     r.Suspect,
 	}
 }
@@ -103,7 +103,7 @@
 		Query:       w.GetQuery(),
 		ContentType: w.GetContentType(),
 		Body:        w.GetBody(),
-		Ingress:     mtroster.ReadHolder(w.GetIngress()),
+		Ingress:     mtroster.HolderFromWire(w.GetIngress()),
 		Suspect:     w.GetSuspect(),
 	}
 }
@@ -115,7 +115,7 @@
 		Cause:        string(r.Cause),
 		Detail:       r.Detail,
 		RetryAfterMs: r.RetryAfter.Milliseconds(),
-		Owner:        mtroster.WireHolder(r.Owner),
+		Owner:        mtroster.HolderToWire(r.Owner),
 		Epoch:        uint64(r.Epoch),
 		Status:       uint32(r.Status),
 		ContentType:  r.ContentType,
@@ -132,7 +132,7 @@
 		Cause:       mtreply.Cause(w.GetCause()),
 		Detail:      w.GetDetail(),
 		RetryAfter:  time.Duration(w.GetRetryAfterMs()) * time.Millisecond,
-		Owner:       mtroster.ReadHolder(w.GetOwner()),
+		Owner:       mtroster.HolderFromWire(w.GetOwner()),
 		Epoch:       mtid.Epoch(w.GetEpoch()),
 		Status:      int(w.GetStatus()),
 		ContentType: w.GetContentType(),
--- a/io/mtrenew/exchange.go
+++ b/io/mtrenew/exchange.go
@@ -191,7 +191,7 @@
 	if !ok || !asks {
 		return
 	}
-	to, err := netip.ParseAddrPort(record.Renew)
+	to, err := netip.ParseAddrPort(record.RenewAddress)
 	if err != nil {
 		d.config.Log.Warn("renew: peer has no usable address", "peer", w.Daemon, "err", err)
 		return
--- a/io/mtrenew/mtrenew.go
+++ b/io/mtrenew/mtrenew.go
@@ -348,9 +348,9 @@
 // Revoke implements mtwire.WitnessServer.
 func (s *service) Revoke(_ context.Context, r *mtwire.RevokeRequest) (*mtwire.RevokeReply, error) {
 	reply := s.duty.Revoke(mtwitness.Request{
-		Target:  mtroster.ReadHolder(r.GetTarget()),
+		Target:  mtroster.HolderFromWire(r.GetTarget()),
 		Version: mtid.Version(r.GetVersion()),
-		Witness: mtroster.ReadHolder(r.GetWitness()),
+		Witness: mtroster.HolderFromWire(r.GetWitness()),
 	})
 	return &mtwire.RevokeReply{Granted: reply.Granted, WaitNs: int64(reply.Wait)}, nil
 }
--- a/io/mtrenew/mtrenew_test.go
+++ b/io/mtrenew/mtrenew_test.go
@@ -75,7 +75,7 @@
 		f.heard = append(f.heard, heard)
 		f.known = append(f.known, known)
 		v.mu.Lock()
-		v.records[h.Daemon] = &mtroster.Record{Holder: h, Renew: duty.Address()}
+		v.records[h.Daemon] = &mtroster.Record{Holder: h, RenewAddress: duty.Address()}
 		v.mu.Unlock()
 	}
 	for i, d := range f.duties {
--- a/io/mtrenew/peer_test.go
+++ b/io/mtrenew/peer_test.go
@@ -36,7 +36,7 @@
 	assert.NilError(t, socket.SetReadDeadline(time.Now().Add(30*time.Second)))
 	w := mtid.Holder{Daemon: "w", Incarnation: 1}
 	v := &view{records: map[mtid.Daemon]*mtroster.Record{
-		"w": {Holder: w, Renew: socket.LocalAddr().String()},
+		"w": {Holder: w, RenewAddress: socket.LocalAddr().String()},
 	}}
 	r := &rig{t: t, clock: mttime.New(), socket: socket, sealer: mtrenew.NewSealer([]byte("test"))}
 	duty, cleanUp, err := mtrenew.New(mtrenew.Config{
--- a/io/mtrollout/mtrollout.go
+++ b/io/mtrollout/mtrollout.go
@@ -82,7 +82,7 @@
 
 // Error implements error.
 func (e *PageError) Error() string {
-	return fmt.Sprintf("rollout: version %d of %s is not kept; the last %d are", e.Version, e.Business, mtstore.KeptBundles)
+	return fmt.Sprintf("rollout: version %d of %s is not kept; the last %d are", e.Version, e.Business, mtstore.RetainedBundles)
 }
 
 // Rollout works on the bundles of all businesses.
@@ -147,7 +147,7 @@
 // doubt on a write.
 func (r *Rollout) get(ctx context.Context, name string) (mtstore.Entry, error) {
 	entry, err := r.store.Get(ctx, name)
-	var missing *mtstore.MissingError
+	var missing *mtstore.NotFoundError
 	if errors.As(err, &missing) {
 		return mtstore.Entry{Name: name}, nil
 	}
@@ -203,7 +203,7 @@
 // Accept puts an open proposal in force. If it is in force already, Accept
 // returns it. A *mtbundle.ConflictError names the bundle that won instead.
 func (r *Rollout) Accept(ctx context.Context, now time.Time, business mtid.Business, version mtid.Version, digest, accepter string) (*mtbundle.Stored, error) {
-	stamp := mtroster.Stamp{Writer: r.writer(), Sequence: r.sequence.Add(1)}
+	stamp := mtroster.WriteID{Writer: r.writer(), Sequence: r.sequence.Add(1)}
 	var result *mtbundle.Stored
 	err := r.rounds(ctx, "accept", business, func(s *state) (bool, error) {
 		next, done, err := s.life.Accept(now, version, digest, accepter, stamp)
@@ -234,7 +234,7 @@
 	if former == nil {
 		return nil
 	}
-	entry, err := r.get(ctx, mtstore.PastName(former.Business, former.Version))
+	entry, err := r.get(ctx, mtstore.PastBundleName(former.Business, former.Version))
 	if err != nil {
 		return err
 	}
@@ -288,7 +288,7 @@
 // Version returns one version of a business's bundle, in force or former. It
 // fails with a *PageError if it is not kept.
 func (r *Rollout) Version(ctx context.Context, business mtid.Business, version mtid.Version) (*mtbundle.Stored, error) {
-	for _, name := range []string{mtstore.BundleName(business), mtstore.PastName(business, version)} {
+	for _, name := range []string{mtstore.BundleName(business), mtstore.PastBundleName(business, version)} {
 		entry, err := r.get(ctx, name)
 		if err != nil {
 			return nil, err
@@ -318,7 +318,7 @@
 	if before > 0 {
 		version = min(version, before-1)
 	}
-	for ; version > 0 && inForce.Version-version < mtstore.KeptBundles; version-- {
+	for ; version > 0 && inForce.Version-version < mtstore.RetainedBundles; version-- {
 		if len(page) == limit {
 			return page, version + 1, nil
 		}
@@ -335,7 +335,7 @@
 }
 
 func (r *Rollout) past(ctx context.Context, business mtid.Business, version mtid.Version) (*mtbundle.Stored, error) {
-	entry, err := r.get(ctx, mtstore.PastName(business, version))
+	entry, err := r.get(ctx, mtstore.PastBundleName(business, version))
 	if err != nil {
 		return nil, err
 	}
--- a/io/mtrollout/mtrollout_test.go
+++ b/io/mtrollout/mtrollout_test.go
@@ -48,7 +48,7 @@
 	defer s.mu.Unlock()
 	entry, ok := s.entries[name]
 	if !ok {
-		return mtstore.Entry{}, &mtstore.MissingError{Name: name}
+		return mtstore.Entry{}, &mtstore.NotFoundError{Name: name}
 	}
 	return entry, nil
 }
@@ -158,7 +158,7 @@
 			store := newFaulty()
 			r := open(store)
 			draft := signed(t, r, 1, "first")
-			store.prefix, store.faults = mtstore.Bundle, test.faults
+			store.prefix, store.faults = mtstore.BundlePrefix, test.faults
 			_, err := accept(t, r, draft)
 			var doubt *mtrollout.DoubtError
 			assert.Equal(t, errors.As(err, &doubt), test.doubt, "%v", err)
@@ -181,7 +181,7 @@
 	store := newFaulty()
 	r, other := open(store), open(store)
 	one, two := signed(t, r, 1, "one"), signed(t, r, 1, "two")
-	store.prefix, store.faults = mtstore.Bundle, []fault{late}
+	store.prefix, store.faults = mtstore.BundlePrefix, []fault{late}
 	store.delayed = nil
 	done := make(chan error, 1)
 	go func() {
@@ -211,7 +211,7 @@
 	store := newFaulty()
 	r, other := open(store), open(store)
 	one, two := signed(t, r, 1, "one"), signed(t, r, 1, "two")
-	store.prefix = mtstore.Bundle
+	store.prefix = mtstore.BundlePrefix
 	store.before = func() {
 		_, err := accept(t, other, two)
 		assert.NilError(t, err)
@@ -226,7 +226,7 @@
 func TestProposalLostToAnotherIsRepeated(t *testing.T) {
 	store := newFaulty()
 	r, other := open(store), open(store)
-	store.prefix = mtstore.Draft
+	store.prefix = mtstore.DraftPrefix
 	store.before = func() {
 		_, err := other.Propose(t.Context(), now, "ratins", "janis", text(1, "two"))
 		assert.NilError(t, err)
@@ -288,7 +288,7 @@
 func TestHistory(t *testing.T) {
 	store := newFaulty()
 	r := open(store)
-	const versions = mtstore.KeptBundles + 6
+	const versions = mtstore.RetainedBundles + 6
 	for v := 1; v <= versions; v++ {
 		_, err := accept(t, r, signed(t, r, v, fmt.Sprint("version ", v)))
 		assert.NilError(t, err)
@@ -307,7 +307,7 @@
 		}
 		next = after
 	}
-	assert.Equal(t, len(seen), mtstore.KeptBundles)
+	assert.Equal(t, len(seen), mtstore.RetainedBundles)
 	for i, v := range seen {
 		assert.Equal(t, v, mtid.Version(versions-i))
 	}
--- a/io/mtrouter/mtrouter.go
+++ b/io/mtrouter/mtrouter.go
@@ -87,7 +87,7 @@
 
 // Route runs a request and returns what came of it.
 func (r *Router) Route(ctx context.Context, q *mtrequest.Request) *mtrequest.Reply {
-	service, class, err := mtowner.Declared(r.View.Now(), q)
+	service, class, err := mtowner.Declared(r.View.Snapshot(), q)
 	if err != nil {
 		return mtrequest.FromError(err)
 	}
@@ -174,7 +174,7 @@
 // daemon knows less than this one. The relayed request told it so, and it pulls
 // what it lacks.
 func (r *Router) correction(reply *mtrequest.Reply, asked mtid.Holder) mtid.Holder {
-	if reply.Owner == asked || reply.Frontier < r.View.Now().Frontier() {
+	if reply.Owner == asked || reply.Frontier < r.View.Snapshot().Frontier() {
 		return mtid.Holder{}
 	}
 	return reply.Owner
@@ -221,7 +221,7 @@
 	if !corrected.IsZero() {
 		return corrected
 	}
-	shard, _ := r.View.Now().Lookup(q.Service, q.Point())
+	shard, _ := r.View.Snapshot().Lookup(q.Service, q.Point())
 	return shard.Owner
 }
 
@@ -246,7 +246,7 @@
 	if target == r.Self() {
 		return r.Owner.Serve(ctx, q)
 	}
-	record, _, ok := r.View.Now().Record(target.Daemon)
+	record, _, ok := r.View.Snapshot().Record(target.Daemon)
 	if !ok || record.Holder != target {
 		return &mtrequest.Reply{Outcome: mtreply.NotRun, Cause: mtreply.CauseNoOwner, RetryAfter: time.Second}
 	}
@@ -256,11 +256,11 @@
 	}
 	relayed := r.Poison.Relay(q, target)
 	q.Begun = relayed.Begun
-	reply, err := r.Peers.Relay(ctx, record.Relay, q, r.View.Now().Frontier(), left)
+	reply, err := r.Peers.Relay(ctx, record.RelayAddress, q, r.View.Snapshot().Frontier(), left)
 	relayed.End(err, err == nil && reply.Outcome == mtreply.Answered)
 	if err != nil {
 		return mtrequest.FromError(err)
 	}
-	r.Hint(record.Relay, reply.Frontier)
+	r.Hint(record.RelayAddress, reply.Frontier)
 	return reply
 }
--- a/io/mtrouter/spread.go
+++ b/io/mtrouter/spread.go
@@ -70,7 +70,7 @@
 	var out []mtchoice.Candidate
 	for _, record := range view.Roster() {
 		offer, ok := record.Offer(service)
-		if ok && record.Live() && record.State == mtroster.Serving {
+		if ok && record.MayHoldLease() && record.State == mtroster.Serving {
 			out = append(out, mtchoice.Candidate{Holder: record.Holder, Zone: record.Zone, Slots: offer.Slots})
 		}
 	}
@@ -95,7 +95,7 @@
 
 // sendSpread asks a server of the policy's choice.
 func (r *Router) sendSpread(ctx context.Context, q *mtrequest.Request, _ mtid.Holder) (*mtrequest.Reply, mtid.Holder) {
-	target := r.spreader.pick(r.Clock.Now(), r.View.Now(), q.Service)
+	target := r.spreader.pick(r.Clock.Now(), r.View.Snapshot(), q.Service)
 	reply := r.send(ctx, q, target)
 	r.spreader.end(r.Clock.Now(), q.Service, target, reply)
 	return reply, target
--- a/io/mtrouter/spread_test.go
+++ b/io/mtrouter/spread_test.go
@@ -107,7 +107,7 @@
 	for i, zone := range []mtid.Zone{"old-town", "old-town", "centrs", "centrs", "kipsala", "kipsala"} {
 		name := string(rune('a' + i))
 		record := &mtroster.Record{
-			Holder: mtid.Holder{Daemon: mtid.Daemon(name), Incarnation: 1}, Zone: zone, Relay: name,
+			Holder: mtid.Holder{Daemon: mtid.Daemon(name), Incarnation: 1}, Zone: zone, RelayAddress: name,
 			Offers: []mtroster.Offer{{Service: mapsvc, Slots: 12, Connections: 130}},
 		}
 		value, err := record.Encode()
--- a/io/mtserver/mtserver_test.go
+++ b/io/mtserver/mtserver_test.go
@@ -206,7 +206,7 @@
 	pool.Put(announcement("127.0.0.1:1"))
 	pool.Put(announcement("127.0.0.1:1"))
 	assert.Equal(t, changes, 1)
-	late := mtclock.Instant(0).Add(mtannounce.Lifetime + 1)
+	late := mtclock.Instant(0).Add(mtannounce.TTL + 1)
 	_, ok := pool.Server(ref, late)
 	assert.Assert(t, !ok)
 	assert.Assert(t, pool.Expire(late))
--- a/io/mtserver/pool.go
+++ b/io/mtserver/pool.go
@@ -125,12 +125,12 @@
 }
 
 // Server returns the backend server of a service, if it announced itself
-// within mtannounce.Lifetime. It is called for each request.
+// within mtannounce.TTL. It is called for each request.
 func (p *Pool) Server(ref mtid.Ref, now mtclock.Instant) (*Server, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a, ok := p.servers[ref]
-	if !ok || now.Sub(a.at) > mtannounce.Lifetime {
+	if !ok || now.Sub(a.at) > mtannounce.TTL {
 		return nil, false
 	}
 	return a.server, true
@@ -142,7 +142,7 @@
 	p.mu.Lock()
 	gone := false
 	for ref, a := range p.servers {
-		if now.Sub(a.at) > mtannounce.Lifetime {
+		if now.Sub(a.at) > mtannounce.TTL {
 			delete(p.servers, ref)
 			gone = true
 			p.log.Warn("backend server fell silent", "service", ref.String(), "address", a.server.announced.Address)
