--- a/io/mtstandin/announce.go
+++ b/io/mtstandin/announce.go
@@ -89,7 +89,7 @@
 // period returns how often the server announces itself.
 func (s *Server) period() time.Duration {
 	if s.setting.Grants {
-		return mtannounce.GrantPeriod
+		return mtannounce.GrantAnnounceInterval
 	}
 	return announcePeriod
 }
--- a/io/mtstandin/revisions.go
+++ b/io/mtstandin/revisions.go
@@ -119,7 +119,7 @@
 	}
 	i, ok := s.items[name]
 	if !ok {
-		return mtstore.Entry{}, &mtstore.MissingError{Name: name}
+		return mtstore.Entry{}, &mtstore.NotFoundError{Name: name}
 	}
 	return i.entry(name), nil
 }
@@ -129,7 +129,7 @@
 	return s.SwapIf(ctx, nil, name, expected, value, lease)
 }
 
-// SwapIf implements mtstore.Guarded.
+// SwapIf implements mtstore.ConditionalStore.
 func (s *Revisions) SwapIf(_ context.Context, conditions []mtstore.Condition, name string, expected mtid.Version, value []byte, lease mtstore.LeaseID) (mtid.Version, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,11 +137,11 @@
 	if err := s.failure("swap", name); err != nil {
 		return 0, err
 	}
-	if len(conditions) > mtstore.MostConditions {
+	if len(conditions) > mtstore.MaxConditions {
 		return 0, &mtstore.RejectedError{Op: "swap", Reason: "too many conditions"}
 	}
 	if _, ok := s.leases[lease]; lease != "" && !ok {
-		return 0, &mtstore.LapsedError{Lease: lease}
+		return 0, &mtstore.LeaseExpiredError{Lease: lease}
 	}
 	for _, c := range append([]mtstore.Condition{{Name: name, Version: expected}}, conditions...) {
 		if now := s.items[c.Name]; now.revision != uint64(c.Version) {
@@ -232,14 +232,14 @@
 	}
 	l, ok := s.leases[lease]
 	if !ok {
-		return &mtstore.LapsedError{Lease: lease}
+		return &mtstore.LeaseExpiredError{Lease: lease}
 	}
 	l.until = s.clock().Add(l.ttl)
 	s.leases[lease] = l
 	return nil
 }
 
-// End implements mtstore.Guarded.
+// End implements mtstore.ConditionalStore.
 func (s *Revisions) End(_ context.Context, lease mtstore.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -316,4 +316,4 @@
 	return mtstore.Entry{Name: name, Value: slices.Clone(i.value), Version: mtid.Version(i.revision), Revision: mtid.Revision(i.revision)}
 }
 
-var _ mtstore.Guarded = (*Revisions)(nil)
+var _ mtstore.ConditionalStore = (*Revisions)(nil)
--- a/io/mtstore/client.go
+++ b/io/mtstore/client.go
@@ -172,11 +172,11 @@
 	}
 	switch r.Kind {
 	case kindMissing:
-		return &mtstore.MissingError{Name: c.Name}
+		return &mtstore.NotFoundError{Name: c.Name}
 	case kindConflict:
 		return &mtstore.ConflictError{Name: c.Name, Expected: c.expected, Current: r.Current}
 	case kindLapsed:
-		return &mtstore.LapsedError{Lease: r.Lease}
+		return &mtstore.LeaseExpiredError{Lease: r.Lease}
 	case kindRejected:
 		return &mtstore.RejectedError{Op: c.Op, Reason: r.Reason}
 	case kindUnavailable:
--- a/io/mtstore/contract_test.go
+++ b/io/mtstore/contract_test.go
@@ -92,7 +92,7 @@
 func TestSwapOrdersWriters(t *testing.T) {
 	each(t, func(t *testing.T, b *bench) {
 		_, err := b.Get(t.Context(), "a")
-		assertType(t, err, &core.MissingError{})
+		assertType(t, err, &core.NotFoundError{})
 		assert.Equal(t, put(t, b, "a", 0, "one"), mtid.Version(1))
 		assert.Equal(t, put(t, b, "a", 1, "two"), mtid.Version(2))
 		tests := []struct {
@@ -378,9 +378,9 @@
 		gone, err := b.Watch(t.Context(), "", 2, plenty)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, gone.Entries, []core.Entry{{Name: "a", Revision: 3}})
-		assertType(t, b.Renew(t.Context(), lease), &core.LapsedError{})
+		assertType(t, b.Renew(t.Context(), lease), &core.LeaseExpiredError{})
 		_, err = b.Swap(t.Context(), "a", 0, nil, lease)
-		assertType(t, err, &core.LapsedError{})
+		assertType(t, err, &core.LeaseExpiredError{})
 		assert.Equal(t, put(t, b, "a", 0, "next"), mtid.Version(2))
 		_, err = b.Swap(t.Context(), "a", 1, []byte("late"), "")
 		assertType(t, err, &core.ConflictError{})
@@ -428,6 +428,6 @@
 		_, err := b.Swap(ctx, "a", 0, []byte("new"), "")
 		assertType(t, err, &core.UnavailableError{})
 		_, err = b.Get(t.Context(), "a")
-		assertType(t, err, &core.MissingError{})
+		assertType(t, err, &core.NotFoundError{})
 	})
 }
--- a/io/mtstore/handler.go
+++ b/io/mtstore/handler.go
@@ -67,9 +67,9 @@
 // that the client has to find out by itself.
 func refuseFor(c echo.Context, err error) error {
 	var (
-		missing     *mtstore.MissingError
+		missing     *mtstore.NotFoundError
 		conflict    *mtstore.ConflictError
-		lapsed      *mtstore.LapsedError
+		lapsed      *mtstore.LeaseExpiredError
 		rejected    *mtstore.RejectedError
 		unavailable *mtstore.UnavailableError
 	)
--- a/io/mtstore/memory.go
+++ b/io/mtstore/memory.go
@@ -158,7 +158,7 @@
 	m.sweep(m.clock())
 	entry, ok := m.present(name)
 	if !ok {
-		return mtstore.Entry{}, &mtstore.MissingError{Name: name}
+		return mtstore.Entry{}, &mtstore.NotFoundError{Name: name}
 	}
 	return entry, nil
 }
@@ -322,7 +322,7 @@
 	m.sweep(now)
 	held, ok := m.leases[id]
 	if !ok {
-		return &mtstore.LapsedError{Lease: id}
+		return &mtstore.LeaseExpiredError{Lease: id}
 	}
 	held.until = now.Add(held.ttl)
 	return m.answer(opRenew, string(id), lose)
@@ -450,7 +450,7 @@
 		return 0, &mtstore.ConflictError{Name: w.name, Expected: w.expected, Current: current}
 	}
 	if w.lease != "" && m.leases[w.lease] == nil {
-		return 0, &mtstore.LapsedError{Lease: w.lease}
+		return 0, &mtstore.LeaseExpiredError{Lease: w.lease}
 	}
 	it := m.items[w.name]
 	if it == nil {
--- a/io/mtsync/mtsync.go
+++ b/io/mtsync/mtsync.go
@@ -97,7 +97,7 @@
 // Hint says that the peer at a relay address is complete up to a revision. It
 // is called for every datagram and costs nothing if the copy is as far.
 func (s *Sync) Hint(address string, revision mtid.Revision) {
-	if address == "" || revision <= s.config.View.Now().Frontier() {
+	if address == "" || revision <= s.config.View.Snapshot().Frontier() {
 		return
 	}
 	s.hints.Put(hint{address: address, revision: revision})
@@ -147,7 +147,7 @@
 		if !ok {
 			return
 		}
-		if h.revision <= s.config.View.Now().Frontier() {
+		if h.revision <= s.config.View.Snapshot().Frontier() {
 			continue
 		}
 		s.pull(ctx, h.address)
@@ -158,7 +158,7 @@
 func (s *Sync) pull(ctx context.Context, address string) bool {
 	whole := false
 	for {
-		after := s.config.View.Now().Frontier()
+		after := s.config.View.Snapshot().Frontier()
 		d, err := s.pullOnce(ctx, address, after, whole)
 		if err != nil {
 			s.config.Count("pull_failed")
@@ -200,7 +200,7 @@
 	if err != nil {
 		return
 	}
-	d := mtview.Delta{After: s.config.View.Now().Frontier(), Items: []mtview.Item{{
+	d := mtview.Delta{After: s.config.View.Snapshot().Frontier(), Items: []mtview.Item{{
 		Name: entry.Name, Version: entry.Version, Revision: entry.Revision, Value: entry.Value,
 	}}}
 	if err := s.merge(d); err != nil {
@@ -242,8 +242,8 @@
 	ctx, cancel := context.WithTimeout(ctx, wait+spare)
 	defer cancel()
 	for {
-		after := s.config.View.Now().Frontier()
-		changes, err := s.config.Store.Watch(ctx, mtstore.Live, after, wait)
+		after := s.config.View.Snapshot().Frontier()
+		changes, err := s.config.Store.Watch(ctx, mtstore.LivePrefix, after, wait)
 		if err != nil {
 			s.config.Count("store_failed")
 			return err
@@ -265,7 +265,7 @@
 func (s *Sync) startFromSeeds(ctx context.Context) bool {
 	found := false
 	for _, address := range s.config.Seeds {
-		if s.pull(ctx, address) && s.config.View.Now().Frontier() > 0 {
+		if s.pull(ctx, address) && s.config.View.Snapshot().Frontier() > 0 {
 			found = true
 		}
 	}
@@ -295,8 +295,8 @@
 // disagree; then there is a watcher more or fewer, which anti-entropy covers.
 func (s *Sync) Watcher() bool {
 	var zone []mtid.Daemon
-	for _, r := range s.config.View.Now().Roster() {
-		if r.Zone == s.config.Zone && r.Live() && r.Holder.Daemon != s.config.Self {
+	for _, r := range s.config.View.Snapshot().Roster() {
+		if r.Zone == s.config.Zone && r.MayHoldLease() && r.Holder.Daemon != s.config.Self {
 			zone = append(zone, r.Holder.Daemon)
 		}
 	}
--- a/io/mtsync/mtsync_test.go
+++ b/io/mtsync/mtsync_test.go
@@ -65,8 +65,8 @@
 // copyOf returns a peer's copy of what the store holds now.
 func copyOf(t *testing.T, store *iostore.Memory, view *mtview.View) *mtview.View {
 	t.Helper()
-	after := view.Now().Frontier()
-	changes, err := store.Watch(context.Background(), mtstore.Live, after, 0)
+	after := view.Snapshot().Frontier()
+	changes, err := store.Watch(context.Background(), mtstore.LivePrefix, after, 0)
 	assert.NilError(t, err)
 	_, err = view.Merge(mtview.FromStore(after, changes))
 	assert.NilError(t, err)
@@ -86,7 +86,7 @@
 
 func reaches(view *mtview.View, d mtid.Daemon, incarnation mtid.Incarnation) poll.Check {
 	return func(poll.LogT) poll.Result {
-		r, _, ok := view.Now().Record(d)
+		r, _, ok := view.Snapshot().Record(d)
 		if ok && r.Holder.Incarnation >= incarnation {
 			return poll.Success()
 		}
@@ -126,7 +126,7 @@
 	wait(t, reaches(view, "a", 2))
 	assert.Assert(t, s.Started())
 	s.Hint("behind", 99)
-	r, _, _ := view.Now().Record("a")
+	r, _, _ := view.Snapshot().Record("a")
 	assert.Equal(t, r.Holder.Incarnation, mtid.Incarnation(2))
 }
 
@@ -141,7 +141,7 @@
 	cut.SetFaults(iostore.Faults{Down: true})
 	copyOf(t, store, ahead)
 	s, view := start(t, cut, p)
-	s.Hint("ahead", ahead.Now().Frontier())
+	s.Hint("ahead", ahead.Snapshot().Frontier())
 	wait(t, reaches(view, "a", 1))
 }
 
@@ -150,7 +150,7 @@
 func TestGapIsFilledByTheWhole(t *testing.T) {
 	ref := mtid.Ref{Business: "bundesamt", Service: "loan-desk"}
 	store := iostore.NewMemory(time.Now)
-	table, err := mtshard.New(ref, 0, 1).Apply(mtroster.Stamp{}, mtshard.Create{Shards: 2, Among: []mtid.Holder{{Daemon: "a", Incarnation: 1}}})
+	table, err := mtshard.New(ref, 0, 1).Apply(mtroster.WriteID{}, mtshard.Create{Shards: 2, Among: []mtid.Holder{{Daemon: "a", Incarnation: 1}}})
 	assert.NilError(t, err)
 	put := func(expected mtid.Version) {
 		value, err := table.Encode()
@@ -161,7 +161,7 @@
 	put(0)
 	record(t, store, "a", "bern-b", 1)
 	ahead := copyOf(t, store, mtview.New())
-	table, err = table.Apply(mtroster.Stamp{}, mtshard.Split{Point: 5})
+	table, err = table.Apply(mtroster.WriteID{}, mtshard.Split{Point: 5})
 	assert.NilError(t, err)
 	put(1)
 	copyOf(t, store, ahead)
@@ -171,10 +171,10 @@
 	// The daemon passed the table's first version in a delta that was cut.
 	_, err = view.Merge(ahead.Delta(0, 1, true))
 	assert.NilError(t, err)
-	assert.Assert(t, view.Now().Frontier() < ahead.Now().Frontier())
-	s.Hint("ahead", ahead.Now().Frontier())
+	assert.Assert(t, view.Snapshot().Frontier() < ahead.Snapshot().Frontier())
+	s.Hint("ahead", ahead.Snapshot().Frontier())
 	wait(t, func(poll.LogT) poll.Result {
-		if got, ok := view.Now().Table(ref, 0); ok && got.Version == 2 {
+		if got, ok := view.Snapshot().Table(ref, 0); ok && got.Version == 2 {
 			return poll.Success()
 		}
 		return poll.Continue("the table is not known yet")
@@ -195,7 +195,7 @@
 		return reaches(view, "f-elsewhere", 1)(l)
 	})
 	ahead := 0
-	for _, r := range view.Now().Roster() {
+	for _, r := range view.Snapshot().Roster() {
 		if r.Zone == "bern-a" && mtid.Rank(r.Holder.Daemon, 0) > mtid.Rank("self", 0) {
 			ahead++
 		}
--- a/io/mttime/mttime.go
+++ b/io/mttime/mttime.go
@@ -27,7 +27,7 @@
 	origin time.Time // carries a monotonic reading
 
 	mu     sync.Mutex
-	fusion mtclock.Fusion
+	fusion mtclock.FusedClock
 }
 
 // New returns a clock. One is made per process, so that its instants compare.
