--- a/core/mtbackend/mtbackend.go
+++ b/core/mtbackend/mtbackend.go
@@ -46,13 +46,13 @@
 
 // Record is the description of a backend server that its daemon publishes.
 type Record struct {
-	Daemon      mtid.Daemon  `json:"daemon"`
-	Address     string       `json:"address"` // of the daemon, for other daemons
-	Zone        mtid.Zone    `json:"zone"`
-	Service     mtid.Service `json:"service"`
-	Incarnation mtid.Life    `json:"-"` // the current incarnation, or the last one if it has terminated
-	Slots       int          `json:"slots"`
-	State       State        `json:"state"`
+	Daemon      mtid.Daemon            `json:"daemon"`
+	Address     string                 `json:"address"` // of the daemon, for other daemons
+	Zone        mtid.Zone              `json:"zone"`
+	Service     mtid.Service           `json:"service"`
+	Incarnation mtid.ServerIncarnation `json:"-"` // the current incarnation, or the last one if it has terminated
+	Slots       int                    `json:"slots"`
+	State       State                  `json:"state"`
 	// Link is the bandwidth of the VM's network link. The daemons with the fastest
 	// links distribute updates to the others.
 	Link Bandwidth `json:"link"`
@@ -66,7 +66,7 @@
 // Heartbeat is the status that a backend server reports to the daemon beside it, about
 // once a second.
 type Heartbeat struct {
-	Incarnation mtid.Life
+	Incarnation mtid.ServerIncarnation
 	Address     string // host:port of its HTTP listener
 	Service     mtid.Service
 	Slots       int
@@ -91,7 +91,7 @@
 
 // MayHoldKeys reports whether, by this record, an incarnation of the server may still hold
 // keys: it is the one that the daemon knows, or the daemon knows none yet.
-func (r Record) MayHoldKeys(incarnation mtid.Life) bool {
+func (r Record) MayHoldKeys(incarnation mtid.ServerIncarnation) bool {
 	if r.State == Unknown {
 		return true
 	}
@@ -110,13 +110,13 @@
 // storedRecord is the JSON form of a record in the platform's store.
 type storedRecord struct {
 	Record
-	Server mtid.Server `json:"server"`
-	Born   mtid.Birth  `json:"born,omitempty"`
+	Server mtid.Server    `json:"server"`
+	Born   mtid.StartTime `json:"born,omitempty"`
 }
 
 // Encode returns the storedRecord form of r.
 func (r Record) Encode() ([]byte, error) {
-	return json.Marshal(storedRecord{Record: r, Server: r.Incarnation.Server, Born: r.Incarnation.Born})
+	return json.Marshal(storedRecord{Record: r, Server: r.Incarnation.Server, Born: r.Incarnation.Started})
 }
 
 // Decode reads a stored record. It fails with a *DecodeError.
@@ -131,7 +131,7 @@
 		return Record{}, &DecodeError{Err: err}
 	}
 	r := s.Record
-	r.Incarnation = mtid.Life{Server: s.Server, Born: s.Born}
+	r.Incarnation = mtid.ServerIncarnation{Server: s.Server, Started: s.Born}
 	if err := r.check(); err != nil {
 		return Record{}, &DecodeError{Err: err}
 	}
--- a/core/mtcall/mtcall.go
+++ b/core/mtcall/mtcall.go
@@ -46,7 +46,7 @@
 	Service    mtid.Service
 	Route      mtid.Class // name of the route, for queues and histograms
 	Keyed      bool       // Key determines which server has to run the call
-	Key        mtid.Number
+	Key        mtid.KeyNumber
 	Idempotent bool
 	// Nested is set if a backend server waits for the answer: the call is part of a
 	// request that has already used other servers' time.
--- a/core/mtload/mtload.go
+++ b/core/mtload/mtload.go
@@ -82,7 +82,7 @@
 // Wire returns the wire form of r, truncated to the limits.
 func (r *Report) Wire() *mtwire.LoadReport {
 	w := &mtwire.LoadReport{
-		From:     mtroster.WireHolder(r.From),
+		From:     mtroster.HolderToWire(r.From),
 		Business: string(r.Service.Business),
 		Service:  string(r.Service.Service),
 		Sequence: r.Sequence,
@@ -117,7 +117,7 @@
 		return nil, &FieldError{Field: "points", Accept: "two columns of equal length, at most 8"}
 	}
 	r := &Report{
-		From:     mtroster.ReadHolder(w.GetFrom()),
+		From:     mtroster.HolderFromWire(w.GetFrom()),
 		Service:  mtid.Ref{Business: mtid.Business(w.GetBusiness()), Service: mtid.Service(w.GetService())},
 		Sequence: w.GetSequence(),
 		Load:     slots(w.GetLoad()),
--- a/core/mtpoison/evidence.go
+++ b/core/mtpoison/evidence.go
@@ -208,7 +208,7 @@
 	w := &mtwire.Evidence{}
 	for _, c := range d.Crashes {
 		wc := &mtwire.Crash{
-			Holder:   mtroster.WireHolder(c.ID.Holder),
+			Holder:   mtroster.HolderToWire(c.ID.Holder),
 			Loss:     c.ID.Count,
 			AgeMs:    ageMillis(now, c.At),
 			Complete: c.Complete,
@@ -230,7 +230,7 @@
 func wireQuarantine(now mtclock.Instant, q Quarantine) *mtwire.Quarantine {
 	w := &mtwire.Quarantine{Print: uint64(q.Fingerprint), AgeMs: ageMillis(now, q.LastRequest)}
 	if !q.IfLost.IsZero() {
-		w.IfLost = mtroster.WireHolder(q.IfLost)
+		w.IfLost = mtroster.HolderToWire(q.IfLost)
 	}
 	return w
 }
@@ -250,7 +250,7 @@
 	var d Digest
 	for _, wc := range w.GetCrashes() {
 		c := Crash{
-			ID:       CrashID{Holder: mtroster.ReadHolder(wc.GetHolder()), Count: wc.GetLoss()},
+			ID:       CrashID{Holder: mtroster.HolderFromWire(wc.GetHolder()), Count: wc.GetLoss()},
 			At:       instantOf(now, wc.GetAgeMs()),
 			Complete: wc.GetComplete(),
 		}
@@ -269,7 +269,7 @@
 		d.Quarantines = append(d.Quarantines, Quarantine{
 			Fingerprint: Fingerprint(q.GetPrint()),
 			LastRequest: instantOf(now, q.GetAgeMs()),
-			IfLost:      mtroster.ReadHolder(q.GetIfLost()),
+			IfLost:      mtroster.HolderFromWire(q.GetIfLost()),
 		})
 	}
 	return d, nil
--- a/core/mtrange/codec.go
+++ b/core/mtrange/codec.go
@@ -58,7 +58,7 @@
 		low := int(r.Low)
 		for len(changed) > 0 && int(changed[0].Low) <= int(r.High) {
 			if int(changed[0].Low) > low {
-				next.Ranges = append(next.Ranges, subrange(r, mtid.Number(low), changed[0].Low-1))
+				next.Ranges = append(next.Ranges, subrange(r, mtid.KeyNumber(low), changed[0].Low-1))
 			}
 			low = max(low, int(changed[0].High)+1)
 			if int(changed[0].High) > int(r.High) {
@@ -68,7 +68,7 @@
 			changed = changed[1:]
 		}
 		if low <= int(r.High) {
-			next.Ranges = append(next.Ranges, subrange(r, mtid.Number(low), r.High))
+			next.Ranges = append(next.Ranges, subrange(r, mtid.KeyNumber(low), r.High))
 		}
 	}
 	return next, nil
@@ -121,11 +121,11 @@
 }
 
 func wireOwner(o Owner) *mtwire.RangeOwner {
-	return &mtwire.RangeOwner{Daemon: string(o.Daemon), Server: string(o.Incarnation.Server), Born: int64(o.Incarnation.Born)}
+	return &mtwire.RangeOwner{Daemon: string(o.Daemon), Server: string(o.Incarnation.Server), Born: int64(o.Incarnation.Started)}
 }
 
 func readOwner(w *mtwire.RangeOwner) Owner {
-	incarnation := mtid.Life{Server: mtid.Server(w.GetServer()), Born: mtid.Birth(w.GetBorn())}
+	incarnation := mtid.ServerIncarnation{Server: mtid.Server(w.GetServer()), Started: mtid.StartTime(w.GetBorn())}
 	return Owner{Daemon: mtid.Daemon(w.GetDaemon()), Incarnation: incarnation}
 }
 
@@ -147,7 +147,7 @@
 		}
 		nextLow = int(r.High) + 1
 	}
-	if nextLow != int(mtid.LastNumber)+1 {
+	if nextLow != int(mtid.LastKeyNumber)+1 {
 		return nil, &DecodeError{Reason: "no range covers the last keys"}
 	}
 	return &Table{Service: mtid.Service(w.GetService()), Next: mtid.Epoch(w.GetNext()), Ranges: ranges}, nil
@@ -189,7 +189,7 @@
 	for i, low := range w.GetLows() {
 		high, index, epoch := w.GetHighs()[i], w.GetOwner()[i], w.GetEpochs()[i]
 		switch {
-		case low < minLow || high < low || high > uint32(mtid.LastNumber):
+		case low < minLow || high < low || high > uint32(mtid.LastKeyNumber):
 			return nil, nil, &DecodeError{Reason: fmt.Sprintf("range %d to %d is invalid or overlaps the previous one", low, high)}
 		case epoch >= w.GetNext():
 			return nil, nil, &DecodeError{Reason: fmt.Sprintf("epoch %d is not below the next epoch of the table", epoch)}
@@ -197,7 +197,7 @@
 			return nil, nil, &DecodeError{Reason: fmt.Sprintf("owner index %d is out of range", index)}
 		}
 		ranges = append(ranges, Range{
-			Low: mtid.Number(low), High: mtid.Number(high), Epoch: mtid.Epoch(epoch),
+			Low: mtid.KeyNumber(low), High: mtid.KeyNumber(high), Epoch: mtid.Epoch(epoch),
 			Owner: readOwner(w.GetOwners()[index]),
 		})
 		minLow = high + 1
--- a/core/mtrange/codec_test.go
+++ b/core/mtrange/codec_test.go
@@ -144,5 +144,5 @@
 		assert.Equal(t, int(r.Low), want)
 		want = int(r.High) + 1
 	}
-	assert.Equal(t, want, int(mtid.LastNumber)+1)
+	assert.Equal(t, want, int(mtid.LastKeyNumber)+1)
 }
--- a/core/mtrange/meter.go
+++ b/core/mtrange/meter.go
@@ -26,7 +26,7 @@
 //
 // A Meter is not safe for concurrent use.
 type Meter struct {
-	work [int(mtid.LastNumber) + 1]float32 // decayed service time in seconds; multiply by scale
+	work [int(mtid.LastKeyNumber) + 1]float32 // decayed service time in seconds; multiply by scale
 	sum  float64
 	at   mtclock.Instant
 	// scale converts stored to current work, so that one factor decays instead of
@@ -37,7 +37,7 @@
 
 // recentRange is a range of keys that the server acquired recently.
 type recentRange struct {
-	low, high mtid.Number
+	low, high mtid.KeyNumber
 	since     mtclock.Instant
 	sum       float64 // decayed service time of its keys, in seconds
 	at        mtclock.Instant
@@ -64,7 +64,7 @@
 	return 1 - decayFactor(max(now.Sub(s.since), minAge))
 }
 
-func (s *recentRange) covers(key mtid.Number) bool { return s.low <= key && key <= s.high }
+func (s *recentRange) covers(key mtid.KeyNumber) bool { return s.low <= key && key <= s.high }
 
 // add decays the past work of the range, then adds the new work.
 func (s *recentRange) add(now mtclock.Instant, work float64) {
@@ -83,7 +83,7 @@
 func NewMeter(now mtclock.Instant) *Meter { return &Meter{at: now, scale: 1} }
 
 // RecordArrival records a request for a key with its expected service time.
-func (m *Meter) RecordArrival(now mtclock.Instant, key mtid.Number, serviceTime time.Duration) {
+func (m *Meter) RecordArrival(now mtclock.Instant, key mtid.KeyNumber, serviceTime time.Duration) {
 	m.decay(now)
 	m.work[key] += float32(serviceTime.Seconds() / m.scale)
 	m.sum += serviceTime.Seconds()
@@ -94,14 +94,14 @@
 
 // AddKeys records that the server has just acquired a range of keys, for which
 // nothing has been measured yet.
-func (m *Meter) AddKeys(now mtclock.Instant, low, high mtid.Number) {
+func (m *Meter) AddKeys(now mtclock.Instant, low, high mtid.KeyNumber) {
 	m.Forget(now, low, high)
 	m.recent = slices.DeleteFunc(m.recent, func(s *recentRange) bool { return now.Sub(s.since) > settledAge })
 	m.recent = append(m.recent, &recentRange{low: low, high: high, since: now, at: now})
 }
 
 // recentAt returns the most recently acquired range that contains the key, or nil.
-func (m *Meter) recentAt(key mtid.Number) *recentRange {
+func (m *Meter) recentAt(key mtid.KeyNumber) *recentRange {
 	for i := len(m.recent) - 1; i >= 0; i-- {
 		if m.recent[i].covers(key) {
 			return m.recent[i]
@@ -122,7 +122,7 @@
 }
 
 // KeyDemand returns the offered work of one key, in slots.
-func (m *Meter) KeyDemand(now mtclock.Instant, key mtid.Number) float64 {
+func (m *Meter) KeyDemand(now mtclock.Instant, key mtid.KeyNumber) float64 {
 	m.decay(now)
 	work := float64(m.work[key]) * m.scale / MeterMemory.Seconds()
 	if work == 0 {
@@ -135,7 +135,7 @@
 }
 
 // Forget drops the measurements of keys that have moved to another owner.
-func (m *Meter) Forget(now mtclock.Instant, low, high mtid.Number) {
+func (m *Meter) Forget(now mtclock.Instant, low, high mtid.KeyNumber) {
 	m.decay(now)
 	for key := int(low); key <= int(high); key++ {
 		if m.work[key] == 0 {
@@ -144,7 +144,7 @@
 		work := float64(m.work[key]) * m.scale
 		m.sum -= work
 		m.work[key] = 0
-		if s := m.recentAt(mtid.Number(key)); s != nil {
+		if s := m.recentAt(mtid.KeyNumber(key)); s != nil {
 			s.add(now, -min(work, s.sum))
 		}
 	}
--- a/core/mtrange/mtrange.go
+++ b/core/mtrange/mtrange.go
@@ -28,7 +28,7 @@
 // Owner identifies an incarnation of a backend server and the daemon beside it.
 type Owner struct {
 	Daemon      mtid.Daemon
-	Incarnation mtid.Life
+	Incarnation mtid.ServerIncarnation
 }
 
 // IsZero reports whether o names no server.
@@ -41,8 +41,8 @@
 
 // Range is a run of adjacent keys with one owner. Both ends are inclusive.
 type Range struct {
-	Low   mtid.Number
-	High  mtid.Number
+	Low   mtid.KeyNumber
+	High  mtid.KeyNumber
 	Owner Owner
 	Epoch mtid.Epoch
 	// WarmupState is the warm-up state that the previous owner handed over, so that
@@ -55,7 +55,7 @@
 func (r Range) Keys() int { return int(r.High) - int(r.Low) + 1 }
 
 // Covers reports whether the range contains the key.
-func (r Range) Covers(key mtid.Number) bool { return r.Low <= key && key <= r.High }
+func (r Range) Covers(key mtid.KeyNumber) bool { return r.Low <= key && key <= r.High }
 
 // Table is the complete assignment of one service.
 type Table struct {
@@ -63,12 +63,12 @@
 	// Next is the epoch of the next change. It only grows, so no two owners of a
 	// key ever have the same epoch, and a later owner never has a lower one.
 	Next   mtid.Epoch
-	Ranges []Range // in order, without gaps, from 0 to mtid.LastNumber
+	Ranges []Range // in order, without gaps, from 0 to mtid.LastKeyNumber
 }
 
 // RangeError reports that a change is not possible for a range of keys.
 type RangeError struct {
-	Low, High mtid.Number
+	Low, High mtid.KeyNumber
 	Reason    string
 }
 
@@ -81,10 +81,10 @@
 // there are no owners.
 func Spread(service mtid.Service, owners []Owner) (*Table, error) {
 	if len(owners) == 0 {
-		return nil, &RangeError{High: mtid.LastNumber, Reason: "no owners to assign keys to"}
+		return nil, &RangeError{High: mtid.LastKeyNumber, Reason: "no owners to assign keys to"}
 	}
 	t := &Table{Service: service, Next: 1}
-	for i, part := range splitEvenly(0, mtid.LastNumber, len(owners)) {
+	for i, part := range splitEvenly(0, mtid.LastKeyNumber, len(owners)) {
 		part.Owner = owners[i]
 		part.Epoch = t.Next
 		t.Next++
@@ -94,20 +94,20 @@
 }
 
 // splitEvenly divides the keys from low to high into n runs of nearly equal length.
-func splitEvenly(low, high mtid.Number, n int) []Range {
+func splitEvenly(low, high mtid.KeyNumber, n int) []Range {
 	keys := int(high) - int(low) + 1
 	n = min(n, keys)
 	result := make([]Range, 0, n)
 	for i := range n {
 		from, to := i*keys/n, (i+1)*keys/n-1
-		result = append(result, Range{Low: low + mtid.Number(from), High: low + mtid.Number(to)})
+		result = append(result, Range{Low: low + mtid.KeyNumber(from), High: low + mtid.KeyNumber(to)})
 	}
 	return result
 }
 
 // Lookup returns the range that contains the key. It is called for each request.
-func (t *Table) Lookup(key mtid.Number) (Range, bool) {
-	i, found := slices.BinarySearchFunc(t.Ranges, key, func(r Range, key mtid.Number) int {
+func (t *Table) Lookup(key mtid.KeyNumber) (Range, bool) {
+	i, found := slices.BinarySearchFunc(t.Ranges, key, func(r Range, key mtid.KeyNumber) int {
 		switch {
 		case r.High < key:
 			return -1
@@ -167,7 +167,7 @@
 // another one, with the warm-up state that the previous owner handed over. It
 // fails with a *RangeError if the keys are not contained in one range or the new
 // owner is empty.
-func (t *Table) Move(low, high mtid.Number, to Owner, warmupState string) (*Table, error) {
+func (t *Table) Move(low, high mtid.KeyNumber, to Owner, warmupState string) (*Table, error) {
 	if low > high {
 		return nil, &RangeError{Low: low, High: high, Reason: "low is above high"}
 	}
@@ -188,7 +188,7 @@
 
 // remainder returns what a range has before and after the keys from low to high,
 // which it contains: one range each, or none.
-func (r Range) remainder(low, high mtid.Number) (before, after []Range) {
+func (r Range) remainder(low, high mtid.KeyNumber) (before, after []Range) {
 	if r.Low < low {
 		before = []Range{subrange(r, r.Low, low-1)}
 	}
@@ -199,7 +199,7 @@
 }
 
 // subrange returns a copy of a range that is limited to the keys from low to high.
-func subrange(r Range, low, high mtid.Number) Range {
+func subrange(r Range, low, high mtid.KeyNumber) Range {
 	r.Low, r.High = low, high
 	return r
 }
@@ -217,7 +217,7 @@
 // It fails with a *RangeError if there are no survivors.
 func (t *Table) TakeOver(lost func(Owner) bool, survivors []Owner) (*Table, error) {
 	if len(survivors) == 0 {
-		return nil, &RangeError{High: mtid.LastNumber, Reason: "no surviving server to take over the keys"}
+		return nil, &RangeError{High: mtid.LastKeyNumber, Reason: "no surviving server to take over the keys"}
 	}
 	next := &Table{Service: t.Service, Next: t.Next}
 	shares := t.KeyCounts()
--- a/core/mtrange/relief.go
+++ b/core/mtrange/relief.go
@@ -161,7 +161,7 @@
 
 // KeyMove is a run of adjacent keys that moves to another server.
 type KeyMove struct {
-	Low, High mtid.Number
+	Low, High mtid.KeyNumber
 	To        Owner
 }
 
@@ -189,7 +189,7 @@
 
 // SelectKeys finds the run of keys with the most work, up to about amount, at either end of
 // one of the ranges. It may cut off a whole range, but never the only one.
-func SelectKeys(now mtclock.Instant, ranges []Range, meter *Meter, amount float64) (low, high mtid.Number, ok bool) {
+func SelectKeys(now mtclock.Instant, ranges []Range, meter *Meter, amount float64) (low, high mtid.KeyNumber, ok bool) {
 	bestWork := 0.0
 	for _, r := range ranges {
 		for _, fromLow := range []bool{true, false} {
@@ -202,9 +202,9 @@
 			}
 			bestWork, ok = work, true
 			if fromLow {
-				low, high = r.Low, r.Low+mtid.Number(n-1)
+				low, high = r.Low, r.Low+mtid.KeyNumber(n-1)
 			} else {
-				low, high = r.High-mtid.Number(n-1), r.High
+				low, high = r.High-mtid.KeyNumber(n-1), r.High
 			}
 		}
 	}
@@ -215,9 +215,9 @@
 // amount of work without exceeding it by more than maxOvershoot, and their work.
 func keysUpTo(now mtclock.Instant, r Range, meter *Meter, amount float64, fromLow bool) (n int, work float64) {
 	for n < r.Keys() {
-		key := r.Low + mtid.Number(n)
+		key := r.Low + mtid.KeyNumber(n)
 		if !fromLow {
-			key = r.High - mtid.Number(n)
+			key = r.High - mtid.KeyNumber(n)
 		}
 		next := work + meter.KeyDemand(now, key)
 		if next > amount*maxOvershoot {
--- a/core/mtrange/spill.go
+++ b/core/mtrange/spill.go
@@ -59,7 +59,7 @@
 
 // piece is a run of adjacent keys with its work, in slots.
 type piece struct {
-	low, high mtid.Number
+	low, high mtid.KeyNumber
 	work      float64
 }
 
@@ -69,7 +69,7 @@
 	total := 0.0
 	for _, r := range ranges {
 		for key := int(r.Low); key <= int(r.High); key++ {
-			total += meter.KeyDemand(now, mtid.Number(key))
+			total += meter.KeyDemand(now, mtid.KeyNumber(key))
 		}
 	}
 	count := min(limit, int(math.Ceil(total/minOffload)))
@@ -89,8 +89,8 @@
 	var pieces []piece
 	p := piece{low: r.Low}
 	for key := int(r.Low); key <= int(r.High); key++ {
-		p.work += meter.KeyDemand(now, mtid.Number(key))
-		p.high = mtid.Number(key)
+		p.work += meter.KeyDemand(now, mtid.KeyNumber(key))
+		p.high = mtid.KeyNumber(key)
 		if p.work >= share && key < int(r.High) {
 			pieces = append(pieces, p)
 			p = piece{low: p.high + 1}
--- a/core/mtrange/transfer.go
+++ b/core/mtrange/transfer.go
@@ -9,7 +9,7 @@
 type Transfer struct {
 	From        Owner
 	Epoch       mtid.Epoch // under which From owned the keys when the transfer began
-	Low, High   mtid.Number
+	Low, High   mtid.KeyNumber
 	To          Owner
 	WarmupState string
 }
@@ -62,11 +62,11 @@
 func ReadBatch(w *mtwire.RangeBatch) (Batch, error) {
 	b := Batch{Service: mtid.Service(w.GetService()), Daemon: mtid.Daemon(w.GetDaemon()), RecordVersion: mtid.Version(w.GetRecord()), KnownEpoch: mtid.Epoch(w.GetKnown())}
 	for _, t := range w.GetTransfers() {
-		if t.GetLow() > t.GetHigh() || t.GetHigh() > uint32(mtid.LastNumber) {
+		if t.GetLow() > t.GetHigh() || t.GetHigh() > uint32(mtid.LastKeyNumber) {
 			return Batch{}, &DecodeError{Reason: "transfer with an invalid key range"}
 		}
 		b.Transfers = append(b.Transfers, Transfer{
-			From: readOwner(t.GetFrom()), Epoch: mtid.Epoch(t.GetEpoch()), Low: mtid.Number(t.GetLow()), High: mtid.Number(t.GetHigh()),
+			From: readOwner(t.GetFrom()), Epoch: mtid.Epoch(t.GetEpoch()), Low: mtid.KeyNumber(t.GetLow()), High: mtid.KeyNumber(t.GetHigh()),
 			To: readOwner(t.GetTo()), WarmupState: t.GetWarmth(),
 		})
 	}
--- a/core/mtrange/transfer_test.go
+++ b/core/mtrange/transfer_test.go
@@ -18,8 +18,8 @@
 	whole, err := proto.Marshal(mtrange.Batch{
 		Service: "maps", Daemon: "a", RecordVersion: 7, KnownEpoch: 5,
 		Transfers: []mtrange.Transfer{{
-			From: mtrange.Owner{Daemon: "a", Incarnation: mtid.Life{Server: "s", Born: 3}}, Epoch: 4, Low: 10, High: mtid.LastNumber,
-			To: mtrange.Owner{Daemon: "b", Incarnation: mtid.Life{Server: "t"}}, WarmupState: "warm",
+			From: mtrange.Owner{Daemon: "a", Incarnation: mtid.ServerIncarnation{Server: "s", Started: 3}}, Epoch: 4, Low: 10, High: mtid.LastKeyNumber,
+			To: mtrange.Owner{Daemon: "b", Incarnation: mtid.ServerIncarnation{Server: "t"}}, WarmupState: "warm",
 		}},
 	}.Wire())
 	assert.NilError(f, err)
--- a/core/mttakeover/failover.go
+++ b/core/mttakeover/failover.go
@@ -29,13 +29,13 @@
 	if !ok {
 		return false
 	}
-	return h.Incarnation < record.Revoked || (record.State == mtroster.Gone && h.Incarnation <= record.Holder.Incarnation)
+	return h.Incarnation < record.RevokedBelow || (record.State == mtroster.Gone && h.Incarnation <= record.Holder.Incarnation)
 }
 
 // live reports whether h is its daemon's current incarnation and may hold a lease.
 func (r Roster) live(h mtid.Holder) bool {
 	record, ok := r[h.Daemon]
-	return ok && record.Live() && record.Holder == h
+	return ok && record.MayHoldLease() && record.Holder == h
 }
 
 // StartDelay returns how long self delays the takeover of record's daemon once
@@ -47,13 +47,13 @@
 	for _, w := range record.Witnesses {
 		// A later incarnation of the witness counts too: it also notices that the
 		// lost daemon no longer requests renewals from it.
-		if other, ok := roster[w.Daemon]; ok && other.Live() {
+		if other, ok := roster[w.Daemon]; ok && other.MayHoldLease() {
 			claimants = append(claimants, w.Daemon)
 		}
 	}
 	if len(claimants) == 0 {
 		for d, other := range roster {
-			if other.Live() && d != record.Holder.Daemon {
+			if other.MayHoldLease() && d != record.Holder.Daemon {
 				claimants = append(claimants, d)
 			}
 		}
@@ -67,7 +67,7 @@
 func FailoverDelay(self mtid.Daemon, table *mtshard.Table, roster Roster) (time.Duration, bool) {
 	var claimants []mtid.Daemon
 	for d, record := range roster {
-		if record.Live() {
+		if record.MayHoldLease() {
 			claimants = append(claimants, d)
 		}
 	}
--- a/core/mttakeover/model_test.go
+++ b/core/mttakeover/model_test.go
@@ -37,7 +37,7 @@
 	version  mtid.Version // of the value; for a write, the version it expects
 	record   *mtroster.Record
 	table    *mtshard.Table
-	writeID  mtroster.Stamp
+	writeID  mtroster.WriteID
 	accepted bool
 }
 
@@ -122,9 +122,9 @@
 	m.sequence += 1000
 	p.instance++
 	p.member = mtmember.New(mtmember.Profile{
-		Daemon: p.name, Zone: "a", Region: "r", Relay: fmt.Sprint(p.name, p.instance), Renew: "x",
+		Daemon: p.name, Zone: "a", Region: "r", RelayAddress: fmt.Sprint(p.name, p.instance), RenewAddress: "x",
 	}, m.sequence)
-	p.member.Carry([]mtroster.Offer{{Service: modelRef}}, mtroster.Serving)
+	p.member.PrepareRegistration([]mtroster.Offer{{Service: modelRef}}, mtroster.Serving)
 	p.lease = nil
 	p.witness = mtwitness.New(p.name, m.clock(p))
 	p.sequence = 0
@@ -264,7 +264,7 @@
 		}
 		h := p.lease.Holder()
 		m.events["may serve"]++
-		if m.records[p.name].record.Revoked > h.Incarnation {
+		if m.records[p.name].record.RevokedBelow > h.Incarnation {
 			m.fail("%v may serve although it is revoked", h)
 		}
 		if p.table == nil {
@@ -303,7 +303,7 @@
 	m.now += (elapsed + time.Millisecond).Truncate(time.Millisecond)
 	claimant := m.procs[m.pick(daemons)]
 	m.readStore(claimant)
-	if record, ok := claimant.roster[p.name]; ok && claimant != p && record.Live() {
+	if record, ok := claimant.roster[p.name]; ok && claimant != p && record.MayHoldLease() {
 		claimant.takeover = mttakeover.New(record, claimant.versions[p.name])
 		m.stepTakeover(claimant)
 		m.stepTakeover(claimant)
@@ -398,11 +398,11 @@
 		return
 	}
 	if current, ok := m.records[p.name]; ok {
-		p.member.Seen(current.record, current.version)
+		p.member.Observe(current.record, current.version)
 		m.confirm(p)
 		return
 	}
-	p.member.Missing()
+	p.member.ObserveMissing()
 }
 
 // confirm records that the store just returned or accepted p's own record.
@@ -418,7 +418,7 @@
 		p.selfFence = mttakeover.New(step.Record, step.Expected)
 	}
 	if m.requestRevocations(p, p.selfFence).Kind == mttakeover.Write {
-		p.member.Fenced(step.Expected)
+		p.member.MarkFenced(step.Expected)
 	}
 }
 
@@ -431,14 +431,14 @@
 	var unknown *unknownError
 	switch {
 	case err == nil:
-		p.member.Landed(got.version)
+		p.member.WriteSucceeded(got.version)
 		m.confirm(p)
 	case errors.As(err, &refused):
-		p.member.Refused()
+		p.member.WriteRejected()
 	case errors.As(err, &unknown):
-		p.member.Unknown()
+		p.member.WriteUnknown()
 	default:
-		p.member.Seen(got.record, got.version)
+		p.member.Observe(got.record, got.version)
 		m.events["own write conflicted"]++
 	}
 }
@@ -457,10 +457,10 @@
 		p.witness.Register(h.Incarnation)
 		p.lease.Adopt(mtlease.Set{Version: version, Witnesses: record.Witnesses})
 		m.events["registered"]++
-	case !h.IsZero() && !p.member.Writing() && p.lease.Current().Version != version:
+	case !h.IsZero() && !p.member.WritePending() && p.lease.Current().Version != version:
 		p.lease.Settle(mtlease.Set{Version: version, Witnesses: record.Witnesses})
 		m.events["set changed"]++
-	case !h.IsZero() && !p.member.Writing() && p.lease.Current().Version == version:
+	case !h.IsZero() && !p.member.WritePending() && p.lease.Current().Version == version:
 		p.lease.Withdraw()
 	}
 }
@@ -469,7 +469,7 @@
 // or not they have promised yet: safety must not depend on Ready.
 func (m *model) proposeWitnesses(p *process) {
 	record, version := p.member.Record()
-	if p.lease == nil || p.member.Holder().IsZero() || p.member.Writing() {
+	if p.lease == nil || p.member.Holder().IsZero() || p.member.WritePending() {
 		return
 	}
 	next := *record
@@ -531,7 +531,7 @@
 	if p.takeover == nil {
 		target := m.procs[m.pick(daemons)].name
 		record, ok := p.roster[target]
-		if !ok || target == p.name || !record.Live() {
+		if !ok || target == p.name || !record.MayHoldLease() {
 			return
 		}
 		p.takeover = mttakeover.New(record, p.versions[target])
@@ -552,7 +552,7 @@
 // writeRevoked writes the record that fences the target of t.
 func (m *model) writeRevoked(p *process, t *mttakeover.Takeover) {
 	m.sequence++
-	stamp := mtroster.Stamp{Writer: mtid.Holder{Daemon: p.name}, Sequence: m.sequence}
+	stamp := mtroster.WriteID{Writer: mtid.Holder{Daemon: p.name}, Sequence: m.sequence}
 	name := string(t.Target().Daemon)
 	got, err := m.swap(stored{name: name, version: t.Version(), record: t.RevokedRecord(stamp)})
 	var conflict *conflictError
@@ -589,7 +589,7 @@
 // or create the table if p knows none.
 func (m *model) writeFailover(p *process) {
 	m.sequence++
-	stamp := mtroster.Stamp{Writer: mtid.Holder{Daemon: p.name}, Sequence: m.sequence}
+	stamp := mtroster.WriteID{Writer: mtid.Holder{Daemon: p.name}, Sequence: m.sequence}
 	if p.table == nil {
 		m.createTable(p, stamp)
 		return
@@ -606,10 +606,10 @@
 	m.writeTable(p, stamp, next)
 }
 
-func (m *model) createTable(p *process, stamp mtroster.Stamp) {
+func (m *model) createTable(p *process, stamp mtroster.WriteID) {
 	var among []mtid.Holder
 	for _, q := range m.procs {
-		if r, ok := p.roster[q.name]; ok && r.Live() {
+		if r, ok := p.roster[q.name]; ok && r.MayHoldLease() {
 			among = append(among, r.Holder)
 		}
 	}
@@ -619,7 +619,7 @@
 	}
 }
 
-func (m *model) writeTable(p *process, stamp mtroster.Stamp, next *mtshard.Table) {
+func (m *model) writeTable(p *process, stamp mtroster.WriteID, next *mtshard.Table) {
 	got, err := m.swap(stored{name: tableName, version: next.Version - 1, table: next, writeID: stamp})
 	var conflict *conflictError
 	switch {
--- a/core/mttakeover/mttakeover.go
+++ b/core/mttakeover/mttakeover.go
@@ -102,7 +102,7 @@
 // Next returns the step that is due at now. The witnesses of an Ask step count as
 // pending until Replied or Failed is called for them.
 func (t *Takeover) Next(now mtclock.Instant) Step {
-	if t.record.Holder != t.target || !t.record.Live() {
+	if t.record.Holder != t.target || !t.record.MayHoldLease() {
 		return Step{Kind: Done}
 	}
 	if t.fenced() {
@@ -177,10 +177,10 @@
 
 // RevokedRecord returns the record that fences the incarnation. It may be
 // written only after Next returned Write, and the write must expect Version.
-func (t *Takeover) RevokedRecord(stamp mtroster.Stamp) *mtroster.Record {
+func (t *Takeover) RevokedRecord(stamp mtroster.WriteID) *mtroster.Record {
 	next := *t.record
-	next.Stamp = stamp
-	next.Revoked = t.target.Incarnation + 1
+	next.WriteID = stamp
+	next.RevokedBelow = t.target.Incarnation + 1
 	return &next
 }
 
--- a/core/mttakeover/mttakeover_test.go
+++ b/core/mttakeover/mttakeover_test.go
@@ -27,7 +27,7 @@
 
 func lostRecord() *mtroster.Record {
 	return &mtroster.Record{
-		Holder: lost, Revoked: 3, Witnesses: []mtid.Holder{w1, w2, w3},
+		Holder: lost, RevokedBelow: 3, Witnesses: []mtid.Holder{w1, w2, w3},
 		Offers: []mtroster.Offer{{Service: modelRef}},
 	}
 }
@@ -53,7 +53,7 @@
 	assert.DeepEqual(t, step.Witnesses, []mtid.Holder{w2, w3})
 	tk.Replied(start.Add(stillPromised.Wait), tk.Request(w2), granted)
 	assert.Equal(t, tk.Next(start).Kind, mttakeover.Write)
-	assert.Equal(t, tk.RevokedRecord(mtroster.Stamp{}).Revoked, lost.Incarnation+1)
+	assert.Equal(t, tk.RevokedRecord(mtroster.WriteID{}).RevokedBelow, lost.Incarnation+1)
 }
 
 // Witnesses agree to revoke one version of the record, but their replies arrive
@@ -84,7 +84,7 @@
 	tk.Replied(start, tk.Request(w3), granted)
 	tk.Observe(lostRecord(), 7)
 	assert.Equal(t, tk.Next(start).Kind, mttakeover.Write)
-	tk.Observe(tk.RevokedRecord(mtroster.Stamp{}), 8)
+	tk.Observe(tk.RevokedRecord(mtroster.WriteID{}), 8)
 	assert.Equal(t, tk.Next(start).Kind, mttakeover.Done)
 }
 
@@ -109,8 +109,8 @@
 	fast := int64(mtlease.FencedExpiry) * mtlease.DriftShare / (mtlease.DriftShare + 1)
 	assert.Assert(t, fast >= int64(mtlease.ConfirmationTTL+mtlease.Length))
 	var f mttakeover.Fences
-	f.Note(start, &mtroster.Record{Holder: w1, Revoked: 2})
-	f.Note(start.Add(time.Second), &mtroster.Record{Holder: w1, Revoked: 2})
+	f.Note(start, &mtroster.Record{Holder: w1, RevokedBelow: 2})
+	f.Note(start.Add(time.Second), &mtroster.Record{Holder: w1, RevokedBelow: 2})
 	next := mtid.Holder{Daemon: "w1", Incarnation: 2}
 	assert.Assert(t, !f.PromisesExpired(start.Add(mtlease.FencedExpiry-1), w1))
 	assert.Assert(t, f.PromisesExpired(start.Add(mtlease.FencedExpiry), w1))
@@ -121,7 +121,7 @@
 func TestNewerIncarnationNeedsNoTakeover(t *testing.T) {
 	tk := mttakeover.New(lostRecord(), 7)
 	next := lostRecord()
-	next.Holder.Incarnation, next.Revoked = 4, 4
+	next.Holder.Incarnation, next.RevokedBelow = 4, 4
 	tk.Observe(next, 9)
 	assert.Equal(t, tk.Next(start).Kind, mttakeover.Done)
 }
@@ -132,7 +132,7 @@
 		h := mtid.Holder{Daemon: mtid.Daemon(fmt.Sprintf("d%d", i)), Incarnation: 1}
 		roster[h.Daemon] = &mtroster.Record{Holder: h}
 	}
-	roster["w1"] = &mtroster.Record{Holder: w1, Revoked: 2}
+	roster["w1"] = &mtroster.Record{Holder: w1, RevokedBelow: 2}
 	roster["w2"] = &mtroster.Record{Holder: mtid.Holder{Daemon: "w2", Incarnation: 2}}
 	allDelays := func() (delays map[mtid.Daemon]time.Duration) {
 		delays = make(map[mtid.Daemon]time.Duration)
@@ -153,11 +153,11 @@
 }
 
 func TestFailoverAssignsToLiveDaemonsOfferingTheService(t *testing.T) {
-	table, err := mtshard.New(modelRef, 0, 1).Apply(mtroster.Stamp{}, mtshard.Create{Shards: 8, Among: []mtid.Holder{lost, w1}})
+	table, err := mtshard.New(modelRef, 0, 1).Apply(mtroster.WriteID{}, mtshard.Create{Shards: 8, Among: []mtid.Holder{lost, w1}})
 	assert.NilError(t, err)
 	offers := []mtroster.Offer{{Service: modelRef}}
 	fenced := lostRecord()
-	fenced.Revoked = 4
+	fenced.RevokedBelow = 4
 	roster := mttakeover.Roster{
 		"w1":      {Holder: w1, Offers: offers},
 		"leaving": {Holder: mtid.Holder{Daemon: "leaving", Incarnation: 1}, Offers: offers, State: mtroster.Leaving},
@@ -215,7 +215,7 @@
 	var records []*mtroster.Record
 	for i := range 480 {
 		h := mtid.Holder{Daemon: mtid.Daemon(fmt.Sprintf("old-town-%d", i)), Incarnation: 1}
-		records = append(records, &mtroster.Record{Holder: h, Revoked: 1})
+		records = append(records, &mtroster.Record{Holder: h, RevokedBelow: 1})
 	}
 	var f mttakeover.Fences
 	for b.Loop() {
