--- a/core/mtroute/certainty.go
+++ b/core/mtroute/certainty.go
@@ -7,109 +7,112 @@
 	"magnoliaturn/core/mtid"
 )
 
-// Turn says when a daemon asks the store for the configuration, if nobody tells it
-// anything: the few first, so that their word spares the others the question.
+// Turn is how soon a daemon polls the store for the configuration if it receives no
+// update. A few daemons poll early, so that their updates save all others the poll.
 type Turn int
 
 // The turns.
 const (
-	Regular  Turn = iota // one of the few that ask regularly
-	Relaying             // one that passes their word on to others
-	Last                 // all others
+	Regular  Turn = iota // one of the few daemons that poll regularly
+	Relaying             // a daemon that relays updates to others
+	Last                 // all other daemons
 )
 
 const (
-	// Within is within which time a configuration has to be in force everywhere, where
-	// nothing else is set.
+	// Within is the default time within which a configuration has to be in force on every
+	// daemon.
 	Within = 2 * time.Second
-	// Of that time, these parts are the ages of its certainty at which a daemon asks the
-	// store itself. Those whose turn it is do so in less than half of it: it takes the
-	// rest to tell the others. One that hears nobody, or only others that hear nothing,
-	// is still in time.
-	regularPart  = 0.4
-	relayingPart = 0.6
-	lastPart     = 0.75
-	// trustPart is the age up to which a daemon says that there is no such route. One that
-	// was added longer ago than the whole time must not be denied.
-	trustPart = 0.95
+	// The poll fractions are the ages of the last confirmation, as fractions of the
+	// propagation limit, at which a daemon polls the store itself. The few that poll
+	// regularly do so in less than half of the limit, since they need the rest to update
+	// the others. A daemon that receives no updates, or only from daemons
+	// that receive none either, still polls within the limit.
+	primaryPollFraction  = 0.4
+	relayPollFraction    = 0.6
+	fallbackPollFraction = 0.75
+	// denyFraction bounds the age of the last confirmation up to which a daemon reports
+	// that a route does not exist. It is below 1 because a route that was added longer ago
+	// than the propagation limit must not be denied.
+	denyFraction = 0.95
 )
 
-// Certainty is how old a daemon's knowledge is that its configuration is the newest.
+// Certainty tracks when a daemon last confirmed that its configuration is the newest.
 //
-// A daemon hears of a configuration by its own watch, by the daemon that it learns
-// from, by others' messages, and from the few that ask the store regularly. All of
-// these have been seen quiet at the same time: watches were deaf, the teacher and the
-// askers were cut off, and nobody had calls for it. It went on to deny a route three
-// seconds after it had been added. So each daemon counts how long ago it last was
-// certain, asks by itself when that is too long, and does not deny a route that it
-// may not have heard of.
+// A daemon receives configurations from its own watch, from its upstream daemon, in the
+// messages of other daemons, and from the few daemons that poll the store. All of these
+// can fail at the same time: watches deliver nothing, the upstream and the pollers are
+// partitioned, and no other daemon sends a request. A daemon in this state denied a
+// route three seconds after it had been added. Each daemon therefore tracks the age of
+// its last confirmation, polls the store itself when that grows too old, and does not
+// deny a route that may have been added since.
 //
 // It isn't safe for concurrent use.
 type Certainty struct {
-	within time.Duration   // time in which a configuration has to be in force
-	at     mtclock.Instant // when the configuration certainly was the newest
-	asked  mtclock.Instant // the last question to the store
+	limit     time.Duration   // time within which a configuration has to be in force
+	confirmed mtclock.Instant // when the configuration was last known to be the newest
+	polled    mtclock.Instant // when the store was last polled
 }
 
 // NewCertainty returns the Certainty of a daemon that starts now, where a configuration
-// has to be in force within a time. Its first reading of the store tells it more than a
-// question would, so that it has none for a while.
+// has to be in force within a time. The start counts as a poll, because the daemon's
+// first read of the store returns more than a poll would.
 func NewCertainty(now mtclock.Instant, within time.Duration) Certainty {
-	return Certainty{within: within, asked: now}
+	return Certainty{limit: within, polled: now}
 }
 
-// part returns a part of the time in which a configuration has to be in force.
-func (c *Certainty) part(part float64) time.Duration {
-	return time.Duration(part * float64(c.within))
+// fraction returns a fraction of the propagation limit.
+func (f *Certainty) fraction(fraction float64) time.Duration {
+	return time.Duration(fraction * float64(f.limit))
 }
 
-// Confirm notes that the configuration in force was the newest at an instant: the
-// store was asked then and named no newer one.
-func (c *Certainty) Confirm(at mtclock.Instant) { c.at = max(c.at, at) }
+// Confirm records that the configuration in force was the newest at an instant: a poll
+// of the store at that instant returned no newer one.
+func (f *Certainty) Confirm(at mtclock.Instant) { f.confirmed = max(f.confirmed, at) }
 
-// Hear takes in another daemon's word, an answer to what was sent at an instant: it
-// had a configuration of that version in force, and was certain of it so long before
-// its answer. That there is no configuration yet is known in the same way.
-func (c *Certainty) Hear(own, theirs mtid.Version, age time.Duration, sent mtclock.Instant) {
+// Hear merges the confirmation of another daemon, received in the reply to a message
+// that was sent at an instant. At the reply, that daemon had the version theirs in force
+// and had confirmed it the given age before. Two daemons without a configuration confirm
+// each other in the same way.
+func (f *Certainty) Hear(own, theirs mtid.Version, age time.Duration, sent mtclock.Instant) {
 	if own == theirs {
-		c.Confirm(sent.Add(-age))
+		f.Confirm(sent.Add(-age))
 	}
 }
 
-// At returns when the daemon was certain.
-func (c *Certainty) At() mtclock.Instant { return c.at }
+// At returns the instant of the last confirmation.
+func (f *Certainty) At() mtclock.Instant { return f.confirmed }
 
-// Age returns how long ago the daemon was certain.
-func (c *Certainty) Age(now mtclock.Instant) time.Duration { return now.Sub(c.at) }
+// Age returns the time since the last confirmation.
+func (f *Certainty) Age(now mtclock.Instant) time.Duration { return now.Sub(f.confirmed) }
 
-// Due returns when the store is to be asked, if nothing is heard until then. A question
-// that was not answered is not asked again for a while: the store is away, for seconds,
-// and each is paid for.
-func (c *Certainty) Due(turn Turn) mtclock.Instant {
-	age := c.part(lastPart)
+// Due returns when to poll the store unless a confirmation arrives first. A poll that
+// got no reply is not repeated before the same interval has passed: the store is then
+// unavailable for seconds, and every request to it is billed.
+func (f *Certainty) Due(turn Turn) mtclock.Instant {
+	age := f.fraction(fallbackPollFraction)
 	switch turn {
 	case Regular:
-		age = c.part(regularPart)
+		age = f.fraction(primaryPollFraction)
 	case Relaying:
-		age = c.part(relayingPart)
+		age = f.fraction(relayPollFraction)
 	}
-	return max(c.at, c.asked).Add(age)
+	return max(f.confirmed, f.polled).Add(age)
 }
 
-// Ask reports whether the store is to be asked now.
-func (c *Certainty) Ask(now mtclock.Instant, turn Turn) bool {
-	if now.Before(c.Due(turn)) {
+// Ask reports whether to poll the store now, and if so, records the poll.
+func (f *Certainty) Ask(now mtclock.Instant, turn Turn) bool {
+	if now.Before(f.Due(turn)) {
 		return false
 	}
-	c.asked = now
+	f.polled = now
 	return true
 }
 
-// Fresher reports whether an instant of certainty is so much later than another one that
-// others should be told of it.
-func (c *Certainty) Fresher(at, than mtclock.Instant) bool {
-	return at.Sub(than) >= c.part(regularPart)/2
+// Fresher reports whether a confirmation is so much later than another one that other
+// daemons should be notified of it.
+func (f *Certainty) Fresher(at, than mtclock.Instant) bool {
+	return at.Sub(than) >= f.fraction(primaryPollFraction)/2
 }
 
-// Denies reports whether the daemon may say that there is no such route.
-func (c *Certainty) Denies(now mtclock.Instant) bool { return c.Age(now) <= c.part(trustPart) }
+// Denies reports whether the daemon may report that a route does not exist.
+func (f *Certainty) Denies(now mtclock.Instant) bool { return f.Age(now) <= f.fraction(denyFraction) }
--- a/core/mtroute/mtroute.go
+++ b/core/mtroute/mtroute.go
@@ -1,10 +1,9 @@
-// Package mtroute finds the route of a request by its host and path, and the
-// service that the route leads to.
+// Package mtroute matches a request to a route by host and path, and picks the
+// service that the route sends the request to.
 //
-// A Config is what the operators have in force: routes, services and the limits
-// of callers. Among the routes of a host the one with the longest prefix of the
-// path holds. A route may be divided among services by weights; a Splitter
-// keeps to them.
+// A Config holds the operators' configuration: routes, services and the limits
+// of callers. Among the routes of a host, the longest matching prefix wins. A
+// route may split its requests among services by weight; a Splitter does so.
 //
 // # Usage
 //
@@ -26,52 +25,52 @@
 	"magnoliaturn/core/mtid"
 )
 
-// Part is a service that gets a share of a route's requests.
+// Part is a service that receives a share of a route's requests, proportional to
+// its weight.
 type Part struct {
 	Service mtid.Service
 	Weight  int
 }
 
-// Route says what becomes of the requests under a prefix of a host.
+// Route configures how requests under a path prefix of a host are handled.
 type Route struct {
 	Name       mtid.Class
 	Host       string
 	Prefix     string // begins and ends with a slash
 	Idempotent bool
-	Timeout    time.Duration // longest time that a request may take
-	Objective  time.Duration // time within which an answer is worth most
-	Attempts   int           // most servers that one request is sent to
+	Timeout    time.Duration // upper bound of the time that a request may take
+	Objective  time.Duration // latency objective: time within which an answer is worth most
+	Attempts   int           // maximum number of servers that one request is sent to
 	Priority   int           // 0 is the most urgent
 	Parts      []Part        // at least one
 }
 
-// usualPart is the part of a route's objective, one over it, that its calls are
-// taken to run until some have ended: operators set objectives at about three
-// times the usual time.
-const usualPart = 3
+// objectiveFactor is the ratio of a route's objective to the expected duration of
+// its calls: operators set objectives at about three times the usual duration.
+const objectiveFactor = 3
 
-// Usual returns how long a call of the route usually runs, as far as its objective
-// tells.
-func (r Route) Usual() time.Duration { return r.Objective / usualPart }
+// Usual estimates the duration of a call of the route from its objective. The
+// estimate is used until some calls have ended and their duration is measured.
+func (r Route) Usual() time.Duration { return r.Objective / objectiveFactor }
 
 // Service is a group of backend servers of one kind.
 type Service struct {
 	Name        mtid.Service
 	Health      string // path of the health check
-	Connections int    // that one server takes
-	Keyed       bool   // each key has one server
-	// ColdRate is how many requests a second one server takes while it is cold; zero is
+	Connections int    // maximum number of connections to one server
+	Keyed       bool   // each key is owned by one server
+	// ColdRate limits the requests per second to one server while it is cold; zero means
 	// no limit.
 	ColdRate float64
 }
 
-// Limits bound what a caller may send. Zero fields are no limit.
+// Limits bounds the size of a caller's requests. A zero field means no limit.
 type Limits struct {
-	Header int // bytes of a request's header
-	Body   int // bytes of a request's body
+	Header int // bytes of a request header
+	Body   int // bytes of a request body
 }
 
-// Config is one version of all that operators set. See the package comment.
+// Config is one version of the operators' configuration. See the package comment.
 type Config struct {
 	Version  mtid.Version
 	Limits   Limits
@@ -79,7 +78,7 @@
 	hosts    map[string][]Route // longest prefix first
 }
 
-// RouteError says that a route can't be served as it is declared.
+// RouteError reports a route whose declaration is invalid.
 type RouteError struct {
 	Route  mtid.Class
 	Reason string
@@ -88,7 +87,7 @@
 // Error implements error.
 func (e *RouteError) Error() string { return fmt.Sprintf("route %s: %s", e.Route, e.Reason) }
 
-// New checks routes and services and returns the Config. It fails with a
+// New validates routes and services and returns the Config. It fails with a
 // *RouteError.
 func New(version mtid.Version, routes []Route, services []Service, limits Limits) (*Config, error) {
 	c := &Config{
@@ -101,10 +100,10 @@
 		c.Services[s.Name] = s
 	}
 	for _, r := range routes {
-		if err := c.check(r); err != nil {
+		if err := c.validate(r); err != nil {
 			return nil, err
 		}
-		host := canonical(r.Host)
+		host := canonicalHost(r.Host)
 		c.hosts[host] = append(c.hosts[host], r)
 	}
 	for _, list := range c.hosts {
@@ -113,32 +112,32 @@
 	return c, nil
 }
 
-// check returns what is wrong with a route, or nil.
-func (c *Config) check(r Route) error {
+// validate returns a *RouteError if a route is invalid, or nil.
+func (c *Config) validate(r Route) error {
 	switch {
 	case !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/"):
 		return &RouteError{Route: r.Name, Reason: fmt.Sprintf("prefix %q does not begin and end with a slash", r.Prefix)}
 	case r.Timeout <= 0:
-		return &RouteError{Route: r.Name, Reason: "timeout is not above zero"}
+		return &RouteError{Route: r.Name, Reason: fmt.Sprintf("timeout %s is not positive", r.Timeout)}
 	case len(r.Parts) == 0:
-		return &RouteError{Route: r.Name, Reason: "leads to no service"}
+		return &RouteError{Route: r.Name, Reason: "no service is declared for the route"}
 	}
 	for _, p := range r.Parts {
 		if _, ok := c.Services[p.Service]; !ok {
 			return &RouteError{Route: r.Name, Reason: fmt.Sprintf("service %q is not declared", p.Service)}
 		}
 		if p.Weight < 0 {
-			return &RouteError{Route: r.Name, Reason: "a weight is below zero"}
+			return &RouteError{Route: r.Name, Reason: fmt.Sprintf("weight %d of service %q is negative", p.Weight, p.Service)}
 		}
 	}
 	return nil
 }
 
-// Match returns the route of a path, which may carry a query. It is called for
-// each request.
-func (c *Config) Match(host, target string) (*Route, bool) {
-	list := c.hosts[canonical(host)]
-	path, _, _ := strings.Cut(target, "?")
+// Match returns the route of a request by its Host header and its request target,
+// a path with an optional query. It is called for each request.
+func (c *Config) Match(host, requestTarget string) (*Route, bool) {
+	list := c.hosts[canonicalHost(host)]
+	path, _, _ := strings.Cut(requestTarget, "?")
 	for i := range list {
 		if strings.HasPrefix(path, list[i].Prefix) {
 			return &list[i], true
@@ -147,7 +146,7 @@
 	return nil, false
 }
 
-// Routes returns all routes, ordered by host and falling length of prefix.
+// Routes returns all routes, ordered by host and then by descending prefix length.
 func (c *Config) Routes() []Route {
 	var all []Route
 	for _, list := range c.hosts {
@@ -159,8 +158,8 @@
 	return all
 }
 
-// canonical returns a host name without port, in lower case.
-func canonical(host string) string {
+// canonicalHost returns a host name without port, in lower case.
+func canonicalHost(host string) string {
 	if strings.Contains(host, ":") {
 		if name, _, err := net.SplitHostPort(host); err == nil {
 			host = name
--- a/core/mtroute/mtroute_test.go
+++ b/core/mtroute/mtroute_test.go
@@ -21,7 +21,7 @@
 
 var services = []mtroute.Service{{Name: "maps"}, {Name: "desk"}}
 
-func TestLongestPrefixOfTheHostHolds(t *testing.T) {
+func TestLongestPrefixOfHostWins(t *testing.T) {
 	config, err := mtroute.New(3, []mtroute.Route{
 		route("short", "a.example", "/plans/"),
 		route("long", "a.example", "/plans/floors/"),
@@ -52,25 +52,25 @@
 	}
 }
 
-func TestRoutesThatCannotBeServedAreRefused(t *testing.T) {
-	for name, bad := range map[string]mtroute.Route{
-		"prefix without slash at its end": route("r", "a", "/plans"),
-		"relative prefix":                 route("r", "a", "plans/"),
-		"unknown service":                 route("r", "a", "/", mtroute.Part{Service: "none", Weight: 1}),
-		"weight below zero":               route("r", "a", "/", mtroute.Part{Service: "maps", Weight: -1}),
-		"no timeout":                      {Name: "r", Host: "a", Prefix: "/", Parts: []mtroute.Part{{Service: "maps"}}},
-		"no service":                      {Name: "r", Host: "a", Prefix: "/", Timeout: time.Second},
+func TestInvalidRoutesAreRejected(t *testing.T) {
+	for name, invalid := range map[string]mtroute.Route{
+		"prefix without trailing slash": route("r", "a", "/plans"),
+		"relative prefix":               route("r", "a", "plans/"),
+		"unknown service":               route("r", "a", "/", mtroute.Part{Service: "none", Weight: 1}),
+		"negative weight":               route("r", "a", "/", mtroute.Part{Service: "maps", Weight: -1}),
+		"no timeout":                    {Name: "r", Host: "a", Prefix: "/", Parts: []mtroute.Part{{Service: "maps"}}},
+		"no service":                    {Name: "r", Host: "a", Prefix: "/", Timeout: time.Second},
 	} {
-		_, err := mtroute.New(1, []mtroute.Route{bad}, services, mtroute.Limits{})
+		_, err := mtroute.New(1, []mtroute.Route{invalid}, services, mtroute.Limits{})
 		var want *mtroute.RouteError
 		assert.Assert(t, errors.As(err, &want), name)
 	}
 }
 
-// An operator sends a tenth of a route's requests to a new service and looks at
-// its figures after some hundred of them. Parts that were drawn at random would
-// be off by a third of their share by then.
-func TestPartsKeepToTheirWeights(t *testing.T) {
+// An operator sends a tenth of a route's requests to a new service and reads its
+// metrics after about a hundred requests. With random selection, the service's share
+// would be off by a third by then.
+func TestSplitterFollowsWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		heavy := rapid.IntRange(0, 100).Draw(t, "heavy")
 		light := rapid.IntRange(1, 100).Draw(t, "light")
@@ -85,7 +85,7 @@
 		}
 		want := float64(n) * float64(heavy) / float64(heavy+light)
 		if diff := float64(got) - want; diff > 1 || diff < -1 {
-			t.Fatalf("of %d requests %d went to the part with %d of %d, want %.1f", n, got, heavy, heavy+light, want)
+			t.Fatalf("of %d requests, %d were sent to the service with weight %d of %d, want %.1f", n, got, heavy, heavy+light, want)
 		}
 	})
 }
