--- a/core/mtzone/door.go
+++ b/core/mtzone/door.go
@@ -8,51 +8,51 @@
 )
 
 const (
-	// Within is within which time of an order a zone gets no new work, where nothing else is
-	// set.
+	// Within is the default time after which a zone that was ordered out of service gets no
+	// new work.
 	Within = 5 * time.Second
-	// keyedPart is the part of that time in which keyed work is begun: the rest is spare for
-	// a daemon that is held up between its decision and the sending.
-	keyedPart = 0.8
+	// keyedFraction is the fraction of that time in which keyed work may still start. The
+	// rest is a margin for a daemon that is delayed between its decision and the sending.
+	keyedFraction = 0.8
 )
 
-// Until returns until when keyed work may be begun in a zone of which a daemon hears now
-// that it is out of service. The order is at most as old as the daemon's certainty that
-// there was none.
-func Until(certain mtclock.Instant, within time.Duration) mtclock.Instant {
-	return certain.Add(time.Duration(keyedPart * float64(within)))
+// Until returns until when keyed work may start in a zone that a daemon now finds out of
+// service. The order was given after the daemon last confirmed that there was none, so the
+// time counts from that confirmation.
+func Until(confirmed mtclock.Instant, within time.Duration) mtclock.Instant {
+	return confirmed.Add(time.Duration(keyedFraction * float64(within)))
 }
 
-// Door decides what a server may begin while its zone is taken out of service and taken
-// back. Work without a key has other servers at once, so none is begun from the moment at
-// which the order is known. Keys have to move to other owners first, which takes some
-// tenths of a second each; until then only this server can serve them, but not for longer
-// than the order allows.
+// Door decides which work a server may start while its zone is taken out of service and
+// put back. Other servers can take work without a key at once, so none starts here as soon
+// as the order is known. Keys have to move to other owners first, which takes some tenths
+// of a second each. Until then only this server can serve them, but no longer than the
+// order allows.
 //
-// The zero value is the door of a server whose zone is in service.
+// The zero value is ready to use, for a server whose zone is in service.
 type Door struct {
-	version mtid.Version    // of the order; zero while the zone is in service
-	shut    mtclock.Instant // until when keyed work is begun
+	version    mtid.Version    // of the order; zero while the zone is in service
+	keyedUntil mtclock.Instant // when keyed work stops being admitted
 }
 
-// Close notes an order, and until when it lets keyed work be begun. A second word of the
-// same order can only bring that forward: its bound counts from the order, not from when
-// it was heard of again.
-func (d *Door) Close(version mtid.Version, until mtclock.Instant) {
-	if d.version == version {
-		d.shut = min(d.shut, until)
+// Close applies an order that took the zone out of service, with the time until which keyed
+// work may start. If the same order is received again, that time can only become
+// earlier, because it counts from the order and not from its receipt.
+func (a *Door) Close(version mtid.Version, until mtclock.Instant) {
+	if a.version == version {
+		a.keyedUntil = min(a.keyedUntil, until)
 		return
 	}
-	d.version, d.shut = version, until
+	a.version, a.keyedUntil = version, until
 }
 
-// Reopen notes that the zone is in service.
-func (d *Door) Reopen() { *d = Door{} }
+// Reopen puts the zone back into service.
+func (a *Door) Reopen() { *a = Door{} }
 
 // Closed reports whether the zone is out of service.
-func (d *Door) Closed() bool { return d.version != 0 }
+func (a *Door) Closed() bool { return a.version != 0 }
 
-// Open reports whether work may be begun now, for a key or without one.
-func (d *Door) Open(now mtclock.Instant, keyed bool) bool {
-	return d.version == 0 || keyed && now.Before(d.shut)
+// Open reports whether keyed work, or work without a key, may start now.
+func (a *Door) Open(now mtclock.Instant, keyed bool) bool {
+	return a.version == 0 || keyed && now.Before(a.keyedUntil)
 }
--- a/core/mtzone/mtzone.go
+++ b/core/mtzone/mtzone.go
@@ -1,19 +1,20 @@
-// Package mtzone says which availability zones the operators have taken out of
-// service, and until when a server in such a zone may still begin work.
+// Package mtzone tracks which availability zones the operators have taken out of
+// service, and until when a server in such a zone may still start work.
 //
-// A zone is out of service while the operators' entry for it stands in the store.
-// Requests of callers there go to servers elsewhere. Each daemon learns of the
-// entries like of a configuration, and counts how old its knowledge is: what it has
-// not heard of may have been ordered since it was certain last.
+// A zone is out of service while the operators' entry for it exists in the store.
+// Requests of callers in that zone go to servers in other zones. A daemon receives
+// the entries in the same way as a configuration, and tracks when it last confirmed
+// that its entries are current: an order that it has not received may have been given
+// at any time since.
 //
 // # Usage
 //
 //	out := mtzone.Out{}.With("riga-a", version)
-//	if out.Has(server.Zone) { ... } // send it nothing new
+//	if out.Has(server.Zone) { ... } // send the server no new work
 //
 //	var door mtzone.Door // of the server on this VM
-//	door.Close(out.Version("riga-a"), mtzone.Until(certain, within))
-//	if !door.Open(now, keyed) { ... } // refuse
+//	door.Close(out.Version("riga-a"), mtzone.Until(confirmed, within))
+//	if !door.Open(now, keyed) { ... } // refuse the request
 //
 // An Out is immutable; a Door isn't safe for concurrent use.
 package mtzone
@@ -26,69 +27,73 @@
 	"magnoliaturn/core/mtid"
 )
 
-// Digest is the same for two daemons that know the same zones to be out of service, by
-// the same orders. Zero means that all zones are in service.
+// Digest identifies a set of zones that are out of service and the versions of the orders
+// that took them out, so that two daemons can compare their sets. Zero means that all
+// zones are in service.
 type Digest uint64
 
-// Out is the set of the zones that are out of service. The zero value is empty.
+// Out is the set of zones that are out of service. The zero value is empty.
 type Out struct {
-	zones   map[mtid.Zone]mtid.Version
-	changed map[mtid.Zone]mtid.Revision // by the last order or its end
-	digest  Digest
+	orders    map[mtid.Zone]mtid.Version  // the versions of the orders in force
+	changedAt map[mtid.Zone]mtid.Revision // when the last order was given or withdrawn
+	digest    Digest
 }
 
 // Has reports whether a zone is out of service.
 func (o Out) Has(zone mtid.Zone) bool {
-	_, out := o.zones[zone]
-	return out
+	_, ok := o.orders[zone]
+	return ok
 }
 
 // Version returns the version of the order that took a zone out of service, or zero if it
 // is in service.
-func (o Out) Version(zone mtid.Zone) mtid.Version { return o.zones[zone] }
+func (o Out) Version(zone mtid.Zone) mtid.Version { return o.orders[zone] }
 
-// Digest returns what tells this set from others.
+// Digest returns the digest of the set, for comparison with other daemons.
 func (o Out) Digest() Digest { return o.digest }
 
-// Changed returns the revision of the store at which a zone was last taken out of service
-// or back, as far as is known.
-func (o Out) Changed(zone mtid.Zone) mtid.Revision { return o.changed[zone] }
+// Changed returns the store revision at which a zone was last taken out of service or put
+// back into service, or zero if no change is known.
+func (o Out) Changed(zone mtid.Zone) mtid.Revision { return o.changedAt[zone] }
 
-// With returns the set with one more zone, by an order of that version, which is its
-// revision too.
+// With returns a copy of the set that includes a zone, taken out of service by an order of
+// that version. The version is also the store revision of the order.
 func (o Out) With(zone mtid.Zone, version mtid.Version) Out {
-	next := o.at(zone, mtid.Revision(version))
-	next.zones[zone] = version
-	return next.summed()
+	next := o.cloneWithChange(zone, mtid.Revision(version))
+	next.orders[zone] = version
+	return next.withDigest()
 }
 
-// Without returns the set less one zone, which was taken back at a revision.
+// Without returns a copy of the set that excludes a zone, which was put back into service
+// at a store revision.
 func (o Out) Without(zone mtid.Zone, at mtid.Revision) Out {
-	next := o.at(zone, at)
-	delete(next.zones, zone)
-	return next.summed()
+	next := o.cloneWithChange(zone, at)
+	delete(next.orders, zone)
+	return next.withDigest()
 }
 
-// at returns a copy with a zone changed at a revision.
-func (o Out) at(zone mtid.Zone, revision mtid.Revision) Out {
-	next := Out{zones: maps.Clone(o.zones), changed: maps.Clone(o.changed)}
-	if next.zones == nil {
-		next.zones, next.changed = make(map[mtid.Zone]mtid.Version), make(map[mtid.Zone]mtid.Revision)
+// cloneWithChange returns a copy, without digest, in which a zone changed at a revision.
+func (o Out) cloneWithChange(zone mtid.Zone, revision mtid.Revision) Out {
+	next := Out{orders: maps.Clone(o.orders), changedAt: maps.Clone(o.changedAt)}
+	if next.orders == nil {
+		next.orders, next.changedAt = make(map[mtid.Zone]mtid.Version), make(map[mtid.Zone]mtid.Revision)
 	}
-	next.changed[zone] = revision
+	next.changedAt[zone] = revision
 	return next
 }
 
-// summed returns the set with its digest: a sum, so that the order of a map says nothing.
-func (o Out) summed() Out {
-	for zone, version := range o.zones {
-		o.digest += digest(zone, version)
+// withDigest returns the set with its digest, which is a sum because the iteration order
+// of a map is random.
+func (o Out) withDigest() Out {
+	for zone, version := range o.orders {
+		o.digest += zoneDigest(zone, version)
 	}
 	return o
 }
 
-// digest returns the part of one zone. Versions that follow each other differ in all bits.
-func digest(zone mtid.Zone, version mtid.Version) Digest {
+// zoneDigest returns a zone's contribution to the digest. The version seeds the hash, so
+// that the digests of successive versions are unrelated.
+func zoneDigest(zone mtid.Zone, version mtid.Version) Digest {
 	var d xxhash.Digest
 	d.ResetWithSeed(uint64(version))
 	_, _ = d.WriteString(string(zone))
