--- a/core/mtbundle/diff.go
+++ b/core/mtbundle/diff.go
@@ -11,36 +11,37 @@
 	"magnoliaturn/core/mtid"
 )
 
-// Change is one field that differs between two bundles. Old is empty for a
-// field that is new, New for one that is gone.
+// Change is one field that differs between two bundles. Old is empty for an
+// added field, New for a removed one.
 type Change struct {
 	Field string `json:"field"`
 	Old   string `json:"old"`
 	New   string `json:"new"`
 }
 
-// field is one line of a bundle with its defaults filled in.
+// field is the name and effective value of one bundle field, defaults included.
 type field struct {
 	name  string
 	value string
 }
 
-// Diff returns what differs in effect, in the order of the new bundle, then
-// what is gone. Comments and the order of lines play no part. Both may be nil.
+// Diff returns the fields whose effective values differ: first those that are
+// added or changed, in the order of the new bundle, then those that are removed.
+// Comments and the order of lines are ignored. Either bundle may be nil.
 func Diff(before, after *Bundle) []Change {
-	old, fresh := before.fields(), after.fields()
+	oldFields, newFields := before.fields(), after.fields()
 	var changes []Change
-	for _, f := range fresh {
-		i := slices.IndexFunc(old, func(o field) bool { return o.name == f.name })
+	for _, f := range newFields {
+		i := slices.IndexFunc(oldFields, func(o field) bool { return o.name == f.name })
 		switch {
 		case i < 0:
 			changes = append(changes, Change{Field: f.name, New: f.value})
-		case old[i].value != f.value:
-			changes = append(changes, Change{Field: f.name, Old: old[i].value, New: f.value})
+		case oldFields[i].value != f.value:
+			changes = append(changes, Change{Field: f.name, Old: oldFields[i].value, New: f.value})
 		}
 	}
-	for _, o := range old {
-		if !slices.ContainsFunc(fresh, func(f field) bool { return f.name == o.name }) {
+	for _, o := range oldFields {
+		if !slices.ContainsFunc(newFields, func(f field) bool { return f.name == o.name }) {
 			changes = append(changes, Change{Field: o.name, Old: o.value})
 		}
 	}
@@ -69,9 +70,9 @@
 	title := "[service " + string(s.Name) + "] "
 	out := []field{
 		{title + "kind", string(s.Kind)},
-		{title + "imbalance", number(s.Weights.Imbalance)},
-		{title + "churn", number(s.Weights.Churn)},
-		{title + "unavailability", number(s.Weights.Unavailability)},
+		{title + "imbalance", formatFloat(s.Weights.Imbalance)},
+		{title + "churn", formatFloat(s.Weights.Churn)},
+		{title + "unavailability", formatFloat(s.Weights.Unavailability)},
 		{title + "shards", strconv.Itoa(s.Shards)},
 		{title + "chunks", strconv.Itoa(s.Chunks)},
 	}
@@ -82,29 +83,30 @@
 			field{title + "timeout", c.Timeout.String()},
 			field{title + "priority", strconv.Itoa(c.Priority)},
 			field{title + "queue", strconv.Itoa(c.Queue)},
-			field{title + "share", number(c.Share)},
-			field{title + "rate", number(c.Rate)},
-			field{title + "retries", number(c.Retries)},
+			field{title + "share", formatFloat(c.Share)},
+			field{title + "rate", formatFloat(c.Rate)},
+			field{title + "retries", formatFloat(c.Retries)},
 		)
 	}
 	return out
 }
 
-func number(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
+func formatFloat(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 
-// Renumber returns a good bundle's text with another version, for a rollback:
-// the old text under a new number. Comments stay as they are.
+// Renumber returns the text of a valid bundle with another version number. A
+// rollback brings an old text back into force under a new number. Comments are
+// preserved.
 func Renumber(text []byte, version mtid.Version) []byte {
 	lines := bytes.Split(bytes.Clone(text), []byte("\n"))
-	inside := false
+	inHead := false // within the [bundle] section
 	for i, line := range lines {
 		trimmed := strings.TrimSpace(string(line))
 		if strings.HasPrefix(trimmed, "[") {
-			inside = trimmed == "[bundle]"
+			inHead = trimmed == "[bundle]"
 			continue
 		}
 		name, _, found := strings.Cut(trimmed, "=")
-		if inside && found && strings.TrimSpace(name) == "version" {
+		if inHead && found && strings.TrimSpace(name) == "version" {
 			lines[i] = fmt.Appendf(nil, "version = %d", version)
 		}
 	}
--- a/core/mtbundle/life.go
+++ b/core/mtbundle/life.go
@@ -9,11 +9,11 @@
 	"magnoliaturn/core/mtroster"
 )
 
-// MaxDrafts bounds the open proposals of a business, so that their list stays
-// within one value of the store.
+// MaxDrafts is the maximum number of open proposals of a business. It keeps their
+// list within the size limit of one value in the store.
 const MaxDrafts = 16
 
-// SignatureError says that a signature does not count.
+// SignatureError reports a signature that is not valid for a proposal.
 type SignatureError struct {
 	Signer string
 	Reason string
@@ -24,15 +24,15 @@
 	return fmt.Sprintf("bundle: signature of %q: %s", e.Signer, e.Reason)
 }
 
-// ConflictError says that another bundle has taken the version: nothing was
-// changed. It names what won, so that the operator can look at it and propose
-// on top of it.
+// ConflictError reports that a version is not the next one, because another bundle
+// is in force. Nothing was changed. The error identifies the bundle in force, so
+// that the operator can review it and propose a change on top of it.
 type ConflictError struct {
 	Business mtid.Business
-	Wanted   mtid.Version // the version that was asked for
+	Wanted   mtid.Version // the version that was requested
 	InForce  mtid.Version // the version in force
-	Winner   string       // who accepted it
-	Proposer string       // who proposed it
+	Winner   string       // who accepted the version in force
+	Proposer string       // who proposed the version in force
 	Digest   Digest       // of the version in force
 }
 
@@ -42,10 +42,10 @@
 		e.Business, e.Wanted, e.InForce, e.Proposer, e.Winner, e.InForce+1)
 }
 
-// UnsignedError says that a bundle lacks signatures.
+// UnsignedError reports a proposal with too few valid signatures.
 type UnsignedError struct {
 	Needed int
-	Signed []string // the signers whose signatures count
+	Signed []string // the signers with a valid signature
 }
 
 // Error implements error.
@@ -53,7 +53,7 @@
 	return fmt.Sprintf("bundle: %d signatures needed of signers other than the proposer, %d count: %v", e.Needed, len(e.Signed), e.Signed)
 }
 
-// MissingError says that there is no open proposal with that version and
+// MissingError reports that a business has no open proposal with that version and
 // digest.
 type MissingError struct {
 	Business mtid.Business
@@ -66,7 +66,7 @@
 	return fmt.Sprintf("bundle: %s has no open proposal of version %d %s", e.Business, e.Version, e.Digest)
 }
 
-// FullError says that a business has too many open proposals.
+// FullError reports that a business already has MaxDrafts open proposals.
 type FullError struct{ Business mtid.Business }
 
 // Error implements error.
@@ -74,11 +74,11 @@
 	return fmt.Sprintf("bundle: %s has %d open proposals, no more are taken until one is accepted", e.Business, MaxDrafts)
 }
 
-// BusinessError says that a text belongs to another business than the one that
-// it was brought for.
+// BusinessError reports a bundle text that was submitted for another business than
+// the one it names.
 type BusinessError struct {
-	Wanted mtid.Business
-	Text   mtid.Business
+	Wanted mtid.Business // the business that the text was submitted for
+	Text   mtid.Business // the business that the text names
 }
 
 // Error implements error.
@@ -86,20 +86,20 @@
 	return fmt.Sprintf("bundle: the text is of business %q, not %q", e.Text, e.Wanted)
 }
 
-// Life is what decides about the bundles of one business: the one in force and
-// the open proposals. It is a value read from the store; the functions on it
-// return what to write, and the write is by compare-and-swap.
+// Life is the state of the bundles of one business as read from the store: the one
+// in force and the open proposals. Its methods don't modify it but return the new
+// value, which the caller writes by compare-and-swap.
 type Life struct {
 	Business mtid.Business
 	InForce  *Stored // nil before the first bundle
 	Drafts   []*Stored
-	Root     *Authority // who signs the first bundle; nil for its own signers
+	Root     *Authority // must sign the first bundle; nil means the signers that it lists itself
 }
 
-// Propose returns the open proposals with text among them, and the proposal.
-// The same text twice is one proposal, with its first proposer, so that a
-// retried request changes nothing. It fails with Faults, a *BusinessError, a
-// *ConflictError or a *FullError.
+// Propose adds a proposal with a text. It returns the open proposals, the new one
+// included, and the new one. If the same text is proposed again, Propose returns
+// the existing proposal with its first proposer, so that a retried request changes
+// nothing. It fails with Faults, a *BusinessError, a *ConflictError or a *FullError.
 func (l *Life) Propose(now time.Time, proposer string, text []byte) ([]*Stored, *Stored, error) {
 	bundle, faults := Parse("proposal", text)
 	if err := faults.Err(); err != nil {
@@ -108,44 +108,44 @@
 	if bundle.Business != l.Business {
 		return nil, nil, &BusinessError{Wanted: l.Business, Text: bundle.Business}
 	}
-	s := &Stored{Business: l.Business, Version: bundle.Version, Text: slices.Clone(text), Proposer: proposer, Proposed: now}
-	if l.accepted(s.Version, s.Digest().String()) {
+	proposal := &Stored{Business: l.Business, Version: bundle.Version, Text: slices.Clone(text), Proposer: proposer, Proposed: now}
+	if l.isInForce(proposal.Version, proposal.Digest().String()) {
 		return l.Drafts, l.InForce, nil
 	}
-	if err := l.next(bundle.Version); err != nil {
+	if err := l.checkNext(bundle.Version); err != nil {
 		return nil, nil, err
 	}
-	drafts := l.open()
-	if same, err := l.find(s.Version, s.Digest().String()); err == nil {
-		return drafts, same, nil
+	drafts := l.openDrafts()
+	if existing, err := l.findDraft(proposal.Version, proposal.Digest().String()); err == nil {
+		return drafts, existing, nil
 	}
 	if len(drafts) >= MaxDrafts {
 		return nil, nil, &FullError{Business: l.Business}
 	}
-	return append(drafts, s), s, nil
+	return append(drafts, proposal), proposal, nil
 }
 
-// Sign returns the open proposals with one more signature, and the signed
-// proposal. A signature that is there already, or comes after the bundle is in
-// force, changes nothing. It fails with a
-// *MissingError or a *SignatureError.
+// Sign adds a signature to an open proposal. It returns the open proposals and the
+// signed one. A second signature of the same signer, or one for a bundle that is
+// already in force, changes nothing. Sign fails with a *MissingError or a
+// *SignatureError.
 func (l *Life) Sign(version mtid.Version, digest string, sig Signature) ([]*Stored, *Stored, error) {
-	if l.accepted(version, digest) {
+	if l.isInForce(version, digest) {
 		return l.Drafts, l.InForce, nil
 	}
-	draft, err := l.find(version, digest)
+	draft, err := l.findDraft(version, digest)
 	if err != nil {
 		return nil, nil, err
 	}
-	authority, err := l.authority(draft)
+	authority, err := l.authorityFor(draft)
 	if err != nil {
 		return nil, nil, err
 	}
 	if err := authority.verify(draft, sig); err != nil {
 		return nil, nil, err
 	}
-	drafts := l.open()
-	if slices.ContainsFunc(draft.Signatures, func(have Signature) bool { return have.Signer == sig.Signer }) {
+	drafts := l.openDrafts()
+	if slices.ContainsFunc(draft.Signatures, func(existing Signature) bool { return existing.Signer == sig.Signer }) {
 		return drafts, draft, nil
 	}
 	signed := *draft
@@ -154,46 +154,47 @@
 	return drafts, &signed, nil
 }
 
-// Accept returns the value that puts a proposal in force, to be swapped in
-// where the store's version is the proposal's less one. If it is in force
-// already, Accept returns it and true, so that a retried request succeeds. It
-// fails with a *ConflictError, a *MissingError or an *UnsignedError.
-func (l *Life) Accept(now time.Time, version mtid.Version, digest, accepter string, stamp mtroster.Stamp) (next *Stored, done bool, err error) {
-	if l.accepted(version, digest) {
+// Accept returns the value that puts a proposal in force. The caller writes it by
+// compare-and-swap where the version in the store is one below the proposal's. If
+// the proposal is already in force, Accept returns it and true, so that a retried
+// request succeeds. It fails with a *ConflictError, a *MissingError or an
+// *UnsignedError.
+func (l *Life) Accept(now time.Time, version mtid.Version, digest, accepter string, writeID mtroster.Stamp) (next *Stored, done bool, err error) {
+	if l.isInForce(version, digest) {
 		return l.InForce, true, nil
 	}
-	if err := l.next(version); err != nil {
+	if err := l.checkNext(version); err != nil {
 		return nil, false, err
 	}
-	draft, err := l.find(version, digest)
+	draft, err := l.findDraft(version, digest)
 	if err != nil {
 		return nil, false, err
 	}
-	authority, err := l.authority(draft)
+	authority, err := l.authorityFor(draft)
 	if err != nil {
 		return nil, false, err
 	}
-	if signed := authority.count(draft); len(signed) < authority.Needed {
+	if signed := authority.validSigners(draft); len(signed) < authority.Needed {
 		return nil, false, &UnsignedError{Needed: authority.Needed, Signed: signed}
 	}
 	accepted := *draft
 	accepted.Accepter = accepter
 	accepted.Accepted = now
-	accepted.Stamp = stamp
+	accepted.Stamp = writeID
 	return &accepted, false, nil
 }
 
-// Signed returns which signatures of an open proposal count, and how many are
-// needed.
+// Signed returns the signers with a valid signature of an open proposal, and the
+// number of signatures that it needs.
 func (l *Life) Signed(draft *Stored) (signers []string, needed int, err error) {
-	authority, err := l.authority(draft)
+	authority, err := l.authorityFor(draft)
 	if err != nil {
 		return nil, 0, err
 	}
-	return authority.count(draft), authority.Needed, nil
+	return authority.validSigners(draft), authority.Needed, nil
 }
 
-// Version returns the version in force, 0 for none.
+// Version returns the version in force, or 0 if there is none.
 func (l *Life) Version() mtid.Version {
 	if l.InForce == nil {
 		return 0
@@ -201,15 +202,16 @@
 	return l.InForce.Version
 }
 
-// accepted reports whether that very bundle is in force. A step that is
-// repeated after its answer was lost, while others went on, finds it so.
-func (l *Life) accepted(version mtid.Version, digest string) bool {
+// isInForce reports whether the bundle with that version and digest is in force.
+// This is so when a client whose reply was lost retries a step after other
+// operators have completed the remaining steps.
+func (l *Life) isInForce(version mtid.Version, digest string) bool {
 	return l.InForce != nil && l.InForce.Version == version && l.InForce.Digest().String() == digest
 }
 
-// next checks that version is the one that comes after the one in force.
-// Versions only grow by one: a rollback is a new version with an older text.
-func (l *Life) next(version mtid.Version) error {
+// checkNext returns a *ConflictError unless version is the one in force plus one.
+// Versions never decrease: a rollback is a new version with an older text.
+func (l *Life) checkNext(version mtid.Version) error {
 	if version == l.Version()+1 {
 		return nil
 	}
@@ -222,9 +224,9 @@
 	return conflict
 }
 
-// open returns the proposals that can still be accepted. The others lost to
-// the version in force, and drop out with the next write.
-func (l *Life) open() []*Stored {
+// openDrafts returns the proposals that can still be accepted. The others are
+// outdated by the version in force and are removed by the next write.
+func (l *Life) openDrafts() []*Stored {
 	var drafts []*Stored
 	for _, d := range l.Drafts {
 		if d.Version == l.Version()+1 {
@@ -234,8 +236,8 @@
 	return drafts
 }
 
-func (l *Life) find(version mtid.Version, digest string) (*Stored, error) {
-	for _, d := range l.open() {
+func (l *Life) findDraft(version mtid.Version, digest string) (*Stored, error) {
+	for _, d := range l.openDrafts() {
 		if d.Version == version && d.Digest().String() == digest {
 			return d, nil
 		}
@@ -243,7 +245,7 @@
 	return nil, &MissingError{Business: l.Business, Version: version, Digest: digest}
 }
 
-func (l *Life) authority(draft *Stored) (Authority, error) {
+func (l *Life) authorityFor(draft *Stored) (Authority, error) {
 	next, err := draft.Bundle()
 	if err != nil {
 		return Authority{}, err
--- a/core/mtbundle/life_test.go
+++ b/core/mtbundle/life_test.go
@@ -20,30 +20,31 @@
 )
 
 var (
-	now   = time.UnixMilli(1_700_000_000_000).UTC()
-	stamp = mtroster.Stamp{Writer: mtid.Holder{Daemon: "d1", Incarnation: 1}, Sequence: 1}
+	now     = time.UnixMilli(1_700_000_000_000).UTC()
+	writeID = mtroster.Stamp{Writer: mtid.Holder{Daemon: "d1", Incarnation: 1}, Sequence: 1}
 )
 
-// person has a signer's key.
-func person(name string) ed25519.PrivateKey {
+// privateKey derives a signer's private key from the name.
+func privateKey(name string) ed25519.PrivateKey {
 	seed := make([]byte, ed25519.SeedSize)
 	copy(seed, name)
 	return ed25519.NewKeyFromSeed(seed)
 }
 
-// bundleText returns a bundle with those signers; note makes texts differ.
+// bundleText returns the text of a bundle with those signers. The note is a comment
+// that makes texts differ.
 func bundleText(version, needed int, note string, signers ...string) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# %s\n[bundle]\nbusiness = ratins\nversion = %d\nsignatures = %d\n", note, version, needed)
 	for _, s := range signers {
-		public := person(s).Public().(ed25519.PublicKey)
+		public := privateKey(s).Public().(ed25519.PublicKey)
 		fmt.Fprintf(&b, "[signer %s]\nkey = %s\n", s, base64.StdEncoding.EncodeToString(public))
 	}
 	b.WriteString("[service dispatch]\n[class dispatch send]\n")
 	return []byte(b.String())
 }
 
-func life(t *testing.T, inForce []byte, version int) *mtbundle.Life {
+func lifeWith(t *testing.T, inForce []byte, version int) *mtbundle.Life {
 	t.Helper()
 	return &mtbundle.Life{Business: "ratins", InForce: &mtbundle.Stored{
 		Business: "ratins", Version: mtid.Version(version), Text: inForce, Proposer: "janis", Accepter: "marta",
@@ -67,38 +68,38 @@
 }
 
 func accept(l *mtbundle.Life, s *mtbundle.Stored) error {
-	next, _, err := l.Accept(now, s.Version, s.Digest().String(), "marta", stamp)
+	next, _, err := l.Accept(now, s.Version, s.Digest().String(), "marta", writeID)
 	if err == nil {
 		l.InForce = next
 	}
 	return err
 }
 
-func TestLifeOfABundle(t *testing.T) {
-	l := life(t, bundleText(1, 1, "first", "ilze", "janis", "marta"), 1)
+func TestProposeSignAccept(t *testing.T) {
+	l := lifeWith(t, bundleText(1, 1, "first", "ilze", "janis", "marta"), 1)
 	s := propose(t, l, "ilze", bundleText(2, 2, "second", "ilze", "janis", "marta"))
 	assert.ErrorType(t, accept(l, s), &mtbundle.UnsignedError{})
-	assert.NilError(t, sign(l, s, "janis", person("janis")))
+	assert.NilError(t, sign(l, s, "janis", privateKey("janis")))
 	assert.NilError(t, accept(l, s))
 	assert.Equal(t, l.Version(), mtid.Version(2))
 	assert.Equal(t, l.InForce.Accepter, "marta")
-	// The request is sent again after its answer was lost.
-	again, done, err := l.Accept(now, 2, s.Digest().String(), "marta", stamp)
+	// The request is retried after its reply was lost.
+	again, done, err := l.Accept(now, 2, s.Digest().String(), "marta", writeID)
 	assert.NilError(t, err)
 	assert.Assert(t, done)
 	assert.Equal(t, again.Version, mtid.Version(2))
-	// Two signatures are needed from now on.
+	// Version 2 requires two signatures for all later bundles.
 	s = propose(t, l, "ilze", bundleText(3, 1, "third", "ilze", "janis", "marta"))
-	assert.NilError(t, sign(l, s, "janis", person("janis")))
+	assert.NilError(t, sign(l, s, "janis", privateKey("janis")))
 	assert.ErrorType(t, accept(l, s), &mtbundle.UnsignedError{})
-	assert.NilError(t, sign(l, s, "marta", person("marta")))
+	assert.NilError(t, sign(l, s, "marta", privateKey("marta")))
 	assert.NilError(t, accept(l, s))
 }
 
-// A proposer lists friends as signers in the very bundle that they should sign
-// off. What counts is who the bundle in force lists.
-func TestSignersComeFromTheBundleInForce(t *testing.T) {
-	l := life(t, bundleText(1, 1, "first", "ilze", "janis"), 1)
+// A proposer lists accomplices as signers in the same bundle that they then sign.
+// Only signers that the bundle in force lists may be accepted.
+func TestSignersComeFromBundleInForce(t *testing.T) {
+	l := lifeWith(t, bundleText(1, 1, "first", "ilze", "janis"), 1)
 	s := propose(t, l, "ilze", bundleText(2, 1, "coup", "friend", "other"))
 	tests := []struct {
 		name   string
@@ -106,10 +107,10 @@
 		key    ed25519.PrivateKey
 		ok     bool
 	}{
-		{"a signer of the new bundle only", "friend", person("friend"), false},
-		{"the proposer", "ilze", person("ilze"), false},
-		{"another's name", "janis", person("friend"), false},
-		{"a signer of the bundle in force", "janis", person("janis"), true},
+		{"a signer of the new bundle only", "friend", privateKey("friend"), false},
+		{"the proposer", "ilze", privateKey("ilze"), false},
+		{"the name of another signer", "janis", privateKey("friend"), false},
+		{"a signer of the bundle in force", "janis", privateKey("janis"), true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -124,52 +125,52 @@
 	}
 }
 
-// One signer's sign-off is stored twice, by a fault or on purpose. It must not
-// stand for two people.
-func TestOneSignerCountsOnce(t *testing.T) {
-	l := life(t, bundleText(1, 2, "first", "ilze", "janis", "marta"), 1)
+// A signature is stored twice, by a bug or on purpose. It must not count as the
+// signatures of two people.
+func TestDuplicateSignatureCountsOnce(t *testing.T) {
+	l := lifeWith(t, bundleText(1, 2, "first", "ilze", "janis", "marta"), 1)
 	s := propose(t, l, "ilze", bundleText(2, 2, "second", "ilze", "janis", "marta"))
-	sig := mtbundle.Sign("janis", person("janis"), s.Digest())
-	twice := *s
-	twice.Signatures = []mtbundle.Signature{sig, sig}
-	l.Drafts = []*mtbundle.Stored{&twice}
-	assert.ErrorType(t, accept(l, &twice), &mtbundle.UnsignedError{})
-	assert.NilError(t, sign(l, &twice, "marta", person("marta")))
-	assert.NilError(t, accept(l, &twice))
+	sig := mtbundle.Sign("janis", privateKey("janis"), s.Digest())
+	signedTwice := *s
+	signedTwice.Signatures = []mtbundle.Signature{sig, sig}
+	l.Drafts = []*mtbundle.Stored{&signedTwice}
+	assert.ErrorType(t, accept(l, &signedTwice), &mtbundle.UnsignedError{})
+	assert.NilError(t, sign(l, &signedTwice, "marta", privateKey("marta")))
+	assert.NilError(t, accept(l, &signedTwice))
 }
 
-func TestFirstBundle(t *testing.T) {
+func TestFirstBundleNeedsRootSigner(t *testing.T) {
 	text := bundleText(1, 1, "first", "ilze", "janis")
-	root := &mtbundle.Authority{Needed: 1, Signers: []mtbundle.Signer{{Name: "root", Key: person("root").Public().(ed25519.PublicKey)}}}
+	root := &mtbundle.Authority{Needed: 1, Signers: []mtbundle.Signer{{Name: "root", Key: privateKey("root").Public().(ed25519.PublicKey)}}}
 	tests := []struct {
 		name   string
 		root   *mtbundle.Authority
 		signer string
 		ok     bool
 	}{
-		{"own signers without a root", nil, "janis", true},
-		{"own signers despite a root", root, "janis", false},
-		{"the root's signer", root, "root", true},
+		{"signer of the bundle, no root", nil, "janis", true},
+		{"signer of the bundle, with a root", root, "janis", false},
+		{"signer of the root", root, "root", true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			l := &mtbundle.Life{Business: "ratins", Root: test.root}
 			s := propose(t, l, "ilze", text)
-			err := sign(l, s, test.signer, person(test.signer))
+			err := sign(l, s, test.signer, privateKey(test.signer))
 			assert.Equal(t, err == nil, test.ok)
 			assert.Equal(t, accept(l, s) == nil, test.ok)
 		})
 	}
 }
 
-// Two operators prepare version 2 from version 1, and both are signed off. The
-// one that is accepted later must not replace the other unseen.
-func TestRacingOperatorLearnsTheWinner(t *testing.T) {
-	l := life(t, bundleText(1, 1, "first", "ilze", "janis"), 1)
+// Two operators propose version 2 on top of version 1, and both proposals are signed.
+// The second one to be accepted must not silently replace the first.
+func TestConflictErrorIdentifiesWinner(t *testing.T) {
+	l := lifeWith(t, bundleText(1, 1, "first", "ilze", "janis"), 1)
 	one := propose(t, l, "ilze", bundleText(2, 1, "one", "ilze", "janis"))
 	two := propose(t, l, "janis", bundleText(2, 1, "two", "ilze", "janis"))
-	assert.NilError(t, sign(l, one, "janis", person("janis")))
-	assert.NilError(t, sign(l, two, "ilze", person("ilze")))
+	assert.NilError(t, sign(l, one, "janis", privateKey("janis")))
+	assert.NilError(t, sign(l, two, "ilze", privateKey("ilze")))
 	assert.NilError(t, accept(l, one))
 	err := accept(l, two)
 	var conflict *mtbundle.ConflictError
@@ -180,8 +181,8 @@
 	assert.Equal(t, conflict.Digest, one.Digest())
 }
 
-func TestProposeTwiceIsOneProposal(t *testing.T) {
-	l := life(t, bundleText(1, 1, "first", "ilze", "janis"), 1)
+func TestProposeIsIdempotent(t *testing.T) {
+	l := lifeWith(t, bundleText(1, 1, "first", "ilze", "janis"), 1)
 	text := bundleText(2, 1, "second", "ilze", "janis")
 	propose(t, l, "ilze", text)
 	s := propose(t, l, "janis", text)
@@ -189,8 +190,8 @@
 	assert.Equal(t, s.Proposer, "ilze")
 }
 
-func TestProposeRefuses(t *testing.T) {
-	l := life(t, bundleText(4, 1, "fourth", "ilze", "janis"), 4)
+func TestProposeRejectsInvalid(t *testing.T) {
+	l := lifeWith(t, bundleText(4, 1, "fourth", "ilze", "janis"), 4)
 	_, _, err := l.Propose(now, "ilze", bundleText(4, 1, "again", "ilze", "janis"))
 	assert.ErrorType(t, err, &mtbundle.ConflictError{})
 	_, _, err = l.Propose(now, "ilze", bundleText(6, 1, "gap", "ilze", "janis"))
@@ -209,10 +210,9 @@
 	assert.ErrorType(t, err, &mtbundle.FullError{})
 }
 
-// The life holds over any order of steps: versions grow by one, and whatever
-// is in force was signed by enough signers of its predecessor, none of whom
-// proposed it.
-func TestLifeProperty(t *testing.T) {
+// For any sequence of steps, versions increase by one, and every bundle in force was
+// signed by enough signers of its predecessor, its proposer not counted.
+func TestLifecycleInvariants(t *testing.T) {
 	names := []string{"ilze", "janis", "marta", "peter"}
 	rapid.Check(t, func(t *rapid.T) {
 		l := &mtbundle.Life{Business: "ratins", InForce: &mtbundle.Stored{
@@ -235,7 +235,7 @@
 				}
 				d := rapid.SampledFrom(l.Drafts).Draw(t, "draft")
 				name := rapid.SampledFrom(names).Draw(t, "signer")
-				_ = sign(l, d, name, person(rapid.SampledFrom(names).Draw(t, "key")))
+				_ = sign(l, d, name, privateKey(rapid.SampledFrom(names).Draw(t, "key")))
 			case 2:
 				if len(l.Drafts) == 0 {
 					continue
@@ -250,16 +250,16 @@
 				if l.Version() == before.Version {
 					continue
 				}
-				good := 0
+				valid := 0
 				for _, sig := range l.InForce.Signatures {
 					listed := slices.ContainsFunc(before.Signers, func(s mtbundle.Signer) bool { return s.Name == sig.Signer })
 					digest := l.InForce.Digest()
-					if listed && sig.Signer != l.InForce.Proposer && ed25519.Verify(person(sig.Signer).Public().(ed25519.PublicKey), digest[:], sig.Value) {
-						good++
+					if listed && sig.Signer != l.InForce.Proposer && ed25519.Verify(privateKey(sig.Signer).Public().(ed25519.PublicKey), digest[:], sig.Value) {
+						valid++
 					}
 				}
-				if good < before.Needed {
-					t.Fatalf("accepted with %d of %d signatures", good, before.Needed)
+				if valid < before.Needed {
+					t.Fatalf("accepted with %d of %d signatures", valid, before.Needed)
 				}
 			}
 		}
--- a/core/mtbundle/mtbundle.go
+++ b/core/mtbundle/mtbundle.go
@@ -1,16 +1,17 @@
-// Package mtbundle holds what a business declares: its services, their kinds,
-// classes, limits, weights and signers.
+// Package mtbundle defines the configuration bundle of a business: its services,
+// their kinds, classes, limits, weights and signers.
 //
-// A Bundle is immutable once accepted: a change is a new bundle with a higher
-// version, a rollback too. The text form is INI; parsing and checking it, and
-// the life of a bundle from proposal to force, are in this package as well.
+// A Bundle is immutable once accepted. Every change, a rollback included, is a
+// new bundle with a higher version. The text form is INI. This package also
+// parses and validates the text, and implements the lifecycle of a bundle from
+// its proposal until it is in force.
 //
 // # Usage
 //
 //	service, ok := bundle.Service("dispatch")
 //	class, ok := service.Class("send")
 //
-// Bundles are values shared between goroutines and must not be changed.
+// Bundles are shared between goroutines and must not be modified.
 package mtbundle
 
 import (
@@ -19,26 +20,26 @@
 	"magnoliaturn/core/mtid"
 )
 
-// Kind says how a service spreads its work.
+// Kind is how a service distributes its requests among servers.
 type Kind string
 
 // The kinds of service.
 const (
-	Keyed  Kind = "keyed"  // one owning server per key
-	Spread Kind = "spread" // any server may answer
+	Keyed  Kind = "keyed"  // each key is owned by one server
+	Spread Kind = "spread" // any server may handle any request
 )
 
 // Bundle is the configuration of one business.
 type Bundle struct {
 	Business mtid.Business
-	Version  mtid.Version // of this bundle, from 1, growing by one
+	Version  mtid.Version // starts at 1 and increases by one with each bundle
 	Proposer string
 	Signers  []Signer
-	Needed   int // signatures needed, of signers other than the proposer
+	Needed   int // signatures required, by signers other than the proposer
 	Services []Service
 }
 
-// Signer is a person who may sign off a bundle.
+// Signer is a person who may approve a bundle by signing it.
 type Signer struct {
 	Name string
 	Key  []byte // Ed25519 public key
@@ -49,12 +50,13 @@
 	Name    mtid.Service
 	Kind    Kind
 	Weights Weights
-	Shards  int // shards that a keyed service begins with
-	Chunks  int // chunks that its assignment is stored in
+	Shards  int // initial number of shards of a keyed service
+	Chunks  int // number of chunks that its assignment is stored in
 	Classes []Class
 }
 
-// Weights say what matters to the business; they need not add up to one.
+// Weights are the relative costs that the business assigns to load imbalance,
+// to moves of keys and to unavailability. They need not add up to one.
 type Weights struct {
 	Imbalance      float64
 	Churn          float64
@@ -65,12 +67,12 @@
 type Class struct {
 	Name       mtid.Class
 	Idempotent bool
-	Timeout    time.Duration // default and upper bound of a request's deadline
-	Priority   int           // the lowest is sacrificed first
-	Queue      int           // requests that may wait at one gate
+	Timeout    time.Duration // default and maximum of a request's deadline
+	Priority   int           // requests of the lowest priority are shed first
+	Queue      int           // maximum number of requests queued at one gate
 	Share      float64       // weight in fair queuing between classes
-	Rate       float64       // requests a second for the class at one gate; 0 is no limit
-	Retries    float64       // retries per request that the budget earns, 0 to 1
+	Rate       float64       // requests per second of the class at one gate; 0 means no limit
+	Retries    float64       // retries added to the retry budget per request, 0 to 1
 }
 
 // Service returns the service with that name. It is called for each request.
--- a/core/mtbundle/parse.go
+++ b/core/mtbundle/parse.go
@@ -14,13 +14,13 @@
 // Fault is one mistake in a bundle's text.
 type Fault = mtini.Fault
 
-// Faults are all mistakes of a bundle's text.
+// Faults are all mistakes in a bundle's text.
 type Faults = mtini.Faults
 
-// Bounds of what a bundle may say.
+// Bounds of the values in a bundle.
 const (
 	MaxServices = 256
-	MaxClasses  = 32 // of one service
+	MaxClasses  = 32 // per service
 	MaxSigners  = 64
 	MaxShards   = 65536
 	MaxChunks   = 1024
@@ -32,19 +32,19 @@
 	MaxPriority = 100
 )
 
-// Defaults of fields that a bundle may leave out.
+// Defaults of optional fields.
 const (
 	defaultShards  = 64
 	defaultQueue   = 256
 	defaultTimeout = time.Second
 )
 
-// minSigners leaves somebody to sign whoever proposes.
+// minSigners ensures that a signer remains besides the proposer, who must not sign.
 const minSigners = 2
 
-// Parse reads and checks a bundle's text. It returns the bundle, or every
-// fault of the text at once. The proposer is no part of the text: it is the
-// operator who brings it, and Parse leaves it empty.
+// Parse parses and validates a bundle's text. It returns the bundle, or all
+// faults of the text at once. Parse leaves the proposer empty: the text does not
+// contain it, since it is the operator who submits the text.
 func Parse(file string, text []byte) (*Bundle, Faults) {
 	f := mtini.Read(file, text)
 	f.Known(map[string]int{"bundle": 0, "signer": 1, "service": 1, "class": 2})
@@ -82,18 +82,18 @@
 
 func readSigners(f *mtini.File) []Signer {
 	var signers []Signer
-	holders := make(map[string]string)
+	signerOfKey := make(map[string]string)
 	for _, s := range f.Kind("signer", 1) {
 		text := s.Required("key", acceptKey)
 		key, err := base64.StdEncoding.DecodeString(text)
 		if text != "" && (err != nil || len(key) != ed25519.PublicKeySize) {
 			s.Fault("key", text, acceptKey)
 		}
-		// Two names for one key would let one person count as two signers.
-		if other, ok := holders[string(key)]; ok && len(key) > 0 {
+		// With the same key under two names, one person would count as two signers.
+		if other, ok := signerOfKey[string(key)]; ok && len(key) > 0 {
 			s.Fault("key", text, "a key of its own; signer "+other+" has this one")
 		}
-		holders[string(key)] = s.Word(1)
+		signerOfKey[string(key)] = s.Word(1)
 		signers = append(signers, Signer{Name: s.Word(1), Key: key})
 	}
 	return signers
@@ -118,9 +118,10 @@
 	return services
 }
 
-// chunksFor returns the chunks that a service's assignment is stored in unless
-// its bundle says otherwise: about one for each hundred shards. A daemon that
-// watches the store reads a whole chunk for each write (see PLACEMENT.md).
+// chunksFor returns the default number of chunks that a service's assignment is
+// stored in: one for each hundred shards, rounded up. Chunks are small because a
+// daemon that watches the store reads a whole chunk for each write (see
+// PLACEMENT.md).
 func chunksFor(shards int) int {
 	const shardsPerChunk = 100
 	return min(max((shards+shardsPerChunk-1)/shardsPerChunk, 1), MaxChunks)
--- a/core/mtbundle/parse_test.go
+++ b/core/mtbundle/parse_test.go
@@ -18,7 +18,7 @@
 	keyJanis = "AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAI="
 )
 
-const good = `# dispatch only
+const validText = `# dispatch only
 [bundle]
 business   = ratins
 version    = 3
@@ -41,7 +41,7 @@
 `
 
 func TestParse(t *testing.T) {
-	b, faults := mtbundle.Parse("ratins.ini", []byte(good))
+	b, faults := mtbundle.Parse("ratins.ini", []byte(validText))
 	assert.NilError(t, faults.Err())
 	assert.Equal(t, b.Business, mtid.Business("ratins"))
 	assert.Equal(t, b.Version, mtid.Version(3))
@@ -57,23 +57,23 @@
 	assert.Equal(t, class.Idempotent, false)
 }
 
-// An operator gets one field after another refused, and needs a review for
-// each. Every mistake must be named in one go, with the line to look at.
-func TestParseNamesEveryFaultAtOnce(t *testing.T) {
+// If Parse reported only the first mistake, an operator would need another review
+// for each one. It must report all of them at once, each with its line.
+func TestParseReportsAllFaults(t *testing.T) {
 	text := strings.NewReplacer(
 		"version    = 3", "version = zero",
 		"shards    = 16", "shards = 0\nshardz = 4",
 		"idempotent = no", "idempotent = perhaps",
 		"750ms", "1h",
 		keyJanis, keyIlze,
-	).Replace(good) + "[class mapsvc floorplan]\ntimeout = 1s\nstray\n[sevrice x]\n"
+	).Replace(validText) + "[class mapsvc floorplan]\ntimeout = 1s\nstray\n[sevrice x]\n"
 	_, faults := mtbundle.Parse("ratins.ini", []byte(text))
-	type short struct {
+	type location struct {
 		line  int
 		field string
 		value string
 	}
-	want := []short{
+	want := []location{
 		{4, "[bundle] version", "zero"},
 		{10, "[signer janis] key", keyIlze},
 		{15, "[service dispatch] shards", "0"},
@@ -87,12 +87,12 @@
 	assert.Equal(t, len(faults), len(want), faults.Error())
 	for i, f := range faults {
 		assert.Equal(t, f.File, "ratins.ini")
-		assert.Equal(t, short{f.Line, f.Field, f.Value}, want[i])
+		assert.Equal(t, location{f.Line, f.Field, f.Value}, want[i])
 		assert.Assert(t, f.Accept != "")
 	}
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRejectsInvalidText(t *testing.T) {
 	tests := []struct {
 		name     string
 		old, new string
@@ -100,15 +100,15 @@
 	}{
 		{"no business", "business   = ratins", "", "[bundle] business"},
 		{"upper case", "ratins", "Ratins", "[bundle] business"},
-		{"given twice", "version    = 3", "version = 3\nversion = 4", "[bundle] version"},
+		{"duplicate field", "version    = 3", "version = 3\nversion = 4", "[bundle] version"},
 		{"version 0", "version    = 3", "version = 0", "[bundle] version"},
-		{"version below 0", "version    = 3", "version = -1", "[bundle] version"},
+		{"negative version", "version    = 3", "version = -1", "[bundle] version"},
 		{"not a number", "imbalance = 3", "imbalance = NaN", "[service dispatch] imbalance"},
 		{"infinite", "imbalance = 3", "imbalance = +Inf", "[service dispatch] imbalance"},
-		{"more signatures than others", "signatures = 1", "signatures = 2", "[bundle] signatures"},
+		{"more signatures than other signers", "signatures = 1", "signatures = 2", "[bundle] signatures"},
 		{"no signature", "signatures = 1", "signatures = 0", "[bundle] signatures"},
 		{"short key", keyIlze, "AAAA", "[signer ilze] key"},
-		{"one signer", "[signer janis]\nkey = " + keyJanis, "", "[bundle]"},
+		{"only one signer", "[signer janis]\nkey = " + keyJanis, "", "[bundle]"},
 		{"quoted", "750ms", `"750ms`, "[class dispatch send] timeout"},
 		{"continued", "750ms ; a desk waits no longer", `750ms\`, "[class dispatch send] timeout"},
 		{"no class", "[class dispatch send]", "[class mapsvc send]", "[service dispatch]"},
@@ -116,8 +116,8 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			text := strings.Replace(good, test.old, test.new, 1)
-			assert.Assert(t, text != good)
+			text := strings.Replace(validText, test.old, test.new, 1)
+			assert.Assert(t, text != validText)
 			_, faults := mtbundle.Parse("x.ini", []byte(text))
 			assert.Assert(t, len(faults) > 0)
 			var fields []string
@@ -131,7 +131,7 @@
 
 func TestStoredRoundTrip(t *testing.T) {
 	s := &mtbundle.Stored{
-		Business: "ratins", Version: 3, Text: []byte(good), Proposer: "ilze",
+		Business: "ratins", Version: 3, Text: []byte(validText), Proposer: "ilze",
 		Signatures: []mtbundle.Signature{{Signer: "janis", Value: []byte{1, 2}}},
 		Stamp:      mtroster.Stamp{Writer: mtid.Holder{Daemon: "d1", Incarnation: 4}, Sequence: 9},
 		Accepter:   "ilze", Proposed: time.UnixMilli(1000).UTC(), Accepted: time.UnixMilli(2000).UTC(),
@@ -153,10 +153,10 @@
 	assert.ErrorType(t, err, wrong)
 }
 
-// FuzzParse looks for text that crashes a daemon, or that is accepted without
-// being usable.
+// FuzzParse searches for text that panics the parser, or that is accepted although
+// the resulting bundle is unusable.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validText))
 	f.Add([]byte("[bundle]\nversion = 1\n[class a b]\n"))
 	for _, name := range []string{"ratins.ini", "bundesamt.ini"} {
 		if text, err := os.ReadFile("../../examples/bundles/" + name); err == nil {
--- a/core/mtbundle/sign.go
+++ b/core/mtbundle/sign.go
@@ -12,55 +12,56 @@
 	"magnoliaturn/core/mtini"
 )
 
-// domain keeps a signature of a bundle from being taken for one of anything
-// else that the same key might sign.
-const domain = "magnoliaturn bundle 1"
+// signatureDomain is hashed into every digest, so that a signature of a bundle is
+// not valid for any other kind of data that the same key signs.
+const signatureDomain = "magnoliaturn bundle 1"
 
-// Digest is what signers sign: a hash of business, version and text, each with
-// its length, so that no two bundles share one.
+// Digest is the hash of a bundle that signers sign. It covers business, version
+// and text, each prefixed with its length so that two different bundles never
+// hash the same bytes.
 type Digest [sha256.Size]byte
 
-// String returns d in hex; operators compare it before they sign.
+// String returns the digest in hex, which operators compare before they sign.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
 // DigestOf returns the digest of a bundle's text.
 func DigestOf(business mtid.Business, version mtid.Version, text []byte) Digest {
 	h := sha256.New()
-	writeField(h, []byte(domain))
+	writeField(h, []byte(signatureDomain))
 	writeField(h, []byte(business))
 	writeField(h, binary.BigEndian.AppendUint64(nil, uint64(version)))
 	writeField(h, text)
 	return Digest(h.Sum(nil))
 }
 
-// writeField never fails: a hash takes every write.
+// writeField hashes a field with its length. Writing to a hash never fails.
 func writeField(h hash.Hash, field []byte) {
 	_, _ = h.Write(binary.BigEndian.AppendUint64(nil, uint64(len(field))))
 	_, _ = h.Write(field)
 }
 
-// Digest returns what the signers of s sign.
+// Digest returns the digest that the signers of s sign.
 func (s *Stored) Digest() Digest { return DigestOf(s.Business, s.Version, s.Text) }
 
-// Sign returns the sign-off of a digest by the signer with that private key.
+// Sign returns the signature of a digest by the signer with that private key.
 func Sign(signer string, key ed25519.PrivateKey, digest Digest) Signature {
 	return Signature{Signer: signer, Value: ed25519.Sign(key, digest[:])}
 }
 
-// Authority says who may sign a bundle off, and how many must.
+// Authority lists who may sign a bundle and how many of them must.
 type Authority struct {
 	Signers []Signer
 	Needed  int
 }
 
-// Authority returns who signs off the successor of b.
+// Authority returns the authority that must sign the bundle after b.
 func (b *Bundle) Authority() Authority { return Authority{Signers: b.Signers, Needed: b.Needed} }
 
-// AuthorityFor returns who signs off the next bundle of a business: the
-// signers that the bundle in force lists; for a first bundle those of the root
-// of trust; without a root, the first bundle's own. It never takes the new
-// bundle's word once there is another, or a proposer could name signers of its
-// own choice.
+// AuthorityFor returns the authority that must sign the next bundle of a
+// business. It is that of the bundle in force. For a first bundle it is the root
+// of trust or, without a root, the authority of the first bundle itself. While a
+// bundle is in force, the authority of the new bundle is never used, since a
+// proposer could otherwise choose the signers.
 func AuthorityFor(inForce *Bundle, root *Authority, next *Bundle) Authority {
 	switch {
 	case inForce != nil:
@@ -71,9 +72,9 @@
 	return next.Authority()
 }
 
-// verify reports why a signature does not count for s, or nil.
+// verify returns a *SignatureError if a signature is not valid for s, or nil.
 func (a Authority) verify(s *Stored, sig Signature) error {
-	i := slices.IndexFunc(a.Signers, func(known Signer) bool { return known.Name == sig.Signer })
+	i := slices.IndexFunc(a.Signers, func(signer Signer) bool { return signer.Name == sig.Signer })
 	switch {
 	case i < 0:
 		return &SignatureError{Signer: sig.Signer, Reason: "no signer of the business"}
@@ -89,8 +90,8 @@
 	return nil
 }
 
-// count returns the signers whose signatures count for s, each once.
-func (a Authority) count(s *Stored) []string {
+// validSigners returns the signers with a valid signature of s, each once.
+func (a Authority) validSigners(s *Stored) []string {
 	var signers []string
 	for _, sig := range s.Signatures {
 		if a.verify(s, sig) == nil && !slices.Contains(signers, sig.Signer) {
@@ -100,7 +101,7 @@
 	return signers
 }
 
-// ParseSigners reads a root of trust: INI text with [signer name] sections.
+// ParseSigners parses a root of trust: INI text with [signer name] sections.
 func ParseSigners(file string, text []byte) ([]Signer, Faults) {
 	f := mtini.Read(file, text)
 	f.Known(map[string]int{"signer": 1})
--- a/core/mtbundle/stored.go
+++ b/core/mtbundle/stored.go
@@ -1,6 +1,7 @@
 package mtbundle
 
 import (
+	"fmt"
 	"slices"
 	"time"
 
@@ -11,27 +12,27 @@
 	"magnoliaturn/core/mtwire"
 )
 
-// Signature is one signer's sign-off of a bundle's digest.
+// Signature is a signer's signature of a bundle's digest.
 type Signature struct {
 	Signer string
 	Value  []byte // Ed25519 over Digest
 }
 
-// Stored is a bundle as the platform's store keeps it, proposed or accepted.
-// It is a value; functions that change one return a copy.
+// Stored is a proposed or accepted bundle as it is saved in the platform's store.
+// It is treated as immutable: functions that change one return a copy.
 type Stored struct {
 	Business   mtid.Business
 	Version    mtid.Version
 	Text       []byte
 	Proposer   string
 	Signatures []Signature
-	Stamp      mtroster.Stamp // of the write that accepted it
+	Stamp      mtroster.Stamp // write ID of the write that accepted it
 	Accepter   string
 	Proposed   time.Time
-	Accepted   time.Time // zero while it is proposed
+	Accepted   time.Time // zero before the bundle is accepted
 }
 
-// DecodeError says that a stored bundle can't be read.
+// DecodeError reports a stored value that cannot be decoded into a bundle.
 type DecodeError struct {
 	Reason string
 	Err    error
@@ -40,15 +41,15 @@
 // Error implements error.
 func (e *DecodeError) Error() string {
 	if e.Err == nil {
-		return "bundle: stored value can't be read: " + e.Reason
+		return "bundle: cannot decode stored value: " + e.Reason
 	}
-	return "bundle: stored value can't be read: " + e.Reason + ": " + e.Err.Error()
+	return "bundle: cannot decode stored value: " + e.Reason + ": " + e.Err.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of the protobuf decoder or the faults of the text, if any.
 func (e *DecodeError) Unwrap() error { return e.Err }
 
-// Encode returns the stored form of s.
+// Encode returns the deterministic protobuf encoding of s.
 func (s *Stored) Encode() ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(s.wire())
 }
@@ -61,8 +62,8 @@
 		Proposer:   s.Proposer,
 		Stamp:      s.Stamp.Wire(),
 		Accepter:   s.Accepter,
-		ProposedMs: millis(s.Proposed),
-		AcceptedMs: millis(s.Accepted),
+		ProposedMs: toMillis(s.Proposed),
+		AcceptedMs: toMillis(s.Accepted),
 	}
 	for _, sig := range s.Signatures {
 		w.Signatures = append(w.Signatures, &mtwire.Signature{Signer: sig.Signer, Value: sig.Value})
@@ -70,17 +71,17 @@
 	return w
 }
 
-// DecodeStored reads a stored bundle without parsing its text. It fails with a
+// DecodeStored decodes a stored bundle without parsing its text. It fails with a
 // *DecodeError.
 func DecodeStored(value []byte) (*Stored, error) {
 	w := &mtwire.StoredBundle{}
 	if err := proto.Unmarshal(value, w); err != nil {
-		return nil, &DecodeError{Reason: "not a bundle", Err: err}
+		return nil, &DecodeError{Reason: "not an encoded bundle", Err: err}
 	}
-	return readStored(w), nil
+	return storedFromWire(w), nil
 }
 
-func readStored(w *mtwire.StoredBundle) *Stored {
+func storedFromWire(w *mtwire.StoredBundle) *Stored {
 	s := &Stored{
 		Business: mtid.Business(w.GetBusiness()),
 		Version:  mtid.Version(w.GetVersion()),
@@ -88,8 +89,8 @@
 		Proposer: w.GetProposer(),
 		Stamp:    mtroster.ReadStamp(w.GetStamp()),
 		Accepter: w.GetAccepter(),
-		Proposed: moment(w.GetProposedMs()),
-		Accepted: moment(w.GetAcceptedMs()),
+		Proposed: fromMillis(w.GetProposedMs()),
+		Accepted: fromMillis(w.GetAcceptedMs()),
 	}
 	for _, sig := range w.GetSignatures() {
 		s.Signatures = append(s.Signatures, Signature{Signer: sig.GetSigner(), Value: slices.Clone(sig.GetValue())})
@@ -97,14 +98,14 @@
 	return s
 }
 
-func millis(t time.Time) int64 {
+func toMillis(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
 	return t.UnixMilli()
 }
 
-func moment(ms int64) time.Time {
+func fromMillis(ms int64) time.Time {
 	if ms == 0 {
 		return time.Time{}
 	}
@@ -112,22 +113,23 @@
 }
 
 // Bundle parses the text of s. It fails with a *DecodeError if the text is
-// faulty or speaks of another business or version than s, which a store value
-// written by this package never does.
+// invalid or names another business or version than s. Neither occurs in values
+// that this package has written.
 func (s *Stored) Bundle() (*Bundle, error) {
 	b, faults := Parse("stored", s.Text)
 	if err := faults.Err(); err != nil {
-		return nil, &DecodeError{Reason: "faulty text", Err: err}
+		return nil, &DecodeError{Reason: "text is invalid", Err: err}
 	}
 	if b.Business != s.Business || b.Version != s.Version {
-		return nil, &DecodeError{Reason: "text is of another business or version"}
+		return nil, &DecodeError{Reason: fmt.Sprintf("text is version %d of business %q, want version %d of business %q",
+			b.Version, b.Business, s.Version, s.Business)}
 	}
 	b.Proposer = s.Proposer
 	return b, nil
 }
 
-// Decode reads the bundle in force from the value at mtstore.BundleName. It
-// fails with a *DecodeError.
+// Decode decodes the bundle in force from the value at mtstore.BundleName and
+// parses its text. It fails with a *DecodeError.
 func Decode(value []byte) (*Bundle, error) {
 	s, err := DecodeStored(value)
 	if err != nil {
@@ -136,7 +138,8 @@
 	return s.Bundle()
 }
 
-// EncodeDrafts returns the stored form of a business's open proposals.
+// EncodeDrafts returns the deterministic protobuf encoding of a business's open
+// proposals.
 func EncodeDrafts(drafts []*Stored) ([]byte, error) {
 	w := &mtwire.Drafts{}
 	for _, d := range drafts {
@@ -145,16 +148,16 @@
 	return proto.MarshalOptions{Deterministic: true}.Marshal(w)
 }
 
-// DecodeDrafts reads a business's open proposals. It fails with a
-// *DecodeError.
+// DecodeDrafts decodes a business's open proposals without parsing their text. It
+// fails with a *DecodeError.
 func DecodeDrafts(value []byte) ([]*Stored, error) {
 	w := &mtwire.Drafts{}
 	if err := proto.Unmarshal(value, w); err != nil {
-		return nil, &DecodeError{Reason: "not a list of drafts", Err: err}
+		return nil, &DecodeError{Reason: "not an encoded list of drafts", Err: err}
 	}
 	var drafts []*Stored
 	for _, d := range w.GetDrafts() {
-		drafts = append(drafts, readStored(d))
+		drafts = append(drafts, storedFromWire(d))
 	}
 	return drafts, nil
 }
