--- a/core/mtini/mtini.go
+++ b/core/mtini/mtini.go
@@ -1,11 +1,11 @@
-// Package mtini reads INI text strictly: every fault of a text is reported at
-// once, each with its file, line, field, value and what would be accepted.
+// Package mtini is a strict reader of INI text. It reports all faults of a text
+// at once, each with its file, line, field, value and the accepted values.
 //
-// The grammar is the common core of INI: blank lines, comments that begin with
-// "#" or ";", sections and "name = value" lines. Continuation lines, quoted
-// values over several lines and names given twice are faults, since operators
-// read such text differently from programs. Values come from gopkg.in/ini.v1;
-// this package adds the line numbers and the checks.
+// The grammar is the common subset of INI dialects: blank lines, comments that
+// begin with "#" or ";", sections and "name = value" lines. Continuation lines,
+// quoted values and duplicate names are faults, since operators read such text
+// differently from programs. Values are parsed by gopkg.in/ini.v1; this package
+// adds the line numbers and the validation.
 //
 // # Usage
 //
@@ -15,7 +15,7 @@
 //	wait := section.Duration("wait", time.Second, time.Millisecond, time.Minute)
 //	if faults := file.Faults(); len(faults) > 0 { ... }
 //
-// A File is used by one goroutine.
+// A File isn't safe for concurrent use.
 package mtini
 
 import (
@@ -29,17 +29,19 @@
 	"gopkg.in/ini.v1"
 )
 
-// MaxText is the largest text that Read looks at, in bytes. A longer one is a
-// fault, so that an operator's mistake can't exhaust a daemon's memory.
+// MaxText is the maximum size of a text in bytes. Read reports a larger one as a
+// fault without parsing it, so that an operator's mistake can't exhaust a daemon's
+// memory.
 const MaxText = 48 << 10
 
-// maxShown bounds how much of a wrong value a fault repeats, in bytes.
-const maxShown = 80
+// maxValueLen is the maximum length of the value in a fault, in bytes. Longer values
+// are truncated.
+const maxValueLen = 80
 
 // Fault is one mistake in a text.
 type Fault struct {
 	File   string `json:"file"`
-	Line   int    `json:"line"`  // from 1; 0 when no line can be blamed
+	Line   int    `json:"line"`  // starts at 1; 0 if the fault concerns no single line
 	Field  string `json:"field"` // "[section] name"
 	Value  string `json:"value"`
 	Accept string `json:"accept"` // what would be accepted
@@ -50,11 +52,11 @@
 	return fmt.Sprintf("%s:%d: %s: %q, accepted: %s", f.File, f.Line, f.Field, f.Value, f.Accept)
 }
 
-// Faults are all mistakes of a text, in order of their lines. An empty list
-// means that the text is good; it is no error then.
+// Faults are all mistakes in a text, in order of their lines. An empty list means
+// that the text is valid; use Err to get an error value.
 type Faults []*Fault
 
-// Error implements error, one fault a line.
+// Error implements error. It returns one line per fault.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
@@ -63,7 +65,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns f as an error, or nil if there are no faults.
+// Err returns f as an error, or a nil error if there are no faults.
 func (f Faults) Err() error {
 	if len(f) == 0 {
 		return nil
@@ -71,16 +73,15 @@
 	return f
 }
 
-// File is a text being read.
+// File is a scanned text with its sections and the faults found so far.
 type File struct {
 	name     string
 	faults   Faults
 	sections []*Section
 }
 
-// Section is one section of a file. A field that is read once is known; Unread
-// fields become faults, so that a misspelt optional name can't pass for its
-// default.
+// Section is one section of a file. Fields that are never read are reported as
+// faults; otherwise a misspelled optional field would silently keep its default.
 type Section struct {
 	file  *File
 	title string
@@ -99,13 +100,13 @@
 }
 
 var (
-	sectionLine = regexp.MustCompile(`^\[([^\]]*)\]$`)
-	titleForm   = regexp.MustCompile(`^[a-z][a-z0-9-]*( [a-z0-9][a-z0-9.-]*)*$`)
-	keyForm     = regexp.MustCompile(`^[a-z][a-z0-9-]*$`)
+	sectionPattern = regexp.MustCompile(`^\[([^\]]*)\]$`)
+	titlePattern   = regexp.MustCompile(`^[a-z][a-z0-9-]*( [a-z0-9][a-z0-9.-]*)*$`)
+	keyPattern     = regexp.MustCompile(`^[a-z][a-z0-9-]*$`)
 )
 
-// Read reads text and never fails: what is wrong with it is among the faults,
-// and the rest can still be read so that one pass finds every mistake.
+// Read scans a text. It never fails: mistakes are added to the faults, and the
+// remaining text can still be read, so that one pass finds all mistakes.
 func Read(name string, text []byte) *File {
 	f := &File{name: name}
 	if len(text) > MaxText {
@@ -116,64 +117,64 @@
 	return f
 }
 
-// scan finds the lines of sections and names, checks the grammar, and returns
+// scan checks the grammar, records the lines of sections and fields, and returns
 // the text without comments.
 func (f *File) scan(text []byte) []byte {
 	var current *Section
-	var bare bytes.Buffer
+	var stripped bytes.Buffer
 	for i, raw := range bytes.Split(text, []byte("\n")) {
-		line := uncomment(string(raw))
+		line := stripComment(string(raw))
 		switch {
 		case line == "":
 		case line[0] == '[':
-			current = f.section(i+1, line)
+			current = f.addSection(i+1, line)
 		default:
-			f.pair(current, i+1, line)
+			f.addKey(current, i+1, line)
 		}
-		bare.WriteString(line)
-		bare.WriteByte('\n')
+		stripped.WriteString(line)
+		stripped.WriteByte('\n')
 	}
-	return bare.Bytes()
+	return stripped.Bytes()
 }
 
-// comment begins at the start of a line or after a blank, so that a value can
-// hold the characters.
-var comment = regexp.MustCompile(`(^|[ \t])[#;].*$`)
+// commentPattern matches a comment at the start of a line or after a blank. Other
+// "#" and ";" characters belong to the value.
+var commentPattern = regexp.MustCompile(`(^|[ \t])[#;].*$`)
 
-func uncomment(line string) string {
-	return strings.TrimSpace(comment.ReplaceAllString(strings.TrimSpace(line), ""))
+func stripComment(line string) string {
+	return strings.TrimSpace(commentPattern.ReplaceAllString(strings.TrimSpace(line), ""))
 }
 
-func (f *File) section(at int, line string) *Section {
-	match := sectionLine.FindStringSubmatch(line)
-	if match == nil || !titleForm.MatchString(match[1]) {
-		f.fault(at, "section", line, "[kind] or [kind name ...] in lower-case letters, digits, dots and hyphens")
-		return &Section{file: f, line: at, keys: make(map[string]*key)}
+func (f *File) addSection(lineNumber int, line string) *Section {
+	match := sectionPattern.FindStringSubmatch(line)
+	if match == nil || !titlePattern.MatchString(match[1]) {
+		f.fault(lineNumber, "section", line, "[kind] or [kind name ...] in lower-case letters, digits, dots and hyphens")
+		return &Section{file: f, line: lineNumber, keys: make(map[string]*key)}
 	}
 	if i := slices.IndexFunc(f.sections, func(s *Section) bool { return s.title == match[1] }); i >= 0 {
-		f.fault(at, "section", line, fmt.Sprintf("each section once; the first is on line %d", f.sections[i].line))
-		return &Section{file: f, line: at, keys: make(map[string]*key)}
+		f.fault(lineNumber, "section", line, fmt.Sprintf("each section once; the first is on line %d", f.sections[i].line))
+		return &Section{file: f, line: lineNumber, keys: make(map[string]*key)}
 	}
-	s := &Section{file: f, title: match[1], words: strings.Fields(match[1]), line: at, keys: make(map[string]*key)}
+	s := &Section{file: f, title: match[1], words: strings.Fields(match[1]), line: lineNumber, keys: make(map[string]*key)}
 	f.sections = append(f.sections, s)
 	return s
 }
 
-func (f *File) pair(s *Section, at int, line string) {
+func (f *File) addKey(s *Section, lineNumber int, line string) {
 	name, value, found := strings.Cut(line, "=")
 	name, value = strings.TrimSpace(name), strings.TrimSpace(value)
 	switch {
 	case s == nil:
-		f.fault(at, "line", line, "a [section] first")
-	case !found || !keyForm.MatchString(name):
-		f.fault(at, "line", line, "name = value, the name in lower-case letters, digits and hyphens")
+		f.fault(lineNumber, "line", line, "a [section] first")
+	case !found || !keyPattern.MatchString(name):
+		f.fault(lineNumber, "line", line, "name = value, the name in lower-case letters, digits and hyphens")
 	case strings.ContainsAny(value, "`\"'\\") || strings.ContainsFunc(value, isControl):
-		f.fault(at, s.field(name), value, "no quotes, backslashes or control characters")
-		s.keys[name] = &key{name: name, line: at, read: true}
+		f.fault(lineNumber, s.field(name), value, "no quotes, backslashes or control characters")
+		s.keys[name] = &key{name: name, line: lineNumber, read: true}
 	case s.keys[name] != nil:
-		f.fault(at, s.field(name), value, fmt.Sprintf("each name once; the first is on line %d", s.keys[name].line))
+		f.fault(lineNumber, s.field(name), value, fmt.Sprintf("each name once; the first is on line %d", s.keys[name].line))
 	default:
-		k := &key{name: name, line: at}
+		k := &key{name: name, line: lineNumber}
 		s.keys[name] = k
 		s.order = append(s.order, k)
 	}
@@ -181,18 +182,19 @@
 
 func isControl(r rune) bool { return r < ' ' || r == 0x7f || r == '\uFFFD' }
 
-// options make ini.v1 read one line as one value; scan has refused the rest.
-var options = ini.LoadOptions{
+// loadOptions make ini.v1 parse each line as one value. scan has already rejected
+// continuation lines and quotes.
+var loadOptions = ini.LoadOptions{
 	IgnoreContinuation:      true,
 	IgnoreInlineComment:     true,
 	SkipUnrecognizableLines: true,
 	KeyValueDelimiters:      "=",
 }
 
-// load takes the values from the library. It reads the raw value: the library
-// would replace %(name)s, which would let a value differ from its line.
+// load parses the values with ini.v1. It uses the raw values, in which the library
+// does not expand %(name)s, so that a value never differs from its line.
 func (f *File) load(text []byte) {
-	parsed, err := ini.LoadSources(options, text)
+	parsed, err := ini.LoadSources(loadOptions, text)
 	if err != nil {
 		f.fault(0, "text", err.Error(), "INI text")
 		return
@@ -208,14 +210,14 @@
 	}
 }
 
-// Faults returns every mistake found so far, in order of lines; call it after
-// all fields are read. Sections and fields that nobody read are among them.
+// Faults returns all mistakes found so far, in order of lines, including fields
+// that were never read. Call it after all fields have been read.
 func (f *File) Faults() Faults {
 	all := slices.Clone(f.faults)
 	for _, s := range f.sections {
 		for _, k := range s.order {
 			if !k.read {
-				all = append(all, &Fault{File: f.name, Line: k.line, Field: s.field(k.name), Value: shown(k.value), Accept: "no such field here"})
+				all = append(all, &Fault{File: f.name, Line: k.line, Field: s.field(k.name), Value: truncated(k.value), Accept: "no such field here"})
 			}
 		}
 	}
@@ -224,19 +226,20 @@
 }
 
 func (f *File) fault(line int, field, value, accept string) {
-	f.faults = append(f.faults, &Fault{File: f.name, Line: line, Field: field, Value: shown(value), Accept: accept})
+	f.faults = append(f.faults, &Fault{File: f.name, Line: line, Field: field, Value: truncated(value), Accept: accept})
 }
 
-func shown(value string) string {
+// truncated returns value as valid UTF-8 of limited length.
+func truncated(value string) string {
 	value = strings.ToValidUTF8(value, "?")
-	if len(value) <= maxShown {
+	if len(value) <= maxValueLen {
 		return value
 	}
-	return strings.ToValidUTF8(value[:maxShown], "") + "..."
+	return strings.ToValidUTF8(value[:maxValueLen], "") + "..."
 }
 
-// Only returns the section with that title; it is a fault if there is none,
-// and an empty section is returned so that its fields are checked as well.
+// Only returns the section with that title. If there is none, it adds a fault and
+// returns an empty section, so that missing required fields are reported as well.
 func (f *File) Only(title string) *Section {
 	if s, ok := f.Optional(title); ok {
 		return s
@@ -245,7 +248,7 @@
 	return &Section{file: f, title: title, keys: make(map[string]*key)}
 }
 
-// Optional returns the section with that title, if the text has it.
+// Optional returns the section with that title, or false if there is none.
 func (f *File) Optional(title string) (*Section, bool) {
 	for _, s := range f.sections {
 		if s.title == title {
@@ -255,8 +258,9 @@
 	return nil, false
 }
 
-// Kind returns the sections "[kind word ...]" with that many words after the
-// kind, in order.
+// Kind returns the sections of a kind with that many words after the kind, in the
+// order of the text. For example, "[class dispatch send]" is of kind "class" with 2
+// words.
 func (f *File) Kind(kind string, words int) []*Section {
 	var out []*Section
 	for _, s := range f.sections {
@@ -267,8 +271,9 @@
 	return out
 }
 
-// Known makes every section a fault whose kind and number of words after it
-// is not among those given, for example {"service": 1}.
+// Known adds a fault for each section whose kind is not a key of kinds, or whose
+// number of words after the kind differs from the value. For example,
+// {"service": 1} accepts "[service dispatch]".
 func (f *File) Known(kinds map[string]int) {
 	for _, s := range f.sections {
 		words, ok := kinds[s.words[0]]
--- a/core/mtini/mtini_test.go
+++ b/core/mtini/mtini_test.go
@@ -12,8 +12,8 @@
 func TestReadValues(t *testing.T) {
 	tests := []struct{ name, line, want string }{
 		{"plain", "name = value", "value"},
-		{"no blanks", "name=value", "value"},
-		{"comment", "name = value ; can't say \"more\"", "value"},
+		{"no blanks around equals sign", "name=value", "value"},
+		{"semicolon comment", "name = value ; can't say \"more\"", "value"},
 		{"hash comment", "name = value\t# more", "value"},
 		{"not a comment", "name = a;b#c", "a;b#c"},
 		{"equals sign", "name = a=b==", "a=b=="},
@@ -32,25 +32,25 @@
 	}
 }
 
-func TestReadRefuses(t *testing.T) {
+func TestReadReportsFaults(t *testing.T) {
 	tests := []struct {
 		name, text string
 		line       int
 	}{
 		{"quoted", "[a]\nx = \"y\"", 2},
-		{"triple quote that would swallow the rest", "[a]\nx = \"\"\"\n[b]\n", 2},
+		{"triple quote that would span the remaining text", "[a]\nx = \"\"\"\n[b]\n", 2},
 		{"backtick", "[a]\nx = `y", 2},
 		{"continuation", "[a]\nx = y\\\nz = 1", 2},
-		{"before any section", "x = 1", 1},
+		{"field before any section", "x = 1", 1},
 		{"no delimiter", "[a]\nx", 2},
 		{"colon", "[a]\nx: 1", 2},
-		{"section twice", "[a]\n[a]", 2},
-		{"name twice", "[a]\nx = 1\nx = 1", 3},
-		{"open section", "[a", 1},
+		{"duplicate section", "[a]\n[a]", 2},
+		{"duplicate name", "[a]\nx = 1\nx = 1", 3},
+		{"section without closing bracket", "[a", 1},
 		{"upper-case name", "[a]\nX = 1", 2},
 		{"not UTF-8", "[a]\nx = \xff", 2},
 		{"too long", strings.Repeat("#", mtini.MaxText+1), 0},
-		{"unread", "[a]\nx = 1", 2},
+		{"field that is never read", "[a]\nx = 1", 2},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/core/mtini/section.go
+++ b/core/mtini/section.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// MaxName is the longest name, in bytes.
+// MaxName is the maximum length of a name in bytes.
 const MaxName = 63
 
-var nameForm = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]*$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]*$`)
 
 const acceptName = "1 to 63 lower-case letters, digits, dots and hyphens, a letter or digit first"
 
-// Word returns the word number i of the section's title; the kind is word 0.
+// Word returns word i of the section's title; word 0 is the kind.
 func (s *Section) Word(i int) string { return s.words[i] }
 
-// Line returns the line that the section begins on.
+// Line returns the number of the line with the section's title.
 func (s *Section) Line() int { return s.line }
 
-// Has reports whether the section has the field.
+// Has reports whether the section contains the field, without marking it as read.
 func (s *Section) Has(name string) bool { return s.keys[name] != nil }
 
-// Fault adds a mistake of a field that a caller found by a rule of its own.
-// The empty field blames the section's title.
+// Fault adds a fault that the caller's own validation found. If name is empty, the
+// fault refers to the section's title.
 func (s *Section) Fault(name, value, accept string) {
 	if name == "" {
 		s.file.fault(s.line, "["+s.title+"]", value, accept)
@@ -41,7 +41,7 @@
 
 func (s *Section) field(name string) string { return "[" + s.title + "] " + name }
 
-// get returns the value of a field, and false if it is absent.
+// get returns the value of a field and marks it as read, or false if it is absent.
 func (s *Section) get(name string) (string, bool) {
 	k := s.keys[name]
 	if k == nil {
@@ -51,15 +51,15 @@
 	return k.value, true
 }
 
-// Text returns a field of free text, or the default.
-func (s *Section) Text(name, otherwise string) string {
+// Text returns a field of free text, or the fallback if it is absent.
+func (s *Section) Text(name, fallback string) string {
 	if v, ok := s.get(name); ok {
 		return v
 	}
-	return otherwise
+	return fallback
 }
 
-// Required returns a field that must be there and not be empty.
+// Required returns a field that must be present and not empty.
 func (s *Section) Required(name, accept string) string {
 	v, _ := s.get(name)
 	if v == "" {
@@ -68,7 +68,7 @@
 	return v
 }
 
-// Name returns a field that must be there and hold a name.
+// Name returns a required field that must hold a name as defined by IsName.
 func (s *Section) Name(name string) string {
 	v, _ := s.get(name)
 	if !IsName(v) {
@@ -77,11 +77,11 @@
 	return v
 }
 
-// IsName reports whether v can name a business, service, class or daemon.
-func IsName(v string) bool { return len(v) <= MaxName && nameForm.MatchString(v) }
+// IsName reports whether v is a valid name of a business, service, class or daemon.
+func IsName(v string) bool { return len(v) <= MaxName && namePattern.MatchString(v) }
 
-// Choice returns a field whose value must be one of the choices. The first is
-// the default.
+// Choice returns a field whose value must be one of the choices. The first choice
+// is the default.
 func (s *Section) Choice(name string, choices ...string) string {
 	v, ok := s.get(name)
 	if !ok {
@@ -96,53 +96,57 @@
 	return choices[0]
 }
 
-// Bool returns a field that says yes or no.
-func (s *Section) Bool(name string, otherwise bool) bool {
+// Bool returns a field whose value must be yes or no, or the fallback if it is
+// absent.
+func (s *Section) Bool(name string, fallback bool) bool {
 	if !s.Has(name) {
-		return otherwise
+		return fallback
 	}
 	return s.Choice(name, "no", "yes") == "yes"
 }
 
-// Int returns a whole number within low and high, both included.
-func (s *Section) Int(name string, otherwise, low, high int) int {
+// Int returns an integer from low to high, both included. It returns the fallback
+// if the field is absent or invalid.
+func (s *Section) Int(name string, fallback, low, high int) int {
 	v, ok := s.get(name)
 	if !ok {
-		return otherwise
+		return fallback
 	}
 	n, err := strconv.Atoi(v)
 	if err != nil || n < low || n > high {
 		s.Fault(name, v, fmt.Sprintf("a whole number from %d to %d", low, high))
-		return otherwise
+		return fallback
 	}
 	return n
 }
 
-// Float returns a number within low and high, both included.
-func (s *Section) Float(name string, otherwise, low, high float64) float64 {
+// Float returns a number from low to high, both included. It returns the fallback
+// if the field is absent or invalid.
+func (s *Section) Float(name string, fallback, low, high float64) float64 {
 	v, ok := s.get(name)
 	if !ok {
-		return otherwise
+		return fallback
 	}
 	n, err := strconv.ParseFloat(v, 64)
-	// The comparison is written so that it fails for NaN.
+	// The negated comparison also rejects NaN.
 	if err != nil || !(n >= low && n <= high) {
 		s.Fault(name, v, fmt.Sprintf("a number from %g to %g", low, high))
-		return otherwise
+		return fallback
 	}
 	return n
 }
 
-// Duration returns a time span within low and high, both included.
-func (s *Section) Duration(name string, otherwise, low, high time.Duration) time.Duration {
+// Duration returns a duration from low to high, both included. It returns the
+// fallback if the field is absent or invalid.
+func (s *Section) Duration(name string, fallback, low, high time.Duration) time.Duration {
 	v, ok := s.get(name)
 	if !ok {
-		return otherwise
+		return fallback
 	}
 	d, err := time.ParseDuration(v)
 	if err != nil || d < low || d > high {
 		s.Fault(name, v, fmt.Sprintf("a duration from %s to %s", low, high))
-		return otherwise
+		return fallback
 	}
 	return d
 }
@@ -156,7 +160,7 @@
 	return v
 }
 
-// Addresses returns a field with addresses parted by commas; it may be absent.
+// Addresses returns an optional field of comma-separated IP:port addresses.
 func (s *Section) Addresses(name string) []string {
 	v, ok := s.get(name)
 	if !ok || v == "" {
@@ -176,7 +180,8 @@
 
 const acceptAddress = "IP:port with a port from 1 to 65535, an IPv6 address in brackets"
 
-// isAddress takes IP numbers only: there is no name service between the VMs.
+// isAddress accepts IP addresses only, because the VMs have no name service to
+// resolve host names.
 func isAddress(v string) bool {
 	a, err := netip.ParseAddrPort(v)
 	return err == nil && a.Port() != 0
