--- a/core/mtbundle/life.go
+++ b/core/mtbundle/life.go
@@ -28,18 +28,18 @@
 // is in force. Nothing was changed. The error identifies the bundle in force, so
 // that the operator can review it and propose a change on top of it.
 type ConflictError struct {
-	Business mtid.Business
-	Wanted   mtid.Version // the version that was requested
-	InForce  mtid.Version // the version in force
-	Winner   string       // who accepted the version in force
-	Proposer string       // who proposed the version in force
-	Digest   Digest       // of the version in force
+	Business  mtid.Business
+	Requested mtid.Version // the version that was requested
+	InForce   mtid.Version // the version in force
+	Accepter  string       // who accepted the version in force
+	Proposer  string       // who proposed the version in force
+	Digest    Digest       // of the version in force
 }
 
 // Error implements error.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("bundle: %s version %d can't come next: version %d (proposed by %s, accepted by %s) is in force, the next is %d",
-		e.Business, e.Wanted, e.InForce, e.Proposer, e.Winner, e.InForce+1)
+		e.Business, e.Requested, e.InForce, e.Proposer, e.Accepter, e.InForce+1)
 }
 
 // UnsignedError reports a proposal with too few valid signatures.
@@ -53,43 +53,43 @@
 	return fmt.Sprintf("bundle: %d signatures needed of signers other than the proposer, %d count: %v", e.Needed, len(e.Signed), e.Signed)
 }
 
-// MissingError reports that a business has no open proposal with that version and
-// digest.
-type MissingError struct {
+// DraftNotFoundError reports that a business has no open proposal with that version
+// and digest.
+type DraftNotFoundError struct {
 	Business mtid.Business
 	Version  mtid.Version
 	Digest   string
 }
 
 // Error implements error.
-func (e *MissingError) Error() string {
+func (e *DraftNotFoundError) Error() string {
 	return fmt.Sprintf("bundle: %s has no open proposal of version %d %s", e.Business, e.Version, e.Digest)
 }
 
-// FullError reports that a business already has MaxDrafts open proposals.
-type FullError struct{ Business mtid.Business }
+// TooManyDraftsError reports that a business already has MaxDrafts open proposals.
+type TooManyDraftsError struct{ Business mtid.Business }
 
 // Error implements error.
-func (e *FullError) Error() string {
+func (e *TooManyDraftsError) Error() string {
 	return fmt.Sprintf("bundle: %s has %d open proposals, no more are taken until one is accepted", e.Business, MaxDrafts)
 }
 
-// BusinessError reports a bundle text that was submitted for another business than
-// the one it names.
-type BusinessError struct {
-	Wanted mtid.Business // the business that the text was submitted for
-	Text   mtid.Business // the business that the text names
+// BusinessMismatchError reports a bundle text that was submitted for another
+// business than the one it names.
+type BusinessMismatchError struct {
+	Requested mtid.Business // the business that the text was submitted for
+	Named     mtid.Business // the business that the text names
 }
 
 // Error implements error.
-func (e *BusinessError) Error() string {
-	return fmt.Sprintf("bundle: the text is of business %q, not %q", e.Text, e.Wanted)
+func (e *BusinessMismatchError) Error() string {
+	return fmt.Sprintf("bundle: the text is of business %q, not %q", e.Named, e.Requested)
 }
 
-// Life is the state of the bundles of one business as read from the store: the one
-// in force and the open proposals. Its methods don't modify it but return the new
-// value, which the caller writes by compare-and-swap.
-type Life struct {
+// Lifecycle is the state of the bundles of one business as read from the store: the
+// one in force and the open proposals. Its methods don't modify it but return the
+// new value, which the caller writes by compare-and-swap.
+type Lifecycle struct {
 	Business mtid.Business
 	InForce  *Stored // nil before the first bundle
 	Drafts   []*Stored
@@ -99,14 +99,15 @@
 // Propose adds a proposal with a text. It returns the open proposals, the new one
 // included, and the new one. If the same text is proposed again, Propose returns
 // the existing proposal with its first proposer, so that a retried request changes
-// nothing. It fails with Faults, a *BusinessError, a *ConflictError or a *FullError.
-func (l *Life) Propose(now time.Time, proposer string, text []byte) ([]*Stored, *Stored, error) {
+// nothing. It fails with Faults, a *BusinessMismatchError, a *ConflictError or a
+// *TooManyDraftsError.
+func (l *Lifecycle) Propose(now time.Time, proposer string, text []byte) ([]*Stored, *Stored, error) {
 	bundle, faults := Parse("proposal", text)
 	if err := faults.Err(); err != nil {
 		return nil, nil, err
 	}
 	if bundle.Business != l.Business {
-		return nil, nil, &BusinessError{Wanted: l.Business, Text: bundle.Business}
+		return nil, nil, &BusinessMismatchError{Requested: l.Business, Named: bundle.Business}
 	}
 	proposal := &Stored{Business: l.Business, Version: bundle.Version, Text: slices.Clone(text), Proposer: proposer, Proposed: now}
 	if l.isInForce(proposal.Version, proposal.Digest().String()) {
@@ -120,16 +121,16 @@
 		return drafts, existing, nil
 	}
 	if len(drafts) >= MaxDrafts {
-		return nil, nil, &FullError{Business: l.Business}
+		return nil, nil, &TooManyDraftsError{Business: l.Business}
 	}
 	return append(drafts, proposal), proposal, nil
 }
 
 // Sign adds a signature to an open proposal. It returns the open proposals and the
 // signed one. A second signature of the same signer, or one for a bundle that is
-// already in force, changes nothing. Sign fails with a *MissingError or a
+// already in force, changes nothing. Sign fails with a *DraftNotFoundError or a
 // *SignatureError.
-func (l *Life) Sign(version mtid.Version, digest string, sig Signature) ([]*Stored, *Stored, error) {
+func (l *Lifecycle) Sign(version mtid.Version, digest string, sig Signature) ([]*Stored, *Stored, error) {
 	if l.isInForce(version, digest) {
 		return l.Drafts, l.InForce, nil
 	}
@@ -157,9 +158,9 @@
 // Accept returns the value that puts a proposal in force. The caller writes it by
 // compare-and-swap where the version in the store is one below the proposal's. If
 // the proposal is already in force, Accept returns it and true, so that a retried
-// request succeeds. It fails with a *ConflictError, a *MissingError or an
+// request succeeds. It fails with a *ConflictError, a *DraftNotFoundError or an
 // *UnsignedError.
-func (l *Life) Accept(now time.Time, version mtid.Version, digest, accepter string, writeID mtroster.Stamp) (next *Stored, done bool, err error) {
+func (l *Lifecycle) Accept(now time.Time, version mtid.Version, digest, accepter string, writeID mtroster.Stamp) (next *Stored, done bool, err error) {
 	if l.isInForce(version, digest) {
 		return l.InForce, true, nil
 	}
@@ -180,13 +181,13 @@
 	accepted := *draft
 	accepted.Accepter = accepter
 	accepted.Accepted = now
-	accepted.Stamp = writeID
+	accepted.WriteID = writeID
 	return &accepted, false, nil
 }
 
-// Signed returns the signers with a valid signature of an open proposal, and the
-// number of signatures that it needs.
-func (l *Life) Signed(draft *Stored) (signers []string, needed int, err error) {
+// ValidSigners returns the signers with a valid signature of an open proposal, and
+// the number of signatures that it needs.
+func (l *Lifecycle) ValidSigners(draft *Stored) (signers []string, needed int, err error) {
 	authority, err := l.authorityFor(draft)
 	if err != nil {
 		return nil, 0, err
@@ -195,7 +196,7 @@
 }
 
 // Version returns the version in force, or 0 if there is none.
-func (l *Life) Version() mtid.Version {
+func (l *Lifecycle) Version() mtid.Version {
 	if l.InForce == nil {
 		return 0
 	}
@@ -205,19 +206,19 @@
 // isInForce reports whether the bundle with that version and digest is in force.
 // This is so when a client whose reply was lost retries a step after other
 // operators have completed the remaining steps.
-func (l *Life) isInForce(version mtid.Version, digest string) bool {
+func (l *Lifecycle) isInForce(version mtid.Version, digest string) bool {
 	return l.InForce != nil && l.InForce.Version == version && l.InForce.Digest().String() == digest
 }
 
 // checkNext returns a *ConflictError unless version is the one in force plus one.
 // Versions never decrease: a rollback is a new version with an older text.
-func (l *Life) checkNext(version mtid.Version) error {
+func (l *Lifecycle) checkNext(version mtid.Version) error {
 	if version == l.Version()+1 {
 		return nil
 	}
-	conflict := &ConflictError{Business: l.Business, Wanted: version, InForce: l.Version()}
+	conflict := &ConflictError{Business: l.Business, Requested: version, InForce: l.Version()}
 	if l.InForce != nil {
-		conflict.Winner = l.InForce.Accepter
+		conflict.Accepter = l.InForce.Accepter
 		conflict.Proposer = l.InForce.Proposer
 		conflict.Digest = l.InForce.Digest()
 	}
@@ -226,7 +227,7 @@
 
 // openDrafts returns the proposals that can still be accepted. The others are
 // outdated by the version in force and are removed by the next write.
-func (l *Life) openDrafts() []*Stored {
+func (l *Lifecycle) openDrafts() []*Stored {
 	var drafts []*Stored
 	for _, d := range l.Drafts {
 		if d.Version == l.Version()+1 {
@@ -236,16 +237,16 @@
 	return drafts
 }
 
-func (l *Life) findDraft(version mtid.Version, digest string) (*Stored, error) {
+func (l *Lifecycle) findDraft(version mtid.Version, digest string) (*Stored, error) {
 	for _, d := range l.openDrafts() {
 		if d.Version == version && d.Digest().String() == digest {
 			return d, nil
 		}
 	}
-	return nil, &MissingError{Business: l.Business, Version: version, Digest: digest}
+	return nil, &DraftNotFoundError{Business: l.Business, Version: version, Digest: digest}
 }
 
-func (l *Life) authorityFor(draft *Stored) (Authority, error) {
+func (l *Lifecycle) authorityFor(draft *Stored) (Authority, error) {
 	next, err := draft.Bundle()
 	if err != nil {
 		return Authority{}, err
--- a/core/mtbundle/life_test.go
+++ b/core/mtbundle/life_test.go
@@ -44,14 +44,14 @@
 	return []byte(b.String())
 }
 
-func lifeWith(t *testing.T, inForce []byte, version int) *mtbundle.Life {
+func newLifecycle(t *testing.T, inForce []byte, version int) *mtbundle.Lifecycle {
 	t.Helper()
-	return &mtbundle.Life{Business: "ratins", InForce: &mtbundle.Stored{
+	return &mtbundle.Lifecycle{Business: "ratins", InForce: &mtbundle.Stored{
 		Business: "ratins", Version: mtid.Version(version), Text: inForce, Proposer: "janis", Accepter: "marta",
 	}}
 }
 
-func propose(t *testing.T, l *mtbundle.Life, proposer string, text []byte) *mtbundle.Stored {
+func propose(t *testing.T, l *mtbundle.Lifecycle, proposer string, text []byte) *mtbundle.Stored {
 	t.Helper()
 	drafts, s, err := l.Propose(now, proposer, text)
 	assert.NilError(t, err)
@@ -59,7 +59,7 @@
 	return s
 }
 
-func sign(l *mtbundle.Life, s *mtbundle.Stored, signer string, key ed25519.PrivateKey) error {
+func sign(l *mtbundle.Lifecycle, s *mtbundle.Stored, signer string, key ed25519.PrivateKey) error {
 	drafts, _, err := l.Sign(s.Version, s.Digest().String(), mtbundle.Sign(signer, key, s.Digest()))
 	if err == nil {
 		l.Drafts = drafts
@@ -67,7 +67,7 @@
 	return err
 }
 
-func accept(l *mtbundle.Life, s *mtbundle.Stored) error {
+func accept(l *mtbundle.Lifecycle, s *mtbundle.Stored) error {
 	next, _, err := l.Accept(now, s.Version, s.Digest().String(), "marta", writeID)
 	if err == nil {
 		l.InForce = next
@@ -76,7 +76,7 @@
 }
 
 func TestProposeSignAccept(t *testing.T) {
-	l := lifeWith(t, bundleText(1, 1, "first", "ilze", "janis", "marta"), 1)
+	l := newLifecycle(t, bundleText(1, 1, "first", "ilze", "janis", "marta"), 1)
 	s := propose(t, l, "ilze", bundleText(2, 2, "second", "ilze", "janis", "marta"))
 	assert.ErrorType(t, accept(l, s), &mtbundle.UnsignedError{})
 	assert.NilError(t, sign(l, s, "janis", privateKey("janis")))
@@ -99,7 +99,7 @@
 // A proposer lists accomplices as signers in the same bundle that they then sign.
 // Only signers that the bundle in force lists may be accepted.
 func TestSignersComeFromBundleInForce(t *testing.T) {
-	l := lifeWith(t, bundleText(1, 1, "first", "ilze", "janis"), 1)
+	l := newLifecycle(t, bundleText(1, 1, "first", "ilze", "janis"), 1)
 	s := propose(t, l, "ilze", bundleText(2, 1, "coup", "friend", "other"))
 	tests := []struct {
 		name   string
@@ -128,7 +128,7 @@
 // A signature is stored twice, by a bug or on purpose. It must not count as the
 // signatures of two people.
 func TestDuplicateSignatureCountsOnce(t *testing.T) {
-	l := lifeWith(t, bundleText(1, 2, "first", "ilze", "janis", "marta"), 1)
+	l := newLifecycle(t, bundleText(1, 2, "first", "ilze", "janis", "marta"), 1)
 	s := propose(t, l, "ilze", bundleText(2, 2, "second", "ilze", "janis", "marta"))
 	sig := mtbundle.Sign("janis", privateKey("janis"), s.Digest())
 	signedTwice := *s
@@ -154,7 +154,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			l := &mtbundle.Life{Business: "ratins", Root: test.root}
+			l := &mtbundle.Lifecycle{Business: "ratins", Root: test.root}
 			s := propose(t, l, "ilze", text)
 			err := sign(l, s, test.signer, privateKey(test.signer))
 			assert.Equal(t, err == nil, test.ok)
@@ -166,7 +166,7 @@
 // Two operators propose version 2 on top of version 1, and both proposals are signed.
 // The second one to be accepted must not silently replace the first.
 func TestConflictErrorIdentifiesWinner(t *testing.T) {
-	l := lifeWith(t, bundleText(1, 1, "first", "ilze", "janis"), 1)
+	l := newLifecycle(t, bundleText(1, 1, "first", "ilze", "janis"), 1)
 	one := propose(t, l, "ilze", bundleText(2, 1, "one", "ilze", "janis"))
 	two := propose(t, l, "janis", bundleText(2, 1, "two", "ilze", "janis"))
 	assert.NilError(t, sign(l, one, "janis", privateKey("janis")))
@@ -177,12 +177,12 @@
 	assert.Assert(t, errors.As(err, &conflict), "%v", err)
 	assert.Equal(t, conflict.InForce, mtid.Version(2))
 	assert.Equal(t, conflict.Proposer, "ilze")
-	assert.Equal(t, conflict.Winner, "marta")
+	assert.Equal(t, conflict.Accepter, "marta")
 	assert.Equal(t, conflict.Digest, one.Digest())
 }
 
 func TestProposeIsIdempotent(t *testing.T) {
-	l := lifeWith(t, bundleText(1, 1, "first", "ilze", "janis"), 1)
+	l := newLifecycle(t, bundleText(1, 1, "first", "ilze", "janis"), 1)
 	text := bundleText(2, 1, "second", "ilze", "janis")
 	propose(t, l, "ilze", text)
 	s := propose(t, l, "janis", text)
@@ -191,7 +191,7 @@
 }
 
 func TestProposeRejectsInvalid(t *testing.T) {
-	l := lifeWith(t, bundleText(4, 1, "fourth", "ilze", "janis"), 4)
+	l := newLifecycle(t, bundleText(4, 1, "fourth", "ilze", "janis"), 4)
 	_, _, err := l.Propose(now, "ilze", bundleText(4, 1, "again", "ilze", "janis"))
 	assert.ErrorType(t, err, &mtbundle.ConflictError{})
 	_, _, err = l.Propose(now, "ilze", bundleText(6, 1, "gap", "ilze", "janis"))
@@ -201,13 +201,13 @@
 	assert.Assert(t, errors.As(err, &faults), "%v", err)
 	l.Business = "bundesamt"
 	_, _, err = l.Propose(now, "ilze", bundleText(5, 1, "foreign", "ilze", "janis"))
-	assert.ErrorType(t, err, &mtbundle.BusinessError{})
+	assert.ErrorType(t, err, &mtbundle.BusinessMismatchError{})
 	l.Business = "ratins"
 	for i := range mtbundle.MaxDrafts {
 		propose(t, l, "ilze", bundleText(5, 1, fmt.Sprint("draft ", i), "ilze", "janis"))
 	}
 	_, _, err = l.Propose(now, "ilze", bundleText(5, 1, "one more", "ilze", "janis"))
-	assert.ErrorType(t, err, &mtbundle.FullError{})
+	assert.ErrorType(t, err, &mtbundle.TooManyDraftsError{})
 }
 
 // For any sequence of steps, versions increase by one, and every bundle in force was
@@ -215,7 +215,7 @@
 func TestLifecycleInvariants(t *testing.T) {
 	names := []string{"ilze", "janis", "marta", "peter"}
 	rapid.Check(t, func(t *rapid.T) {
-		l := &mtbundle.Life{Business: "ratins", InForce: &mtbundle.Stored{
+		l := &mtbundle.Lifecycle{Business: "ratins", InForce: &mtbundle.Stored{
 			Business: "ratins", Version: 1, Text: bundleText(1, 1, "first", "ilze", "janis"),
 		}}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
--- a/core/mtbundle/parse.go
+++ b/core/mtbundle/parse.go
@@ -47,8 +47,8 @@
 // contain it, since it is the operator who submits the text.
 func Parse(file string, text []byte) (*Bundle, Faults) {
 	f := mtini.Read(file, text)
-	f.Known(map[string]int{"bundle": 0, "signer": 1, "service": 1, "class": 2})
-	head := f.Only("bundle")
+	f.CheckKinds(map[string]int{"bundle": 0, "signer": 1, "service": 1, "class": 2})
+	head := f.RequiredSection("bundle")
 	b := &Bundle{
 		Business: mtid.Business(head.Name("business")),
 		Version:  parseVersion(head),
@@ -67,7 +67,7 @@
 	text := head.Required("version", accept)
 	n, err := strconv.ParseUint(text, 10, 63)
 	if text != "" && (err != nil || n == 0) {
-		head.Fault("version", text, accept)
+		head.AddFault("version", text, accept)
 	}
 	return mtid.Version(n)
 }
@@ -75,7 +75,7 @@
 func parseSigners(f *mtini.File, head *mtini.Section) []Signer {
 	signers := readSigners(f)
 	if len(signers) < minSigners || len(signers) > MaxSigners {
-		head.Fault("", strconv.Itoa(len(signers))+" signers", fmt.Sprintf("%d to %d [signer name] sections", minSigners, MaxSigners))
+		head.AddFault("", strconv.Itoa(len(signers))+" signers", fmt.Sprintf("%d to %d [signer name] sections", minSigners, MaxSigners))
 	}
 	return signers
 }
@@ -83,15 +83,15 @@
 func readSigners(f *mtini.File) []Signer {
 	var signers []Signer
 	signerOfKey := make(map[string]string)
-	for _, s := range f.Kind("signer", 1) {
+	for _, s := range f.SectionsOfKind("signer", 1) {
 		text := s.Required("key", acceptKey)
 		key, err := base64.StdEncoding.DecodeString(text)
 		if text != "" && (err != nil || len(key) != ed25519.PublicKeySize) {
-			s.Fault("key", text, acceptKey)
+			s.AddFault("key", text, acceptKey)
 		}
 		// With the same key under two names, one person would count as two signers.
 		if other, ok := signerOfKey[string(key)]; ok && len(key) > 0 {
-			s.Fault("key", text, "a key of its own; signer "+other+" has this one")
+			s.AddFault("key", text, "a key of its own; signer "+other+" has this one")
 		}
 		signerOfKey[string(key)] = s.Word(1)
 		signers = append(signers, Signer{Name: s.Word(1), Key: key})
@@ -103,15 +103,15 @@
 
 func parseServices(f *mtini.File, head *mtini.Section) []Service {
 	var services []Service
-	for _, s := range f.Kind("service", 1) {
+	for _, s := range f.SectionsOfKind("service", 1) {
 		services = append(services, parseService(f, s))
 	}
 	if len(services) < 1 || len(services) > MaxServices {
-		head.Fault("", strconv.Itoa(len(services))+" services", fmt.Sprintf("1 to %d [service name] sections", MaxServices))
+		head.AddFault("", strconv.Itoa(len(services))+" services", fmt.Sprintf("1 to %d [service name] sections", MaxServices))
 	}
-	for _, c := range f.Kind("class", 2) {
-		if _, ok := f.Optional("service " + c.Word(1)); !ok {
-			c.Fault("", c.Word(1), "a service of this bundle")
+	for _, c := range f.SectionsOfKind("class", 2) {
+		if _, ok := f.OptionalSection("service " + c.Word(1)); !ok {
+			c.AddFault("", c.Word(1), "a service of this bundle")
 			parseClass(c)
 		}
 	}
@@ -129,7 +129,7 @@
 
 func parseService(f *mtini.File, s *mtini.Section) Service {
 	if !mtini.IsName(s.Word(1)) {
-		s.Fault("", s.Word(1), "a name of up to 63 characters")
+		s.AddFault("", s.Word(1), "a name of up to 63 characters")
 	}
 	service := Service{
 		Name: mtid.Service(s.Word(1)),
@@ -142,20 +142,20 @@
 		Shards: s.Int("shards", defaultShards, 1, MaxShards),
 	}
 	service.Chunks = s.Int("chunks", chunksFor(service.Shards), 1, min(MaxChunks, max(service.Shards, 1)))
-	for _, c := range f.Kind("class", 2) {
+	for _, c := range f.SectionsOfKind("class", 2) {
 		if c.Word(1) == s.Word(1) {
 			service.Classes = append(service.Classes, parseClass(c))
 		}
 	}
 	if len(service.Classes) < 1 || len(service.Classes) > MaxClasses {
-		s.Fault("", strconv.Itoa(len(service.Classes))+" classes", fmt.Sprintf("1 to %d [class %s name] sections", MaxClasses, s.Word(1)))
+		s.AddFault("", strconv.Itoa(len(service.Classes))+" classes", fmt.Sprintf("1 to %d [class %s name] sections", MaxClasses, s.Word(1)))
 	}
 	return service
 }
 
 func parseClass(c *mtini.Section) Class {
 	if !mtini.IsName(c.Word(2)) {
-		c.Fault("", c.Word(2), "a name of up to 63 characters")
+		c.AddFault("", c.Word(2), "a name of up to 63 characters")
 	}
 	class := Class{
 		Name:       mtid.Class(c.Word(2)),
--- a/core/mtbundle/parse_test.go
+++ b/core/mtbundle/parse_test.go
@@ -133,7 +133,7 @@
 	s := &mtbundle.Stored{
 		Business: "ratins", Version: 3, Text: []byte(validText), Proposer: "ilze",
 		Signatures: []mtbundle.Signature{{Signer: "janis", Value: []byte{1, 2}}},
-		Stamp:      mtroster.Stamp{Writer: mtid.Holder{Daemon: "d1", Incarnation: 4}, Sequence: 9},
+		WriteID:    mtroster.Stamp{Writer: mtid.Holder{Daemon: "d1", Incarnation: 4}, Sequence: 9},
 		Accepter:   "ilze", Proposed: time.UnixMilli(1000).UTC(), Accepted: time.UnixMilli(2000).UTC(),
 	}
 	value, err := s.Encode()
--- a/core/mtbundle/sign.go
+++ b/core/mtbundle/sign.go
@@ -104,7 +104,7 @@
 // ParseSigners parses a root of trust: INI text with [signer name] sections.
 func ParseSigners(file string, text []byte) ([]Signer, Faults) {
 	f := mtini.Read(file, text)
-	f.Known(map[string]int{"signer": 1})
+	f.CheckKinds(map[string]int{"signer": 1})
 	signers := readSigners(f)
 	faults := f.Faults()
 	if len(signers) == 0 {
--- a/core/mtbundle/stored.go
+++ b/core/mtbundle/stored.go
@@ -26,7 +26,7 @@
 	Text       []byte
 	Proposer   string
 	Signatures []Signature
-	Stamp      mtroster.Stamp // write ID of the write that accepted it
+	WriteID    mtroster.Stamp // write ID of the write that accepted it
 	Accepter   string
 	Proposed   time.Time
 	Accepted   time.Time // zero before the bundle is accepted
@@ -60,7 +60,7 @@
 		Version:    uint64(s.Version),
 		Text:       s.Text,
 		Proposer:   s.Proposer,
-		Stamp:      s.Stamp.Wire(),
+		Stamp:      s.WriteID.Wire(),
 		Accepter:   s.Accepter,
 		ProposedMs: toMillis(s.Proposed),
 		AcceptedMs: toMillis(s.Accepted),
@@ -87,7 +87,7 @@
 		Version:  mtid.Version(w.GetVersion()),
 		Text:     slices.Clone(w.GetText()),
 		Proposer: w.GetProposer(),
-		Stamp:    mtroster.ReadStamp(w.GetStamp()),
+		WriteID:  mtroster.ReadStamp(w.GetStamp()),
 		Accepter: w.GetAccepter(),
 		Proposed: fromMillis(w.GetProposedMs()),
 		Accepted: fromMillis(w.GetAcceptedMs()),
--- a/core/mtini/mtini.go
+++ b/core/mtini/mtini.go
@@ -10,7 +10,7 @@
 // # Usage
 //
 //	file := mtini.Read("daemon.ini", text)
-//	section := file.Only("daemon")
+//	section := file.RequiredSection("daemon")
 //	name := section.Name("name")
 //	wait := section.Duration("wait", time.Second, time.Millisecond, time.Minute)
 //	if faults := file.Faults(); len(faults) > 0 { ... }
@@ -238,18 +238,19 @@
 	return strings.ToValidUTF8(value[:maxValueLen], "") + "..."
 }
 
-// Only returns the section with that title. If there is none, it adds a fault and
-// returns an empty section, so that missing required fields are reported as well.
-func (f *File) Only(title string) *Section {
-	if s, ok := f.Optional(title); ok {
+// RequiredSection returns the section with that title. If there is none, it adds a
+// fault and returns an empty section, so that missing required fields are reported
+// as well.
+func (f *File) RequiredSection(title string) *Section {
+	if s, ok := f.OptionalSection(title); ok {
 		return s
 	}
 	f.fault(0, "["+title+"]", "", "this section is required")
 	return &Section{file: f, title: title, keys: make(map[string]*key)}
 }
 
-// Optional returns the section with that title, or false if there is none.
-func (f *File) Optional(title string) (*Section, bool) {
+// OptionalSection returns the section with that title, or false if there is none.
+func (f *File) OptionalSection(title string) (*Section, bool) {
 	for _, s := range f.sections {
 		if s.title == title {
 			return s, true
@@ -258,10 +259,10 @@
 	return nil, false
 }
 
-// Kind returns the sections of a kind with that many words after the kind, in the
-// order of the text. For example, "[class dispatch send]" is of kind "class" with 2
-// words.
-func (f *File) Kind(kind string, words int) []*Section {
+// SectionsOfKind returns the sections of a kind with that many words after the kind,
+// in the order of the text. For example, "[class dispatch send]" is of kind "class"
+// with 2 words.
+func (f *File) SectionsOfKind(kind string, words int) []*Section {
 	var out []*Section
 	for _, s := range f.sections {
 		if s.words[0] == kind && len(s.words) == words+1 {
@@ -271,10 +272,10 @@
 	return out
 }
 
-// Known adds a fault for each section whose kind is not a key of kinds, or whose
-// number of words after the kind differs from the value. For example,
+// CheckKinds adds a fault for each section whose kind is not a key of kinds, or
+// whose number of words after the kind differs from the value. For example,
 // {"service": 1} accepts "[service dispatch]".
-func (f *File) Known(kinds map[string]int) {
+func (f *File) CheckKinds(kinds map[string]int) {
 	for _, s := range f.sections {
 		words, ok := kinds[s.words[0]]
 		if ok && words == len(s.words)-1 {
--- a/core/mtini/mtini_test.go
+++ b/core/mtini/mtini_test.go
@@ -24,7 +24,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			f := mtini.Read("x.ini", []byte("[a]\nother = o\n"+test.line+"\n"))
-			s := f.Only("a")
+			s := f.RequiredSection("a")
 			assert.Equal(t, s.Text("other", ""), "o")
 			assert.Equal(t, s.Text("name", "absent"), test.want)
 			assert.NilError(t, f.Faults().Err())
--- a/core/mtini/section.go
+++ b/core/mtini/section.go
@@ -25,9 +25,9 @@
 // Has reports whether the section contains the field, without marking it as read.
 func (s *Section) Has(name string) bool { return s.keys[name] != nil }
 
-// Fault adds a fault that the caller's own validation found. If name is empty, the
-// fault refers to the section's title.
-func (s *Section) Fault(name, value, accept string) {
+// AddFault adds a fault that the caller's own validation found. If name is empty,
+// the fault refers to the section's title.
+func (s *Section) AddFault(name, value, accept string) {
 	if name == "" {
 		s.file.fault(s.line, "["+s.title+"]", value, accept)
 		return
@@ -63,7 +63,7 @@
 func (s *Section) Required(name, accept string) string {
 	v, _ := s.get(name)
 	if v == "" {
-		s.Fault(name, v, accept)
+		s.AddFault(name, v, accept)
 	}
 	return v
 }
@@ -72,7 +72,7 @@
 func (s *Section) Name(name string) string {
 	v, _ := s.get(name)
 	if !IsName(v) {
-		s.Fault(name, v, acceptName)
+		s.AddFault(name, v, acceptName)
 	}
 	return v
 }
@@ -92,7 +92,7 @@
 			return v
 		}
 	}
-	s.Fault(name, v, strings.Join(choices, ", "))
+	s.AddFault(name, v, strings.Join(choices, ", "))
 	return choices[0]
 }
 
@@ -114,7 +114,7 @@
 	}
 	n, err := strconv.Atoi(v)
 	if err != nil || n < low || n > high {
-		s.Fault(name, v, fmt.Sprintf("a whole number from %d to %d", low, high))
+		s.AddFault(name, v, fmt.Sprintf("a whole number from %d to %d", low, high))
 		return fallback
 	}
 	return n
@@ -130,7 +130,7 @@
 	n, err := strconv.ParseFloat(v, 64)
 	// The negated comparison also rejects NaN.
 	if err != nil || !(n >= low && n <= high) {
-		s.Fault(name, v, fmt.Sprintf("a number from %g to %g", low, high))
+		s.AddFault(name, v, fmt.Sprintf("a number from %g to %g", low, high))
 		return fallback
 	}
 	return n
@@ -145,7 +145,7 @@
 	}
 	d, err := time.ParseDuration(v)
 	if err != nil || d < low || d > high {
-		s.Fault(name, v, fmt.Sprintf("a duration from %s to %s", low, high))
+		s.AddFault(name, v, fmt.Sprintf("a duration from %s to %s", low, high))
 		return fallback
 	}
 	return d
@@ -155,7 +155,7 @@
 func (s *Section) Address(name string) string {
 	v, _ := s.get(name)
 	if !isAddress(v) {
-		s.Fault(name, v, acceptAddress)
+		s.AddFault(name, v, acceptAddress)
 	}
 	return v
 }
@@ -170,7 +170,7 @@
 	for _, part := range strings.Split(v, ",") {
 		part = strings.TrimSpace(part)
 		if !isAddress(part) {
-			s.Fault(name, part, acceptAddress)
+			s.AddFault(name, part, acceptAddress)
 			continue
 		}
 		out = append(out, part)
--- a/core/mtroute/certainty.go
+++ b/core/mtroute/certainty.go
@@ -7,21 +7,21 @@
 	"magnoliaturn/core/mtid"
 )
 
-// Turn is how soon a daemon polls the store for the configuration if it receives no
-// update. A few daemons poll early, so that their updates save all others the poll.
-type Turn int
+// PollSchedule is how soon a daemon polls the store for the configuration if it receives
+// no update. A few daemons poll early, so that their updates save all others the poll.
+type PollSchedule int
 
-// The turns.
+// The schedules.
 const (
-	Regular  Turn = iota // one of the few daemons that poll regularly
-	Relaying             // a daemon that relays updates to others
-	Last                 // all other daemons
+	PollPrimary  PollSchedule = iota // one of the few daemons that poll regularly
+	PollRelay                        // a daemon that relays updates to others
+	PollFallback                     // all other daemons
 )
 
 const (
-	// Within is the default time within which a configuration has to be in force on every
-	// daemon.
-	Within = 2 * time.Second
+	// DefaultPropagationLimit is the default time within which a configuration has to be in
+	// force on every daemon.
+	DefaultPropagationLimit = 2 * time.Second
 	// The poll fractions are the ages of the last confirmation, as fractions of the
 	// propagation limit, at which a daemon polls the store itself. The few that poll
 	// regularly do so in less than half of the limit, since they need the rest to update
@@ -36,7 +36,7 @@
 	denyFraction = 0.95
 )
 
-// Certainty tracks when a daemon last confirmed that its configuration is the newest.
+// Freshness tracks when a daemon last confirmed that its configuration is the newest.
 //
 // A daemon receives configurations from its own watch, from its upstream daemon, in the
 // messages of other daemons, and from the few daemons that poll the store. All of these
@@ -47,72 +47,74 @@
 // deny a route that may have been added since.
 //
 // It isn't safe for concurrent use.
-type Certainty struct {
+type Freshness struct {
 	limit     time.Duration   // time within which a configuration has to be in force
 	confirmed mtclock.Instant // when the configuration was last known to be the newest
 	polled    mtclock.Instant // when the store was last polled
 }
 
-// NewCertainty returns the Certainty of a daemon that starts now, where a configuration
-// has to be in force within a time. The start counts as a poll, because the daemon's
-// first read of the store returns more than a poll would.
-func NewCertainty(now mtclock.Instant, within time.Duration) Certainty {
-	return Certainty{limit: within, polled: now}
+// NewFreshness returns the Freshness of a daemon that starts now. The limit is the time
+// within which a configuration has to be in force. The start counts as a poll, because
+// the daemon's first read of the store returns more than a poll would.
+func NewFreshness(now mtclock.Instant, limit time.Duration) Freshness {
+	return Freshness{limit: limit, polled: now}
 }
 
 // fraction returns a fraction of the propagation limit.
-func (f *Certainty) fraction(fraction float64) time.Duration {
+func (f *Freshness) fraction(fraction float64) time.Duration {
 	return time.Duration(fraction * float64(f.limit))
 }
 
 // Confirm records that the configuration in force was the newest at an instant: a poll
 // of the store at that instant returned no newer one.
-func (f *Certainty) Confirm(at mtclock.Instant) { f.confirmed = max(f.confirmed, at) }
+func (f *Freshness) Confirm(at mtclock.Instant) { f.confirmed = max(f.confirmed, at) }
 
-// Hear merges the confirmation of another daemon, received in the reply to a message
-// that was sent at an instant. At the reply, that daemon had the version theirs in force
-// and had confirmed it the given age before. Two daemons without a configuration confirm
-// each other in the same way.
-func (f *Certainty) Hear(own, theirs mtid.Version, age time.Duration, sent mtclock.Instant) {
+// MergeRemote merges the confirmation of another daemon, received in the reply to a
+// message that was sent at an instant. When it replied, that daemon had the version
+// theirs in force and had confirmed it the given age before. Two daemons that both have
+// no configuration confirm each other in the same way.
+func (f *Freshness) MergeRemote(own, theirs mtid.Version, age time.Duration, sent mtclock.Instant) {
 	if own == theirs {
 		f.Confirm(sent.Add(-age))
 	}
 }
 
-// At returns the instant of the last confirmation.
-func (f *Certainty) At() mtclock.Instant { return f.confirmed }
+// ConfirmedAt returns the instant of the last confirmation.
+func (f *Freshness) ConfirmedAt() mtclock.Instant { return f.confirmed }
 
 // Age returns the time since the last confirmation.
-func (f *Certainty) Age(now mtclock.Instant) time.Duration { return now.Sub(f.confirmed) }
+func (f *Freshness) Age(now mtclock.Instant) time.Duration { return now.Sub(f.confirmed) }
 
-// Due returns when to poll the store unless a confirmation arrives first. A poll that
-// got no reply is not repeated before the same interval has passed: the store is then
-// unavailable for seconds, and every request to it is billed.
-func (f *Certainty) Due(turn Turn) mtclock.Instant {
+// NextPoll returns when to poll the store unless a confirmation arrives first. A poll
+// that got no reply is not repeated before the same interval has passed: the store is
+// then unavailable for seconds, and every request to it is billed.
+func (f *Freshness) NextPoll(schedule PollSchedule) mtclock.Instant {
 	age := f.fraction(fallbackPollFraction)
-	switch turn {
-	case Regular:
+	switch schedule {
+	case PollPrimary:
 		age = f.fraction(primaryPollFraction)
-	case Relaying:
+	case PollRelay:
 		age = f.fraction(relayPollFraction)
 	}
 	return max(f.confirmed, f.polled).Add(age)
 }
 
-// Ask reports whether to poll the store now, and if so, records the poll.
-func (f *Certainty) Ask(now mtclock.Instant, turn Turn) bool {
-	if now.Before(f.Due(turn)) {
+// StartPoll reports whether to poll the store now, and if so, records the poll.
+func (f *Freshness) StartPoll(now mtclock.Instant, schedule PollSchedule) bool {
+	if now.Before(f.NextPoll(schedule)) {
 		return false
 	}
 	f.polled = now
 	return true
 }
 
-// Fresher reports whether a confirmation is so much later than another one that other
-// daemons should be notified of it.
-func (f *Certainty) Fresher(at, than mtclock.Instant) bool {
-	return at.Sub(than) >= f.fraction(primaryPollFraction)/2
+// ShouldNotify reports whether a confirmation is so much later than a previous one that
+// other daemons should be notified of it.
+func (f *Freshness) ShouldNotify(at, previous mtclock.Instant) bool {
+	return at.Sub(previous) >= f.fraction(primaryPollFraction)/2
 }
 
-// Denies reports whether the daemon may report that a route does not exist.
-func (f *Certainty) Denies(now mtclock.Instant) bool { return f.Age(now) <= f.fraction(denyFraction) }
+// MayDenyRoute reports whether the daemon may report that a route does not exist.
+func (f *Freshness) MayDenyRoute(now mtclock.Instant) bool {
+	return f.Age(now) <= f.fraction(denyFraction)
+}
--- a/core/mtroute/certainty_test.go
+++ b/core/mtroute/certainty_test.go
@@ -13,21 +13,21 @@
 
 // daemon is a simulated daemon.
 type daemon struct {
-	mtroute.Certainty
+	mtroute.Freshness
 	version     mtid.Version
 	partitioned bool // from the store and from all other daemons
 }
 
 func newDaemon(start mtclock.Instant) *daemon {
-	return &daemon{Certainty: mtroute.NewCertainty(start, mtroute.Within), version: 3}
+	return &daemon{Freshness: mtroute.NewFreshness(start, mtroute.DefaultPropagationLimit), version: 3}
 }
 
-// turnOf returns the turn of a daemon that polls regularly, or of all others.
-func turnOf(regular bool) mtroute.Turn {
+// scheduleOf returns the schedule of a daemon that polls regularly, or of all others.
+func scheduleOf(regular bool) mtroute.PollSchedule {
 	if regular {
-		return mtroute.Regular
+		return mtroute.PollPrimary
 	}
-	return mtroute.Last
+	return mtroute.PollFallback
 }
 
 // poll reads the newest version from the store.
@@ -38,7 +38,7 @@
 
 // receive merges the reply of another daemon.
 func (d *daemon) receive(now mtclock.Instant, other *daemon) {
-	d.Hear(d.version, other.version, other.Age(now), now)
+	d.MergeRemote(d.version, other.version, other.Age(now), now)
 }
 
 // A route is added while no watch delivers changes, just after the two daemons that poll
@@ -64,7 +64,7 @@
 				for i, self := range fleet {
 					regular := i < 2
 					self.partitioned = regular && d >= 200*time.Millisecond
-					if !self.partitioned && self.Ask(now, turnOf(regular)) {
+					if !self.partitioned && self.StartPoll(now, scheduleOf(regular)) {
 						self.poll(now, newest)
 						polls++
 					}
@@ -72,7 +72,7 @@
 						self.receive(now, other)
 					}
 					if d >= 300*time.Millisecond+2*time.Second && self.version < newest {
-						assert.Assert(t, !self.Denies(now), "daemon %d denies the route after %s", i, d)
+						assert.Assert(t, !self.MayDenyRoute(now), "daemon %d denies the route after %s", i, d)
 						assert.Assert(t, self.partitioned, "daemon %d has an old configuration after %s", i, d)
 					}
 				}
@@ -96,7 +96,7 @@
 	for d := time.Duration(0); d < 20*time.Second; d += step {
 		now := start.Add(d)
 		for i, self := range fleet {
-			if self.Ask(now, turnOf(i < 2)) {
+			if self.StartPoll(now, scheduleOf(i < 2)) {
 				self.poll(now, 3)
 				polls[i]++
 			}
@@ -113,11 +113,11 @@
 // that fail must not be repeated at once.
 func TestUnavailableStoreIsPolledRarely(t *testing.T) {
 	start := mtclock.Instant(time.Hour)
-	c := mtroute.NewCertainty(start, mtroute.Within)
+	c := mtroute.NewFreshness(start, mtroute.DefaultPropagationLimit)
 	c.Confirm(start)
 	polls := 0
 	for d := time.Duration(0); d < 9*time.Second; d += 50 * time.Millisecond {
-		if c.Ask(start.Add(d), mtroute.Last) {
+		if c.StartPoll(start.Add(d), mtroute.PollFallback) {
 			polls++
 		}
 	}
--- a/core/mtroute/mtroute.go
+++ b/core/mtroute/mtroute.go
@@ -25,40 +25,41 @@
 	"magnoliaturn/core/mtid"
 )
 
-// Part is a service that receives a share of a route's requests, proportional to
+// Target is a service that receives a share of a route's requests, proportional to
 // its weight.
-type Part struct {
+type Target struct {
 	Service mtid.Service
 	Weight  int
 }
 
 // Route configures how requests under a path prefix of a host are handled.
 type Route struct {
-	Name       mtid.Class
-	Host       string
-	Prefix     string // begins and ends with a slash
-	Idempotent bool
-	Timeout    time.Duration // upper bound of the time that a request may take
-	Objective  time.Duration // latency objective: time within which an answer is worth most
-	Attempts   int           // maximum number of servers that one request is sent to
-	Priority   int           // 0 is the most urgent
-	Parts      []Part        // at least one
+	Name        mtid.Class
+	Host        string
+	Prefix      string // begins and ends with a slash
+	Idempotent  bool
+	Timeout     time.Duration // upper bound of the time that a request may take
+	Objective   time.Duration // latency objective: time within which an answer is worth most
+	MaxAttempts int           // maximum number of servers that one request is sent to
+	Priority    int           // 0 is the most urgent
+	Targets     []Target      // at least one
 }
 
 // objectiveFactor is the ratio of a route's objective to the expected duration of
 // its calls: operators set objectives at about three times the usual duration.
 const objectiveFactor = 3
 
-// Usual estimates the duration of a call of the route from its objective. The
-// estimate is used until some calls have ended and their duration is measured.
-func (r Route) Usual() time.Duration { return r.Objective / objectiveFactor }
+// ExpectedDuration estimates the duration of a call of the route from its
+// objective. The estimate is used until some calls have ended and their duration
+// is measured.
+func (r Route) ExpectedDuration() time.Duration { return r.Objective / objectiveFactor }
 
 // Service is a group of backend servers of one kind.
 type Service struct {
-	Name        mtid.Service
-	Health      string // path of the health check
-	Connections int    // maximum number of connections to one server
-	Keyed       bool   // each key is owned by one server
+	Name           mtid.Service
+	HealthPath     string // path of the health check
+	MaxConnections int    // maximum number of connections to one server
+	Keyed          bool   // each key is owned by one server
 	// ColdRate limits the requests per second to one server while it is cold; zero means
 	// no limit.
 	ColdRate float64
@@ -66,8 +67,8 @@
 
 // Limits bounds the size of a caller's requests. A zero field means no limit.
 type Limits struct {
-	Header int // bytes of a request header
-	Body   int // bytes of a request body
+	HeaderBytes int // bytes of a request header
+	BodyBytes   int // bytes of a request body
 }
 
 // Config is one version of the operators' configuration. See the package comment.
@@ -119,15 +120,15 @@
 		return &RouteError{Route: r.Name, Reason: fmt.Sprintf("prefix %q does not begin and end with a slash", r.Prefix)}
 	case r.Timeout <= 0:
 		return &RouteError{Route: r.Name, Reason: fmt.Sprintf("timeout %s is not positive", r.Timeout)}
-	case len(r.Parts) == 0:
+	case len(r.Targets) == 0:
 		return &RouteError{Route: r.Name, Reason: "no service is declared for the route"}
 	}
-	for _, p := range r.Parts {
-		if _, ok := c.Services[p.Service]; !ok {
-			return &RouteError{Route: r.Name, Reason: fmt.Sprintf("service %q is not declared", p.Service)}
+	for _, target := range r.Targets {
+		if _, ok := c.Services[target.Service]; !ok {
+			return &RouteError{Route: r.Name, Reason: fmt.Sprintf("service %q is not declared", target.Service)}
 		}
-		if p.Weight < 0 {
-			return &RouteError{Route: r.Name, Reason: fmt.Sprintf("weight %d of service %q is negative", p.Weight, p.Service)}
+		if target.Weight < 0 {
+			return &RouteError{Route: r.Name, Reason: fmt.Sprintf("weight %d of service %q is negative", target.Weight, target.Service)}
 		}
 	}
 	return nil
--- a/core/mtroute/mtroute_test.go
+++ b/core/mtroute/mtroute_test.go
@@ -12,11 +12,11 @@
 	"magnoliaturn/core/mtroute"
 )
 
-func route(name, host, prefix string, parts ...mtroute.Part) mtroute.Route {
-	if len(parts) == 0 {
-		parts = []mtroute.Part{{Service: "maps", Weight: 1}}
+func route(name, host, prefix string, targets ...mtroute.Target) mtroute.Route {
+	if len(targets) == 0 {
+		targets = []mtroute.Target{{Service: "maps", Weight: 1}}
 	}
-	return mtroute.Route{Name: mtid.Class(name), Host: host, Prefix: prefix, Timeout: time.Second, Parts: parts}
+	return mtroute.Route{Name: mtid.Class(name), Host: host, Prefix: prefix, Timeout: time.Second, Targets: targets}
 }
 
 var services = []mtroute.Service{{Name: "maps"}, {Name: "desk"}}
@@ -56,9 +56,9 @@
 	for name, invalid := range map[string]mtroute.Route{
 		"prefix without trailing slash": route("r", "a", "/plans"),
 		"relative prefix":               route("r", "a", "plans/"),
-		"unknown service":               route("r", "a", "/", mtroute.Part{Service: "none", Weight: 1}),
-		"negative weight":               route("r", "a", "/", mtroute.Part{Service: "maps", Weight: -1}),
-		"no timeout":                    {Name: "r", Host: "a", Prefix: "/", Parts: []mtroute.Part{{Service: "maps"}}},
+		"unknown service":               route("r", "a", "/", mtroute.Target{Service: "none", Weight: 1}),
+		"negative weight":               route("r", "a", "/", mtroute.Target{Service: "maps", Weight: -1}),
+		"no timeout":                    {Name: "r", Host: "a", Prefix: "/", Targets: []mtroute.Target{{Service: "maps"}}},
 		"no service":                    {Name: "r", Host: "a", Prefix: "/", Timeout: time.Second},
 	} {
 		_, err := mtroute.New(1, []mtroute.Route{invalid}, services, mtroute.Limits{})
@@ -75,7 +75,7 @@
 		heavy := rapid.IntRange(0, 100).Draw(t, "heavy")
 		light := rapid.IntRange(1, 100).Draw(t, "light")
 		n := rapid.IntRange(1, 500).Draw(t, "requests")
-		r := route("r", "a", "/", mtroute.Part{Service: "maps", Weight: heavy}, mtroute.Part{Service: "desk", Weight: light})
+		r := route("r", "a", "/", mtroute.Target{Service: "maps", Weight: heavy}, mtroute.Target{Service: "desk", Weight: light})
 		splitter := mtroute.NewSplitter()
 		got := 0
 		for range n {
--- a/core/mtroute/splitter.go
+++ b/core/mtroute/splitter.go
@@ -13,8 +13,8 @@
 
 // splitState is the round-robin state of one route.
 type splitState struct {
-	parts   []Part
-	credits []int // by part; the part with the most credit gets the next request
+	targets []Target
+	credits []int // by target; the target with the most credit gets the next request
 }
 
 // NewSplitter returns a Splitter whose routes all start a new round.
@@ -22,35 +22,35 @@
 
 // Pick returns the service that receives the route's next request.
 func (s *Splitter) Pick(r *Route) mtid.Service {
-	if len(r.Parts) == 1 {
-		return r.Parts[0].Service
+	if len(r.Targets) == 1 {
+		return r.Targets[0].Service
 	}
 	state := s.state(r)
 	total, best := 0, 0
-	for i, p := range r.Parts {
-		state.credits[i] += p.Weight
-		total += p.Weight
+	for i, target := range r.Targets {
+		state.credits[i] += target.Weight
+		total += target.Weight
 		if state.credits[i] > state.credits[best] {
 			best = i
 		}
 	}
 	state.credits[best] -= total
-	return r.Parts[best].Service
+	return r.Targets[best].Service
 }
 
 // state returns the state of the route, which starts over if the services or weights
 // have changed.
 func (s *Splitter) state(r *Route) *splitState {
 	state, ok := s.routes[r.Name]
-	if !ok || !equalParts(state.parts, r.Parts) {
-		state = &splitState{parts: r.Parts, credits: make([]int, len(r.Parts))}
+	if !ok || !equalTargets(state.targets, r.Targets) {
+		state = &splitState{targets: r.Targets, credits: make([]int, len(r.Targets))}
 		s.routes[r.Name] = state
 	}
 	return state
 }
 
-// equalParts reports whether two routes split their requests in the same way.
-func equalParts(a, b []Part) bool {
+// equalTargets reports whether two routes split their requests in the same way.
+func equalTargets(a, b []Target) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/core/mtspread/mtspread.go
+++ b/core/mtspread/mtspread.go
@@ -82,14 +82,14 @@
 }
 
 // Turn returns when it is a daemon's turn to ask the store for the configuration.
-func (t *Tree) Turn(self mtid.Daemon) mtroute.Turn {
+func (t *Tree) Turn(self mtid.Daemon) mtroute.PollSchedule {
 	switch {
 	case t.Source(self) && t.sources[0].Daemon == self:
-		return mtroute.Regular
+		return mtroute.PollPrimary
 	case t.Source(self) || holds(t.firsts, self):
-		return mtroute.Relaying
+		return mtroute.PollRelay
 	}
-	return mtroute.Last
+	return mtroute.PollFallback
 }
 
 // Source reports whether a daemon watches the store for others.
--- a/core/mtspread/mtspread_test.go
+++ b/core/mtspread/mtspread_test.go
@@ -43,9 +43,9 @@
 			if tree.Source(n.Daemon) {
 				sources = append(sources, n.Daemon)
 				assert.Equal(t, len(tree.Teachers(n.Daemon, n.Zone)), 0)
-				assert.Assert(t, tree.Turn(n.Daemon) != mtroute.Last)
+				assert.Assert(t, tree.Turn(n.Daemon) != mtroute.PollFallback)
 			}
-			if tree.Turn(n.Daemon) == mtroute.Regular {
+			if tree.Turn(n.Daemon) == mtroute.PollPrimary {
 				regular++
 			}
 		}
@@ -60,12 +60,12 @@
 			for _, teacher := range teachers {
 				assert.Assert(t, teacher.Daemon != n.Daemon)
 				turn := tree.Turn(teacher.Daemon)
-				assert.Assert(t, turn != mtroute.Last)
-				if tree.Turn(n.Daemon) == mtroute.Relaying {
+				assert.Assert(t, turn != mtroute.PollFallback)
+				if tree.Turn(n.Daemon) == mtroute.PollRelay {
 					assert.Assert(t, tree.Source(teacher.Daemon))
 				}
 			}
-			if tree.Turn(n.Daemon) == mtroute.Last {
+			if tree.Turn(n.Daemon) == mtroute.PollFallback {
 				assert.Equal(t, teachers[0].Zone, n.Zone)
 			}
 		}
@@ -83,7 +83,7 @@
 // daemon is one of a played fleet.
 type daemon struct {
 	mtspread.Node
-	certainty mtroute.Certainty
+	certainty mtroute.Freshness
 	asked     int
 	cut       bool // from the store and from all others
 }
@@ -99,7 +99,7 @@
 func newFleet(now mtclock.Instant, size, zones int) *fleet {
 	f := &fleet{daemons: make(map[mtid.Daemon]*daemon)}
 	for _, n := range nodes(size, zones) {
-		d := &daemon{Node: n, certainty: mtroute.NewCertainty(now, mtroute.Within)}
+		d := &daemon{Node: n, certainty: mtroute.NewFreshness(now, mtroute.DefaultPropagationLimit)}
 		f.daemons[n.Daemon] = d
 		f.order = append(f.order, d)
 	}
@@ -114,12 +114,12 @@
 			continue
 		}
 		for _, teacher := range f.tree.Teachers(d.Daemon, d.Zone) {
-			if t := f.daemons[teacher.Daemon]; !t.cut && t.certainty.Fresher(t.certainty.At(), d.certainty.At()) {
-				d.certainty.Hear(1, 1, t.certainty.Age(now), now)
+			if t := f.daemons[teacher.Daemon]; !t.cut && t.certainty.ShouldNotify(t.certainty.ConfirmedAt(), d.certainty.ConfirmedAt()) {
+				d.certainty.MergeRemote(1, 1, t.certainty.Age(now), now)
 				break
 			}
 		}
-		if d.certainty.Ask(now, f.tree.Turn(d.Daemon)) {
+		if d.certainty.StartPoll(now, f.tree.Turn(d.Daemon)) {
 			d.asked++
 			d.certainty.Confirm(now)
 		}
@@ -140,7 +140,7 @@
 			continue
 		}
 		for _, d := range f.order {
-			assert.Assert(t, d.certainty.Denies(start.Add(at)), "%s is not certain after %s", d.Daemon, at)
+			assert.Assert(t, d.certainty.MayDenyRoute(start.Add(at)), "%s is not certain after %s", d.Daemon, at)
 		}
 	}
 	asked := 0
@@ -168,7 +168,7 @@
 				d.cut = f.tree.Source(d.Daemon)
 			}
 			if now.After(cut) && !d.cut {
-				assert.Assert(t, d.certainty.Denies(now), "%s is not certain %s after the cut", d.Daemon, now.Sub(cut))
+				assert.Assert(t, d.certainty.MayDenyRoute(now), "%s is not certain %s after the cut", d.Daemon, now.Sub(cut))
 			}
 		}
 	}
--- a/core/mtzone/door.go
+++ b/core/mtzone/door.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	// Within is the default time after which a zone that was ordered out of service gets no
-	// new work.
-	Within = 5 * time.Second
+	// DefaultCloseTime is the default time after which a zone that was ordered out of
+	// service gets no new work.
+	DefaultCloseTime = 5 * time.Second
 	// keyedFraction is the fraction of that time in which keyed work may still start. The
 	// rest is a margin for a daemon that is delayed between its decision and the sending.
 	keyedFraction = 0.8
 )
 
-// Until returns until when keyed work may start in a zone that a daemon now finds out of
-// service. The order was given after the daemon last confirmed that there was none, so the
-// time counts from that confirmation.
-func Until(confirmed mtclock.Instant, within time.Duration) mtclock.Instant {
+// KeyedUntil returns until when keyed work may start in a zone that a daemon now finds out
+// of service. The order was given after the daemon last confirmed that there was none, so
+// the time counts from that confirmation.
+func KeyedUntil(confirmed mtclock.Instant, within time.Duration) mtclock.Instant {
 	return confirmed.Add(time.Duration(keyedFraction * float64(within)))
 }
 
-// Door decides which work a server may start while its zone is taken out of service and
-// put back. Other servers can take work without a key at once, so none starts here as soon
-// as the order is known. Keys have to move to other owners first, which takes some tenths
-// of a second each. Until then only this server can serve them, but no longer than the
-// order allows.
+// Admission decides which work a server may start while its zone is taken out of service
+// and put back. Other servers can take work without a key at once, so none starts here as
+// soon as the order is known. Keys have to move to other owners first, which takes some
+// tenths of a second each. Until then only this server can serve them, but no longer than
+// the order allows.
 //
 // The zero value is ready to use, for a server whose zone is in service.
-type Door struct {
+type Admission struct {
 	version    mtid.Version    // of the order; zero while the zone is in service
 	keyedUntil mtclock.Instant // when keyed work stops being admitted
 }
@@ -38,7 +38,7 @@
 // Close applies an order that took the zone out of service, with the time until which keyed
 // work may start. If the same order is received again, that time can only become
 // earlier, because it counts from the order and not from its receipt.
-func (a *Door) Close(version mtid.Version, until mtclock.Instant) {
+func (a *Admission) Close(version mtid.Version, until mtclock.Instant) {
 	if a.version == version {
 		a.keyedUntil = min(a.keyedUntil, until)
 		return
@@ -47,12 +47,12 @@
 }
 
 // Reopen puts the zone back into service.
-func (a *Door) Reopen() { *a = Door{} }
+func (a *Admission) Reopen() { *a = Admission{} }
 
 // Closed reports whether the zone is out of service.
-func (a *Door) Closed() bool { return a.version != 0 }
+func (a *Admission) Closed() bool { return a.version != 0 }
 
-// Open reports whether keyed work, or work without a key, may start now.
-func (a *Door) Open(now mtclock.Instant, keyed bool) bool {
+// Admits reports whether keyed work, or work without a key, may start now.
+func (a *Admission) Admits(now mtclock.Instant, keyed bool) bool {
 	return a.version == 0 || keyed && now.Before(a.keyedUntil)
 }
--- a/core/mtzone/mtzone.go
+++ b/core/mtzone/mtzone.go
@@ -9,14 +9,14 @@
 //
 // # Usage
 //
-//	out := mtzone.Out{}.With("riga-a", version)
+//	out := mtzone.OutOfService{}.With("riga-a", version)
 //	if out.Has(server.Zone) { ... } // send the server no new work
 //
-//	var door mtzone.Door // of the server on this VM
-//	door.Close(out.Version("riga-a"), mtzone.Until(confirmed, within))
-//	if !door.Open(now, keyed) { ... } // refuse the request
+//	var admission mtzone.Admission // of the server on this VM
+//	admission.Close(out.Version("riga-a"), mtzone.KeyedUntil(confirmed, within))
+//	if !admission.Admits(now, keyed) { ... } // refuse the request
 //
-// An Out is immutable; a Door isn't safe for concurrent use.
+// An OutOfService is immutable; an Admission isn't safe for concurrent use.
 package mtzone
 
 import (
@@ -32,33 +32,33 @@
 // zones are in service.
 type Digest uint64
 
-// Out is the set of zones that are out of service. The zero value is empty.
-type Out struct {
+// OutOfService is the set of zones that are out of service. The zero value is empty.
+type OutOfService struct {
 	orders    map[mtid.Zone]mtid.Version  // the versions of the orders in force
 	changedAt map[mtid.Zone]mtid.Revision // when the last order was given or withdrawn
 	digest    Digest
 }
 
 // Has reports whether a zone is out of service.
-func (o Out) Has(zone mtid.Zone) bool {
+func (o OutOfService) Has(zone mtid.Zone) bool {
 	_, ok := o.orders[zone]
 	return ok
 }
 
 // Version returns the version of the order that took a zone out of service, or zero if it
 // is in service.
-func (o Out) Version(zone mtid.Zone) mtid.Version { return o.orders[zone] }
+func (o OutOfService) Version(zone mtid.Zone) mtid.Version { return o.orders[zone] }
 
 // Digest returns the digest of the set, for comparison with other daemons.
-func (o Out) Digest() Digest { return o.digest }
+func (o OutOfService) Digest() Digest { return o.digest }
 
-// Changed returns the store revision at which a zone was last taken out of service or put
-// back into service, or zero if no change is known.
-func (o Out) Changed(zone mtid.Zone) mtid.Revision { return o.changedAt[zone] }
+// ChangedAt returns the store revision at which a zone was last taken out of service or
+// put back into service, or zero if no change is known.
+func (o OutOfService) ChangedAt(zone mtid.Zone) mtid.Revision { return o.changedAt[zone] }
 
 // With returns a copy of the set that includes a zone, taken out of service by an order of
 // that version. The version is also the store revision of the order.
-func (o Out) With(zone mtid.Zone, version mtid.Version) Out {
+func (o OutOfService) With(zone mtid.Zone, version mtid.Version) OutOfService {
 	next := o.cloneWithChange(zone, mtid.Revision(version))
 	next.orders[zone] = version
 	return next.withDigest()
@@ -66,15 +66,15 @@
 
 // Without returns a copy of the set that excludes a zone, which was put back into service
 // at a store revision.
-func (o Out) Without(zone mtid.Zone, at mtid.Revision) Out {
+func (o OutOfService) Without(zone mtid.Zone, at mtid.Revision) OutOfService {
 	next := o.cloneWithChange(zone, at)
 	delete(next.orders, zone)
 	return next.withDigest()
 }
 
 // cloneWithChange returns a copy, without digest, in which a zone changed at a revision.
-func (o Out) cloneWithChange(zone mtid.Zone, revision mtid.Revision) Out {
-	next := Out{orders: maps.Clone(o.orders), changedAt: maps.Clone(o.changedAt)}
+func (o OutOfService) cloneWithChange(zone mtid.Zone, revision mtid.Revision) OutOfService {
+	next := OutOfService{orders: maps.Clone(o.orders), changedAt: maps.Clone(o.changedAt)}
 	if next.orders == nil {
 		next.orders, next.changedAt = make(map[mtid.Zone]mtid.Version), make(map[mtid.Zone]mtid.Revision)
 	}
@@ -84,7 +84,7 @@
 
 // withDigest returns the set with its digest, which is a sum because the iteration order
 // of a map is random.
-func (o Out) withDigest() Out {
+func (o OutOfService) withDigest() OutOfService {
 	for zone, version := range o.orders {
 		o.digest += zoneDigest(zone, version)
 	}
--- a/core/mtzone/mtzone_test.go
+++ b/core/mtzone/mtzone_test.go
@@ -16,8 +16,8 @@
 // sequence they received them. A zone that is taken out of service a second time changes
 // the digest, because the order has a new version.
 func TestDigestDependsOnlyOnOrdersInForce(t *testing.T) {
-	a := mtzone.Out{}.With("riga-a", 7).With("riga-b", 9)
-	b := mtzone.Out{}.With("riga-b", 9).With("riga-c", 3).With("riga-a", 7).Without("riga-c", 12)
+	a := mtzone.OutOfService{}.With("riga-a", 7).With("riga-b", 9)
+	b := mtzone.OutOfService{}.With("riga-b", 9).With("riga-c", 3).With("riga-a", 7).Without("riga-c", 12)
 	assert.Equal(t, a.Digest(), b.Digest())
 	assert.Assert(t, a.Digest() != a.Without("riga-a", 20).With("riga-a", 21).Digest())
 	assert.Equal(t, mtzone.Digest(0), a.Without("riga-a", 20).Without("riga-b", 22).Digest())
@@ -30,7 +30,7 @@
 func TestNoWorkStartsAfterTimeLimitOfOrder(t *testing.T) {
 	const within = 5 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
-		var admission mtzone.Door
+		var admission mtzone.Admission
 		var now, confirmed, ordered mtclock.Instant
 		var out bool
 		version := mtid.Version(1)
@@ -44,7 +44,7 @@
 				}
 			case 1, 2, 3, 4, 5, 6: // the daemon reads the current state from the store
 				if out {
-					admission.Close(version, mtzone.Until(confirmed, within))
+					admission.Close(version, mtzone.KeyedUntil(confirmed, within))
 				} else {
 					admission.Reopen()
 				}
@@ -55,9 +55,9 @@
 				}
 			}
 			if out && admission.Closed() {
-				assert.Assert(t, !admission.Open(now, false))
+				assert.Assert(t, !admission.Admits(now, false))
 				if now.Sub(ordered) >= within {
-					assert.Assert(t, !admission.Open(now, true), "keyed work starts %s after the order", now.Sub(ordered))
+					assert.Assert(t, !admission.Admits(now, true), "keyed work starts %s after the order", now.Sub(ordered))
 				}
 			}
 		}
--- a/io/mtadmin/bundle.go
+++ b/io/mtadmin/bundle.go
@@ -62,9 +62,9 @@
 }
 
 // open describes an open proposal: of its signatures only those that count.
-func (s *Server) open(life *mtbundle.Life, draft *mtbundle.Stored, text bool) BundleDocument {
+func (s *Server) open(life *mtbundle.Lifecycle, draft *mtbundle.Stored, text bool) BundleDocument {
 	d := describe(draft, text)
-	signed, needed, err := life.Signed(draft)
+	signed, needed, err := life.ValidSigners(draft)
 	if err != nil {
 		return d
 	}
@@ -87,7 +87,7 @@
 			return s.document(c, http.StatusOK, s.open(life, draft, true))
 		}
 	}
-	return &mtbundle.MissingError{Business: life.Business, Version: version, Digest: c.Param("digest")}
+	return &mtbundle.DraftNotFoundError{Business: life.Business, Version: version, Digest: c.Param("digest")}
 }
 
 func (s *Server) propose(c echo.Context, o *mtoperator.Operator) error {
--- a/io/mtadmin/problem.go
+++ b/io/mtadmin/problem.go
@@ -131,9 +131,9 @@
 		conflict  *mtbundle.ConflictError
 		unsigned  *mtbundle.UnsignedError
 		signature *mtbundle.SignatureError
-		missing   *mtbundle.MissingError
-		full      *mtbundle.FullError
-		business  *mtbundle.BusinessError
+		missing   *mtbundle.DraftNotFoundError
+		full      *mtbundle.TooManyDraftsError
+		business  *mtbundle.BusinessMismatchError
 	)
 	switch {
 	case errors.As(err, &faults):
@@ -142,7 +142,7 @@
 		return p
 	case errors.As(err, &conflict):
 		p := problem(http.StatusConflict, ReasonConflict, "Another bundle took the version", conflict.Error())
-		p.Winner = &Winner{Version: conflict.InForce, Digest: conflict.Digest.String(), Proposer: conflict.Proposer, Accepter: conflict.Winner}
+		p.Winner = &Winner{Version: conflict.InForce, Digest: conflict.Digest.String(), Proposer: conflict.Proposer, Accepter: conflict.Accepter}
 		return p
 	case errors.As(err, &unsigned):
 		p := problem(http.StatusConflict, ReasonUnsigned, "Signatures are lacking", unsigned.Error())
--- a/io/mtdirectory/mtdirectory.go
+++ b/io/mtdirectory/mtdirectory.go
@@ -89,7 +89,7 @@
 	Foreign map[mtid.Daemon]bool
 	// Out are the availability zones that the operators have taken out of service. It is
 	// known up to the revision at least.
-	Out mtzone.Out
+	Out mtzone.OutOfService
 	// Revision is that of the store up to which the copy is complete; zero if
 	// nothing was read yet.
 	Revision mtid.Revision
--- a/io/mtdirectory/zone_test.go
+++ b/io/mtdirectory/zone_test.go
@@ -55,7 +55,7 @@
 				recheck(t, store, a, zones)
 			}
 			for _, z := range zones {
-				changed := a.Now().Out.Changed(z)
+				changed := a.Now().Out.ChangedAt(z)
 				assert.Assert(t, changed >= seen[z], "%s goes back from %d to %d", z, seen[z], changed)
 				seen[z] = changed
 			}
--- a/io/mthost/mthost.go
+++ b/io/mthost/mthost.go
@@ -150,7 +150,7 @@
 	tieAgain    mtclock.Instant      // none is opened before
 	recognised  mtid.Life            // that was known to be at the end of a tether
 	denied      map[mtid.Number]bool // keys that the server said not to hold, since its last beat
-	zone        mtzone.Door
+	zone        mtzone.Admission
 	shut        bool // the gate is closed for the zone
 	warmth      mtbackend.Warmth
 	most        mtgate.Pace     // while the server is cold; zero is no limit
@@ -223,7 +223,7 @@
 	// Routes rank the most urgent lowest, classes highest.
 	class := mtbundle.Class{Name: r.Name, Idempotent: r.Idempotent, Timeout: r.Timeout, Priority: -r.Priority, Queue: waiting}
 	door.Declare("", class)
-	door.Expect("", r.Name, r.Usual())
+	door.Expect("", r.Name, r.ExpectedDuration())
 }
 
 // Declare sets the classes of calls that the gate tells apart: the routes of the
@@ -235,7 +235,7 @@
 	h.meterMu.Lock()
 	defer h.meterMu.Unlock()
 	for _, r := range routes {
-		h.usual[r.Name] = r.Usual()
+		h.usual[r.Name] = r.ExpectedDuration()
 		declare(h.door, r)
 	}
 }
@@ -432,7 +432,7 @@
 	now := h.Clock.Now()
 	h.ran(now)
 	record, door := h.record, h.door
-	open := h.zone.Open(now, call.Keyed)
+	open := h.zone.Admits(now, call.Keyed)
 	h.mu.Unlock()
 	switch {
 	case record.Service != call.Service:
--- a/io/mthost/zone.go
+++ b/io/mthost/zone.go
@@ -90,7 +90,7 @@
 // fitZone closes the gate while the zone is out of service, and opens it again. It is called
 // with mu held.
 func (h *Host) fitZone(now mtclock.Instant) {
-	shut := h.zone.Closed() && !h.zone.Open(now, h.Keyed())
+	shut := h.zone.Closed() && !h.zone.Admits(now, h.Keyed())
 	if shut == h.shut {
 		return
 	}
--- a/io/mtingress/mtingress.go
+++ b/io/mtingress/mtingress.go
@@ -146,7 +146,7 @@
 	}
 	ctx, cancel := in.within(r.Context(), call.Deadline.Sub(arrived))
 	defer cancel()
-	answer, err := in.Send.Send(ctx, call, route.Attempts)
+	answer, err := in.Send.Send(ctx, call, route.MaxAttempts)
 	if err == nil {
 		err = in.write(w, call, answer)
 	} else {
@@ -178,7 +178,7 @@
 	}
 	call.Route, call.Idempotent, call.Priority = route.Name, route.Idempotent, route.Priority
 	call.Nested = in.Parent(call.ID)
-	call.Objective, call.Usual = now.Add(route.Objective), route.Usual()
+	call.Objective, call.Usual = now.Add(route.Objective), route.ExpectedDuration()
 	left := route.Timeout
 	if ms, err := strconv.ParseInt(r.Header.Get(in.Names.Deadline), 10, 64); err == nil {
 		given := time.Duration(ms) * time.Millisecond
@@ -243,7 +243,7 @@
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil
 	}
-	limit := config.Limits.Body
+	limit := config.Limits.BodyBytes
 	if limit <= 0 || limit > maxBody {
 		limit = maxBody
 	}
--- a/io/mtingress/send_test.go
+++ b/io/mtingress/send_test.go
@@ -282,9 +282,9 @@
 func configuration(t *testing.T, version mtid.Version) *mtroute.Config {
 	t.Helper()
 	c, err := mtroute.New(version, []mtroute.Route{
-		{Name: "plans", Host: "maps.example", Prefix: "/plans/", Idempotent: true, Timeout: 2 * time.Second, Objective: time.Second, Attempts: 2, Parts: []mtroute.Part{{Service: "maps", Weight: 1}}},
-		{Name: "desk", Host: "maps.example", Prefix: "/desk/", Timeout: 2 * time.Second, Attempts: 1, Parts: []mtroute.Part{{Service: "desk", Weight: 1}}},
-	}, []mtroute.Service{{Name: "maps", Keyed: true}, {Name: "desk"}}, mtroute.Limits{Body: 10})
+		{Name: "plans", Host: "maps.example", Prefix: "/plans/", Idempotent: true, Timeout: 2 * time.Second, Objective: time.Second, MaxAttempts: 2, Targets: []mtroute.Target{{Service: "maps", Weight: 1}}},
+		{Name: "desk", Host: "maps.example", Prefix: "/desk/", Timeout: 2 * time.Second, MaxAttempts: 1, Targets: []mtroute.Target{{Service: "desk", Weight: 1}}},
+	}, []mtroute.Service{{Name: "maps", Keyed: true}, {Name: "desk"}}, mtroute.Limits{BodyBytes: 10})
 	assert.NilError(t, err)
 	return c
 }
--- a/io/mtmesh/certainty.go
+++ b/io/mtmesh/certainty.go
@@ -12,14 +12,14 @@
 // certainty is how old the knowledge of the configuration is, for several goroutines.
 type certainty struct {
 	mu   sync.Mutex
-	core mtroute.Certainty
+	core mtroute.Freshness
 	told mtclock.Instant // up to which others were told to look
 	// stirred is told when others should look.
 	stirred *beacon
 }
 
 func newCertainty(now mtclock.Instant, within time.Duration, stirred *beacon) *certainty {
-	return &certainty{core: mtroute.NewCertainty(now, within), stirred: stirred}
+	return &certainty{core: mtroute.NewFreshness(now, within), stirred: stirred}
 }
 
 func (c *certainty) confirm(at mtclock.Instant) {
@@ -27,7 +27,7 @@
 }
 
 func (c *certainty) hear(own, theirs mtid.Version, age time.Duration, sent mtclock.Instant) {
-	c.change(func() { c.core.Hear(own, theirs, age, sent) })
+	c.change(func() { c.core.MergeRemote(own, theirs, age, sent) })
 }
 
 // change lets those look who wait for news, if there are.
@@ -35,8 +35,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f()
-	if c.core.Fresher(c.core.At(), c.told) {
-		c.told = c.core.At()
+	if c.core.ShouldNotify(c.core.ConfirmedAt(), c.told) {
+		c.told = c.core.ConfirmedAt()
 		c.stirred.fire()
 	}
 }
@@ -46,13 +46,13 @@
 func (c *certainty) fresher(theirs mtclock.Instant) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.core.Fresher(c.core.At(), theirs)
+	return c.core.ShouldNotify(c.core.ConfirmedAt(), theirs)
 }
 
 func (c *certainty) at() mtclock.Instant {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.core.At()
+	return c.core.ConfirmedAt()
 }
 
 func (c *certainty) age(now mtclock.Instant) time.Duration {
@@ -61,22 +61,22 @@
 	return c.core.Age(now)
 }
 
-func (c *certainty) ask(now mtclock.Instant, turn mtroute.Turn) bool {
+func (c *certainty) ask(now mtclock.Instant, turn mtroute.PollSchedule) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.core.Ask(now, turn)
+	return c.core.StartPoll(now, turn)
 }
 
-func (c *certainty) due(turn mtroute.Turn) mtclock.Instant {
+func (c *certainty) due(turn mtroute.PollSchedule) mtclock.Instant {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.core.Due(turn)
+	return c.core.NextPoll(turn)
 }
 
 func (c *certainty) denies(now mtclock.Instant) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.core.Denies(now)
+	return c.core.MayDenyRoute(now)
 }
 
 // beacon wakes all who wait for something to happen.
--- a/io/mtmesh/learn.go
+++ b/io/mtmesh/learn.go
@@ -116,7 +116,7 @@
 }
 
 // turn returns when it is this daemon's turn to ask the store.
-func (l *learner) turn() mtroute.Turn { return l.tree().Turn(l.self) }
+func (l *learner) turn() mtroute.PollSchedule { return l.tree().Turn(l.self) }
 
 // Watch implements mtwatch.Source.
 func (l *learner) Watch(ctx context.Context, prefix string, after mtid.Revision, wait time.Duration) (mtstore.Changes, error) {
@@ -154,7 +154,7 @@
 // again then who could tell it. When the whole system starts nobody hears of anything yet,
 // and all watched the store in the meantime, woken by each other's records.
 func (l *learner) defers() bool {
-	if l.configured() || l.turn() != mtroute.Last || l.deferred >= mostDeferred {
+	if l.configured() || l.turn() != mtroute.PollFallback || l.deferred >= mostDeferred {
 		return false
 	}
 	l.deferred++
@@ -204,7 +204,7 @@
 		l.move(0)
 	}
 	view := l.view()
-	q := mtforward.Question{After: after, Relays: l.turn() != mtroute.Last, Age: l.certainty.age(l.clock.Now())}
+	q := mtforward.Question{After: after, Relays: l.turn() != mtroute.PollFallback, Age: l.certainty.age(l.clock.Now())}
 	if after != 0 {
 		q.Epochs, q.Wait = view.Epochs(), wait
 	}
--- a/io/mtmesh/mtmesh.go
+++ b/io/mtmesh/mtmesh.go
@@ -94,11 +94,11 @@
 	Drain time.Duration // new work may reach a leaving server for so long
 	Grace time.Duration // from the order to stop until the process is ended
 	// Within is within which time a configuration has to be in force everywhere; zero
-	// stands for mtroute.Within.
+	// stands for mtroute.DefaultPropagationLimit.
 	Within time.Duration
 	Log    *slog.Logger
 	// Close is within which time a zone that is taken out of service gets no new work;
-	// zero stands for mtzone.Within.
+	// zero stands for mtzone.DefaultCloseTime.
 	Close time.Duration
 	// Warmup is by how much the rate of a cold server may be exceeded.
 	Warmup mtbackend.Allowance
@@ -139,10 +139,10 @@
 // clean-up function ends them; Run calls it too.
 func New(config Config) (*Mesh, func(), error) {
 	if config.Within <= 0 {
-		config.Within = mtroute.Within
+		config.Within = mtroute.DefaultPropagationLimit
 	}
 	if config.Close <= 0 {
-		config.Close = mtzone.Within
+		config.Close = mtzone.DefaultCloseTime
 	}
 	m := &Mesh{config: config, kernel: mtkernel.New()}
 	steps := []func() error{
@@ -327,7 +327,7 @@
 	if configuration == nil {
 		return ""
 	}
-	return configuration.Services[m.config.Service].Health
+	return configuration.Services[m.config.Service].HealthPath
 }
 
 // named reports whether the configuration in force declares a service.
--- a/io/mtmesh/news.go
+++ b/io/mtmesh/news.go
@@ -81,7 +81,7 @@
 	switch {
 	case tree.Source(m.config.Daemon):
 		return 0
-	case tree.Turn(m.config.Daemon) == mtroute.Relaying:
+	case tree.Turn(m.config.Daemon) == mtroute.PollRelay:
 		return step
 	}
 	return 2 * step
@@ -123,7 +123,7 @@
 	news := directory.Recheck(read)
 	m.certainty.confirm(begun)
 	newer := m.tell().Config > before && before != 0
-	if (newer || news) && m.learner.turn() != mtroute.Last {
+	if (newer || news) && m.learner.turn() != mtroute.PollFallback {
 		directory.Resync()
 	}
 }
--- a/io/mtmesh/zone.go
+++ b/io/mtmesh/zone.go
@@ -24,17 +24,17 @@
 	out := directory.Now().Out
 	m.zone.mu.Lock()
 	defer m.zone.mu.Unlock()
-	if m.zone.changed == out.Changed(own) {
+	if m.zone.changed == out.ChangedAt(own) {
 		return
 	}
-	m.zone.changed = out.Changed(own)
+	m.zone.changed = out.ChangedAt(own)
 	if !out.Has(own) {
 		m.config.Log.Info("own availability zone is in service", "zone", own, "revision", uint64(m.zone.changed))
 		host.ZoneBack()
 		return
 	}
 	certain := m.certainty.at()
-	until := mtzone.Until(certain, m.config.Close)
+	until := mtzone.KeyedUntil(certain, m.config.Close)
 	m.config.Log.Info("own availability zone is out of service", "zone", own, "revision", uint64(m.zone.changed),
 		"certain", m.steady().Sub(certain), "keys", until.Sub(m.steady()))
 	host.ZoneOut(out.Version(own), until)
--- a/io/mtoperator/mtoperator.go
+++ b/io/mtoperator/mtoperator.go
@@ -140,29 +140,29 @@
 	f := mtini.Read(file, text)
 	operators := make(map[string]*Operator)
 	names := make(map[string]*Operator)
-	for _, s := range f.Kind("operator", 1) {
+	for _, s := range f.SectionsOfKind("operator", 1) {
 		o := &Operator{Name: s.Word(1), grants: make(map[mtid.Business][]Role)}
 		hash := s.Required("token-sha256", acceptHash)
 		if sum, err := hex.DecodeString(hash); hash != "" && (err != nil || len(sum) != hashSize || strings.ToLower(hash) != hash) {
 			// It may be a token that was put here in place of its hash.
-			s.Fault("token-sha256", "(not shown)", acceptHash)
+			s.AddFault("token-sha256", "(not shown)", acceptHash)
 		}
 		if other, ok := operators[hash]; ok && hash != "" {
-			s.Fault("token-sha256", "(not shown)", "a token of its own; operator "+other.Name+" has this one")
+			s.AddFault("token-sha256", "(not shown)", "a token of its own; operator "+other.Name+" has this one")
 		}
 		operators[hash] = o
 		names[o.Name] = o
 	}
-	for _, s := range f.Kind("grant", 2) {
+	for _, s := range f.SectionsOfKind("grant", 2) {
 		roles := parseRoles(s)
 		o, ok := names[s.Word(1)]
 		if !ok {
-			s.Fault("", s.Word(1), "an operator of this file")
+			s.AddFault("", s.Word(1), "an operator of this file")
 			continue
 		}
 		o.grants[mtid.Business(s.Word(2))] = roles
 	}
-	f.Known(map[string]int{"operator": 1, "grant": 2})
+	f.CheckKinds(map[string]int{"operator": 1, "grant": 2})
 	if faults := f.Faults(); len(faults) > 0 {
 		return nil, faults
 	}
@@ -180,7 +180,7 @@
 	for _, word := range strings.Split(s.Required("roles", accept), ",") {
 		role := Role(strings.TrimSpace(word))
 		if role != "" && !slices.Contains(Roles, role) {
-			s.Fault("roles", string(role), accept)
+			s.AddFault("roles", string(role), accept)
 		}
 		roles = append(roles, role)
 	}
--- a/io/mtrollout/mtrollout.go
+++ b/io/mtrollout/mtrollout.go
@@ -1,6 +1,6 @@
 // Package mtrollout keeps the bundles of the businesses in the platform's
 // store: proposals, signatures, acceptance and history. What may happen is
-// decided by mtbundle.Life; this package reads, writes by compare-and-swap and
+// decided by mtbundle.Lifecycle; this package reads, writes by compare-and-swap and
 // settles writes whose answer was lost.
 //
 // # Usage
@@ -11,7 +11,7 @@
 //	bundle, err := rollout.Accept(ctx, time.Now(), "ratins", draft.Version, digest, "janis")
 //
 // Each call may be repeated with the same arguments, and then changes nothing.
-// Errors are those of mtbundle.Life, those of mtstore where nothing was
+// Errors are those of mtbundle.Lifecycle, those of mtstore where nothing was
 // written, and *DoubtError where something may have been. All methods are safe
 // for concurrent use, also from several daemons.
 //
@@ -101,14 +101,14 @@
 
 // state is what the store holds of one business.
 type state struct {
-	life   *mtbundle.Life
+	life   *mtbundle.Lifecycle
 	live   mtstore.Entry
 	drafts mtstore.Entry
 }
 
 // Life returns the bundle in force and the open proposals of a business, and
 // the store's version of the proposals.
-func (r *Rollout) Life(ctx context.Context, business mtid.Business) (*mtbundle.Life, mtid.Version, error) {
+func (r *Rollout) Life(ctx context.Context, business mtid.Business) (*mtbundle.Lifecycle, mtid.Version, error) {
 	s, err := r.read(ctx, business)
 	if err != nil {
 		return nil, 0, err
@@ -128,7 +128,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &state{life: &mtbundle.Life{Business: business}, live: live, drafts: drafts}
+	s := &state{life: &mtbundle.Lifecycle{Business: business}, live: live, drafts: drafts}
 	if s.life.Drafts, err = mtbundle.DecodeDrafts(drafts.Value); err != nil {
 		return nil, err
 	}
@@ -160,20 +160,20 @@
 
 // Propose adds a proposal. The same text again returns the same proposal.
 func (r *Rollout) Propose(ctx context.Context, now time.Time, business mtid.Business, proposer string, text []byte) (*mtbundle.Stored, error) {
-	return r.draft(ctx, "propose", business, func(l *mtbundle.Life) ([]*mtbundle.Stored, *mtbundle.Stored, error) {
+	return r.draft(ctx, "propose", business, func(l *mtbundle.Lifecycle) ([]*mtbundle.Stored, *mtbundle.Stored, error) {
 		return l.Propose(now, proposer, text)
 	})
 }
 
 // Sign adds a signature to an open proposal.
 func (r *Rollout) Sign(ctx context.Context, business mtid.Business, version mtid.Version, digest string, sig mtbundle.Signature) (*mtbundle.Stored, error) {
-	return r.draft(ctx, "sign", business, func(l *mtbundle.Life) ([]*mtbundle.Stored, *mtbundle.Stored, error) {
+	return r.draft(ctx, "sign", business, func(l *mtbundle.Lifecycle) ([]*mtbundle.Stored, *mtbundle.Stored, error) {
 		return l.Sign(version, digest, sig)
 	})
 }
 
 // change works out the proposals after one step, and the one that it concerns.
-type change func(*mtbundle.Life) ([]*mtbundle.Stored, *mtbundle.Stored, error)
+type change func(*mtbundle.Lifecycle) ([]*mtbundle.Stored, *mtbundle.Stored, error)
 
 // draft applies a change to the proposals of a business.
 func (r *Rollout) draft(ctx context.Context, op string, business mtid.Business, apply change) (*mtbundle.Stored, error) {
--- a/io/mtsetting/load.go
+++ b/io/mtsetting/load.go
@@ -45,7 +45,7 @@
 // Parse checks the text of a settings file and the files that it names.
 func Parse(file string, text []byte) (*Settings, Faults) {
 	f := mtini.Read(file, text)
-	f.Known(map[string]int{"daemon": 0, "listen": 0, "store": 0, "peers": 0, "keys": 0, "operators": 0, "root": 1})
+	f.CheckKinds(map[string]int{"daemon": 0, "listen": 0, "store": 0, "peers": 0, "keys": 0, "operators": 0, "root": 1})
 	l := loader{file: f, dir: filepath.Dir(file)}
 	s := &Settings{}
 	l.daemon(s)
@@ -67,20 +67,20 @@
 }
 
 func (l *loader) daemon(s *Settings) {
-	daemon := l.file.Only("daemon")
+	daemon := l.file.RequiredSection("daemon")
 	s.Name = mtid.Daemon(daemon.Name("name"))
 	s.Zone = mtid.Zone(daemon.Name("zone"))
 	s.Region = mtid.Region(daemon.Name("region"))
 	s.Body = int64(daemon.Int("body", defaultBody, minBody, maxBody))
 	// Choice has refused every other word, so the level always reads.
 	_ = s.Log.UnmarshalText([]byte(daemon.Choice("log", "info", "debug", "warn", "error")))
-	if peers, ok := l.file.Optional("peers"); ok {
+	if peers, ok := l.file.OptionalSection("peers"); ok {
 		s.Seeds = peers.Addresses("seeds")
 	}
 }
 
 func (l *loader) listen(s *Settings) {
-	listen := l.file.Only("listen")
+	listen := l.file.RequiredSection("listen")
 	s.Caller = listen.Address("caller")
 	s.Relay = listen.Address("relay")
 	s.Renew = listen.Address("renew")
@@ -90,7 +90,7 @@
 	for name, address := range map[string]string{"caller": s.Caller, "relay": s.Relay, "renew": s.Renew, "admin": s.Admin} {
 		// Others reach these addresses by the number written here.
 		if at, err := netip.ParseAddrPort(address); err == nil && at.Addr().IsUnspecified() {
-			listen.Fault(name, address, "the IP of this VM that others connect to, not the unspecified one")
+			listen.AddFault(name, address, "the IP of this VM that others connect to, not the unspecified one")
 		}
 	}
 }
@@ -102,7 +102,7 @@
 		{"caller", s.Caller}, {"relay", s.Relay}, {"local", s.Local}, {"admin", s.Admin},
 	} {
 		if other, ok := taken[at.address]; ok && at.address != "" {
-			listen.Fault(at.name, at.address, "an address of its own; "+other+" has this one")
+			listen.AddFault(at.name, at.address, "an address of its own; "+other+" has this one")
 		}
 		taken[at.address] = at.name
 	}
@@ -110,19 +110,19 @@
 
 func (l *loader) store(s *Settings) {
 	const accept = "http://host:port or https://host:port, with a path if the store has one"
-	store := l.file.Only("store")
+	store := l.file.RequiredSection("store")
 	s.Store = store.Required("url", accept)
 	if s.Store == "" {
 		return
 	}
 	u, err := url.Parse(s.Store)
 	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") || u.User != nil {
-		store.Fault("url", s.Store, accept)
+		store.AddFault("url", s.Store, accept)
 	}
 }
 
 func (l *loader) keys(s *Settings) {
-	keys, ok := l.file.Optional("keys")
+	keys, ok := l.file.OptionalSection("keys")
 	if !ok {
 		l.plain(s)
 		return
@@ -137,16 +137,16 @@
 	key := l.content(keys, "key", s.Keys.Key)
 	if certificate != nil && key != nil {
 		if _, err := tls.X509KeyPair(certificate, key); err != nil {
-			keys.Fault("certificate", s.Keys.Certificate, "a PEM certificate that fits the key: "+reason(err))
+			keys.AddFault("certificate", s.Keys.Certificate, "a PEM certificate that fits the key: "+reason(err))
 		}
 	}
 	if pem := l.content(keys, "authority", s.Keys.Authority); pem != nil && !x509.NewCertPool().AppendCertsFromPEM(pem) {
-		keys.Fault("authority", s.Keys.Authority, "PEM certificates of the authority")
+		keys.AddFault("authority", s.Keys.Authority, "PEM certificates of the authority")
 	}
 	if text := l.content(keys, "secret", s.Keys.Secret); text != nil {
 		for _, line := range strings.Fields(string(text)) {
 			if secret, err := hex.DecodeString(line); err != nil || len(secret) != SecretSize {
-				keys.Fault("secret", s.Keys.Secret, fmt.Sprintf("lines of %d bytes in hex, the newest first", SecretSize))
+				keys.AddFault("secret", s.Keys.Secret, fmt.Sprintf("lines of %d bytes in hex, the newest first", SecretSize))
 				break
 			}
 		}
@@ -155,30 +155,30 @@
 
 // plain accepts transport without keys between processes of one machine only.
 func (l *loader) plain(s *Settings) {
-	listen := l.file.Only("listen")
+	listen := l.file.RequiredSection("listen")
 	for name, address := range map[string]string{"caller": s.Caller, "relay": s.Relay, "renew": s.Renew, "admin": s.Admin} {
 		at, err := netip.ParseAddrPort(address)
 		if err == nil && !at.Addr().IsLoopback() {
-			listen.Fault(name, address, "a loopback address as long as there is no [keys] section")
+			listen.AddFault(name, address, "a loopback address as long as there is no [keys] section")
 		}
 	}
 }
 
 func (l *loader) operators(s *Settings) {
-	if section, ok := l.file.Optional("operators"); ok {
+	if section, ok := l.file.OptionalSection("operators"); ok {
 		s.Operators = l.named(section, "file")
 		l.content(section, "file", s.Operators)
 		return
 	}
-	listen := l.file.Only("listen")
+	listen := l.file.RequiredSection("listen")
 	if at, err := netip.ParseAddrPort(s.Admin); err == nil && !at.Addr().IsLoopback() {
-		listen.Fault("admin", s.Admin, "a loopback address as long as there is no [operators] section")
+		listen.AddFault("admin", s.Admin, "a loopback address as long as there is no [operators] section")
 	}
 }
 
 func (l *loader) roots(s *Settings) {
 	s.Roots = make(map[mtid.Business]mtbundle.Authority)
-	for _, root := range l.file.Kind("root", 1) {
+	for _, root := range l.file.SectionsOfKind("root", 1) {
 		authority := mtbundle.Authority{Needed: root.Int("signatures", 1, 1, mtbundle.MaxSigners)}
 		file := l.named(root, "signers")
 		text := l.content(root, "signers", file)
@@ -187,11 +187,11 @@
 		}
 		signers, faults := mtbundle.ParseSigners(file, text)
 		for _, fault := range faults {
-			root.Fault("signers", fault.Value, fmt.Sprintf("%s:%d: %s: %s", fault.File, fault.Line, fault.Field, fault.Accept))
+			root.AddFault("signers", fault.Value, fmt.Sprintf("%s:%d: %s: %s", fault.File, fault.Line, fault.Field, fault.Accept))
 		}
 		authority.Signers = signers
 		if len(faults) == 0 && authority.Needed > len(signers) {
-			root.Fault("signatures", fmt.Sprint(authority.Needed), fmt.Sprintf("up to the %d signers of %s", len(signers), file))
+			root.AddFault("signatures", fmt.Sprint(authority.Needed), fmt.Sprintf("up to the %d signers of %s", len(signers), file))
 		}
 		s.Roots[mtid.Business(root.Word(1))] = authority
 	}
@@ -213,16 +213,16 @@
 	}
 	// A pipe or device would keep the start waiting, or never end.
 	if info, err := os.Stat(file); err == nil && (!info.Mode().IsRegular() || info.Size() > maxFile) {
-		s.Fault(name, file, fmt.Sprintf("a regular file of up to %d bytes", maxFile))
+		s.AddFault(name, file, fmt.Sprintf("a regular file of up to %d bytes", maxFile))
 		return nil
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
-		s.Fault(name, file, "a file that can be read: "+reason(err))
+		s.AddFault(name, file, "a file that can be read: "+reason(err))
 		return nil
 	}
 	if len(text) == 0 {
-		s.Fault(name, file, "a file that is not empty")
+		s.AddFault(name, file, "a file that is not empty")
 		return nil
 	}
 	return text
--- a/io/mtsetting/mesh.go
+++ b/io/mtsetting/mesh.go
@@ -60,28 +60,28 @@
 // ParseMesh checks the text of a settings file of a Mesh.
 func ParseMesh(file string, text []byte) (*Mesh, Faults) {
 	f := mtini.Read(file, text)
-	f.Known(map[string]int{"daemon": 0, "listen": 0, "store": 0, "times": 0, "warmup": 0})
+	f.CheckKinds(map[string]int{"daemon": 0, "listen": 0, "store": 0, "times": 0, "warmup": 0})
 	s := &Mesh{}
-	daemon := f.Only("daemon")
+	daemon := f.RequiredSection("daemon")
 	s.Name = mtid.Daemon(daemon.Name("name"))
 	s.Zone = mtid.Zone(daemon.Name("zone"))
 	s.Service = mtid.Service(daemon.Name("service"))
 	s.Link = mtbackend.Rate(daemon.Float("link", defaultLink, 0, maxLink))
 	s.Host = host(daemon)
 	s.Server = daemon.Address("server")
-	listen := f.Only("listen")
+	listen := f.RequiredSection("listen")
 	s.Callers = listen.Address("callers")
 	s.Ready = listen.Address("ready")
 	s.Beats = listen.Address("beats")
 	s.ports(listen)
-	s.Store = f.Only("store").Address("address")
-	times := f.Only("times")
+	s.Store = f.RequiredSection("store").Address("address")
+	times := f.RequiredSection("times")
 	s.Hold = times.Duration("hold", defaultHold, minTime, maxTime)
 	s.Drain = times.Duration("drain", defaultDrain, minTime, maxTime)
 	s.Grace = times.Duration("grace", defaultGrace, minTime, maxTime)
-	s.Config = times.Duration("config", mtroute.Within, minConfig, maxTime)
-	s.Close = times.Duration("close", mtzone.Within, minConfig, maxTime)
-	if warmup, ok := f.Optional("warmup"); ok {
+	s.Config = times.Duration("config", mtroute.DefaultPropagationLimit, minConfig, maxTime)
+	s.Close = times.Duration("close", mtzone.DefaultCloseTime, minConfig, maxTime)
+	if warmup, ok := f.OptionalSection("warmup"); ok {
 		s.Warmup.Factor = warmup.Float("factor", 1, 1, maxFactor)
 		s.Warmup.Extra = warmup.Float("extra", 0, 0, maxExtra)
 	}
@@ -101,7 +101,7 @@
 func host(s *mtini.Section) string {
 	v := s.Text("host", "")
 	if _, err := netip.ParseAddr(v); err != nil {
-		s.Fault("host", v, "the IP of this VM")
+		s.AddFault("host", v, "the IP of this VM")
 	}
 	return v
 }
@@ -113,7 +113,7 @@
 	from, errLow := strconv.ParseUint(strings.TrimSpace(low), 10, 16)
 	to, errHigh := strconv.ParseUint(strings.TrimSpace(high), 10, 16)
 	if !ok || errLow != nil || errHigh != nil || to <= from {
-		listen.Fault("ports", v, "the first and the last of at least two ports, parted by a comma")
+		listen.AddFault("ports", v, "the first and the last of at least two ports, parted by a comma")
 		return
 	}
 	s.Peers = net.JoinHostPort(s.Host, strconv.FormatUint(from, 10))
