--- a/core/mtspread/mtspread_test.go
+++ b/core/mtspread/mtspread_test.go
@@ -44,9 +44,9 @@
 			if tree.WatchesStore(n.Daemon) {
 				watchers = append(watchers, n.Daemon)
 				assert.Equal(t, len(tree.Upstreams(n.Daemon, n.Zone)), 0)
-				assert.Assert(t, tree.PollSchedule(n.Daemon) != mtroute.Last)
+				assert.Assert(t, tree.PollSchedule(n.Daemon) != mtroute.PollFallback)
 			}
-			if tree.PollSchedule(n.Daemon) == mtroute.Regular {
+			if tree.PollSchedule(n.Daemon) == mtroute.PollPrimary {
 				regular++
 			}
 		}
@@ -61,12 +61,12 @@
 			for _, upstream := range upstreams {
 				assert.Assert(t, upstream.Daemon != n.Daemon)
 				turn := tree.PollSchedule(upstream.Daemon)
-				assert.Assert(t, turn != mtroute.Last)
-				if tree.PollSchedule(n.Daemon) == mtroute.Relaying {
+				assert.Assert(t, turn != mtroute.PollFallback)
+				if tree.PollSchedule(n.Daemon) == mtroute.PollRelay {
 					assert.Assert(t, tree.WatchesStore(upstream.Daemon))
 				}
 			}
-			if tree.PollSchedule(n.Daemon) == mtroute.Last {
+			if tree.PollSchedule(n.Daemon) == mtroute.PollFallback {
 				assert.Equal(t, upstreams[0].Zone, n.Zone)
 			}
 		}
@@ -84,7 +84,7 @@
 // daemon is one daemon of a simulated fleet.
 type daemon struct {
 	mtspread.Node
-	freshness    mtroute.Certainty
+	freshness    mtroute.Freshness
 	polls        int
 	disconnected bool // from the store and from all other daemons
 }
@@ -100,7 +100,7 @@
 func newFleet(now mtclock.Instant, size, zones int) *fleet {
 	f := &fleet{daemons: make(map[mtid.Daemon]*daemon)}
 	for _, n := range nodes(size, zones) {
-		d := &daemon{Node: n, freshness: mtroute.NewCertainty(now, mtroute.Within)}
+		d := &daemon{Node: n, freshness: mtroute.NewFreshness(now, mtroute.DefaultPropagationLimit)}
 		f.daemons[n.Daemon] = d
 		f.order = append(f.order, d)
 	}
@@ -115,12 +115,12 @@
 			continue
 		}
 		for _, upstream := range f.tree.Upstreams(d.Daemon, d.Zone) {
-			if t := f.daemons[upstream.Daemon]; !t.disconnected && t.freshness.Fresher(t.freshness.At(), d.freshness.At()) {
-				d.freshness.Hear(1, 1, t.freshness.Age(now), now)
+			if t := f.daemons[upstream.Daemon]; !t.disconnected && t.freshness.ShouldNotify(t.freshness.ConfirmedAt(), d.freshness.ConfirmedAt()) {
+				d.freshness.MergeRemote(1, 1, t.freshness.Age(now), now)
 				break
 			}
 		}
-		if d.freshness.Ask(now, f.tree.PollSchedule(d.Daemon)) {
+		if d.freshness.StartPoll(now, f.tree.PollSchedule(d.Daemon)) {
 			d.polls++
 			d.freshness.Confirm(now)
 		}
@@ -143,7 +143,7 @@
 			continue
 		}
 		for _, d := range f.order {
-			assert.Assert(t, d.freshness.Denies(start.Add(at)), "the configuration of daemon %s is not fresh after %s", d.Daemon, at)
+			assert.Assert(t, d.freshness.MayDenyRoute(start.Add(at)), "the configuration of daemon %s is not fresh after %s", d.Daemon, at)
 		}
 	}
 	polls := 0
@@ -172,7 +172,7 @@
 				d.disconnected = f.tree.WatchesStore(d.Daemon)
 			}
 			if now.After(disconnectedAt) && !d.disconnected {
-				assert.Assert(t, d.freshness.Denies(now), "the configuration of daemon %s is not fresh %s after the watchers were disconnected", d.Daemon, now.Sub(disconnectedAt))
+				assert.Assert(t, d.freshness.MayDenyRoute(now), "the configuration of daemon %s is not fresh %s after the watchers were disconnected", d.Daemon, now.Sub(disconnectedAt))
 			}
 		}
 	}
