--- a/io/mthost/crash.go
+++ b/io/mthost/crash.go
@@ -9,39 +9,40 @@
 	"magnoliaturn/core/mtreply"
 )
 
-// A request may crash each server that runs it, and its caller sends it again, through
-// any daemon and to any server. Nothing was held against it: each loss costs the keys
-// of a server some seconds, and whatever else was in flight there. The daemons tell each
-// other in their records what was in flight at a loss, and refuse what was so too often.
+// A request may crash every server that runs it, and its caller resends it through any
+// daemon to any server. Each crash makes the keys of a server unavailable for some seconds
+// and loses whatever else was in flight there. So the daemons publish in their records
+// which requests were in flight at a crash, and refuse a request that was in flight at too
+// many.
 
-// contain refuses a request that is held to have crashed its servers. It fails with a
+// refusePoison refuses a request that is suspected of crashing its servers. It fails with a
 // *mtreply.RefusedError.
-func (h *Host) contain(now mtclock.Instant, p mtpoison.Fingerprint, proven bool) error {
+func (h *Host) refusePoison(now mtclock.Instant, p mtpoison.Fingerprint, proven bool) error {
 	h.crashMu.Lock()
 	defer h.crashMu.Unlock()
 	left := h.recurring.RefusedFor(now, p, proven)
 	if left == 0 {
 		return nil
 	}
-	return &mtreply.RefusedError{Cause: mtreply.CauseQuarantined, RetryAfter: left, Detail: "servers were lost each time that the request ran"}
+	return &mtreply.RefusedError{Cause: mtreply.CauseQuarantined, RetryAfter: left, Detail: "each server that ran the request was lost"}
 }
 
-// began notes that a request is sent to the server.
-func (h *Host) began(p mtpoison.Fingerprint) {
+// requestStarted records that a request is sent to the server.
+func (h *Host) requestStarted(p mtpoison.Fingerprint) {
 	h.crashMu.Lock()
 	defer h.crashMu.Unlock()
 	h.recurring.Started(p)
 }
 
-// ended notes how a request that began has ended.
-func (h *Host) ended(p mtpoison.Fingerprint, err error) {
+// requestEnded records how a request that was sent to the server ended.
+func (h *Host) requestEnded(p mtpoison.Fingerprint, err error) {
 	h.crashMu.Lock()
 	defer h.crashMu.Unlock()
-	h.recurring.Ended(h.Clock.Now(), p, endOf(err))
+	h.recurring.Ended(h.Clock.Now(), p, runResult(err))
 }
 
-// endOf returns what the end of a request tells of its server.
-func endOf(err error) mtpoison.RunResult {
+// runResult classifies how a request ended at the server.
+func runResult(err error) mtpoison.RunResult {
 	var unknown *mtreply.UnknownError
 	switch {
 	case err == nil:
@@ -54,9 +55,9 @@
 	return mtpoison.NotRun
 }
 
-// lost notes that the server's process has ended. It is called with mu held, and before
-// the record is published that says so.
-func (h *Host) lost() {
+// serverLost records that the server's process has terminated. It is called with mu held,
+// before the record that reports the end is published.
+func (h *Host) serverLost() {
 	h.crashMu.Lock()
 	defer h.crashMu.Unlock()
 	suspects := h.recurring.ServerLost(h.Clock.Now(), h.Daemon)
@@ -67,7 +68,7 @@
 	h.Log.Warn("requests in flight when the server was lost are suspected", "server", h.record.Incarnation.String(), "suspects", string(suspects))
 }
 
-// Heard takes in what another daemon suspects, by its record.
+// Heard merges the suspects that another daemon published in its record.
 func (h *Host) Heard(r mtbackend.Record) {
 	if r.Suspects == "" {
 		return
@@ -77,14 +78,14 @@
 	h.recurring.MergeSuspects(h.Clock.Now(), r.Daemon, r.Suspects)
 }
 
-// Proven reports whether a server has answered the same request before.
+// Proven reports whether a server is known to have answered the same request before.
 func (h *Host) Proven(p mtpoison.Fingerprint) bool {
 	h.crashMu.Lock()
 	defer h.crashMu.Unlock()
 	return h.recurring.Answered(p)
 }
 
-// Prove notes that a server anywhere has answered a request.
+// Prove records that a server, on this VM or another, has answered a request.
 func (h *Host) Prove(p mtpoison.Fingerprint) {
 	h.crashMu.Lock()
 	defer h.crashMu.Unlock()
--- a/io/mthost/end.go
+++ b/io/mthost/end.go
@@ -13,200 +13,207 @@
 	iobackend "magnoliaturn/io/mtbackend"
 )
 
-// acknowledge notes that a life of the server leaves, which binds this daemon from now on,
-// whatever it knows of that life yet. It is called with mu held, and before the server is
-// told so.
+// acknowledgeLeaving records that an incarnation of the server is leaving. This binds the
+// daemon from now on, even if it does not know the incarnation yet. It is called with mu
+// held, before the acknowledgement is sent to the server.
 //
-// A restarted daemon acknowledged a leaving before it had read the assignment. When it had
-// it brought the server into service, counted the time for new work from then, and the
-// server got calls 2.0 s after the acknowledgement. One that had said so to the former
-// process of its daemon got calls even later. So the time for new work runs only for a
-// life that is in service here; that of another may be over already.
-func (h *Host) acknowledge(life mtid.Life, now mtclock.Instant) {
+// The time for new work counts from the acknowledgement only if the incarnation is in
+// service here; for any other it may be over already and counts as over. A daemon that was
+// restarted, and acknowledged the leaving before it had read the assignment, used to count
+// from when it brought the server into service, and the server received calls 2.0 s after
+// the acknowledgement. One whose leaving the previous process of its daemon had
+// acknowledged received calls even later.
+func (h *Host) acknowledgeLeaving(incarnation mtid.Life, now mtclock.Instant) {
 	at := now
-	if h.record.Incarnation != life || h.record.State != mtbackend.Ready {
+	if h.record.Incarnation != incarnation || h.record.State != mtbackend.Ready {
 		at = now.Add(-h.Drain)
 	}
-	if known, ok := h.leaving[life]; ok && known <= at {
+	if known, ok := h.leavingSince[incarnation]; ok && known <= at {
 		return
 	}
-	if len(h.leaving) >= mostLeaving {
-		clear(h.leaving) // of lives that never ran here
+	if len(h.leavingSince) >= maxLeaving {
+		clear(h.leavingSince) // incarnations that never ran here
 	}
-	h.leaving[life] = at
+	h.leavingSince[incarnation] = at
 }
 
-// mostLeaving bounds the lives that are known to leave. One runs at a time; others are
-// those of beats that came late, or that another writer made up.
-const mostLeaving = 64
+// maxLeaving limits the number of incarnations known to be leaving. One runs at a time; the
+// others come from late heartbeats, or from heartbeats forged by another sender.
+const maxLeaving = 64
 
-// leave begins the leaving of the server, if its present life has been acknowledged to
-// leave. Calls without a key go elsewhere from now on; keyed ones are served until their
-// keys have moved, but not for long. It is called with mu held.
-func (h *Host) leave(now mtclock.Instant, why string) {
-	at, leaves := h.leaving[h.record.Incarnation]
-	if !leaves || h.record.State == mtbackend.Draining || h.record.State == mtbackend.Ended {
+// startDraining makes the server drain if the leaving of its current incarnation has been
+// acknowledged. Calls without a key are refused from then on, and go to other servers.
+// Keyed calls are served until their keys have moved, but only for a limited time. It is
+// called with mu held.
+func (h *Host) startDraining(now mtclock.Instant, why string) {
+	at, leaving := h.leavingSince[h.record.Incarnation]
+	if !leaving || h.record.State == mtbackend.Draining || h.record.State == mtbackend.Ended {
 		return
 	}
 	h.Log.Info("server is leaving", "server", h.record.Incarnation.String(), "why", why, "since", now.Sub(at))
-	h.drains = at.Add(time.Duration(float64(h.Drain) * drainPart))
-	if !now.Before(h.drains) {
-		h.drains = 0
-		h.door.Drain()
+	h.drainAt = at.Add(time.Duration(float64(h.Drain) * drainFraction))
+	if !now.Before(h.drainAt) {
+		h.drainAt = 0
+		h.admission.Drain()
 	}
-	h.state(mtbackend.Draining)
+	h.setState(mtbackend.Draining)
 }
 
-// Leave takes in that the server takes itself out. It serves on for a while and
-// exits then. One that does not say when it was born is the life that runs: the
-// leaving is acknowledged, and that binds this daemon.
-func (h *Host) Leave(life mtid.Life) {
+// Leave records that the server deregisters itself: it serves for a while longer and then
+// exits. If the server does not report its birth, the current incarnation is meant. The
+// answer acknowledges the leaving, which binds this daemon.
+func (h *Host) Leave(incarnation mtid.Life) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if life.Born == 0 && life.Server == h.record.Incarnation.Server {
-		life = h.record.Incarnation
+	if incarnation.Born == 0 && incarnation.Server == h.record.Incarnation.Server {
+		incarnation = h.record.Incarnation
 	}
-	if life.Before(h.record.Incarnation) {
-		h.over[life] = true
+	if incarnation.Before(h.record.Incarnation) {
+		h.ended[incarnation] = true
 		return
 	}
 	now := h.Clock.Now()
-	h.acknowledge(life, now)
-	if h.record.Incarnation == life && h.record.State == mtbackend.Ready {
-		h.leave(now, "deregistered")
+	h.acknowledgeLeaving(incarnation, now)
+	if h.record.Incarnation == incarnation && h.record.State == mtbackend.Ready {
+		h.startDraining(now, "deregistered")
 	}
 }
 
-// Former takes in the record that a former process of this daemon left. If its server
-// was leaving, that was acknowledged then, and nobody knows any more when: no new work
-// reaches that life. One that has taken itself out does not say so again.
+// Former processes the record that a previous process of this daemon left. If its server
+// was draining, that process acknowledged the leaving at a time that is no longer known, so
+// no new work reaches that incarnation. A server that has deregistered does not report it
+// again.
 func (h *Host) Former(r mtbackend.Record) {
 	if r.State != mtbackend.Draining {
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.over[r.Incarnation] || r.Incarnation.Before(h.record.Incarnation) {
+	if h.ended[r.Incarnation] || r.Incarnation.Before(h.record.Incarnation) {
 		return
 	}
 	now := h.Clock.Now()
-	h.leaving[r.Incarnation] = now.Add(-h.Drain)
+	h.leavingSince[r.Incarnation] = now.Add(-h.Drain)
 	if h.record.Incarnation == r.Incarnation && h.record.State == mtbackend.Ready {
-		h.leave(now, "as a former daemon knew")
+		h.startDraining(now, "as a former daemon knew")
 	}
 }
 
-// failed looks into a failure that says something of the server itself.
-func (h *Host) failed(life mtid.Life, call *mtcall.Call, err error) {
+// handleFailure reacts to the failure of a call that indicates a problem with the server
+// itself.
+func (h *Host) handleFailure(incarnation mtid.Life, call *mtcall.Call, err error) {
 	var refused *mtreply.RefusedError
 	if errors.As(err, &refused) {
 		switch refused.Cause {
 		case mtreply.CauseFenced:
-			h.deny(life, call.Key)
+			h.recordDenial(incarnation, call.Key)
 		case mtreply.CauseNoServer:
-			h.check(life)
+			h.checkProcess(incarnation)
 		}
 		return
 	}
 	var unknown *mtreply.UnknownError
 	if errors.As(err, &unknown) && unknown.Cause == mtreply.CauseLost {
-		h.check(life)
+		h.checkProcess(incarnation)
 	}
 }
 
-// deny takes in that the server says not to hold a key that it was granted: an
-// order to release it may have been carried out late, or the server has begun
-// another life under its name. That one must not be granted what the former life
-// had under the same epoch, so where lives share a name the key is granted anew
-// only after the next beat, which tells them apart. It costs such a key the time
-// between two beats, and only where the server says when it was born.
-func (h *Host) deny(life mtid.Life, key mtid.Number) {
-	if life.Born == 0 {
+// recordDenial records that the server denies holding a key that it was granted: a release
+// command may have been carried out late, or the server has restarted under its name. The
+// new incarnation must not be granted the keys of the previous one under the same epoch, so
+// where incarnations share a name, the key is granted again only after the next heartbeat,
+// which distinguishes them. This makes such a key unavailable for up to a heartbeat
+// interval, and only where the server reports its birth.
+func (h *Host) recordDenial(incarnation mtid.Life, key mtid.Number) {
+	if incarnation.Born == 0 {
 		h.Fenced(key)
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.record.Incarnation == life {
-		h.denied[key] = true
+	if h.record.Incarnation == incarnation {
+		h.deniedKeys[key] = true
 	}
 }
 
-// grantDenied grants what the server denied to hold, now that its life is known to
-// go on. It is called with mu held.
-func (h *Host) grantDenied() {
-	for key := range h.denied {
+// regrantDenied requests new grants of the keys that the server denied holding, now that a
+// heartbeat has confirmed its incarnation. It is called with mu held.
+func (h *Host) regrantDenied() {
+	for key := range h.deniedKeys {
 		h.Fenced(key)
 	}
-	clear(h.denied)
+	clear(h.deniedKeys)
 }
 
-// Suspect is told that an order found nobody at the server's address.
-func (h *Host) Suspect(life mtid.Life) { h.check(life) }
+// Suspect checks the server's process after a command found nothing listening at the
+// server's address.
+func (h *Host) Suspect(incarnation mtid.Life) { h.checkProcess(incarnation) }
 
-// check finds out whether the server's process is gone, unless a check runs.
+// checkProcess determines whether the server's process has terminated, unless a check is
+// already running.
 //
-// What counts as the end of a life, and for how long its keys are unserved then:
+// What counts as the end of an incarnation, and how long its keys are unavailable then:
 //
-//   - another life that runs at the address: until that one is granted keys, some
-//     tens of milliseconds;
-//   - refused connections of a server that this daemon knows and that has not said that
-//     it leaves: 0.3 s;
-//   - refused connections of one that is leaving, or that this daemon has not heard of
-//     since its start, once every order to it must have run out: up to the length of a
-//     grant. A leaving server takes no new connections and works on, and one that has
-//     taken itself out says nothing more. Taken for ended at once, two servers held its
-//     keys for half a second. Mostly its keys have moved by then.
-func (h *Host) check(life mtid.Life) {
+//   - Another incarnation runs at the address: until that one is granted keys, some
+//     tens of milliseconds.
+//   - Connections are refused by a server that this daemon knows and that has not
+//     announced that it is leaving: 0.3 s.
+//   - Connections are refused by a server that is leaving, or from which this daemon
+//     has received no heartbeat since its start: once every command sent to it must have
+//     expired, which takes up to the grant duration. A leaving server accepts no new
+//     connections but continues to work, and one that has deregistered sends no further
+//     notice. When it was considered terminated at once, two servers held its keys for
+//     half a second. Usually its keys have moved by then.
+func (h *Host) checkProcess(incarnation mtid.Life) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.checking || h.record.Incarnation != life || h.record.State == mtbackend.Ended {
+	if h.checking || h.record.Incarnation != incarnation || h.record.State == mtbackend.Ended {
 		return
 	}
 	h.checking = true
 	address := h.address
-	silent := h.Clock.Now().Sub(h.beaten) > silence
+	noHeartbeat := h.Clock.Now().Sub(h.lastHeartbeat) > heartbeatTimeout
 	go func() {
-		gone := processGone(address, silent)
+		gone := processGone(address, noHeartbeat)
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		h.checking = false
-		if !gone || h.record.Incarnation != life {
+		if !gone || h.record.Incarnation != incarnation {
 			return
 		}
-		if h.record.State != mtbackend.Ready && !h.idle(h.Clock.Now()) {
-			h.Log.Info("server takes no connections, and may be at work", "server", life.String(), "state", h.record.State, "address", address)
+		if h.record.State != mtbackend.Ready && !h.commandsExpired(h.Clock.Now()) {
+			h.Log.Info("server refuses connections but may still be running", "server", incarnation.String(), "state", h.record.State, "address", address)
 			return
 		}
-		h.Log.Warn("server's process is gone", "server", life.String(), "address", address)
-		h.over[life] = true
-		h.drains = 0
-		h.lost()
-		h.state(mtbackend.Ended)
-		h.door.Resize(0, 0)
+		h.Log.Warn("server process has terminated", "server", incarnation.String(), "address", address)
+		h.ended[incarnation] = true
+		h.drainAt = 0
+		h.serverLost()
+		h.setState(mtbackend.Ended)
+		h.admission.Resize(0, 0)
 	}()
 }
 
-// idle reports whether no order can be in force at the server any more.
-func (h *Host) idle(now mtclock.Instant) bool {
+// commandsExpired reports whether no command can be in force at the server any more.
+func (h *Host) commandsExpired(now mtclock.Instant) bool {
 	return h.Lasts != nil && !now.Before(h.Lasts())
 }
 
-// processGone reports whether nothing listens at the address any more: the
-// kernel of the own VM refuses each of several connections. Of a server that
-// has been silent too, connections that nobody answers show the same: a server
-// that lives accepts connections, or resets them, within its VM at once.
-func processGone(address string, silent bool) bool {
-	for i := range deadChecks {
+// processGone reports whether nothing listens at the address any more: the kernel of this
+// VM refuses each of several connections. If the server sends no heartbeats either,
+// connections that time out show the same: a running server accepts or resets connections
+// from its own VM immediately.
+func processGone(address string, noHeartbeat bool) bool {
+	for i := range connectAttempts {
 		if i > 0 {
-			time.Sleep(deadPause)
+			time.Sleep(connectPause)
 		}
-		conn, err := net.DialTimeout("tcp", address, deadPause)
+		conn, err := net.DialTimeout("tcp", address, connectPause)
 		if err == nil {
 			_ = conn.Close()
 			return false
 		}
-		if !iobackend.Refused(err) && !(silent && iobackend.TimedOut(err)) {
+		if !iobackend.Refused(err) && !(noHeartbeat && iobackend.TimedOut(err)) {
 			return false
 		}
 	}
--- a/io/mthost/end_test.go
+++ b/io/mthost/end_test.go
@@ -19,89 +19,89 @@
 	"magnoliaturn/core/mtreply"
 )
 
-// The server says that it leaves. Once that is acknowledged, calls without a key
-// go elsewhere at once; keyed ones are served while their keys move, but not
-// beyond the time in which new work may reach it.
-func TestALeavingServerGetsNoNewWork(t *testing.T) {
-	for name, leave := range map[string]func(s *stand){
-		"says so": func(s *stand) {
-			b := s.beat("life", 2)
+// A server announces that it is leaving. Once that is acknowledged, calls without a key are
+// refused at once; keyed ones are served while their keys move, but not beyond the time in
+// which new work may reach the server.
+func TestLeavingServerGetsNoNewWork(t *testing.T) {
+	for name, leave := range map[string]func(s *fixture){
+		"heartbeat": func(s *fixture) {
+			b := s.newHeartbeat("life", 2)
 			b.Draining = true
-			s.hear(b)
+			s.heartbeat(b)
 		},
-		"takes itself out": func(s *stand) { s.host.Leave(mtid.Life{Server: "life"}) },
+		"deregistration": func(s *fixture) { s.host.Leave(mtid.Life{Server: "life"}) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStand(t, "127.0.0.1:1")
-			s.ready("life")
-			assert.Equal(t, s.cause(false), mtreply.Cause(""))
+			s := newFixture(t, "127.0.0.1:1")
+			s.startServer("life")
+			assert.Equal(t, s.refusalCause(false), mtreply.Cause(""))
 			leave(s)
 			assert.Equal(t, s.record().State, mtbackend.Draining)
-			assert.Equal(t, s.cause(false), mtreply.CauseDraining)
-			assert.Equal(t, s.cause(true), mtreply.Cause(""))
-			s.until("keyed calls are refused too", func(mtbackend.Record) bool { return s.cause(true) == mtreply.CauseDraining })
-			s.host.Beat(s.beat("life", 3)) // a beat that says ready again, held up
+			assert.Equal(t, s.refusalCause(false), mtreply.CauseDraining)
+			assert.Equal(t, s.refusalCause(true), mtreply.Cause(""))
+			s.waitFor("keyed calls are refused too", func(mtbackend.Record) bool { return s.refusalCause(true) == mtreply.CauseDraining })
+			s.host.Beat(s.newHeartbeat("life", 3)) // a delayed heartbeat that reports ready again
 			assert.Equal(t, s.record().State, mtbackend.Draining)
 		})
 	}
 }
 
-// The store is away and the daemon has just been restarted. Its server says that it
-// leaves; that is acknowledged, but the daemon can't bring the server into service yet,
-// since it knows no assignment. Once the store is back it did, counted the time for new
-// work from then, and calls reached the server 2.0 s after the acknowledgement: "new life
-// of the server could not be cleared" for a second, then "ready", "draining", "granted".
-// A former process of the daemon may have acknowledged it even earlier, so that no new
-// work reaches the server at all.
-func TestALeavingBindsFromItsAcknowledgement(t *testing.T) {
-	for name, leave := range map[string]func(s *stand){
-		"says so": func(s *stand) {
-			b := s.beat("life", 1)
+// The store is unavailable and the daemon has just been restarted. It acknowledges that its
+// server is leaving, but can't bring the server into service yet, since it has no
+// assignment. When it counted the time for new work from when the store was available
+// again, calls reached the server 2.0 s after the acknowledgement: "new life of the server
+// could not be cleared" for a second, then "ready", "draining", "granted". A previous
+// process of the daemon may have acknowledged even earlier, so no new work may reach the
+// server at all.
+func TestLeavingAcknowledgedBeforeServiceIsBinding(t *testing.T) {
+	for name, leave := range map[string]func(s *fixture){
+		"heartbeat": func(s *fixture) {
+			b := s.newHeartbeat("life", 1)
 			b.Draining = true
-			s.hear(b)
+			s.heartbeat(b)
 		},
-		"says so before it can be asked": func(s *stand) {
+		"heartbeat before the server can be queried": func(s *fixture) {
 			s.mu.Lock()
 			s.path = ""
 			s.mu.Unlock()
-			b := s.beat("life", 1)
+			b := s.newHeartbeat("life", 1)
 			b.Draining = true
-			s.hear(b)
-			s.hear(b)
+			s.heartbeat(b)
+			s.heartbeat(b)
 			s.mu.Lock()
 			s.path = "/health"
 			s.mu.Unlock()
 		},
-		"takes itself out": func(s *stand) {
-			s.hear(s.beat("life", 1))
+		"deregistration": func(s *fixture) {
+			s.heartbeat(s.newHeartbeat("life", 1))
 			s.host.Leave(mtid.Life{Server: "life"})
 		},
-		"takes itself out before anything else": func(s *stand) {
+		"deregistration before any heartbeat": func(s *fixture) {
 			s.host.Leave(mtid.Life{Server: "life"})
-			s.hear(s.beat("life", 1))
+			s.heartbeat(s.newHeartbeat("life", 1))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStand(t, "server")
-			s.server.runs = "life"
-			var unread atomic.Bool
-			unread.Store(true)
+			s := newFixture(t, "server")
+			s.server.incarnation = "life"
+			var assignmentUnread atomic.Bool
+			assignmentUnread.Store(true)
 			s.mu.Lock()
 			s.clear = func() error {
-				if unread.Load() {
+				if assignmentUnread.Load() {
 					return errors.New("the assignment has not been read yet")
 				}
 				return nil
 			}
 			s.mu.Unlock()
 			leave(s)
-			unread.Store(false)
-			s.until("it is known to leave", func(r mtbackend.Record) bool {
-				assert.Assert(t, r.State != mtbackend.Ready, "offered to others")
+			assignmentUnread.Store(false)
+			s.waitFor("the server is draining", func(r mtbackend.Record) bool {
+				assert.Assert(t, r.State != mtbackend.Ready, "published as ready")
 				return r.State == mtbackend.Draining
 			})
-			assert.Equal(t, s.cause(true), mtreply.CauseDraining)
-			assert.Equal(t, s.cause(false), mtreply.CauseDraining)
+			assert.Equal(t, s.refusalCause(true), mtreply.CauseDraining)
+			assert.Equal(t, s.refusalCause(false), mtreply.CauseDraining)
 			s.server.mu.Lock()
 			defer s.server.mu.Unlock()
 			assert.Equal(t, s.server.calls, 0)
@@ -109,182 +109,183 @@
 	}
 }
 
-// A server has left before its keys have moved. Its callers are refused with the time that
-// a move takes; without one they asked again at once, over and over, in vain.
-func TestAKeyWhoseServerHasLeftIsAskedForLater(t *testing.T) {
-	s := newStand(t, "server")
-	s.ready("life")
+// A server has left before its keys have moved. The refusals include the time that a move
+// takes; without it callers retried at once, over and over, in vain.
+func TestRefusalOfKeyWhoseServerLeftHasRetryAfter(t *testing.T) {
+	s := newFixture(t, "server")
+	s.startServer("life")
 	s.host.Close()
 	for keyed, wait := range map[bool]bool{true: true, false: false} {
 		_, err := s.host.Run(context.Background(), s.call(keyed))
 		var refused *mtreply.RefusedError
 		assert.Assert(t, errors.As(err, &refused))
 		assert.Equal(t, refused.Cause, mtreply.CauseDraining)
-		assert.Equal(t, refused.RetryAfter > 0, wait, "one without a key is taken elsewhere at once")
+		assert.Equal(t, refused.RetryAfter > 0, wait, "only calls without a key can be retried elsewhere at once")
 	}
 }
 
-// A server takes itself out, and says nothing more of that. Its daemon is killed and
-// started again. The record of before says that the server leaves; since nobody knows
-// for how long it has, it gets no new work at all.
-func TestALeavingThatAFormerDaemonAcknowledgedBinds(t *testing.T) {
-	former := mtbackend.Record{Daemon: "a", Incarnation: mtid.Life{Server: "life"}, State: mtbackend.Draining}
-	for name, order := range map[string]func(s *stand){
-		"known before the server": func(s *stand) {
-			s.host.Former(former)
-			s.hear(s.beat("life", 7))
+// A server deregisters, which it does not repeat, and its daemon is killed and restarted.
+// The daemon's previous record says that the server is draining. Since it is unknown for
+// how long, the server gets no new work at all.
+func TestLeavingAcknowledgedByPreviousProcessIsBinding(t *testing.T) {
+	previous := mtbackend.Record{Daemon: "a", Incarnation: mtid.Life{Server: "life"}, State: mtbackend.Draining}
+	for name, deliver := range map[string]func(s *fixture){
+		"record before heartbeat": func(s *fixture) {
+			s.host.Former(previous)
+			s.heartbeat(s.newHeartbeat("life", 7))
 		},
-		"known after the server": func(s *stand) {
-			s.ready("life")
-			s.host.Former(former)
+		"record after heartbeat": func(s *fixture) {
+			s.startServer("life")
+			s.host.Former(previous)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStand(t, "server")
-			s.server.runs = "life"
-			order(s)
-			s.until("it is known to leave", func(r mtbackend.Record) bool { return r.State == mtbackend.Draining })
-			s.until("no new work reaches it", func(mtbackend.Record) bool { return s.cause(true) == mtreply.CauseDraining })
+			s := newFixture(t, "server")
+			s.server.incarnation = "life"
+			deliver(s)
+			s.waitFor("the server is draining", func(r mtbackend.Record) bool { return r.State == mtbackend.Draining })
+			s.waitFor("no new work reaches the server", func(mtbackend.Record) bool { return s.refusalCause(true) == mtreply.CauseDraining })
 		})
 	}
-	s := newStand(t, "server")
-	s.host.Former(former)
-	s.ready("next")
-	assert.Equal(t, s.cause(true), mtreply.Cause(""), "another life is not bound")
+	s := newFixture(t, "server")
+	s.host.Former(previous)
+	s.startServer("next")
+	assert.Equal(t, s.refusalCause(true), mtreply.Cause(""), "the next incarnation is not bound")
 }
 
-// The process of the server is gone: its port refuses. The daemon says so, so
-// that nobody has to wait for the grants to run out. One refusal is no proof.
-func TestAServerWhoseProcessIsGoneHasEnded(t *testing.T) {
+// The server's process has terminated and its port refuses connections. The daemon
+// publishes that, so that nobody has to wait for the grants to expire. A single refused
+// connection proves nothing.
+func TestTerminatedServerProcessIsDetected(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := listener.Addr().String()
-	s := newStand(t, address)
-	s.server.runs = "life"
-	b := s.beat("life", 1)
+	s := newFixture(t, address)
+	s.server.incarnation = "life"
+	b := s.newHeartbeat("life", 1)
 	b.Address = address
-	s.hear(b)
-	s.until("the server is ready", func(r mtbackend.Record) bool { return r.AcceptsWork() })
+	s.heartbeat(b)
+	s.waitFor("the server is ready", func(r mtbackend.Record) bool { return r.AcceptsWork() })
 	s.server.answer = func(context.Context) (*mtcall.Answer, error) {
 		return nil, &mtreply.RefusedError{Cause: mtreply.CauseNoServer}
 	}
-	assert.Equal(t, s.cause(false), mtreply.CauseNoServer)
+	assert.Equal(t, s.refusalCause(false), mtreply.CauseNoServer)
 	time.Sleep(400 * time.Millisecond) // longer than the checks take
-	assert.Equal(t, s.record().State, mtbackend.Ready, "a server that listens was taken for gone")
+	assert.Equal(t, s.record().State, mtbackend.Ready, "a listening server was considered terminated")
 	assert.NilError(t, listener.Close())
-	assert.Equal(t, s.cause(false), mtreply.CauseNoServer)
-	s.until("the end is told", func(r mtbackend.Record) bool { return r.State == mtbackend.Ended })
-	assert.Equal(t, s.cause(false), mtreply.CauseNoServer)
+	assert.Equal(t, s.refusalCause(false), mtreply.CauseNoServer)
+	s.waitFor("the end is published", func(r mtbackend.Record) bool { return r.State == mtbackend.Ended })
+	assert.Equal(t, s.refusalCause(false), mtreply.CauseNoServer)
 }
 
-// A leaving server takes no new connections but works on, and holds its keys. Its
-// daemon was refused three connections, said that the process had ended, and others
-// took the keys over: two servers held them for half a second.
-func TestALeavingServerThatRefusesConnectionsHasNotEnded(t *testing.T) {
+// A leaving server accepts no new connections but continues to work and holds its keys.
+// When its daemon took three refused connections for the end of the process, others took
+// over the keys, and two servers held them for half a second.
+func TestLeavingServerThatRefusesConnectionsHasNotEnded(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := listener.Addr().String()
 	assert.NilError(t, listener.Close())
-	s := newStand(t, address)
-	s.ready("one")
-	leaving := s.beat("one", 2)
+	s := newFixture(t, address)
+	s.startServer("one")
+	leaving := s.newHeartbeat("one", 2)
 	leaving.Address, leaving.Draining = address, true
-	s.hear(leaving)
-	s.until("it is leaving", func(r mtbackend.Record) bool { return r.State == mtbackend.Draining })
+	s.heartbeat(leaving)
+	s.waitFor("the server is draining", func(r mtbackend.Record) bool { return r.State == mtbackend.Draining })
 	s.server.mu.Lock()
 	s.server.answer = func(context.Context) (*mtcall.Answer, error) {
 		return nil, &mtreply.RefusedError{Cause: mtreply.CauseNoServer}
 	}
 	s.server.mu.Unlock()
 	for range 10 {
-		s.cause(true)
+		s.refusalCause(true)
 		time.Sleep(100 * time.Millisecond)
 		assert.Equal(t, s.record().State, mtbackend.Draining)
 	}
 }
 
-// The same with a daemon that was restarted and has not heard from its server: a leaving
-// one may say nothing more. Its daemon said that it had ended, although grants of the
-// former daemon were in force, and others took the keys of a server that worked on.
-func TestASilentServerOfARestartedDaemonHasNotEnded(t *testing.T) {
+// The same with a restarted daemon that has received no heartbeat from its server: a
+// leaving one may send none. When the daemon published that it had ended although grants of
+// the previous daemon process were in force, others took over the keys of a running server.
+func TestUnknownServerHasNotEndedWhileCommandsAreInForce(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := listener.Addr().String()
 	assert.NilError(t, listener.Close())
-	s := newStand(t, address)
-	var lasts atomic.Int64
-	lasts.Store(int64(s.clock.Now().Add(time.Hour)))
-	s.host.Lasts = func() mtclock.Instant { return mtclock.Instant(lasts.Load()) }
+	s := newFixture(t, address)
+	var commandExpiry atomic.Int64
+	commandExpiry.Store(int64(s.clock.Now().Add(time.Hour)))
+	s.host.Lasts = func() mtclock.Instant { return mtclock.Instant(commandExpiry.Load()) }
 	s.host.Suspect(mtid.Life{})
 	time.Sleep(400 * time.Millisecond) // longer than the checks take
 	assert.Equal(t, s.record().State, mtbackend.Unknown)
-	lasts.Store(int64(s.clock.Now()))
-	s.until("the end is told", func(r mtbackend.Record) bool {
+	commandExpiry.Store(int64(s.clock.Now()))
+	s.waitFor("the end is published", func(r mtbackend.Record) bool {
 		s.host.Suspect(mtid.Life{})
 		return r.State == mtbackend.Ended
 	})
 }
 
-// The same, and the server does end: its orders run out and nobody listens. Its keys
-// were never free for others as long as an order could still be in force.
-func TestALeavingServerHasEndedOnceItsOrdersHaveRunOut(t *testing.T) {
-	s := newStand(t, "server")
-	s.ready("one")
-	var lasts atomic.Int64
-	lasts.Store(int64(s.clock.Now().Add(time.Hour)))
-	s.host.Lasts = func() mtclock.Instant { return mtclock.Instant(lasts.Load()) }
+// The same, but the server does end: its commands expire and nothing listens. Its keys must
+// not become free for others while a command could still be in force.
+func TestLeavingServerHasEndedOnceItsCommandsExpire(t *testing.T) {
+	s := newFixture(t, "server")
+	s.startServer("one")
+	var commandExpiry atomic.Int64
+	commandExpiry.Store(int64(s.clock.Now().Add(time.Hour)))
+	s.host.Lasts = func() mtclock.Instant { return mtclock.Instant(commandExpiry.Load()) }
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	leaving := s.beat("one", 2)
+	leaving := s.newHeartbeat("one", 2)
 	leaving.Address, leaving.Draining = listener.Addr().String(), true
 	assert.NilError(t, listener.Close())
-	s.hear(leaving)
+	s.heartbeat(leaving)
 	s.host.Suspect(mtid.Life{Server: "one"})
 	time.Sleep(400 * time.Millisecond) // longer than the checks take
 	assert.Equal(t, s.record().State, mtbackend.Draining)
-	lasts.Store(int64(s.clock.Now()))
-	s.until("the end is told", func(r mtbackend.Record) bool {
+	commandExpiry.Store(int64(s.clock.Now()))
+	s.waitFor("the end is published", func(r mtbackend.Record) bool {
 		s.host.Suspect(mtid.Life{Server: "one"})
 		return r.State == mtbackend.Ended
 	})
 }
 
-// A server has begun another life under its name and denies to hold a key, before its
-// first beat is heard. Granted again at once, it held the key under the epoch that its
-// former life had.
-func TestADeniedKeyIsGrantedAgainOnlyAfterABeat(t *testing.T) {
-	s := newStand(t, "server")
-	s.server.runs = "one"
+// A server has restarted under the same name and denies holding a key before its first
+// heartbeat is received. When it was granted the key again at once, it held it under the
+// epoch of the previous incarnation.
+func TestDeniedKeyIsGrantedAgainOnlyAfterHeartbeat(t *testing.T) {
+	s := newFixture(t, "server")
+	s.server.incarnation = "one"
 	fenced := make(chan mtid.Number, 8)
 	s.host.Fenced = func(key mtid.Number) { fenced <- key }
-	s.hear(s.born(100, 1))
-	s.until("the server is ready", func(r mtbackend.Record) bool { return r.AcceptsWork() })
+	s.heartbeat(s.heartbeatBorn(100, 1))
+	s.waitFor("the server is ready", func(r mtbackend.Record) bool { return r.AcceptsWork() })
 	s.server.mu.Lock()
 	s.server.answer = func(context.Context) (*mtcall.Answer, error) {
 		return nil, &mtreply.RefusedError{Cause: mtreply.CauseFenced}
 	}
 	s.server.mu.Unlock()
-	assert.Equal(t, s.cause(true), mtreply.CauseFenced)
-	assert.Equal(t, len(fenced), 0, "granted again before a beat")
-	s.hear(s.born(100, 2))
+	assert.Equal(t, s.refusalCause(true), mtreply.CauseFenced)
+	assert.Equal(t, len(fenced), 0, "granted again before a heartbeat")
+	s.heartbeat(s.heartbeatBorn(100, 2))
 	assert.Equal(t, len(fenced), 1)
-	assert.Equal(t, s.cause(true), mtreply.CauseFenced)
-	s.hear(s.born(200, 1))
-	s.until("the new life is known", func(r mtbackend.Record) bool { return r.Incarnation.Born == 200 })
-	assert.Equal(t, len(fenced), 1, "the new life was granted what the former one had")
+	assert.Equal(t, s.refusalCause(true), mtreply.CauseFenced)
+	s.heartbeat(s.heartbeatBorn(200, 1))
+	s.waitFor("the new incarnation is known", func(r mtbackend.Record) bool { return r.Incarnation.Born == 200 })
+	assert.Equal(t, len(fenced), 1, "the new incarnation was granted keys of the previous one")
 }
 
-// A request crashes each server that runs it, and its caller sends it again under new
-// identifiers, for as long as the server is back. Of a request that has crashed three
-// servers no more than three further tries may reach one; each costs a server's keys
-// some seconds, and all others that were in flight there.
-func TestARequestThatCrashesItsServersIsContained(t *testing.T) {
-	s := newStand(t, "server")
+// A request crashes every server that runs it, and its caller resends it under new
+// identifiers whenever the server is back. After it has crashed three servers, no more than
+// three further attempts may reach one: each makes a server's keys unavailable for some
+// seconds and loses all other requests in flight there.
+func TestRequestThatCrashesItsServersIsRefused(t *testing.T) {
+	s := newFixture(t, "server")
 	s.server.answer = func(context.Context) (*mtcall.Answer, error) {
 		return nil, &mtreply.UnknownError{Cause: mtreply.CauseLost, Err: errors.New("connection reset")}
 	}
 	for n := range 13 {
-		s.ready(mtid.Server(fmt.Sprintf("life-%d", n)))
+		s.startServer(mtid.Server(fmt.Sprintf("life-%d", n)))
 		call := s.call(true)
 		call.ID = mtcall.ID(strconv.Itoa(n))
 		_, err := s.host.Run(context.Background(), call)
@@ -292,5 +293,5 @@
 	}
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
-	assert.Assert(t, s.server.calls <= 6, "%d lives were given the request", s.server.calls)
+	assert.Assert(t, s.server.calls <= 6, "%d incarnations were sent the request", s.server.calls)
 }
--- a/io/mthost/life.go
+++ b/io/mthost/life.go
@@ -10,86 +10,90 @@
 	"magnoliaturn/core/mtid"
 )
 
-// listen looks after a server that has fallen silent, or was never heard of.
-func (h *Host) listen(now mtclock.Instant) {
+// checkHeartbeat checks the process of a server from which no heartbeat has been received
+// recently, or ever.
+func (h *Host) checkHeartbeat(now mtclock.Instant) {
 	h.mu.Lock()
-	silent := now.Sub(h.beaten) > silence && now.Sub(h.checked) > silence
-	life, state := h.record.Incarnation, h.record.State
-	if silent {
-		h.checked = now
+	overdue := now.Sub(h.lastHeartbeat) > heartbeatTimeout && now.Sub(h.lastCheck) > heartbeatTimeout
+	incarnation, state := h.record.Incarnation, h.record.State
+	if overdue {
+		h.lastCheck = now
 	}
 	h.mu.Unlock()
-	if silent && state != mtbackend.Ended {
-		h.check(life)
+	if overdue && state != mtbackend.Ended {
+		h.checkProcess(incarnation)
 	}
 }
 
-// ForeignError says that a beat can't be that of this VM's server.
+// ForeignError reports a heartbeat that can't come from this VM's server, because the
+// configuration does not declare its service.
 type ForeignError struct{ Service mtid.Service }
 
 // Error implements error.
 func (e *ForeignError) Error() string {
-	return fmt.Sprintf("host: a beat names the service %q, which nothing declares", e.Service)
+	return fmt.Sprintf("host: heartbeat from service %q, which the configuration does not declare", e.Service)
 }
 
-// Beat takes in what the server says. It returns after what the beat tells is in
-// force here: the answer to a beat that announces the server's leaving binds
-// this daemon.
+// Beat processes a heartbeat of the server. It returns once the reported state is in force
+// here: the answer to a heartbeat that announces the server's leaving is an acknowledgement
+// that binds this daemon.
 //
-// A beat may be held up and arrive after its sender has crashed and another life
-// has begun. So one of a life that is not known here only makes the daemon ask
-// the server itself. Taken at its word, it would make the keys of the life that
-// runs look free, and they would be given to another server.
+// A heartbeat may be delayed and arrive after its sender has crashed and another
+// incarnation has started. So a heartbeat of an unknown incarnation only makes the daemon
+// query the server. If it were trusted, the keys of the running incarnation would appear to
+// be free and would be granted to another server.
 //
-// It fails with a *ForeignError if the beat names a service that nobody knows.
+// It fails with a *ForeignError if the heartbeat names a service that is not declared.
 func (h *Host) Beat(b mtbackend.Heartbeat) error {
 	if b.Service != h.Service && !h.Named(b.Service) {
 		return &ForeignError{Service: b.Service}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.over[b.Incarnation] || b.Incarnation.Before(h.record.Incarnation) {
-		h.Log.Info("beat of a former life passed over", "server", b.Incarnation.String(), "sequence", b.Sequence)
+	if h.ended[b.Incarnation] || b.Incarnation.Before(h.record.Incarnation) {
+		h.Log.Info("heartbeat of a previous incarnation ignored", "server", b.Incarnation.String(), "sequence", b.Sequence)
 		return nil
 	}
 	if b.Draining {
-		h.acknowledge(b.Incarnation, h.Clock.Now())
+		h.acknowledgeLeaving(b.Incarnation, h.Clock.Now())
 	}
 	if h.record.Incarnation == b.Incarnation {
-		h.take(b)
+		h.applyHeartbeat(b)
 	} else {
-		h.identify(b)
+		h.handleUnconfirmed(b)
 	}
 	return nil
 }
 
-// identify finds out whether the sender of a beat is the life that runs. If the
-// server can't be asked, a second beat of the same life shows it too.
-func (h *Host) identify(b mtbackend.Heartbeat) {
-	former := h.stranger
-	h.stranger, h.strange = b, h.Clock.Now()
-	if former.Incarnation == b.Incarnation && b.Sequence > former.Sequence {
-		h.begin(b)
+// handleUnconfirmed determines whether the sender of a heartbeat is the running
+// incarnation, by querying the server. If that fails, a second heartbeat of the same
+// incarnation proves it too. It is called with mu held.
+func (h *Host) handleUnconfirmed(b mtbackend.Heartbeat) {
+	previous := h.unconfirmed
+	h.unconfirmed, h.unconfirmedAt = b, h.Clock.Now()
+	if previous.Incarnation == b.Incarnation && b.Sequence > previous.Sequence {
+		h.startIncarnation(b)
 		return
 	}
-	h.ask(h.strange)
+	h.identify(h.unconfirmedAt)
 }
 
 const (
-	// askPause is between two questions which life of a server runs, and between
-	// two attempts to clear one. After a loss of power a daemon hears the first
-	// beat before it knows a configuration or the assignment, some tens of
-	// milliseconds. If it then waited for the next beat, every server would stay
-	// out of service for 1.5 s.
-	askPause = 50 * time.Millisecond
-	// askFor is how long after its beat a server is asked: until the next one.
-	askFor = 2 * time.Second
+	// retryPause is the pause between two queries for the running incarnation, and
+	// between two attempts to clear one. After a power failure a daemon receives the first
+	// heartbeat some tens of milliseconds before it knows a configuration and the
+	// assignment. If it then waited for the next heartbeat, every server would stay out of
+	// service for 1.5 s.
+	retryPause = 50 * time.Millisecond
+	// identifyWindow is how long after its heartbeat a server is queried: until the next
+	// heartbeat.
+	identifyWindow = 2 * time.Second
 )
 
-// ask asks the server which life runs, if there is one to ask about. It is called
-// with mu held.
-func (h *Host) ask(now mtclock.Instant) {
-	if h.stranger.Incarnation.IsZero() || h.identifying || now.Before(h.askAgain) || now.Sub(h.strange) > askFor {
+// identify queries the server for the running incarnation if a heartbeat of an unknown one
+// is pending. It is called with mu held.
+func (h *Host) identify(now mtclock.Instant) {
+	if h.unconfirmed.Incarnation.IsZero() || h.identifying || now.Before(h.identifyAfter) || now.Sub(h.unconfirmedAt) > identifyWindow {
 		return
 	}
 	path := h.Health()
@@ -97,74 +101,75 @@
 		return
 	}
 	h.identifying = true
-	h.askAgain = now.Add(askPause)
-	beat := h.stranger
+	h.identifyAfter = now.Add(retryPause)
+	heartbeat := h.unconfirmed
 	go func() {
-		health, err := h.Client.Identify(context.Background(), beat.Address, path)
+		health, err := h.Client.Identify(context.Background(), heartbeat.Address, path)
 		server := health.Server
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		h.identifying = false
 		switch {
 		case err != nil || server == "":
-			h.Log.Info("server could not be asked which life runs", "beat", beat.Incarnation.String(), "error", err)
-		case h.stranger.Incarnation.IsZero():
-			// A second beat has shown it meanwhile.
-		case server == h.stranger.Incarnation.Server:
-			// Of two lives with this name the one that was born later runs, and
-			// no earlier one is asked about.
-			h.begin(h.stranger)
+			h.Log.Info("running incarnation of the server could not be determined", "beat", heartbeat.Incarnation.String(), "error", err)
+		case h.unconfirmed.Incarnation.IsZero():
+			// A second heartbeat has confirmed it in the meantime.
+		case server == h.unconfirmed.Incarnation.Server:
+			// Of two incarnations with this name the later one is running, and earlier ones
+			// are not queried.
+			h.startIncarnation(h.unconfirmed)
 		case h.record.Incarnation.Server == server:
-			// The known life runs, and the beat is an old one.
+			// The known incarnation is running, and the heartbeat is an old one.
 		default:
-			h.Log.Warn("beat of another life than the one that runs", "beat", beat.Incarnation.String(), "server", server)
-			h.stranger = mtbackend.Heartbeat{}
+			h.Log.Warn("heartbeat is not from the running incarnation of the server", "beat", heartbeat.Incarnation.String(), "server", server)
+			h.unconfirmed = mtbackend.Heartbeat{}
 		}
 	}()
 }
 
-// take takes in a beat of the present life.
-func (h *Host) take(b mtbackend.Heartbeat) {
+// applyHeartbeat processes a heartbeat of the current incarnation. It is called with mu
+// held.
+func (h *Host) applyHeartbeat(b mtbackend.Heartbeat) {
 	now := h.Clock.Now()
-	h.beaten = now
+	h.lastHeartbeat = now
 	if b.Sequence < h.sequence {
 		return
 	}
-	h.grantDenied()
-	// A beat may come seconds after its sender has ended. Its sender was alive when its
-	// connection was accepted; if that was after the tether had been opened, the two lead
-	// to the same life.
-	if h.tether != nil && h.tether.opened.Before(b.Connected) {
-		h.confirm(h.tether)
+	h.regrantDenied()
+	// A heartbeat may arrive seconds after its sender has terminated. Its sender was
+	// running when the heartbeat's connection was accepted; if that was after the liveness
+	// connection had been opened, both lead to the same incarnation.
+	if h.liveness != nil && h.liveness.opened.Before(b.Connected) {
+		h.confirmLiveness(h.liveness)
 	}
-	h.warmth.ObserveHeartbeat(h.Clock.Steady(), b)
-	h.fitWarmth()
+	h.warmup.ObserveHeartbeat(h.Clock.Steady(), b)
+	h.updateStartLimit()
 	h.sequence = b.Sequence
 	h.address = b.Address
 	h.record.Slots = b.Slots
-	h.door.Resize(b.Slots, b.Slots)
+	h.admission.Resize(b.Slots, b.Slots)
 	if h.record.State == mtbackend.Unknown {
-		h.clear(b)
+		h.clearGrants(b)
 		return
 	}
 	h.Publish(h.record)
-	h.leave(now, "beat")
+	h.startDraining(now, "beat")
 }
 
-// clear brings a life of the server into service, once it holds no keys but its
-// own.
+// clearGrants brings an incarnation of the server into service, after removing from it the
+// grants that were meant for a previous one. It is called with mu held.
 //
-// A server crashes and starts again at the same address. Until its next beat the
-// daemon takes it for the former life, and renews that life's grants: the new one
-// obeys. Were the new life told at once, others would take the former one's keys
-// over, and two servers would hold them.
-func (h *Host) clear(b mtbackend.Heartbeat) {
+// When a server crashes and restarts at the same address, the daemon takes it for the
+// previous incarnation until its next heartbeat, and renews that incarnation's grants: the
+// new one accepts them. If the new incarnation were published at once, others would take
+// over the keys of the previous one, and two servers would hold them.
+func (h *Host) clearGrants(b mtbackend.Heartbeat) {
 	h.uncleared = b
 	if h.clearing {
 		return
 	}
 	h.clearing = true
-	h.clearAgain = h.Clock.Now().Add(askPause)
+	h.clearAfter = h.Clock.Now().Add(retryPause)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), clearTimeout)
 		defer cancel()
@@ -180,56 +185,57 @@
 		if h.record.Incarnation != b.Incarnation || h.record.State != mtbackend.Unknown {
 			return
 		}
-		if _, leaves := h.leaving[b.Incarnation]; leaves {
-			h.leave(h.Clock.Now(), "before it was in service")
+		if _, leaving := h.leavingSince[b.Incarnation]; leaving {
+			h.startDraining(h.Clock.Now(), "before it was in service")
 			return
 		}
-		h.state(mtbackend.Ready)
+		h.setState(mtbackend.Ready)
 	}()
 }
 
-// settle goes on with what could not be done when a beat arrived.
-func (h *Host) settle(now mtclock.Instant) {
+// retryPending retries what could not be completed when a heartbeat arrived.
+func (h *Host) retryPending(now mtclock.Instant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.ask(now)
-	h.tie(now)
-	unsettled := !h.uncleared.Incarnation.IsZero() && h.uncleared.Incarnation == h.record.Incarnation && h.record.State == mtbackend.Unknown
-	if unsettled && !now.Before(h.clearAgain) {
-		h.clear(h.uncleared)
+	h.identify(now)
+	h.openLiveness(now)
+	needsClearing := !h.uncleared.Incarnation.IsZero() && h.uncleared.Incarnation == h.record.Incarnation && h.record.State == mtbackend.Unknown
+	if needsClearing && !now.Before(h.clearAfter) {
+		h.clearGrants(h.uncleared)
 	}
 }
 
-// clearTimeout bounds the clearing of a new life, which runs nothing yet.
+// clearTimeout limits the clearing of a new incarnation, at which nothing runs yet.
 const clearTimeout = time.Second
 
-// begin starts a new life of the server.
-func (h *Host) begin(b mtbackend.Heartbeat) {
+// startIncarnation makes the sender of a heartbeat the current incarnation of the server.
+// It is called with mu held.
+func (h *Host) startIncarnation(b mtbackend.Heartbeat) {
 	if !h.record.Incarnation.IsZero() {
-		if !h.over[h.record.Incarnation] {
-			h.lost()
+		if !h.ended[h.record.Incarnation] {
+			h.serverLost()
 		}
-		h.over[h.record.Incarnation] = true
-		h.Log.Info("server has another life", "former", h.record.Incarnation.String(), "server", b.Incarnation.String())
-		h.door.Drain()
-		h.door, h.shut = h.newDoor(), false
+		h.ended[h.record.Incarnation] = true
+		h.Log.Info("server has a new incarnation", "former", h.record.Incarnation.String(), "server", b.Incarnation.String())
+		h.admission.Drain()
+		h.admission, h.zoneClosed = h.newAdmission(), false
 	}
-	h.warmth = mtbackend.WarmupTracker{}
-	h.fitZone(h.Clock.Now())
-	h.stranger = mtbackend.Heartbeat{}
+	h.warmup = mtbackend.WarmupTracker{}
+	h.updateZone(h.Clock.Now())
+	h.unconfirmed = mtbackend.Heartbeat{}
 	h.record.Incarnation = b.Incarnation
 	h.record.Service = b.Service
 	h.record.State = mtbackend.Unknown
 	h.sequence = 0
-	h.drains = 0
-	clear(h.denied)
-	h.untieLocked()
-	h.take(b)
-	h.tie(h.Clock.Now())
+	h.drainAt = 0
+	clear(h.deniedKeys)
+	h.closeLivenessLocked()
+	h.applyHeartbeat(b)
+	h.openLiveness(h.Clock.Now())
 }
 
-// state changes the state and tells all daemons.
-func (h *Host) state(s mtbackend.State) {
+// setState changes the state and publishes it to all daemons. It is called with mu held.
+func (h *Host) setState(s mtbackend.State) {
 	h.Log.Info("server state", "server", h.record.Incarnation.String(), "from", h.record.State, "to", s, "slots", h.record.Slots, "sequence", h.sequence)
 	h.record.State = s
 	h.Publish(h.record)
--- a/io/mthost/load.go
+++ b/io/mthost/load.go
@@ -9,117 +9,120 @@
 	"magnoliaturn/core/mtrange"
 )
 
-// averaging is the weight of a new service time in the mean: one over it.
-const averaging = 16
+// averageWindow is the inverse weight of a new service time in the moving average.
+const averageWindow = 16
 
-// count notes the offered work of a keyed call whose key the server holds. Callers'
-// daemons hear of a move some tenths of a second later and ask here until then, every
-// few milliseconds: counted too, an owner that had given a hot run away seemed to have
-// nine times what it could do for eight seconds, was given nothing, and stood idle
-// beside others with queues.
+// recordArrival records the offered work of a keyed call whose key the server holds. After
+// a move the callers' daemons receive the ownership update some tenths of a second later,
+// and send calls here every few milliseconds until then. When those were counted too, an
+// owner that had transferred a hot run of keys appeared to have nine times the work it
+// could handle for eight seconds, received no keys, and was idle beside servers with
+// queues.
 //
-// What is late on its arrival doesn't
-// count: mostly it is a caller's second or third try, and with these an owner that
-// had a little too much seemed to have twice what it could do, and gave it away.
-func (h *Host) count(now mtclock.Instant, call *mtcall.Call) {
+// Calls that are late on arrival are not counted: mostly they are a caller's second or
+// third try. When they were counted, an owner with slightly too much work appeared to have
+// twice what it could handle, and transferred that away.
+func (h *Host) recordArrival(now mtclock.Instant, call *mtcall.Call) {
 	h.meterMu.Lock()
 	defer h.meterMu.Unlock()
-	takes := h.expected(call.Route)
-	if call.Keyed && !call.Repeat && !call.Late(now, takes) {
-		h.meter.RecordArrival(now, call.Key, takes)
+	expected := h.expectedTime(call.Route)
+	if call.Keyed && !call.Repeat && !call.Late(now, expected) {
+		h.meter.RecordArrival(now, call.Key, expected)
 	}
 }
 
-// expected returns how long calls of a route take here. Nested calls take a tenth
-// of what others do: counted alike, the keys that they are for seemed the busy
-// ones. It is called with meterMu held.
-func (h *Host) expected(route mtid.Class) time.Duration {
-	if took, ok := h.times[route]; ok {
+// expectedTime returns the expected service time of calls of a route here. Nested calls
+// take a tenth of the time of others: when all were counted alike, the keys of nested calls
+// appeared to be the busiest. It is called with meterMu held.
+func (h *Host) expectedTime(route mtid.Class) time.Duration {
+	if took, ok := h.serviceTimes[route]; ok {
 		return took
 	}
-	return time.Duration(float64(h.usual[route]) * h.pace)
+	return time.Duration(float64(h.configuredTimes[route]) * h.relativeTime)
 }
 
-// served notes how long a call took at the server.
-func (h *Host) served(route mtid.Class, took time.Duration) {
+// recordServiceTime adds the service time of a call to the averages.
+func (h *Host) recordServiceTime(route mtid.Class, took time.Duration) {
 	h.meterMu.Lock()
 	defer h.meterMu.Unlock()
-	h.times[route] = average(h.times[route], took)
-	if usual := h.usual[route]; usual > 0 {
-		h.pace += (float64(took)/float64(usual) - h.pace) / averaging
+	h.serviceTimes[route] = average(h.serviceTimes[route], took)
+	if usual := h.configuredTimes[route]; usual > 0 {
+		h.relativeTime += (float64(took)/float64(usual) - h.relativeTime) / averageWindow
 	}
 }
 
-// noteSlowness takes in what an answer tells of the server's machine.
-func (h *Host) noteSlowness(now mtclock.Instant, multiple float64) {
+// recordSlowness records the slowness of the server's machine that an answer reports, as a
+// multiple of what is usual; zero if it reports none.
+func (h *Host) recordSlowness(now mtclock.Instant, multiple float64) {
 	if multiple == 0 {
 		return
 	}
 	h.meterMu.Lock()
 	h.slowness.Observe(now, multiple)
 	h.meterMu.Unlock()
-	h.slowGate(now)
+	h.updateSlowness(now)
 }
 
-// slowGate lets the gate judge by how slow the server is now.
-func (h *Host) slowGate(now mtclock.Instant) {
+// updateSlowness makes the gate estimate with the server's current slowness.
+func (h *Host) updateSlowness(now mtclock.Instant) {
 	h.meterMu.Lock()
-	slow := h.slowness.Factor(now)
+	factor := h.slowness.Factor(now)
 	h.meterMu.Unlock()
-	h.gate().Slow(slow)
+	h.currentAdmission().Slow(factor)
 }
 
-// service returns how long a call takes here that is usual to take a tenth of a
-// second. Were it the mean of all calls, a server would pass for fast that has
-// many short ones. It is called with meterMu held.
-func (h *Host) service(now mtclock.Instant) time.Duration {
+// referenceTime returns the time that a call takes here which usually takes a tenth of a
+// second. With the mean of all calls instead, a server with many short ones would appear to
+// be fast. It is called with meterMu held.
+func (h *Host) referenceTime(now mtclock.Instant) time.Duration {
 	const tenth = 100 * time.Millisecond
-	return time.Duration(h.pace * h.slowness.Factor(now) * float64(tenth))
+	return time.Duration(h.relativeTime * h.slowness.Factor(now) * float64(tenth))
 }
 
-// average returns the moving average with one more value in it.
+// average returns the moving average after adding a value.
 func average(mean, value time.Duration) time.Duration {
 	if mean == 0 {
 		return value
 	}
-	return mean + (value-mean)/averaging
+	return mean + (value-mean)/averageWindow
 }
 
-// Gain says that keys have come to the server just now.
+// Gain records that the server has just acquired keys.
 func (h *Host) Gain(low, high mtid.Number) {
 	h.meterMu.Lock()
 	defer h.meterMu.Unlock()
 	h.meter.AddKeys(h.Clock.Now(), low, high)
 }
 
-// Cut finds runs of keys in the ranges whose work comes closest to the gifts.
-func (h *Host) Cut(ranges []mtrange.Range, gifts []mtrange.Offload) []mtrange.KeyMove {
-	if len(gifts) == 0 {
+// Cut selects, for each offload, the run of keys in the ranges whose work comes closest to
+// it.
+func (h *Host) Cut(ranges []mtrange.Range, offloads []mtrange.Offload) []mtrange.KeyMove {
+	if len(offloads) == 0 {
 		return nil
 	}
 	h.meterMu.Lock()
 	defer h.meterMu.Unlock()
-	return mtrange.SelectMoves(h.Clock.Now(), ranges, h.meter, gifts)
+	return mtrange.SelectMoves(h.Clock.Now(), ranges, h.meter, offloads)
 }
 
-// Spill divides all work of the ranges among other servers.
-func (h *Host) Spill(ranges []mtrange.Range, turn mtrange.SpillPosition, others []mtrange.LoadReport) []mtrange.KeyMove {
+// Spill distributes all work of the ranges among other servers.
+func (h *Host) Spill(ranges []mtrange.Range, position mtrange.SpillPosition, others []mtrange.LoadReport) []mtrange.KeyMove {
 	h.meterMu.Lock()
 	defer h.meterMu.Unlock()
-	return mtrange.Spill(h.Clock.Now(), ranges, h.meter, turn, others)
+	return mtrange.Spill(h.Clock.Now(), ranges, h.meter, position, others)
 }
 
-// Forget drops the measured work of keys that have gone to another owner.
+// Forget drops the measurements of keys that have moved to another owner.
 func (h *Host) Forget(low, high mtid.Number) {
 	h.meterMu.Lock()
 	defer h.meterMu.Unlock()
 	h.meter.Forget(h.Clock.Now(), low, high)
 }
 
-// Load returns how loaded the server is.
+// Load returns the current load of the server.
 func (h *Host) Load() mtcall.Load {
 	record, _ := h.Record()
-	running, waiting := h.gate().Busy()
+	running, waiting := h.currentAdmission().Busy()
 	h.meterMu.Lock()
 	defer h.meterMu.Unlock()
 	now := h.Clock.Now()
@@ -127,7 +130,7 @@
 		Running: running,
 		Waiting: waiting,
 		Slots:   record.Slots,
-		Service: h.service(now),
+		Service: h.referenceTime(now),
 		Demand:  h.meter.Demand(now),
 	}
 }
--- a/io/mthost/mthost.go
+++ b/io/mthost/mthost.go
@@ -1,17 +1,17 @@
-// Package mthost stands for the backend server on this VM: it hears its beats,
-// knows which life of it runs, admits calls to it and runs them there.
+// Package mthost represents the backend server on this VM: it receives the server's
+// heartbeats, tracks its incarnation, admits calls to it and runs them there.
 //
-// Nobody but this daemon reaches the server, so all that must hold of it is
-// decided here: a server that is leaving gets no new work, a key is served only
-// while it is owned, and no more calls are in flight than the server has slots.
+// No other daemon reaches the server, so this one enforces everything that must hold at it:
+// a server that is leaving gets no new work, a key is served only while the server owns it,
+// and no more calls are in flight than the server has slots.
 //
 // # Usage
 //
 //	host, cleanUp := mthost.New(config)
-//	host.Beat(beat)                   // from the server
+//	host.Beat(heartbeat)               // from the server
 //	answer, err := host.Run(ctx, call) // from callers
 //
-// Run fails with a *mtreply.RefusedError if the call was not run, else with a
+// Run fails with a *mtreply.RefusedError if the call was not run, otherwise with a
 // *mtreply.UnknownError. A Host is safe for concurrent use.
 package mthost
 
@@ -40,86 +40,86 @@
 	iogate "magnoliaturn/io/mtgate"
 )
 
-// clock has an elapsed time that is never too short, and a steady one that never runs
-// ahead.
+// clock provides two times: Now may jump ahead but never falls behind the elapsed time, and
+// Steady never jumps ahead.
 type clock interface {
 	Now() mtclock.Instant
 	Steady() mtclock.Instant
 }
 
-// runner sends one call to the server.
-type runner interface {
+// backendClient sends calls to the server.
+type backendClient interface {
 	Do(ctx context.Context, target iobackend.Target, call *mtcall.Call) (*mtcall.Answer, error)
-	// Identify asks which life of the server answers at an address, and how it is.
+	// Identify queries which incarnation of the server answers at an address, and its
+	// warm-up state.
 	Identify(ctx context.Context, address, path string) (iobackend.Health, error)
 }
 
 const (
-	// deadChecks refused connections, deadPause apart, show that the server's
-	// process is gone. A single one may be a full queue of new connections.
-	deadChecks = 3
-	deadPause  = 100 * time.Millisecond
-	// waiting is how many calls may wait at the gate, and in one queue of it. A
-	// queue that holds more work than fits into any deadline helps nobody; the
-	// gate refuses by estimate long before.
-	waiting = 1024
-	// silence is how long nothing is heard of a server before its process is
-	// looked after. A server beats about once a second, and a beat may come
-	// seconds late.
-	silence = 2500 * time.Millisecond
-	// drainPart is the part of the time that a leaving server still takes new
-	// calls, in which this daemon sends it some: its keys move to other servers
-	// meanwhile.
-	drainPart = 0.6
-	// lookEvery is how often the host looks at its server. A server comes into service, and
-	// one that leaves takes its last new work, so much later at most.
-	lookEvery = 50 * time.Millisecond
-	// elsewhereRetry is when to ask again for a key whose server has left, before its
-	// keys have moved: a move takes 0.1 to 0.3 s while the store answers, and a record
-	// is back 0.6 s after an outage.
-	elsewhereRetry = 500 * time.Millisecond
+	// connectAttempts refused connections, connectPause apart, show that the server's
+	// process has terminated. A single one may be due to a full queue of new connections.
+	connectAttempts = 3
+	connectPause    = 100 * time.Millisecond
+	// maxWaiting is the number of calls that may wait at the gate, in total and in one of
+	// its queues. A queue with more work than fits into any deadline is useless; the gate
+	// refuses calls by its estimate long before that.
+	maxWaiting = 1024
+	// heartbeatTimeout is the time without a heartbeat after which the server's process is
+	// checked. A server sends a heartbeat about once a second, and one may arrive seconds
+	// late.
+	heartbeatTimeout = 2500 * time.Millisecond
+	// drainFraction is the part of Config.Drain in which this daemon sends new calls to a
+	// leaving server. The keys move to other servers during that time.
+	drainFraction = 0.6
+	// tickInterval is how often the host checks the state of its server. It bounds the
+	// delay until a server comes into service, and until a leaving one gets no new work.
+	tickInterval = 50 * time.Millisecond
+	// keyMoveRetry is the time after which to retry a call for a key whose server has left,
+	// but whose keys have not moved yet: a move takes 0.1 to 0.3 s while the store is
+	// available, and a record is back 0.6 s after an outage.
+	keyMoveRetry = 500 * time.Millisecond
 )
 
-// Config is what a Host works with.
+// Config holds the settings and dependencies of a Host.
 type Config struct {
 	Daemon  mtid.Daemon
 	Zone    mtid.Zone
 	Link    mtbackend.Bandwidth
-	Service mtid.Service // of the server on this VM
-	Address string       // of the server, as the settings name it
-	Peer    string       // of this daemon, for other daemons
-	// Drain is how long new work may reach a server after its leaving was
-	// acknowledged.
+	Service mtid.Service // service of the server on this VM
+	Address string       // configured address of the server
+	Peer    string       // address of this daemon for other daemons
+	// Drain is how long after the acknowledgement that a server is leaving new work may
+	// reach it.
 	Drain  time.Duration
 	Clock  clock
-	Client runner
+	Client backendClient
 	Log    *slog.Logger
-	// Health returns the path of the server's health check, or an empty one if it
-	// is not known yet.
+	// Health returns the path of the server's health check, or an empty string while it is
+	// unknown.
 	Health func() string
-	// Publish is told the record whenever it changes.
+	// Publish is called with the record whenever it changes.
 	Publish func(mtbackend.Record)
 	// Named reports whether the configuration in force declares a service.
 	Named func(service mtid.Service) bool
 	// Keyed reports whether the service is divided by key.
 	Keyed func() bool
-	// Holds reports whether the server has been granted the key; it fails with
-	// a *mtreply.RefusedError. It is called for keyed calls.
-	Holds func(life mtid.Life, key mtid.Number) error
-	// Fenced is told that the server denied holding a key that it was granted.
+	// Holds checks that the server has been granted the key. It fails with a
+	// *mtreply.RefusedError if not. It is called for keyed calls.
+	Holds func(incarnation mtid.Life, key mtid.Number) error
+	// Fenced is called when the server denied holding a key that it was granted.
 	Fenced func(key mtid.Number)
-	// Clear takes from a new life of the server what orders meant for a former
-	// one may have given it. It may take a moment.
-	Clear func(ctx context.Context, life mtid.Life, address string) error
-	// Lasts returns until when an order may be in force at the server. It may be
-	// nil, if orders end by themselves at no known time.
+	// Clear removes from a new incarnation of the server the grants that commands meant for
+	// a previous one may have given it. It may take a moment.
+	Clear func(ctx context.Context, incarnation mtid.Life, address string) error
+	// Lasts returns the time until which a command may be in force at the server. It may be
+	// nil if commands do not expire at a known time.
 	Lasts func() mtclock.Instant
-	// Changed is called when the server has another life or state. It must not
-	// block.
+	// Changed is called when the incarnation or the state of the server has changed. It
+	// must not block.
 	Changed func()
 }
 
-// Host is the backend server on this VM.
+// Host represents the backend server on this VM.
 type Host struct {
 	Config
 
@@ -127,106 +127,107 @@
 	record   mtbackend.Record
 	sequence uint64
 	address  string
-	over     map[mtid.Life]bool // lives that have ended
-	// leaving is since when lives are known to leave.
-	leaving  map[mtid.Life]mtclock.Instant
-	door     *iogate.Door[*mtgate.Urgent]
-	routes   []mtroute.Route
-	drains   mtclock.Instant // Draining: no new work from then on; zero if not draining
-	checking bool
-	clearing bool
-	stranger mtbackend.Heartbeat // the last beat of a life that is not known here
-	strange  mtclock.Instant     // when it came
-	askAgain mtclock.Instant     // not asked before which life runs
-	// uncleared is the last beat of a life that still has to be cleared.
+	ended    map[mtid.Life]bool // terminated or replaced
+	// leavingSince holds, by incarnation, when its leaving was acknowledged.
+	leavingSince  map[mtid.Life]mtclock.Instant
+	admission     *iogate.Door[*mtgate.Urgent]
+	routes        []mtroute.Route
+	drainAt       mtclock.Instant // while draining, the end of new work; zero otherwise
+	checking      bool
+	clearing      bool
+	unconfirmed   mtbackend.Heartbeat // latest heartbeat of an unknown incarnation
+	unconfirmedAt mtclock.Instant     // when it arrived
+	identifyAfter mtclock.Instant     // no earlier query for the running incarnation
+	// uncleared is the latest heartbeat of an incarnation that still has to be cleared.
 	uncleared  mtbackend.Heartbeat
-	clearAgain mtclock.Instant
-	// identifying says that the server is being asked which life runs.
-	identifying bool
-	beaten      mtclock.Instant      // last beat
-	checked     mtclock.Instant      // last look after a silent server
-	tether      *tether              // nil if there is none
-	tying       bool                 // one is being opened
-	tieAgain    mtclock.Instant      // none is opened before
-	recognised  mtid.Life            // that was known to be at the end of a tether
-	denied      map[mtid.Number]bool // keys that the server said not to hold, since its last beat
-	zone        mtzone.Door
-	shut        bool // the gate is closed for the zone
-	warmth      mtbackend.WarmupTracker
-	most        mtgate.Pace     // while the server is cold; zero is no limit
-	cold        bool            // the gate is limited to it
-	awake       mtclock.Instant // this process ran then
-
-	runMu   sync.Mutex
-	running map[mtcall.ID]int // calls at the server, by identifier
+	clearAfter mtclock.Instant
+	// identifying is set while a query for the running incarnation is in progress.
+	identifying       bool
+	lastHeartbeat     mtclock.Instant      // time of the latest heartbeat
+	lastCheck         mtclock.Instant      // time of the latest process check for lack of heartbeats
+	liveness          *livenessConn        // nil if there is none
+	openingLiveness   bool                 // a liveness connection is being opened
+	openLivenessAfter mtclock.Instant      // no earlier attempt to open one
+	lastConfirmed     mtid.Life            // latest incarnation confirmed on a liveness connection
+	deniedKeys        map[mtid.Number]bool // keys that the server denied holding since its latest heartbeat
+	zone              mtzone.Door
+	zoneClosed        bool // the gate is closed because of the zone
+	warmup            mtbackend.WarmupTracker
+	startLimit        mtgate.Pace     // for a cold server; zero means no limit
+	startLimited      bool            // startLimit is in force at the gate
+	lastRun           mtclock.Instant // when this process was last seen running
+
+	inFlightMu sync.Mutex
+	inFlight   map[mtcall.ID]int // calls in flight at the server
 
 	crashMu   sync.Mutex
 	recurring *mtpoison.RecurrenceDetector
 
-	meterMu  sync.Mutex
-	meter    *mtrange.Meter
-	slowness mtbackend.Slowness
-	pace     float64 // mean time of calls, as a multiple of what is usual for them
-	times    map[mtid.Class]time.Duration
-	usual    map[mtid.Class]time.Duration // by the configuration
+	meterMu         sync.Mutex
+	meter           *mtrange.Meter
+	slowness        mtbackend.Slowness
+	relativeTime    float64 // average service time, as a multiple of the configured one
+	serviceTimes    map[mtid.Class]time.Duration
+	configuredTimes map[mtid.Class]time.Duration // by the configuration
 }
 
-// New returns a Host whose server has not been heard of, and its clean-up
+// New returns a Host that has received no heartbeat of its server yet, and its clean-up
 // function.
 func New(config Config) (*Host, func()) {
 	h := &Host{
-		Config:  config,
-		address: config.Address,
-		over:    make(map[mtid.Life]bool),
-		leaving: make(map[mtid.Life]mtclock.Instant),
-		denied:  make(map[mtid.Number]bool),
-		running: make(map[mtcall.ID]int),
-		pace:    1,
-		times:   make(map[mtid.Class]time.Duration),
-		usual:   make(map[mtid.Class]time.Duration),
-		meter:   mtrange.NewMeter(config.Clock.Now()),
+		Config:          config,
+		address:         config.Address,
+		ended:           make(map[mtid.Life]bool),
+		leavingSince:    make(map[mtid.Life]mtclock.Instant),
+		deniedKeys:      make(map[mtid.Number]bool),
+		inFlight:        make(map[mtcall.ID]int),
+		relativeTime:    1,
+		serviceTimes:    make(map[mtid.Class]time.Duration),
+		configuredTimes: make(map[mtid.Class]time.Duration),
+		meter:           mtrange.NewMeter(config.Clock.Now()),
 
 		recurring: mtpoison.NewRecurrenceDetector(),
 	}
 	h.record = mtbackend.Record{
 		Daemon: config.Daemon, Address: config.Peer, Zone: config.Zone, Link: config.Link, Service: config.Service, State: mtbackend.Unknown,
 	}
-	h.beaten = config.Clock.Now()
-	h.door = h.newDoor()
-	// The process before this one may have sent requests until just now.
-	h.door.Unseen()
-	h.warmth.MarkPossiblyCold(h.beaten)
-	h.awake = h.beaten
+	h.lastHeartbeat = config.Clock.Now()
+	h.admission = h.newAdmission()
+	// The previous process of this daemon may have sent requests until just now.
+	h.admission.Unseen()
+	h.warmup.MarkPossiblyCold(h.lastHeartbeat)
+	h.lastRun = h.lastHeartbeat
 	config.Publish(h.record)
-	stop := mtduty.Every(lookEvery, func(context.Context) { h.tick(h.Clock.Now()) })
+	stop := mtduty.Every(tickInterval, func(context.Context) { h.tick(h.Clock.Now()) })
 	return h, func() {
 		stop()
-		h.untie()
+		h.closeLiveness()
 	}
 }
 
-// quiet is told that nothing is in flight in a stopped range. Nobody waits for it
-// here: the server itself answers a release only then.
-func quiet(mtid.Point, mtid.Point) {}
+// ignoreIdleRange ignores that no call is in flight in a stopped range any more. Nothing
+// here waits for that: the server itself answers a release command only then.
+func ignoreIdleRange(mtid.Point, mtid.Point) {}
 
-func (h *Host) newDoor() *iogate.Door[*mtgate.Urgent] {
-	limits := mtgate.Limits{Waiting: waiting, Patience: 1}
-	door := iogate.New(h.Clock, mtgate.NewUrgent(), limits, quiet)
+func (h *Host) newAdmission() *iogate.Door[*mtgate.Urgent] {
+	limits := mtgate.Limits{Waiting: maxWaiting, Patience: 1}
+	admission := iogate.New(h.Clock, mtgate.NewUrgent(), limits, ignoreIdleRange)
 	for _, r := range h.routes {
-		declare(door, r)
+		declareRoute(admission, r)
 	}
-	return door
+	return admission
 }
 
-// declare makes a route known to a gate, as a class of calls.
-func declare(door *iogate.Door[*mtgate.Urgent], r mtroute.Route) {
-	// Routes rank the most urgent lowest, classes highest.
-	class := mtbundle.Class{Name: r.Name, Idempotent: r.Idempotent, Timeout: r.Timeout, Priority: -r.Priority, Queue: waiting}
-	door.Declare("", class)
-	door.Expect("", r.Name, r.Usual())
+// declareRoute declares a route to the gate, as a class of calls.
+func declareRoute(admission *iogate.Door[*mtgate.Urgent], r mtroute.Route) {
+	// The most urgent route has the lowest priority value, the most urgent class the
+	// highest.
+	class := mtbundle.Class{Name: r.Name, Idempotent: r.Idempotent, Timeout: r.Timeout, Priority: -r.Priority, Queue: maxWaiting}
+	admission.Declare("", class)
+	admission.Expect("", r.Name, r.Usual())
 }
 
-// Declare sets the classes of calls that the gate tells apart: the routes of the
+// Declare sets the classes of calls that the gate distinguishes: the routes of the
 // configuration in force.
 func (h *Host) Declare(routes []mtroute.Route) {
 	h.mu.Lock()
@@ -235,34 +236,34 @@
 	h.meterMu.Lock()
 	defer h.meterMu.Unlock()
 	for _, r := range routes {
-		h.usual[r.Name] = r.Usual()
-		declare(h.door, r)
+		h.configuredTimes[r.Name] = r.Usual()
+		declareRoute(h.admission, r)
 	}
 }
 
-// tick ends the time in which a leaving server takes new work, and goes on with what
-// waits for the server.
+// tick runs every tickInterval. It stops new work to a leaving server in time, applies
+// changed limits to the gate, and retries pending work.
 func (h *Host) tick(now mtclock.Instant) {
 	h.mu.Lock()
-	door := h.door
-	drain := h.drains != 0 && !now.Before(h.drains)
+	admission := h.admission
+	drain := h.drainAt != 0 && !now.Before(h.drainAt)
 	if drain {
-		h.drains = 0
+		h.drainAt = 0
 	}
-	h.ran(now)
-	h.fit(now)
+	h.detectPause(now)
+	h.updateLimits(now)
 	h.mu.Unlock()
 	if drain {
-		door.Drain()
+		admission.Drain()
 	}
-	h.slowGate(now)
-	h.listen(now)
-	h.settle(now)
+	h.updateSlowness(now)
+	h.checkHeartbeat(now)
+	h.retryPending(now)
 }
 
-// Retire tells the others that this daemon shuts down while its server lives on.
-// They may not hear of it while the store is away, so calls that can go
-// elsewhere are refused from now on.
+// Retire publishes that this daemon shuts down while its server continues to run. Other
+// daemons may not be notified while the store is unavailable, so calls that can go to
+// another server are refused from now on.
 func (h *Host) Retire() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -270,50 +271,54 @@
 	h.Publish(h.record)
 }
 
-// Close refuses all new calls; what is in flight finishes.
-func (h *Host) Close() { h.gate().Drain() }
+// Close refuses all new calls. Calls in flight finish.
+func (h *Host) Close() { h.currentAdmission().Drain() }
 
-// Record returns the present record and the server's address.
+// Record returns the current record and the server's address.
 func (h *Host) Record() (mtbackend.Record, string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.record, h.address
 }
 
-// Stop lets new calls for keys wait, while the keys move to another owner.
-func (h *Host) Stop(low, high mtid.Number) { h.gate().Stop(low.Point(), high.LastPoint()) }
+// Stop makes new calls for keys wait while the keys move to another owner.
+func (h *Host) Stop(low, high mtid.Number) { h.currentAdmission().Stop(low.Point(), high.LastPoint()) }
 
-// Resume takes keys back into service here.
-func (h *Host) Resume(low, high mtid.Number) { h.gate().Resume(low.Point(), high.LastPoint()) }
+// Resume admits calls for keys again after a stopped move.
+func (h *Host) Resume(low, high mtid.Number) {
+	h.currentAdmission().Resume(low.Point(), high.LastPoint())
+}
 
-// Release sends the calls that wait for keys to their new owner.
-func (h *Host) Release(low, high mtid.Number) { h.gate().Release(low.Point(), high.LastPoint()) }
+// Release refuses the calls that wait for keys, so that they go to the new owner.
+func (h *Host) Release(low, high mtid.Number) {
+	h.currentAdmission().Release(low.Point(), high.LastPoint())
+}
 
-func (h *Host) gate() *iogate.Door[*mtgate.Urgent] {
+func (h *Host) currentAdmission() *iogate.Door[*mtgate.Urgent] {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.door
+	return h.admission
 }
 
 // Run runs a call on the server.
 func (h *Host) Run(ctx context.Context, call *mtcall.Call) (*mtcall.Answer, error) {
 	answer, err := h.run(ctx, call)
 	if err != nil {
-		h.note(call, err)
+		h.logUnanswered(call, err)
 	}
 	return answer, err
 }
 
-// note writes the line of a call that was not answered, with what decided it. Its
-// message holds the cause, so that a frequent one does not use up the room of
-// the others.
-func (h *Host) note(call *mtcall.Call, err error) {
+// logUnanswered logs why a call was not answered. The message contains the cause, because
+// the log limits the number of lines per message: a frequent cause must not suppress the
+// others.
+func (h *Host) logUnanswered(call *mtcall.Call, err error) {
 	reply := mtrequest.FromError(err)
 	h.Log.Info("call "+string(reply.Outcome)+": "+string(reply.Cause), slog.Any("", unanswered{host: h, call: call, err: err}))
 }
 
-// unanswered is what decided about a call that was not answered. It is gathered only if
-// its line is written: under load most are left out.
+// unanswered is the log value of a call that was not answered. Its attributes are collected
+// only if the line is written: under load most lines are left out.
 type unanswered struct {
 	host *Host
 	call *mtcall.Call
@@ -339,117 +344,116 @@
 
 func (h *Host) run(ctx context.Context, call *mtcall.Call) (*mtcall.Answer, error) {
 	arrived := h.Clock.Now()
-	record, door, err := h.ready(call)
+	record, admission, err := h.checkAccepts(call)
 	if err != nil {
 		return nil, err
 	}
-	mark := call.Print()
-	if err := h.contain(arrived, mark, call.Proven); err != nil {
+	fingerprint := call.Print()
+	if err := h.refusePoison(arrived, fingerprint, call.Proven); err != nil {
 		return nil, err
 	}
-	h.count(arrived, call)
+	h.recordArrival(arrived, call)
 	ticket := mtgate.Ticket{
 		Class: call.Route, Deadline: call.Deadline, Objective: call.Objective, Nested: call.Nested,
 	}
 	if call.Keyed {
 		ticket.Point = call.Key.Point()
 	}
-	end, err := door.Admit(ctx, ticket)
+	end, err := admission.Admit(ctx, ticket)
 	if err != nil {
-		return nil, left(call, err)
+		return nil, withKeyMoveRetry(call, err)
 	}
 	defer end()
-	// What held on arrival may have changed while the call waited.
+	// The key may have moved while the call waited.
 	if call.Keyed {
 		if err := h.Holds(record.Incarnation, call.Key); err != nil {
 			return nil, err
 		}
 	}
 	started := h.Clock.Now()
-	if err := h.contain(started, mark, call.Proven); err != nil {
+	if err := h.refusePoison(started, fingerprint, call.Proven); err != nil {
 		return nil, err
 	}
 	defer h.track(call.ID)()
 	_, address := h.Record()
-	h.began(mark)
+	h.requestStarted(fingerprint)
 	answer, err := h.Client.Do(ctx, iobackend.Target{Address: address, Server: record.Incarnation.Server}, call)
-	h.ended(mark, err)
+	h.requestEnded(fingerprint, err)
 	if err != nil {
-		h.failed(record.Incarnation, call, err)
+		h.handleFailure(record.Incarnation, call, err)
 		return nil, err
 	}
 	answer.Queued = started.Sub(arrived)
 	ended := h.Clock.Now()
 	answer.Served = ended.Sub(started)
-	h.noteSlowness(ended, answer.Slowness)
-	h.served(call.Route, answer.Served)
+	h.recordSlowness(ended, answer.Slowness)
+	h.recordServiceTime(call.Route, answer.Served)
 	return answer, nil
 }
 
-// left returns the refusal of a call, with the time after which its key can be elsewhere
-// if the server is leaving or its zone is out of service. Without one the caller asks again
-// at once, and nothing can have changed.
-func left(call *mtcall.Call, err error) error {
+// withKeyMoveRetry returns the refusal of a call. For a key whose server is leaving, or is
+// in a zone out of service, it sets the time after which the key can have another owner.
+// Without it the caller would retry at once, when nothing can have changed.
+func withKeyMoveRetry(call *mtcall.Call, err error) error {
 	var refused *mtreply.RefusedError
 	if !call.Keyed || !errors.As(err, &refused) || refused.Cause != mtreply.CauseDraining && refused.Cause != mtreply.CauseZoneOut {
 		return err
 	}
-	return &mtreply.RefusedError{Cause: refused.Cause, RetryAfter: elsewhereRetry, Detail: refused.Detail}
+	return &mtreply.RefusedError{Cause: refused.Cause, RetryAfter: keyMoveRetry, Detail: refused.Detail}
 }
 
-// track notes that a call runs at the server, until the returned function is
-// called.
+// track records a call as in flight at the server until the returned function is called.
 func (h *Host) track(id mtcall.ID) func() {
-	h.runMu.Lock()
-	defer h.runMu.Unlock()
-	h.running[id]++
+	h.inFlightMu.Lock()
+	defer h.inFlightMu.Unlock()
+	h.inFlight[id]++
 	return func() {
-		h.runMu.Lock()
-		defer h.runMu.Unlock()
-		h.running[id]--
-		if h.running[id] == 0 {
-			delete(h.running, id)
+		h.inFlightMu.Lock()
+		defer h.inFlightMu.Unlock()
+		h.inFlight[id]--
+		if h.inFlight[id] == 0 {
+			delete(h.inFlight, id)
 		}
 	}
 }
 
-// Parent reports whether an identifier is derived from that of a call which runs
-// at this VM's server: the same with a part of its own behind a dot. The server
-// makes that request then, as a part of the call.
+// Parent reports whether an identifier is derived from that of a call in flight at this
+// VM's server, by appending a dot and a suffix. If so, the server sends that request as
+// part of the call.
 func (h *Host) Parent(id mtcall.ID) bool {
 	dot := strings.LastIndexByte(string(id), '.')
 	if dot < 0 {
 		return false
 	}
-	h.runMu.Lock()
-	defer h.runMu.Unlock()
-	return h.running[id[:dot]] > 0
+	h.inFlightMu.Lock()
+	defer h.inFlightMu.Unlock()
+	return h.inFlight[id[:dot]] > 0
 }
 
-// ready returns the server if it takes the call.
-func (h *Host) ready(call *mtcall.Call) (mtbackend.Record, *iogate.Door[*mtgate.Urgent], error) {
+// checkAccepts returns the server's record and gate if the server accepts the call.
+func (h *Host) checkAccepts(call *mtcall.Call) (mtbackend.Record, *iogate.Door[*mtgate.Urgent], error) {
 	h.mu.Lock()
 	now := h.Clock.Now()
-	h.ran(now)
-	record, door := h.record, h.door
-	open := h.zone.Open(now, call.Keyed)
+	h.detectPause(now)
+	record, admission := h.record, h.admission
+	zoneOpen := h.zone.Open(now, call.Keyed)
 	h.mu.Unlock()
 	switch {
 	case record.Service != call.Service:
-		return record, nil, &mtreply.RefusedError{Cause: mtreply.CauseStaleRoute, Detail: "another service runs here"}
+		return record, nil, &mtreply.RefusedError{Cause: mtreply.CauseStaleRoute, Detail: "the server here belongs to another service"}
 	case record.State == mtbackend.Unknown || record.State == mtbackend.Ended:
 		return record, nil, &mtreply.RefusedError{Cause: mtreply.CauseNoServer, RetryAfter: time.Second}
 	case record.Leaving && !call.Keyed:
 		return record, nil, &mtreply.RefusedError{Cause: mtreply.CauseStopping}
 	case record.State == mtbackend.Draining && !call.Keyed:
 		return record, nil, &mtreply.RefusedError{Cause: mtreply.CauseDraining}
-	case !open:
-		return record, nil, &mtreply.RefusedError{Cause: mtreply.CauseZoneOut, RetryAfter: elsewhereRetry}
+	case !zoneOpen:
+		return record, nil, &mtreply.RefusedError{Cause: mtreply.CauseZoneOut, RetryAfter: keyMoveRetry}
 	}
 	if call.Keyed {
 		if err := h.Holds(record.Incarnation, call.Key); err != nil {
 			return record, nil, err
 		}
 	}
-	return record, door, nil
+	return record, admission, nil
 }
--- a/io/mthost/mthost_test.go
+++ b/io/mthost/mthost_test.go
@@ -23,13 +23,13 @@
 	"magnoliaturn/io/mttime"
 )
 
-// server is a backend server as its client reaches it.
+// server is a fake backend server, as the client of the host reaches it.
 type server struct {
-	mu     sync.Mutex
-	runs   mtid.Server // the life that answers
-	cold   time.Duration
-	calls  int
-	answer func(ctx context.Context) (*mtcall.Answer, error)
+	mu          sync.Mutex
+	incarnation mtid.Server // the incarnation that answers
+	cold        time.Duration
+	calls       int
+	answer      func(ctx context.Context) (*mtcall.Answer, error)
 }
 
 func (s *server) Do(ctx context.Context, _ iobackend.Target, _ *mtcall.Call) (*mtcall.Answer, error) {
@@ -43,38 +43,38 @@
 func (s *server) Identify(context.Context, string, string) (iobackend.Health, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.runs == "" {
+	if s.incarnation == "" {
 		return iobackend.Health{}, &mtreply.UnknownError{Cause: mtreply.CauseLost, Err: errors.New("no answer")}
 	}
-	return iobackend.Health{Server: s.runs, Cold: s.cold}, nil
+	return iobackend.Health{Server: s.incarnation, Cold: s.cold}, nil
 }
 
-// clock goes on by itself, and by what a test lets pass.
+// clock runs in real time, plus an offset that a test adds.
 type clock struct {
 	*mttime.Clock
-	passed atomic.Int64
+	offset atomic.Int64
 }
 
-func (c *clock) Now() mtclock.Instant    { return c.Clock.Now() + mtclock.Instant(c.passed.Load()) }
-func (c *clock) Steady() mtclock.Instant { return c.Clock.Steady() + mtclock.Instant(c.passed.Load()) }
+func (c *clock) Now() mtclock.Instant    { return c.Clock.Now() + mtclock.Instant(c.offset.Load()) }
+func (c *clock) Steady() mtclock.Instant { return c.Clock.Steady() + mtclock.Instant(c.offset.Load()) }
 
-// stand is a host with what it has told.
-type stand struct {
-	t      *testing.T
-	host   *mthost.Host
-	server *server
-	clock  *clock
-	mu     sync.Mutex
-	told   mtbackend.Record
-	holds  error
-	clear  func() error
-	keyed  atomic.Bool
-	path   string // of the health check; empty while no configuration is known
+// fixture is a host with a fake server and the record that it published last.
+type fixture struct {
+	t         *testing.T
+	host      *mthost.Host
+	server    *server
+	clock     *clock
+	mu        sync.Mutex
+	published mtbackend.Record
+	holds     error
+	clear     func() error
+	keyed     atomic.Bool
+	path      string // of the health check; empty while no configuration is known
 }
 
-func newStand(t *testing.T, address string) *stand {
+func newFixture(t *testing.T, address string) *fixture {
 	t.Helper()
-	s := &stand{t: t, clock: &clock{Clock: mttime.New()}, server: &server{}, path: "/health"}
+	s := &fixture{t: t, clock: &clock{Clock: mttime.New()}, server: &server{}, path: "/health"}
 	s.server.answer = func(context.Context) (*mtcall.Answer, error) { return &mtcall.Answer{Status: 200}, nil }
 	host, cleanUp := mthost.New(mthost.Config{
 		Daemon: "a", Service: "maps", Address: address, Drain: 300 * time.Millisecond, Clock: s.clock, Client: s.server,
@@ -86,7 +86,7 @@
 		Publish: func(r mtbackend.Record) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.told = r
+			s.published = r
 		},
 		Keyed: func() bool { return s.keyed.Load() },
 		Named: func(service mtid.Service) bool { return service == "desk" },
@@ -112,19 +112,19 @@
 	return s
 }
 
-// hear lets the host hear a beat.
-func (s *stand) hear(b mtbackend.Heartbeat) {
+// heartbeat delivers a heartbeat to the host.
+func (s *fixture) heartbeat(b mtbackend.Heartbeat) {
 	s.t.Helper()
 	assert.NilError(s.t, s.host.Beat(b))
 }
 
-func (s *stand) record() mtbackend.Record {
+func (s *fixture) record() mtbackend.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.told
+	return s.published
 }
 
-func (s *stand) until(what string, done func(r mtbackend.Record) bool) {
+func (s *fixture) waitFor(what string, done func(r mtbackend.Record) bool) {
 	s.t.Helper()
 	poll.WaitOn(s.t, func(poll.LogT) poll.Result {
 		if done(s.record()) {
@@ -134,25 +134,25 @@
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(2*time.Millisecond))
 }
 
-func (s *stand) beat(server mtid.Server, sequence uint64) mtbackend.Heartbeat {
+func (s *fixture) newHeartbeat(server mtid.Server, sequence uint64) mtbackend.Heartbeat {
 	return mtbackend.Heartbeat{Incarnation: mtid.Life{Server: server}, Address: "server", Service: "maps", Slots: 2, Sequence: sequence}
 }
 
-// ready brings a life of the server into service.
-func (s *stand) ready(life mtid.Server) {
+// startServer brings an incarnation of the server into service.
+func (s *fixture) startServer(incarnation mtid.Server) {
 	s.server.mu.Lock()
-	s.server.runs = life
+	s.server.incarnation = incarnation
 	s.server.mu.Unlock()
-	s.hear(s.beat(life, 1))
-	s.until("the server is ready", func(r mtbackend.Record) bool { return r.Incarnation.Server == life && r.AcceptsWork() })
+	s.heartbeat(s.newHeartbeat(incarnation, 1))
+	s.waitFor("the server is ready", func(r mtbackend.Record) bool { return r.Incarnation.Server == incarnation && r.AcceptsWork() })
 }
 
-func (s *stand) call(keyed bool) *mtcall.Call {
+func (s *fixture) call(keyed bool) *mtcall.Call {
 	now := s.clock.Now()
 	return &mtcall.Call{ID: "1", Service: "maps", Route: "plans", Keyed: keyed, Objective: now.Add(time.Second), Deadline: now.Add(2 * time.Second)}
 }
 
-func (s *stand) cause(keyed bool) mtreply.Cause {
+func (s *fixture) refusalCause(keyed bool) mtreply.Cause {
 	_, err := s.host.Run(context.Background(), s.call(keyed))
 	var refused *mtreply.RefusedError
 	if errors.As(err, &refused) {
@@ -161,67 +161,67 @@
 	return ""
 }
 
-// A beat of a former life was held up and comes after the new life has begun,
-// with a daemon that was just restarted and knows neither. Were it taken at its
-// word, the keys of the life that runs would look free.
-func TestALateBeatOfAFormerLifeChangesNothing(t *testing.T) {
-	s := newStand(t, "127.0.0.1:1")
-	s.server.runs = "new"
-	s.hear(s.beat("old", 9))
-	s.hear(s.beat("new", 1))
-	s.until("the life that runs is known", func(r mtbackend.Record) bool { return r.Incarnation.Server == "new" })
-	s.hear(s.beat("old", 9))
+// A delayed heartbeat of the previous incarnation arrives after the new one has started, at
+// a daemon that was just restarted and knows neither. If it were trusted, the keys of the
+// running incarnation would appear to be free.
+func TestLateHeartbeatOfPreviousIncarnationIsIgnored(t *testing.T) {
+	s := newFixture(t, "127.0.0.1:1")
+	s.server.incarnation = "new"
+	s.heartbeat(s.newHeartbeat("old", 9))
+	s.heartbeat(s.newHeartbeat("new", 1))
+	s.waitFor("the running incarnation is known", func(r mtbackend.Record) bool { return r.Incarnation.Server == "new" })
+	s.heartbeat(s.newHeartbeat("old", 9))
 	assert.Equal(t, s.record().Incarnation.Server, mtid.Server("new"))
 }
 
-// The server can't be asked. Two beats of one life, the second a later one, show
-// that it runs; the same beat twice does not.
-func TestASecondBeatShowsALifeThatCannotBeAsked(t *testing.T) {
-	s := newStand(t, "127.0.0.1:1")
-	s.hear(s.beat("old", 9))
-	s.hear(s.beat("old", 9))
+// The server can't be queried. Two heartbeats of one incarnation with increasing sequence
+// numbers prove that it is running; the same heartbeat twice does not.
+func TestSecondHeartbeatConfirmsIncarnationWithoutQuery(t *testing.T) {
+	s := newFixture(t, "127.0.0.1:1")
+	s.heartbeat(s.newHeartbeat("old", 9))
+	s.heartbeat(s.newHeartbeat("old", 9))
 	assert.Equal(t, s.record().Incarnation.Server, mtid.Server(""))
-	s.hear(s.beat("new", 1))
-	s.hear(s.beat("new", 2))
-	s.until("the server is ready", func(r mtbackend.Record) bool { return r.Incarnation.Server == "new" && r.AcceptsWork() })
+	s.heartbeat(s.newHeartbeat("new", 1))
+	s.heartbeat(s.newHeartbeat("new", 2))
+	s.waitFor("the server is ready", func(r mtbackend.Record) bool { return r.Incarnation.Server == "new" && r.AcceptsWork() })
 }
 
-// All VMs come back at once after a loss of power. The server's first beat comes
-// before its daemon knows a configuration, so that the server can't be asked which
-// life runs, and before it knows the assignment. Were nothing done until the next
-// beat, the server would be out of service for another 1.5 s.
-func TestAFirstBeatIsEnoughOnceTheConfigurationIsKnown(t *testing.T) {
-	s := newStand(t, "server")
-	s.server.runs = "one"
-	var unread atomic.Bool
-	unread.Store(true)
+// After a power failure all VMs restart at once. The server's first heartbeat arrives
+// before its daemon has a configuration, so that the server can't be queried, and before it
+// has the assignment. If the daemon waited for the next heartbeat, the server would be out
+// of service for another 1.5 s.
+func TestFirstHeartbeatSufficesOnceConfigured(t *testing.T) {
+	s := newFixture(t, "server")
+	s.server.incarnation = "one"
+	var assignmentUnread atomic.Bool
+	assignmentUnread.Store(true)
 	s.mu.Lock()
 	s.path = ""
 	s.clear = func() error {
-		if unread.Load() {
+		if assignmentUnread.Load() {
 			return errors.New("the assignment has not been read yet")
 		}
 		return nil
 	}
 	s.mu.Unlock()
-	s.hear(s.beat("one", 1))
+	s.heartbeat(s.newHeartbeat("one", 1))
 	s.mu.Lock()
 	s.path = "/health"
 	s.mu.Unlock()
-	s.until("the life is known", func(_ mtbackend.Record) bool {
+	s.waitFor("the incarnation is known", func(_ mtbackend.Record) bool {
 		known, _ := s.host.Record()
 		return known.Incarnation.Server == "one" && known.State == mtbackend.Unknown
 	})
-	unread.Store(false)
-	s.until("the server is ready", func(r mtbackend.Record) bool { return r.Incarnation.Server == "one" && r.AcceptsWork() })
+	assignmentUnread.Store(false)
+	s.waitFor("the server is ready", func(r mtbackend.Record) bool { return r.Incarnation.Server == "one" && r.AcceptsWork() })
 }
 
-// Callers that were refused ask again, and again. Counted each time, a server with a
-// little too much work seems to have twice what it can do, and its daemon gives keys
-// away that would be served well.
-func TestSecondTriesDoNotCountAsWork(t *testing.T) {
-	s := newStand(t, "server")
-	s.ready("one")
+// Refused callers retry again and again. If each try counted, a server with slightly too
+// much work would appear to have twice what it can handle, and its daemon would transfer
+// keys that it could serve well.
+func TestLateCallsAreNotCountedAsDemand(t *testing.T) {
+	s := newFixture(t, "server")
+	s.startServer("one")
 	late := s.call(true)
 	late.Objective = s.clock.Now().Add(-time.Millisecond)
 	_, err := s.host.Run(context.Background(), late)
@@ -232,39 +232,39 @@
 	assert.Assert(t, s.host.Load().Demand > 0)
 }
 
-// A hot run has moved to another owner, and callers' daemons that have not heard of it
-// ask here again and again. Counted as work, the former owner seemed overloaded for
-// seconds while it stood idle, and nobody gave it any keys.
-func TestCallsForKeysThatHaveGoneDoNotCountAsWork(t *testing.T) {
-	s := newStand(t, "server")
-	s.ready("one")
+// A hot run of keys has moved to another owner, and callers' daemons without the ownership
+// update keep sending calls here. When these counted as work, the previous owner appeared
+// to be overloaded for seconds while it was idle, and was given no keys.
+func TestCallsForMovedKeysAreNotCountedAsDemand(t *testing.T) {
+	s := newFixture(t, "server")
+	s.startServer("one")
 	s.mu.Lock()
 	s.holds = &mtreply.RefusedError{Cause: mtreply.CauseStaleRoute}
 	s.mu.Unlock()
 	for range 200 {
-		assert.Equal(t, s.cause(true), mtreply.CauseStaleRoute)
+		assert.Equal(t, s.refusalCause(true), mtreply.CauseStaleRoute)
 	}
 	assert.Equal(t, s.host.Load().Demand, 0.0)
 }
 
-// A call waits at the gate while its key moves away. Only the look after the
-// wait shows it; the server was sent calls for keys that it had released.
-func TestAKeyThatLeftWhileACallWaitedIsNotServed(t *testing.T) {
-	s := newStand(t, "127.0.0.1:1")
+// A key moves away while a call for it waits at the gate, which only the check after the
+// wait detects. Without it the server was sent calls for keys that it had released.
+func TestWaitingCallIsRefusedAfterItsKeyMoved(t *testing.T) {
+	s := newFixture(t, "127.0.0.1:1")
 	release := make(chan struct{})
 	s.server.answer = func(context.Context) (*mtcall.Answer, error) {
 		<-release
 		return &mtcall.Answer{Status: 200}, nil
 	}
-	s.ready("life")
+	s.startServer("life")
 	var others sync.WaitGroup
 	for range 2 {
 		others.Go(func() { _, _ = s.host.Run(context.Background(), s.call(true)) })
 	}
-	s.until("both slots are taken", func(mtbackend.Record) bool { return s.host.Load().Running == 2 })
+	s.waitFor("both slots are occupied", func(mtbackend.Record) bool { return s.host.Load().Running == 2 })
 	waiting := make(chan mtreply.Cause)
-	go func() { waiting <- s.cause(true) }()
-	s.until("the third waits", func(mtbackend.Record) bool { return s.host.Load().Waiting == 1 })
+	go func() { waiting <- s.refusalCause(true) }()
+	s.waitFor("the third call waits", func(mtbackend.Record) bool { return s.host.Load().Waiting == 1 })
 	s.mu.Lock()
 	s.holds = &mtreply.RefusedError{Cause: mtreply.CauseStaleRoute}
 	s.mu.Unlock()
@@ -276,19 +276,20 @@
 	assert.Equal(t, s.server.calls, 2)
 }
 
-// born returns a beat of a life that says when it was born.
-func (s *stand) born(born mtid.Birth, sequence uint64) mtbackend.Heartbeat {
-	b := s.beat("one", sequence)
+// heartbeatBorn returns a heartbeat of an incarnation that reports its birth.
+func (s *fixture) heartbeatBorn(born mtid.Birth, sequence uint64) mtbackend.Heartbeat {
+	b := s.newHeartbeat("one", sequence)
 	b.Incarnation.Born = born
 	return b
 }
 
-// A server crashes and starts again under its name. Its first beat counts anew, and
-// beats of the former life, with higher numbers, come late. Taken for one life, the
-// new one passed for the owner of keys that it does not hold, and its beats for old.
-func TestAServerThatStartsAgainUnderItsNameIsAnotherLife(t *testing.T) {
-	s := newStand(t, "server")
-	s.server.runs = "one"
+// A server crashes and restarts under the same name. Its heartbeats are numbered from the
+// start again, and heartbeats of the previous incarnation, with higher numbers, arrive
+// late. When the two were not distinguished, the new one counted as the owner of keys that
+// it does not hold, and its heartbeats as old.
+func TestRestartUnderSameNameIsNewIncarnation(t *testing.T) {
+	s := newFixture(t, "server")
+	s.server.incarnation = "one"
 	var cleared atomic.Int64
 	s.mu.Lock()
 	s.clear = func() error {
@@ -297,47 +298,48 @@
 	}
 	s.mu.Unlock()
 	first, second := mtid.Life{Server: "one", Born: 100}, mtid.Life{Server: "one", Born: 200}
-	s.hear(s.born(100, 50))
-	s.until("the first life is ready", func(r mtbackend.Record) bool { return r.Incarnation == first && r.AcceptsWork() })
-	s.hear(s.born(200, 1))
-	s.until("the second life is ready", func(r mtbackend.Record) bool { return r.Incarnation == second && r.AcceptsWork() })
-	assert.Equal(t, cleared.Load(), int64(2), "the new life was cleared of what it may have been granted")
+	s.heartbeat(s.heartbeatBorn(100, 50))
+	s.waitFor("the first incarnation is ready", func(r mtbackend.Record) bool { return r.Incarnation == first && r.AcceptsWork() })
+	s.heartbeat(s.heartbeatBorn(200, 1))
+	s.waitFor("the second incarnation is ready", func(r mtbackend.Record) bool { return r.Incarnation == second && r.AcceptsWork() })
+	assert.Equal(t, cleared.Load(), int64(2), "each incarnation is cleared of earlier grants once")
 	assert.Assert(t, !s.record().MayHoldKeys(first))
 	for sequence := range uint64(3) {
-		late := s.born(100, 51+sequence)
+		late := s.heartbeatBorn(100, 51+sequence)
 		late.Draining = true
-		s.hear(late)
+		s.heartbeat(late)
 	}
 	s.host.Leave(first)
 	assert.Equal(t, s.record().Incarnation, second)
 	assert.Assert(t, s.record().AcceptsWork())
 }
 
-// The same with a daemon that has just started and hears the late beat first.
-func TestOfTwoLivesOfOneNameTheLaterOneRuns(t *testing.T) {
-	s := newStand(t, "server")
-	s.server.runs = "one"
+// The same with a daemon that has just started and receives the late heartbeat first.
+func TestLaterOfTwoIncarnationsWithSameNameIsCurrent(t *testing.T) {
+	s := newFixture(t, "server")
+	s.server.incarnation = "one"
 	s.mu.Lock()
-	s.path = "" // no configuration is known yet, so the server can't be asked
+	s.path = "" // no configuration yet, so the server can't be queried
 	s.mu.Unlock()
-	s.hear(s.born(100, 50))
-	s.hear(s.born(200, 1))
+	s.heartbeat(s.heartbeatBorn(100, 50))
+	s.heartbeat(s.heartbeatBorn(200, 1))
 	s.mu.Lock()
 	s.path = "/health"
 	s.mu.Unlock()
 	want := mtid.Life{Server: "one", Born: 200}
-	s.until("the later life runs", func(r mtbackend.Record) bool { return r.Incarnation == want && r.AcceptsWork() })
-	s.hear(s.born(100, 51))
-	s.hear(s.born(100, 52))
+	s.waitFor("the later incarnation is current", func(r mtbackend.Record) bool { return r.Incarnation == want && r.AcceptsWork() })
+	s.heartbeat(s.heartbeatBorn(100, 51))
+	s.heartbeat(s.heartbeatBorn(100, 52))
 	known, _ := s.host.Record()
 	assert.Equal(t, known.Incarnation, want)
 }
 
-// A beat names a service that no configuration declares. It is not this VM's server.
-func TestABeatOfAnUnknownServiceNamesNoServer(t *testing.T) {
-	s := newStand(t, "server")
-	s.server.runs = "one"
-	b := s.beat("one", 1)
+// A heartbeat that names a service which no configuration declares is not from this VM's
+// server.
+func TestHeartbeatOfUndeclaredServiceIsRejected(t *testing.T) {
+	s := newFixture(t, "server")
+	s.server.incarnation = "one"
+	b := s.newHeartbeat("one", 1)
 	b.Service = "nobody's"
 	var foreign *mthost.ForeignError
 	assert.Assert(t, errors.As(s.host.Beat(b), &foreign))
@@ -346,21 +348,21 @@
 	assert.NilError(t, s.host.Beat(b))
 }
 
-// A daemon that stops can't tell others while the store is away. It refuses what
-// can go elsewhere itself, and goes on with keys.
-func TestAStoppingDaemonRefusesWhatCanGoElsewhere(t *testing.T) {
-	s := newStand(t, "127.0.0.1:1")
-	s.ready("life")
+// A stopping daemon can't notify others while the store is unavailable. It refuses calls
+// that can go to another server itself, and continues to serve keys.
+func TestStoppingDaemonRefusesCallsWithoutKey(t *testing.T) {
+	s := newFixture(t, "127.0.0.1:1")
+	s.startServer("life")
 	s.host.Retire()
-	assert.Equal(t, s.cause(false), mtreply.CauseStopping)
-	assert.Equal(t, s.cause(true), mtreply.Cause(""))
+	assert.Equal(t, s.refusalCause(false), mtreply.CauseStopping)
+	assert.Equal(t, s.refusalCause(true), mtreply.Cause(""))
 	s.host.Close()
-	assert.Equal(t, s.cause(true), mtreply.CauseDraining)
+	assert.Equal(t, s.refusalCause(true), mtreply.CauseDraining)
 }
 
 func TestParent(t *testing.T) {
-	s := newStand(t, "127.0.0.1:1")
-	s.ready("life")
+	s := newFixture(t, "127.0.0.1:1")
+	s.startServer("life")
 	inside := map[mtcall.ID]bool{}
 	s.server.answer = func(context.Context) (*mtcall.Answer, error) {
 		for _, id := range []mtcall.ID{"1.5", "1.5.6", "1", "15", "2.1"} {
@@ -374,12 +376,13 @@
 	assert.Assert(t, !s.host.Parent("1.5"))
 }
 
-// A server crashes and starts again at once. Its daemon renews the grants of the
-// former life until it hears of the new one, which obeys them. If the new life is
-// told before it has given those keys back, others take them over meanwhile.
-func TestANewLifeIsToldOnlyOnceItIsCleared(t *testing.T) {
-	s := newStand(t, "127.0.0.1:1")
-	s.ready("old")
+// A server crashes and restarts at once. Until its daemon is notified of the new
+// incarnation it renews the grants of the previous one, which the new one accepts. If the
+// new incarnation were published before it has released those keys, others would take them
+// over meanwhile.
+func TestNewIncarnationIsPublishedOnlyAfterClearing(t *testing.T) {
+	s := newFixture(t, "127.0.0.1:1")
+	s.startServer("old")
 	var cleared atomic.Bool
 	s.mu.Lock()
 	s.clear = func() error {
@@ -390,16 +393,16 @@
 	}
 	s.mu.Unlock()
 	s.server.mu.Lock()
-	s.server.runs = "new"
+	s.server.incarnation = "new"
 	s.server.mu.Unlock()
-	s.hear(s.beat("new", 1))
+	s.heartbeat(s.newHeartbeat("new", 1))
 	for sequence := range uint64(5) {
 		time.Sleep(20 * time.Millisecond)
-		s.hear(s.beat("new", 2+sequence))
+		s.heartbeat(s.newHeartbeat("new", 2+sequence))
 		r := s.record()
-		assert.Assert(t, r.MayHoldKeys(mtid.Life{Server: "old"}), "the end of the former life was told: %+v", r)
+		assert.Assert(t, r.MayHoldKeys(mtid.Life{Server: "old"}), "the end of the previous incarnation was published: %+v", r)
 	}
 	cleared.Store(true)
-	s.hear(s.beat("new", 9))
-	s.until("the new life is ready", func(r mtbackend.Record) bool { return r.Incarnation.Server == "new" && r.AcceptsWork() })
+	s.heartbeat(s.newHeartbeat("new", 9))
+	s.waitFor("the new incarnation is ready", func(r mtbackend.Record) bool { return r.Incarnation.Server == "new" && r.AcceptsWork() })
 }
--- a/io/mthost/tether.go
+++ b/io/mthost/tether.go
@@ -10,156 +10,160 @@
 	"magnoliaturn/io/mtdial"
 )
 
-// A server crashes and starts again at the same address, and its daemon hears of
-// the new life only with its first beat, up to a second later. A grant that is
-// renewed meanwhile reaches the new life, under the epoch that the former one had:
-// two lives have held the keys under one epoch, and others may be taking them over.
+// When a server crashes and restarts at the same address, its daemon notices the new
+// incarnation only with its first heartbeat, up to a second later. A grant renewed in the
+// meantime reaches the new incarnation, under the epoch of the previous one: two
+// incarnations have then held the keys under one epoch, and other servers may be taking
+// them over.
 //
-// So a connection to the server is kept open, on which nothing is said. It ends with
-// the process: while it stands, whatever is sent to the address reaches the life
-// that was there when it was opened. Once it has ended no grant is sent until the
-// life is known anew.
+// So the daemon keeps an idle connection to the server open, the liveness connection, which
+// ends with the server's process. While it is open, whatever is sent to the address reaches
+// the incarnation that was there when it was opened. Once it has ended, no grant is sent
+// until the incarnation has been confirmed again.
 
 const (
-	// tieTimeout bounds the opening of the connection, within one VM.
-	tieTimeout = 200 * time.Millisecond
-	// tiePause is between two attempts to open it.
-	tiePause = 200 * time.Millisecond
-	// tieFor is after which time it is opened anew, while the former one stands:
-	// servers close connections on which nothing is said for some seconds.
-	tieFor = 2 * time.Second
+	// livenessDialTimeout limits the opening of the connection, within one VM.
+	livenessDialTimeout = 200 * time.Millisecond
+	// livenessDialPause is the pause between two attempts to open it.
+	livenessDialPause = 200 * time.Millisecond
+	// livenessMaxAge is the age after which the connection is replaced while it is still
+	// open: servers close connections that are idle for some seconds.
+	livenessMaxAge = 2 * time.Second
 )
 
-// tether is the connection that ends with the server's process.
-type tether struct {
-	conn   net.Conn
-	life   mtid.Life       // that is taken to be at its end
-	opened mtclock.Instant // after it had been opened
-	known  bool            // that life is certainly at its end
+// livenessConn is a connection that ends with the server's process.
+type livenessConn struct {
+	conn        net.Conn
+	incarnation mtid.Life       // assumed at the other end
+	opened      mtclock.Instant // time after the connection was opened
+	confirmed   bool            // the incarnation is certainly at the other end
 }
 
 // Bound reports whether whatever is sent to the server's address now reaches that
-// life.
-func (h *Host) Bound(life mtid.Life) bool {
+// incarnation.
+func (h *Host) Bound(incarnation mtid.Life) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.tether != nil && h.tether.life == life && h.tether.known
+	return h.liveness != nil && h.liveness.incarnation == incarnation && h.liveness.confirmed
 }
 
-// tie opens the connection if there is none, or the present one is old. It is
-// called with mu held.
-func (h *Host) tie(now mtclock.Instant) {
-	life := h.record.Incarnation
-	fresh := h.tether != nil && h.tether.life == life && now.Sub(h.tether.opened) < tieFor
-	if life.IsZero() || h.over[life] || fresh || h.tying || now.Before(h.tieAgain) {
+// openLiveness opens the liveness connection if there is none, or the current one is old.
+// It is called with mu held.
+func (h *Host) openLiveness(now mtclock.Instant) {
+	incarnation := h.record.Incarnation
+	current := h.liveness != nil && h.liveness.incarnation == incarnation && now.Sub(h.liveness.opened) < livenessMaxAge
+	if incarnation.IsZero() || h.ended[incarnation] || current || h.openingLiveness || now.Before(h.openLivenessAfter) {
 		return
 	}
-	h.tying = true
-	h.tieAgain = now.Add(tiePause)
-	former, address := h.tether, h.address
+	h.openingLiveness = true
+	h.openLivenessAfter = now.Add(livenessDialPause)
+	previous, address := h.liveness, h.address
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), tieTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), livenessDialTimeout)
 		defer cancel()
 		conn, err := mtdial.Dial(ctx, "tcp", address)
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.tying = false
+		h.openingLiveness = false
 		if err != nil {
-			h.Log.Info("server takes no connection to tell its lives apart", "server", life.String(), "error", err)
+			h.Log.Info("liveness connection to the server failed", "server", incarnation.String(), "error", err)
 			return
 		}
-		h.tied(&tether{conn: conn, life: life, opened: h.Clock.Now()}, former)
+		h.replaceLiveness(&livenessConn{conn: conn, incarnation: incarnation, opened: h.Clock.Now()}, previous)
 	}()
 }
 
-// tied puts a new connection in the place of the former one. While that one stands,
-// both lead to the same process. It is called with mu held.
-func (h *Host) tied(t, former *tether) {
-	if t.life != h.record.Incarnation || h.tether != former {
+// replaceLiveness replaces the previous liveness connection by a new one. While the
+// previous one is open, both lead to the same process. It is called with mu held.
+func (h *Host) replaceLiveness(t, previous *livenessConn) {
+	if t.incarnation != h.record.Incarnation || h.liveness != previous {
 		_ = t.conn.Close()
 		return
 	}
-	h.tether = t
-	if former != nil && former.life == t.life {
-		t.known = former.known
+	h.liveness = t
+	if previous != nil && previous.incarnation == t.incarnation {
+		t.confirmed = previous.confirmed
 	}
-	if former != nil {
-		_ = former.conn.Close()
+	if previous != nil {
+		_ = previous.conn.Close()
 	}
-	go h.watch(t)
-	if !t.known {
-		h.recognise(t)
+	go h.watchLiveness(t)
+	if !t.confirmed {
+		h.confirmByName(t)
 	}
 }
 
-// untie closes the connection.
-func (h *Host) untie() {
+// closeLiveness closes the liveness connection.
+func (h *Host) closeLiveness() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.untieLocked()
+	h.closeLivenessLocked()
 }
 
-// untieLocked is untie with mu held.
-func (h *Host) untieLocked() {
-	if h.tether == nil {
+// closeLivenessLocked is closeLiveness with mu held.
+func (h *Host) closeLivenessLocked() {
+	if h.liveness == nil {
 		return
 	}
-	_ = h.tether.conn.Close()
-	h.tether = nil
-	h.tieAgain = 0
+	_ = h.liveness.conn.Close()
+	h.liveness = nil
+	h.openLivenessAfter = 0
 }
 
-// watch waits for the end of a connection.
-func (h *Host) watch(t *tether) {
+// watchLiveness waits until a liveness connection ends.
+func (h *Host) watchLiveness(t *livenessConn) {
 	var one [1]byte
 	_, err := t.conn.Read(one[:])
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_ = t.conn.Close()
-	if h.tether != t {
-		return // another one has taken its place
+	if h.liveness != t {
+		return // replaced by another one
 	}
-	h.tether = nil
-	h.tieAgain = 0
-	// The server may have started again, under the name that it had.
-	h.doubtWarmth()
-	h.Log.Info("connection that tells the server's lives apart has ended", "server", t.life.String(), "error", err)
-	go h.check(t.life)
+	h.liveness = nil
+	h.openLivenessAfter = 0
+	// The server may have restarted under the same name, and be cold.
+	h.assumeCold()
+	h.Log.Info("connection that tells the server's lives apart has ended", "server", t.incarnation.String(), "error", err)
+	go h.checkProcess(t.incarnation)
 }
 
-// recognise finds out which life is at the end of a new connection: by asking the
-// server, where its name alone tells, or else by its next beat. It is called with
-// mu held.
-func (h *Host) recognise(t *tether) {
+// confirmByName determines which incarnation is at the other end of a new liveness
+// connection: by querying the server if its name is sufficient, otherwise the next
+// heartbeat shows it. It is called with mu held.
+func (h *Host) confirmByName(t *livenessConn) {
 	path := h.Health()
-	if path == "" || h.reborn(t.life) {
+	if path == "" || h.nameIsAmbiguous(t.incarnation) {
 		return
 	}
 	address := h.address
 	go func() {
 		health, err := h.Client.Identify(context.Background(), address, path)
 		server := health.Server
-		if err != nil || server != t.life.Server {
-			h.Log.Info("life of the server waits for its next beat", "server", t.life.String(), "answers", string(server), "error", err)
+		if err != nil || server != t.incarnation.Server {
+			h.Log.Info("incarnation of the server is unconfirmed until its next heartbeat", "server", t.incarnation.String(), "answers", string(server), "error", err)
 			return
 		}
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.confirm(t)
+		h.confirmLiveness(t)
 	}()
 }
 
-// reborn reports whether the server's name does not tell which life of it answers:
-// a life that was at the end of a connection before may have ended with it.
-func (h *Host) reborn(life mtid.Life) bool { return life.Born != 0 && h.recognised == life }
+// nameIsAmbiguous reports whether the server's name does not tell which incarnation
+// answers: an incarnation that was confirmed on a previous connection may have ended with
+// it, and its successor may have the same name.
+func (h *Host) nameIsAmbiguous(incarnation mtid.Life) bool {
+	return incarnation.Born != 0 && h.lastConfirmed == incarnation
+}
 
-// confirm notes that the life at the end of a connection is known. It is called with
-// mu held.
-func (h *Host) confirm(t *tether) {
-	if t == nil || h.tether != t || t.known {
+// confirmLiveness records that the incarnation at the other end of a liveness connection is
+// known. It is called with mu held.
+func (h *Host) confirmLiveness(t *livenessConn) {
+	if t == nil || h.liveness != t || t.confirmed {
 		return
 	}
-	t.known = true
-	h.recognised = t.life
+	t.confirmed = true
+	h.lastConfirmed = t.incarnation
 	go h.Changed()
 }
--- a/io/mthost/tether_test.go
+++ b/io/mthost/tether_test.go
@@ -11,13 +11,14 @@
 	"magnoliaturn/core/mtid"
 )
 
-// process listens as a server does, and ends as one does.
+// process is a listener that accepts connections, and closes them when it ends, as the
+// process of a server does.
 type process struct {
 	listener net.Listener
 	accepted chan net.Conn
 }
 
-// newProcess listens at an address; an empty one is free.
+// newProcess listens at an address, or at a free port if it is empty.
 func newProcess(t *testing.T, address string) *process {
 	t.Helper()
 	if address == "" {
@@ -50,91 +51,92 @@
 	}
 }
 
-// A server crashes and another life starts at its address before any beat tells. The
-// next renewal of a grant would reach the new life, which obeys it. No order goes out
-// from the moment at which the process has ended.
-func TestNoOrderIsSentOnceTheProcessHasEnded(t *testing.T) {
+// A server crashes and another incarnation starts at its address before any heartbeat
+// reports it. The next renewal of a grant would reach the new incarnation, which accepts
+// it. So no command may be sent from the moment at which the process has ended.
+func TestIncarnationIsDisconnectedOnceItsProcessEnds(t *testing.T) {
 	first := newProcess(t, "")
-	s := newStand(t, first.address())
+	s := newFixture(t, first.address())
 	one := mtid.Life{Server: "one"}
-	s.server.runs = "one"
-	former := s.beat("one", 1)
-	former.Address = first.address()
-	s.hear(former)
-	s.until("the life is bound", func(mtbackend.Record) bool { return s.host.Bound(one) })
+	s.server.incarnation = "one"
+	previous := s.newHeartbeat("one", 1)
+	previous.Address = first.address()
+	s.heartbeat(previous)
+	s.waitFor("the incarnation is connected", func(mtbackend.Record) bool { return s.host.Bound(one) })
 	assert.Assert(t, !s.host.Bound(mtid.Life{Server: "one", Born: 1}))
 	s.server.mu.Lock()
-	s.server.runs = "two"
+	s.server.incarnation = "two"
 	s.server.mu.Unlock()
 	first.end()
 	newProcess(t, first.address())
-	s.until("the end shows", func(mtbackend.Record) bool { return !s.host.Bound(one) })
-	b := s.beat("two", 1)
+	s.waitFor("the incarnation is disconnected", func(mtbackend.Record) bool { return !s.host.Bound(one) })
+	b := s.newHeartbeat("two", 1)
 	b.Address = first.address()
-	s.hear(b)
-	s.until("the new life is bound", func(mtbackend.Record) bool { return s.host.Bound(mtid.Life{Server: "two"}) })
+	s.heartbeat(b)
+	s.waitFor("the new incarnation is connected", func(mtbackend.Record) bool { return s.host.Bound(mtid.Life{Server: "two"}) })
 	assert.Assert(t, !s.host.Bound(one))
 }
 
-// Its own connection to the server is reset, and the server has not ended. Where the
-// name tells lives apart the server is asked; where it does not, its next beat tells.
-func TestALifeIsKnownAgainAfterAReset(t *testing.T) {
-	for name, born := range map[string]mtid.Birth{"by its name": 0, "by its birth": 100} {
+// The daemon's own connection to the server is reset, although the server has not ended. If
+// the name identifies the incarnation, a query confirms it again; otherwise its next
+// heartbeat does.
+func TestIncarnationIsConfirmedAgainAfterReset(t *testing.T) {
+	for name, born := range map[string]mtid.Birth{"by name": 0, "by heartbeat": 100} {
 		t.Run(name, func(t *testing.T) {
 			p := newProcess(t, "")
-			s := newStand(t, p.address())
-			life := mtid.Life{Server: "one", Born: born}
-			s.server.runs = "one"
-			beat := func(sequence uint64) mtbackend.Heartbeat {
-				b := s.born(born, sequence)
+			s := newFixture(t, p.address())
+			incarnation := mtid.Life{Server: "one", Born: born}
+			s.server.incarnation = "one"
+			heartbeat := func(sequence uint64) mtbackend.Heartbeat {
+				b := s.heartbeatBorn(born, sequence)
 				b.Address, b.Connected = p.address(), s.clock.Now()
 				return b
 			}
-			s.hear(beat(1))
-			s.until("the life is bound", func(mtbackend.Record) bool { return s.host.Bound(life) })
+			s.heartbeat(heartbeat(1))
+			s.waitFor("the incarnation is connected", func(mtbackend.Record) bool { return s.host.Bound(incarnation) })
 			assert.NilError(t, (<-p.accepted).Close())
-			s.until("the reset shows", func(mtbackend.Record) bool { return !s.host.Bound(life) || born == 0 })
+			s.waitFor("the reset is detected", func(mtbackend.Record) bool { return !s.host.Bound(incarnation) || born == 0 })
 			if born != 0 {
-				time.Sleep(500 * time.Millisecond) // the connection is open again, and the server could be asked
-				assert.Assert(t, !s.host.Bound(life), "known again by a name that its next life has too")
+				time.Sleep(500 * time.Millisecond) // the connection is open again, and the server could be queried
+				assert.Assert(t, !s.host.Bound(incarnation), "confirmed by a name that its next incarnation has too")
 			}
 			sequence := uint64(2)
-			s.until("the life is known again", func(mtbackend.Record) bool {
+			s.waitFor("the incarnation is confirmed again", func(mtbackend.Record) bool {
 				if born != 0 {
-					s.hear(beat(sequence))
+					s.heartbeat(heartbeat(sequence))
 					sequence++
 				}
-				return s.host.Bound(life)
+				return s.host.Bound(incarnation)
 			})
 			assert.Equal(t, s.record().State, mtbackend.Ready)
 		})
 	}
 }
 
-// A server crashes and starts again under its name. Its daemon opens a connection to the
-// new life, and then a beat of the former one comes, held up on its way. Taken for a word
-// of the life at the end of that connection, it let a renewal reach the new life, under
-// the epoch of the former one.
-func TestALateBeatDoesNotTellWhoAnswers(t *testing.T) {
+// A server crashes and restarts under the same name. Its daemon opens a connection to the
+// new incarnation, and then a delayed heartbeat of the previous one arrives. When that
+// confirmed the incarnation at the other end of the connection, a renewal reached the new
+// one under the epoch of the previous one.
+func TestLateHeartbeatDoesNotConfirmLivenessConnection(t *testing.T) {
 	first := newProcess(t, "")
-	s := newStand(t, first.address())
-	s.server.runs = "one"
-	former := mtid.Life{Server: "one", Born: 100}
-	beat := func(born mtid.Birth, sequence uint64) mtbackend.Heartbeat {
-		b := s.born(born, sequence)
+	s := newFixture(t, first.address())
+	s.server.incarnation = "one"
+	previous := mtid.Life{Server: "one", Born: 100}
+	heartbeat := func(born mtid.Birth, sequence uint64) mtbackend.Heartbeat {
+		b := s.heartbeatBorn(born, sequence)
 		b.Address = first.address()
 		return b
 	}
-	s.hear(beat(100, 1))
-	s.until("the life is bound", func(mtbackend.Record) bool { return s.host.Bound(former) })
+	s.heartbeat(heartbeat(100, 1))
+	s.waitFor("the incarnation is connected", func(mtbackend.Record) bool { return s.host.Bound(previous) })
 	first.end()
-	s.until("the end shows", func(mtbackend.Record) bool { return !s.host.Bound(former) })
+	s.waitFor("the incarnation is disconnected", func(mtbackend.Record) bool { return !s.host.Bound(previous) })
 	second := newProcess(t, first.address())
-	conn := <-second.accepted // by the daemon
+	conn := <-second.accepted // opened by the daemon
 	defer conn.Close()
-	time.Sleep(50 * time.Millisecond) // the daemon has noted that it is open
-	s.hear(beat(100, 2))
-	assert.Assert(t, !s.host.Bound(former), "a late beat passed for one of the life that answers")
-	s.hear(beat(200, 1))
-	s.until("the new life is bound", func(mtbackend.Record) bool { return s.host.Bound(mtid.Life{Server: "one", Born: 200}) })
+	time.Sleep(50 * time.Millisecond) // until the daemon has recorded that it is open
+	s.heartbeat(heartbeat(100, 2))
+	assert.Assert(t, !s.host.Bound(previous), "a late heartbeat confirmed the incarnation that answers")
+	s.heartbeat(heartbeat(200, 1))
+	s.waitFor("the new incarnation is connected", func(mtbackend.Record) bool { return s.host.Bound(mtid.Life{Server: "one", Born: 200}) })
 }
--- a/io/mthost/zone.go
+++ b/io/mthost/zone.go
@@ -10,129 +10,132 @@
 	"magnoliaturn/core/mtid"
 )
 
-// ZoneOut takes in that the operators have taken this VM's availability zone out of
-// service, by an order of that version. Nothing new without a key is begun at the server
-// from now on, and what waits is handed back at once. Keys are served until they have
-// moved, but not after until.
+// ZoneOut records that the operators have taken this VM's availability zone out of service,
+// by an order of that version. From now on no work without a key is started at the server,
+// and waiting calls are refused at once. Keys are served until they have moved, but not
+// after until.
 func (h *Host) ZoneOut(version mtid.Version, until mtclock.Instant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.zone.Close(version, until)
-	h.fit(h.Clock.Now())
+	h.updateLimits(h.Clock.Now())
 }
 
-// ZoneBack takes in that the zone is in service, and may have been out of it a moment ago.
-// A server that stood idle has become cold, and its last beat may not have said so yet.
+// ZoneBack records that the zone is in service, possibly after having been out of service
+// until a moment ago. A server that was idle has become cold, and its latest heartbeat may
+// not have reported it yet.
 func (h *Host) ZoneBack() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.zone.Reopen()
-	h.doubtWarmth()
-	h.fitZone(h.Clock.Now())
+	h.assumeCold()
+	h.updateZone(h.Clock.Now())
 }
 
-// Warmup sets how many calls the server is given in any one second while it is cold. Zero
-// is no limit.
-func (h *Host) Warmup(most mtgate.Pace) {
+// Warmup sets the maximum number of calls that are started in any one second while the
+// server is cold. Zero means no limit.
+func (h *Host) Warmup(limit mtgate.Pace) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.most = most
-	h.fitWarmth()
+	h.startLimit = limit
+	h.updateStartLimit()
 }
 
-// pausedFor is how long this process has not run at least when it may have missed that the
-// server became cold: an order about its zone that came and went, or a beat.
-const pausedFor = time.Second
+// pauseThreshold is the shortest pause of this process in which it may have missed that the
+// server became cold: a zone order that was given and withdrawn, or a heartbeat.
+const pauseThreshold = time.Second
 
-// ran notes that this process runs. One that was paused goes on as though nothing had
-// happened, and gave a server that had become cold meanwhile what it gave before, until the
-// next beat. It is called with mu held.
-func (h *Host) ran(now mtclock.Instant) {
-	paused := now.Sub(h.awake) > pausedFor
-	h.awake = now
+// detectPause records that this process is running, and assumes that the server is cold if
+// the process was paused. Otherwise a resumed process would continue to send a server that
+// had become cold in the meantime as much as before, until the next heartbeat. It is called
+// with mu held.
+func (h *Host) detectPause(now mtclock.Instant) {
+	paused := now.Sub(h.lastRun) > pauseThreshold
+	h.lastRun = now
 	if paused {
-		h.doubtWarmth()
+		h.assumeCold()
 	}
 }
 
-// doubtWarmth takes the server for cold, since it may have become so, until it says
-// otherwise. It is asked at once, where that matters: its next beat takes up to a second.
-// It is called with mu held.
-func (h *Host) doubtWarmth() {
-	h.warmth.MarkPossiblyCold(h.Clock.Now())
-	h.fitWarmth()
+// assumeCold treats the server as cold, since it may have become so, until it reports
+// otherwise. If there is a limit for a cold server, the server is queried at once: its next
+// heartbeat takes up to a second. It is called with mu held.
+func (h *Host) assumeCold() {
+	h.warmup.MarkPossiblyCold(h.Clock.Now())
+	h.updateStartLimit()
 	path := h.Health()
-	if h.most <= 0 || path == "" {
+	if h.startLimit <= 0 || path == "" {
 		return
 	}
-	life, address := h.record.Incarnation, h.address
+	incarnation, address := h.record.Incarnation, h.address
 	go func() {
-		connected := h.Clock.Now() // at the earliest
+		connected := h.Clock.Now() // lower bound for the query's connection
 		health, err := h.Client.Identify(context.Background(), address, path)
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		if err != nil || health.Server != life.Server || h.record.Incarnation != life {
-			h.Log.Info("server could not be asked whether it is cold", "server", life.String(), "answers", string(health.Server), "error", err)
+		if err != nil || health.Server != incarnation.Server || h.record.Incarnation != incarnation {
+			h.Log.Info("warm-up state of the server could not be determined", "server", incarnation.String(), "answers", string(health.Server), "error", err)
 			return
 		}
-		h.warmth.ObserveHeartbeat(h.Clock.Steady(), mtbackend.Heartbeat{Cold: health.Cold, Connected: connected})
-		h.fitWarmth()
+		h.warmup.ObserveHeartbeat(h.Clock.Steady(), mtbackend.Heartbeat{Cold: health.Cold, Connected: connected})
+		h.updateStartLimit()
 	}()
 }
 
-// fit brings the gate in line with what holds of the zone and of the server's warmth. It
+// updateLimits applies the state of the zone and the server's warm-up state to the gate. It
 // is called with mu held.
-func (h *Host) fit(now mtclock.Instant) {
-	h.fitZone(now)
-	h.fitWarmth()
+func (h *Host) updateLimits(now mtclock.Instant) {
+	h.updateZone(now)
+	h.updateStartLimit()
 }
 
-// fitZone closes the gate while the zone is out of service, and opens it again. It is called
-// with mu held.
-func (h *Host) fitZone(now mtclock.Instant) {
-	shut := h.zone.Closed() && !h.zone.Open(now, h.Keyed())
-	if shut == h.shut {
+// updateZone closes the gate while the zone is out of service, and reopens it afterwards.
+// It is called with mu held.
+func (h *Host) updateZone(now mtclock.Instant) {
+	closed := h.zone.Closed() && !h.zone.Open(now, h.Keyed())
+	if closed == h.zoneClosed {
 		return
 	}
-	h.shut = shut
-	if !shut {
-		h.door.Reopen()
+	h.zoneClosed = closed
+	if !closed {
+		h.admission.Reopen()
 		h.Log.Info("server takes work again: its zone is in service", "zone", h.Zone)
 		return
 	}
-	h.door.Close()
+	h.admission.Close()
 	h.Log.Info("server takes no work: its zone is out of service", "zone", h.Zone)
 }
 
-// fitWarmth limits the gate while the server is cold, or may be. While its zone is out of
-// service it may become cold at any moment, at the end at the latest, and has work only for
-// keys that have not moved yet. It is called with mu held.
-func (h *Host) fitWarmth() {
+// updateStartLimit limits the start rate of the gate while the server is cold or possibly
+// cold. While its zone is out of service the server may become cold at any moment, at the
+// end of that time at the latest, and has work only for keys that have not moved yet. It is
+// called with mu held.
+func (h *Host) updateStartLimit() {
 	now := h.Clock.Steady()
-	cold := h.most > 0 && (h.warmth.Cold(now) || h.zone.Closed())
-	var pace mtgate.Pace
+	cold := h.startLimit > 0 && (h.warmup.Cold(now) || h.zone.Closed())
+	var limit mtgate.Pace
 	if cold {
-		pace = h.most
+		limit = h.startLimit
 	}
-	h.door.Limit(pace)
-	if cold == h.cold {
+	h.admission.Limit(limit)
+	if cold == h.startLimited {
 		return
 	}
-	h.cold = cold
-	h.Log.Info("server's warmth", "server", h.record.Incarnation.String(), "cold", cold, "left", h.warmth.Remaining(now), "most", int(h.most))
+	h.startLimited = cold
+	h.Log.Info("server's warmth", "server", h.record.Incarnation.String(), "cold", cold, "left", h.warmup.Remaining(now), "most", int(h.startLimit))
 }
 
-// Status is how the server does, for operators.
+// Status is the state of the server as shown to operators.
 type Status struct {
 	Server  string `json:"server"`
 	State   string `json:"state"`
-	Cold    bool   `json:"cold"`    // it is given few requests a second
+	Cold    bool   `json:"cold"`    // its request rate is limited
 	ZoneOut bool   `json:"zoneOut"` // its availability zone is out of service
 }
 
-// Status returns how the server does now.
+// Status returns the current state of the server.
 func (h *Host) Status() Status {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return Status{Server: h.record.Incarnation.String(), State: string(h.record.State), Cold: h.cold, ZoneOut: h.zone.Closed()}
+	return Status{Server: h.record.Incarnation.String(), State: string(h.record.State), Cold: h.startLimited, ZoneOut: h.zone.Closed()}
 }
