--- a/io/mtgate/mtgate.go
+++ b/io/mtgate/mtgate.go
@@ -1,15 +1,15 @@
-// Package mtgate drives a gate of core/mtgate: it gives the pure gate its events
-// and wakes the requests that wait.
+// Package mtgate drives a gate of core/mtgate: it passes events to the pure gate, and wakes
+// the waiting requests that the gate starts or refuses.
 //
 // # Usage
 //
-//	door := mtgate.New(clock, mtgate.NewFair(mtgate.DefaultGuaranteed), limits, quiet)
-//	door.Resize(slots, connections)
-//	end, err := door.Admit(ctx, ticket) // waits
+//	admission := mtgate.New(clock, mtgate.NewFair(mtgate.DefaultGuaranteed), limits, onRangeIdle)
+//	admission.Resize(slots, connections)
+//	end, err := admission.Admit(ctx, ticket) // waits
 //	defer end()
 //
-// A Door is safe for concurrent use. It wakes by itself when somebody has waited too
-// long; a timer that looks for that would keep an idle daemon busy.
+// A Door is safe for concurrent use. It sets a timer for the next request that will have
+// waited too long; polling for such requests would keep an idle daemon busy.
 package mtgate
 
 import (
@@ -25,262 +25,262 @@
 	"magnoliaturn/core/mtreply"
 )
 
-// clock has an elapsed time that may run ahead but never late, and one that never runs
-// ahead.
+// clock provides two times: Now may jump ahead but never falls behind the elapsed time, and
+// Steady never jumps ahead.
 type clock interface {
 	Now() mtclock.Instant
 	Steady() mtclock.Instant
 }
 
-// Door drives the admission to one backend server.
+// Door controls the admission of requests to one backend server.
 type Door[O mtgate.Order] struct {
-	clock   clock
-	quiet   func(low, high mtid.Point)
-	idle    chan struct{}
-	mu      sync.Mutex
-	core    *mtgate.Gate[O]
-	next    mtgate.Number
-	waiters map[mtgate.Number]chan *mtreply.RefusedError
-	slots   int
-	conns   int
-	pace    mtgate.Pace
-	slow    float64       // the multiple that the gate was told
-	ahead   time.Duration // of Now before Steady, when it was looked last
-	alarm   *time.Timer
-	armed   bool
-	rings   mtclock.Instant // the alarm, if it is armed
+	clock       clock
+	onRangeIdle func(low, high mtid.Point)
+	idle        chan struct{}
+	mu          sync.Mutex
+	gate        *mtgate.Gate[O]
+	lastNumber  mtgate.Number
+	waiters     map[mtgate.Number]chan *mtreply.RefusedError
+	slots       int
+	conns       int
+	startLimit  mtgate.Pace
+	slowness    float64       // last multiple passed to the gate
+	clockLead   time.Duration // lead of Now over Steady at the last check
+	timer       *time.Timer
+	timerSet    bool
+	timerAt     mtclock.Instant // when the timer fires, if it is set
 }
 
-// New returns a Door without slots. quiet is called, with the Door locked, once
+// New returns a Door without slots. onRangeIdle is called, with the Door locked, once
 // nothing is in flight in a stopped range.
-func New[O mtgate.Order](c clock, order O, limits mtgate.Limits, quiet func(low, high mtid.Point)) *Door[O] {
+func New[O mtgate.Order](clk clock, order O, limits mtgate.Limits, onRangeIdle func(low, high mtid.Point)) *Door[O] {
 	return &Door[O]{
-		clock:   c,
-		quiet:   quiet,
-		idle:    make(chan struct{}),
-		core:    mtgate.New(order, limits),
-		waiters: make(map[mtgate.Number]chan *mtreply.RefusedError),
-		slow:    1,
+		clock:       clk,
+		onRangeIdle: onRangeIdle,
+		idle:        make(chan struct{}),
+		gate:        mtgate.New(order, limits),
+		waiters:     make(map[mtgate.Number]chan *mtreply.RefusedError),
+		slowness:    1,
 	}
 }
 
 // Declare sets the limits of a class of a business.
-func (d *Door[O]) Declare(business mtid.Business, class mtbundle.Class) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.core.Declare(business, class)
+func (c *Door[O]) Declare(business mtid.Business, class mtbundle.Class) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.gate.Declare(business, class)
 }
 
-// Expect sets how long a request of a class is taken to run until one has ended.
-func (d *Door[O]) Expect(business mtid.Business, class mtid.Class, usual time.Duration) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.core.Expect(business, class, usual)
+// Expect sets the expected service time of a class until a request of it has ended.
+func (c *Door[O]) Expect(business mtid.Business, class mtid.Class, usual time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.gate.Expect(business, class, usual)
 }
 
-// Resize brings the gate's limits in line with the backend server. It is called
-// for each request and costs two comparisons when nothing changed.
-func (d *Door[O]) Resize(slots, conns int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.slots == slots && d.conns == conns {
+// Resize sets the gate's limits to those of the backend server. It is called for each
+// request, and costs two comparisons if nothing changed.
+func (c *Door[O]) Resize(slots, conns int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.slots == slots && c.conns == conns {
 		return
 	}
-	d.slots, d.conns = slots, conns
-	d.run(d.core.Resize(d.now(), slots, conns))
+	c.slots, c.conns = slots, conns
+	c.apply(c.gate.Resize(c.now(), slots, conns))
 }
 
-// Limit bounds how many requests are started in a second; zero is no limit. It is called
-// often, and costs a comparison when nothing changed.
-func (d *Door[O]) Limit(pace mtgate.Pace) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.pace == pace {
+// Limit sets the maximum number of requests started in a second; zero means no limit. It is
+// called often, and costs a comparison if nothing changed.
+func (c *Door[O]) Limit(limit mtgate.Pace) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.startLimit == limit {
 		return
 	}
-	d.pace = pace
-	d.ahead = d.clock.Now().Sub(d.clock.Steady())
-	d.run(d.core.Limit(d.now(), pace))
+	c.startLimit = limit
+	c.clockLead = c.clock.Now().Sub(c.clock.Steady())
+	c.apply(c.gate.Limit(c.now(), limit))
 }
 
-// leastSlower is by how much the multiple has to differ until the gate is told.
-const leastSlower = 0.05
+// minSlownessChange is the smallest change of the multiple that is passed to the gate.
+const minSlownessChange = 0.05
 
-// Slow sets how much longer requests take at the moment than on average, as a multiple. It
-// is called often, and costs a comparison when hardly anything changed.
-func (d *Door[O]) Slow(multiple float64) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if math.Abs(multiple-d.slow) < leastSlower {
+// Slow sets how much longer requests currently take than on average, as a multiple. It is
+// called often, and costs a comparison if the multiple has hardly changed.
+func (c *Door[O]) Slow(multiple float64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if math.Abs(multiple-c.slowness) < minSlownessChange {
 		return
 	}
-	d.slow = multiple
-	d.run(d.core.Slow(d.now(), multiple))
+	c.slowness = multiple
+	c.apply(c.gate.Slow(c.now(), multiple))
 }
 
-// Unseen says that requests may have been started a moment ago that the Door knows nothing
-// of.
-func (d *Door[O]) Unseen() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.core.Unseen(d.now())
+// Unseen makes the start limit count requests that may have been started just before,
+// unknown to the Door.
+func (c *Door[O]) Unseen() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.gate.Unseen(c.now())
 }
 
-// now returns the present time. While starts are limited it looks whether the clock has
-// jumped ahead, since a second seemed to be over then that had just begun. It is called
+// now returns the current time. While starts are limited it checks whether the clock has
+// jumped ahead: otherwise a second that has just begun would count as over. It is called
 // with mu held.
-func (d *Door[O]) now() mtclock.Instant {
-	now := d.clock.Now()
-	if d.pace == 0 {
+func (c *Door[O]) now() mtclock.Instant {
+	now := c.clock.Now()
+	if c.startLimit == 0 {
 		return now
 	}
-	ahead := now.Sub(d.clock.Steady())
-	if jump := ahead - d.ahead; jump > 0 {
-		d.core.Jumped(jump)
+	lead := now.Sub(c.clock.Steady())
+	if jump := lead - c.clockLead; jump > 0 {
+		c.gate.Jumped(jump)
 	}
-	d.ahead = ahead
+	c.clockLead = lead
 	return now
 }
 
-// Admit waits until the request may start and returns the function that ends
-// it, or fails with the refusal, a *mtreply.RefusedError.
-func (d *Door[O]) Admit(ctx context.Context, t mtgate.Ticket) (func(), error) {
-	verdict := make(chan *mtreply.RefusedError, 1)
-	d.mu.Lock()
-	d.next++
-	t.Number = d.next
-	d.waiters[t.Number] = verdict
-	d.run(d.core.Offer(d.now(), t))
-	d.mu.Unlock()
+// Admit waits until the request may start, and returns the function that ends it. It fails
+// with a *mtreply.RefusedError.
+func (c *Door[O]) Admit(ctx context.Context, t mtgate.Ticket) (func(), error) {
+	result := make(chan *mtreply.RefusedError, 1)
+	c.mu.Lock()
+	c.lastNumber++
+	t.Number = c.lastNumber
+	c.waiters[t.Number] = result
+	c.apply(c.gate.Offer(c.now(), t))
+	c.mu.Unlock()
 	var refused *mtreply.RefusedError
 	select {
-	case refused = <-verdict:
+	case refused = <-result:
 	case <-ctx.Done():
-		// The caller went away: the ticket leaves the queue, unless it was
-		// started a moment ago, and then it is ended like any other.
-		d.cancel(t.Number)
-		refused = <-verdict
+		// The caller has canceled the request. It leaves the queue, unless it was started a
+		// moment ago; then it is ended like any other.
+		c.cancel(t.Number)
+		refused = <-result
 	}
 	if refused != nil {
 		return nil, refused
 	}
-	return func() { d.done(t.Number) }, nil
+	return func() { c.done(t.Number) }, nil
 }
 
-func (d *Door[O]) done(n mtgate.Number) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.run(d.core.Done(d.now(), n))
+func (c *Door[O]) done(n mtgate.Number) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.apply(c.gate.Done(c.now(), n))
 }
 
-func (d *Door[O]) cancel(n mtgate.Number) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.run(d.core.Cancel(d.now(), n))
+func (c *Door[O]) cancel(n mtgate.Number) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.apply(c.gate.Cancel(c.now(), n))
 }
 
-// arm sets the alarm for the next request that will have waited too long, unless it
-// rings before. It is called with mu held.
-func (d *Door[O]) arm() {
-	at, waits := d.core.Next()
-	if !waits || (d.armed && d.rings <= at) {
+// setTimer sets the timer for the next request that will have waited too long, unless it
+// fires earlier anyway. It is called with mu held.
+func (c *Door[O]) setTimer() {
+	at, pending := c.gate.Next()
+	if !pending || (c.timerSet && c.timerAt <= at) {
 		return
 	}
-	d.armed, d.rings = true, at
-	wait := max(at.Sub(d.clock.Now()), 0)
-	if d.alarm == nil {
-		d.alarm = time.AfterFunc(wait, d.ring)
+	c.timerSet, c.timerAt = true, at
+	wait := max(at.Sub(c.clock.Now()), 0)
+	if c.timer == nil {
+		c.timer = time.AfterFunc(wait, c.expire)
 		return
 	}
-	d.alarm.Reset(wait)
+	c.timer.Reset(wait)
 }
 
-// ring refuses what has waited too long.
-func (d *Door[O]) ring() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.armed = false
-	d.run(d.core.Expire(d.now()))
+// expire refuses the requests that have waited too long.
+func (c *Door[O]) expire() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.timerSet = false
+	c.apply(c.gate.Expire(c.now()))
 }
 
-// Stop holds new work for a range; quiet is called once none is in flight.
-func (d *Door[O]) Stop(low, high mtid.Point) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.run(d.core.Stop(d.now(), low, high, mtgate.HoldNew))
+// Stop holds new requests for a range. onRangeIdle is called once none is in flight there.
+func (c *Door[O]) Stop(low, high mtid.Point) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.apply(c.gate.Stop(c.now(), low, high, mtgate.HoldNew))
 }
 
-// Resume admits the held work of a range here.
-func (d *Door[O]) Resume(low, high mtid.Point) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.run(d.core.Resume(d.now(), low, high))
+// Resume admits the held requests of a range here.
+func (c *Door[O]) Resume(low, high mtid.Point) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.apply(c.gate.Resume(c.now(), low, high))
 }
 
-// Release refuses the held work of a range, for its new owner to serve.
-func (d *Door[O]) Release(low, high mtid.Point) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.run(d.core.Release(d.now(), low, high))
+// Release refuses the held requests of a range, so that they go to its new owner.
+func (c *Door[O]) Release(low, high mtid.Point) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.apply(c.gate.Release(c.now(), low, high))
 }
 
-// Drain refuses all new work; Idle is closed once none is in flight.
-func (d *Door[O]) Drain() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.run(d.core.Drain(d.now()))
+// Drain refuses all new requests. Idle is closed once none is in flight.
+func (c *Door[O]) Drain() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.apply(c.gate.Drain(c.now()))
 }
 
-// Close refuses all that waits and all that comes until Reopen.
-func (d *Door[O]) Close() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.run(d.core.Close(d.now()))
+// Close refuses all waiting requests, and all new ones until Reopen.
+func (c *Door[O]) Close() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.apply(c.gate.Close(c.now()))
 }
 
-// Reopen ends what Close began.
-func (d *Door[O]) Reopen() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.run(d.core.Reopen(d.now()))
+// Reopen admits requests again after Close.
+func (c *Door[O]) Reopen() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.apply(c.gate.Reopen(c.now()))
 }
 
-// Idle is closed once nothing is in flight after Drain.
-func (d *Door[O]) Idle() <-chan struct{} { return d.idle }
+// Idle returns a channel that is closed once nothing is in flight after Drain.
+func (c *Door[O]) Idle() <-chan struct{} { return c.idle }
 
-// Busy returns how many requests are in flight and how many wait.
-func (d *Door[O]) Busy() (running, waiting int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.core.Busy()
+// Busy returns the numbers of requests in flight and waiting.
+func (c *Door[O]) Busy() (running, waiting int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.gate.Busy()
 }
 
 // Counts returns the gate's counters.
-func (d *Door[O]) Counts() mtgate.Counts {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.core.Counts()
+func (c *Door[O]) Counts() mtgate.Counts {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.gate.Counts()
 }
 
-// run carries out effects. It is called with mu held.
-func (d *Door[O]) run(effects []mtgate.Effect) {
+// apply carries out the effects that the gate returned. It is called with mu held.
+func (c *Door[O]) apply(effects []mtgate.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case mtgate.Start:
-			d.tell(e.Ticket.Number, nil)
+			c.resolve(e.Ticket.Number, nil)
 		case mtgate.Refuse:
-			d.tell(e.Ticket.Number, e.Err)
+			c.resolve(e.Ticket.Number, e.Err)
 		case mtgate.Quiet:
-			d.quiet(e.Low, e.High)
+			c.onRangeIdle(e.Low, e.High)
 		case mtgate.Idle:
-			close(d.idle)
+			close(c.idle)
 		}
 	}
-	d.arm()
+	c.setTimer()
 }
 
-func (d *Door[O]) tell(n mtgate.Number, refused *mtreply.RefusedError) {
-	verdict := d.waiters[n]
-	delete(d.waiters, n)
-	verdict <- refused
+func (c *Door[O]) resolve(n mtgate.Number, refused *mtreply.RefusedError) {
+	result := c.waiters[n]
+	delete(c.waiters, n)
+	result <- refused
 }
--- a/io/mtgate/mtgate_test.go
+++ b/io/mtgate/mtgate_test.go
@@ -16,30 +16,30 @@
 	"magnoliaturn/io/mttime"
 )
 
-// A server's only slot is taken for good, and nothing else happens at its gate. Whoever
-// waits there is refused when that makes sense no longer, one after the other, and not
-// held until somebody comes by.
-func TestWhoWaitsTooLongIsRefusedWithoutAnyOtherEvent(t *testing.T) {
+// A server's only slot is occupied for the whole test, and nothing else happens at its
+// gate. Requests that wait there must be refused one after the other, each as soon as it
+// can't end in time, not only at the next event.
+func TestOverdueRequestsAreRefusedWithoutOtherEvents(t *testing.T) {
 	clock := mttime.New()
-	door := iogate.New(clock, mtgate.NewFIFO(), mtgate.Limits{Waiting: 16, Patience: 1}, func(mtid.Point, mtid.Point) {})
-	door.Resize(1, 1)
-	end, err := door.Admit(context.Background(), mtgate.Ticket{Deadline: clock.Now().Add(time.Hour)})
+	admission := iogate.New(clock, mtgate.NewFIFO(), mtgate.Limits{Waiting: 16, Patience: 1}, func(mtid.Point, mtid.Point) {})
+	admission.Resize(1, 1)
+	end, err := admission.Admit(context.Background(), mtgate.Ticket{Deadline: clock.Now().Add(time.Hour)})
 	assert.NilError(t, err)
 	defer end()
 	refused := make(chan time.Duration)
 	waits := []time.Duration{900 * time.Millisecond, 300 * time.Millisecond, 600 * time.Millisecond}
 	for i, wait := range waits {
 		go func() {
-			_, err := door.Admit(context.Background(), mtgate.Ticket{Deadline: clock.Now().Add(wait)})
+			_, err := admission.Admit(context.Background(), mtgate.Ticket{Deadline: clock.Now().Add(wait)})
 			var refusal *mtreply.RefusedError
 			assert.Check(t, errors.As(err, &refusal), "%v", err)
 			refused <- wait
 		}()
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
-			if _, waiting := door.Busy(); waiting > i {
+			if _, waiting := admission.Busy(); waiting > i {
 				return poll.Success()
 			}
-			return poll.Continue("it does not wait yet")
+			return poll.Continue("the request does not wait yet")
 		}, poll.WithDelay(time.Millisecond))
 	}
 	for _, want := range []time.Duration{300 * time.Millisecond, 600 * time.Millisecond, 900 * time.Millisecond} {
