--- a/io/mtbackend/mtbackend.go
+++ b/io/mtbackend/mtbackend.go
@@ -1,11 +1,11 @@
-// Package mtbackend sends calls to the backend server on this VM over HTTP/1.1
-// and passes its answers on as they are.
+// Package mtbackend sends calls to the backend server on this VM over HTTP/1.1 and returns
+// its answers unchanged.
 //
-// A connection carries one call at a time, and its answers are read one by one:
-// a server may answer twice, late, or with bytes that are no answer, and what is
-// left on a connection would reach the next caller as its own answer. An answer
-// counts only if it echoes the identifier of the call; one of another call is
-// passed over. Whatever ends oddly ends its connection too.
+// A connection carries one call at a time, and its answers are read one by one: a server
+// may answer twice, late, or with bytes that are no answer, and whatever is left on a
+// connection would reach the next caller as its own answer. An answer is accepted only if
+// it echoes the identifier of the call; those of other calls are skipped. Anything
+// unexpected on a connection closes it.
 //
 // # Usage
 //
@@ -13,7 +13,7 @@
 //	defer cleanUp()
 //	answer, err := client.Do(ctx, target, call)
 //
-// Do fails with a *mtreply.RefusedError if the call was not run, else with a
+// Do fails with a *mtreply.RefusedError if the call was not run, otherwise with a
 // *mtreply.UnknownError. A Client is safe for concurrent use.
 package mtbackend
 
@@ -41,74 +41,74 @@
 type clock interface{ Now() mtclock.Instant }
 
 const (
-	// dialTimeout is for a connection within one VM, which takes a millisecond
-	// or two; a server that answers nothing at all is dead.
+	// dialTimeout limits the opening of a connection within one VM, which takes a
+	// millisecond or two. A server that does not answer at all is dead.
 	dialTimeout = 500 * time.Millisecond
-	// foreignAnswers is how many answers of other calls are passed over.
-	foreignAnswers = 4
-	// maxAnswer bounds the body of an answer, in bytes.
+	// maxMismatchedAnswers is the number of answers to other calls after which a call fails.
+	maxMismatchedAnswers = 4
+	// maxAnswer is the maximum size of the body of an answer, in bytes.
 	maxAnswer = 64 << 20
 )
 
-// Config is what a Client works with.
+// Config holds the settings and dependencies of a Client.
 type Config struct {
 	Names mtheader.Names
 	Clock clock
-	// Slowness reads how long work takes on the server's machine from an answer's header, as
-	// a multiple of what is usual; zero if it is not told. It may be nil.
+	// Slowness reads from an answer's header how long work takes on the server's machine,
+	// as a multiple of what is usual; zero if the header does not contain it. It may be
+	// nil.
 	Slowness func(http.Header) float64
 }
 
-// Target is the backend server that is meant.
+// Target identifies the backend server to which a call is sent.
 type Target struct {
 	Address string
-	Server  mtid.Server // one of another name refuses the call itself
+	Server  mtid.Server // a server with another name refuses the call
 }
 
-// Client is one daemon's way to its backend server.
+// Client sends calls to the backend server of a daemon.
 type Client struct {
 	Config
 	pool *pool
 }
 
-// New returns a client and its clean-up function, which closes the connections
-// that are idle.
+// New returns a client, and its clean-up function, which closes the idle connections.
 func New(config Config) (*Client, func()) {
 	c := &Client{Config: config, pool: newPool()}
 	return c, c.pool.close
 }
 
-// Do sends a call, once.
+// Do sends a call to the server once, without retrying.
 func (c *Client) Do(ctx context.Context, target Target, call *mtcall.Call) (*mtcall.Answer, error) {
-	left := call.Deadline.Sub(c.Clock.Now())
-	if left < time.Millisecond {
+	remaining := call.Deadline.Sub(c.Clock.Now())
+	if remaining < time.Millisecond {
 		return nil, &mtreply.RefusedError{Cause: mtreply.CauseExpired, RetryAfter: -1}
 	}
-	ctx, cancel := context.WithTimeout(ctx, left)
+	ctx, cancel := context.WithTimeout(ctx, remaining)
 	defer cancel()
 	conn, err := c.connect(ctx, target, call)
 	if err != nil {
 		return nil, err
 	}
-	// The deadline holds for both directions; a caller that leaves moves it to
-	// the past, which ends the call at once.
+	// The deadline applies to both directions. If the caller cancels, the deadline is moved
+	// to the past, which ends the call at once.
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
-	answer, reusable, err := c.exchange(conn, target, call, left)
+	answer, reusable, err := c.exchange(conn, target, call, remaining)
 	if !stop() || err != nil || !reusable {
 		_ = conn.Close()
 	} else {
 		c.pool.put(target.Address, conn, c.Clock.Now())
 	}
 	if err != nil {
-		return nil, explain(ctx, err)
+		return nil, classify(ctx, err)
 	}
 	return answer, nil
 }
 
-// connect returns a connection that nothing has been sent on for this call.
+// connect returns a connection on which nothing has been sent for this call.
 func (c *Client) connect(ctx context.Context, target Target, call *mtcall.Call) (*conn, error) {
-	if kept := c.pool.get(target.Address, c.Clock.Now(), call.Idempotent); kept != nil {
-		return kept, nil
+	if idle := c.pool.get(target.Address, c.Clock.Now(), call.Idempotent); idle != nil {
+		return idle, nil
 	}
 	dialer := net.Dialer{Timeout: dialTimeout}
 	dialed, err := dialer.DialContext(ctx, "tcp", target.Address)
@@ -118,17 +118,17 @@
 	return &conn{Conn: dialed, reader: bufio.NewReaderSize(dialed, readBuffer)}, nil
 }
 
-// unreachableRetry is when to ask again for a server that takes no connection:
-// about the time in which it is back or its keys have another owner.
+// unreachableRetry is the time after which to retry a call to a server that accepts no
+// connection: about the time in which it is back or its keys have another owner.
 const unreachableRetry = 500 * time.Millisecond
 
-// rejectedRetry is when to ask again after the server itself has rejected a call, although
-// it has no more than its slots in hand: something ails it, and another server, or this one a
-// moment later, mostly takes the call.
+// rejectedRetry is the time after which to retry a call that the server itself rejected
+// although it has free slots. Then the server has a problem, and another server, or the
+// same one a moment later, usually accepts the call.
 const rejectedRetry = 50 * time.Millisecond
 
-// dialCause tells a server whose process is gone, which the kernel of the VM
-// says at once, from one that does not answer.
+// dialCause distinguishes a server whose process has terminated, which the kernel of the VM
+// reports at once, from one that does not answer.
 func dialCause(err error) mtreply.Cause {
 	if Refused(err) {
 		return mtreply.CauseNoServer
@@ -136,21 +136,23 @@
 	return mtreply.CauseUnreachable
 }
 
-// Refused reports whether a connection failed because nothing listens there.
+// Refused reports whether a connection failed because nothing listens at the address.
 func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// TimedOut reports whether a connection failed because nobody answered.
+// TimedOut reports whether a connection failed because the other end did not answer in
+// time.
 func TimedOut(err error) bool {
 	var timeout net.Error
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// exchange sends the call and reads its answer.
-func (c *Client) exchange(conn *conn, target Target, call *mtcall.Call, left time.Duration) (*mtcall.Answer, bool, error) {
-	// A write that fails may have been answered all the same: a server may
-	// refuse a long body before it has read it.
-	_, sendErr := conn.Write(c.encode(target, call, left))
-	for range foreignAnswers {
+// exchange sends the call and reads its answer. It also reports whether the connection can
+// carry another call.
+func (c *Client) exchange(conn *conn, target Target, call *mtcall.Call, remaining time.Duration) (*mtcall.Answer, bool, error) {
+	// There may be an answer even if the write fails: a server may refuse a long body
+	// before it has read it.
+	_, sendErr := conn.Write(c.encode(target, call, remaining))
+	for range maxMismatchedAnswers {
 		response, err := readResponse(conn.reader, call.Method)
 		if err != nil {
 			return nil, false, errors.Join(err, sendErr)
@@ -159,14 +161,14 @@
 		if err != nil {
 			return nil, false, err
 		}
-		if !c.genuine(response) {
-			return nil, false, &forgedError{}
+		if !c.authentic(response) {
+			return nil, false, &untrustedError{}
 		}
 		switch id := response.Header.Get(c.Names.ID); {
 		case id == string(call.ID):
 		case id == "" && response.Header.Get(c.Names.NotRun) != "":
 		default:
-			continue // the second answer of an earlier call
+			continue // a second answer to an earlier call
 		}
 		if refused := c.refusal(response, target); refused != nil {
 			return nil, false, refused
@@ -176,18 +178,21 @@
 		}
 		return answer, reusable && sendErr == nil, nil
 	}
-	return nil, false, &foreignError{}
+	return nil, false, &mismatchError{}
 }
 
-// forgedError says that a success does not bear the server's mark.
-type forgedError struct{}
+// untrustedError reports an answer that is not the server's own: a success without its
+// signature, or encoded content.
+type untrustedError struct{}
 
 // Error implements error.
-func (*forgedError) Error() string { return "answer is not the backend server's own" }
+func (*untrustedError) Error() string {
+	return "answer lacks the backend server's signature or is encoded"
+}
 
-// genuine reports whether an answer is the server's own: a success bears its
-// mark, and no answer is encoded, since nobody asked for that.
-func (c *Client) genuine(response *http.Response) bool {
+// authentic reports whether an answer is the server's own: a success has its signature, and
+// no answer has encoded content, because the request does not ask for any.
+func (c *Client) authentic(response *http.Response) bool {
 	if response.Header.Get("Content-Encoding") != "" {
 		return false
 	}
@@ -195,13 +200,14 @@
 	return !success || response.Header.Get(c.Names.Signature) != ""
 }
 
-// Health is what a server's answer to a health check tells.
+// Health is the server's reply to a health check.
 type Health struct {
-	Server mtid.Server   // the life that answers, where it says so
-	Cold   time.Duration // for which it stays cold
+	Server mtid.Server   // name of the incarnation that answers, if it reports one
+	Cold   time.Duration // how much longer it stays cold
 }
 
-// Identify asks the server at an address which life of it answers there, and how it is.
+// Identify queries which incarnation of the server answers at an address, and its warm-up
+// state.
 func (c *Client) Identify(ctx context.Context, address, path string) (Health, error) {
 	ctx, cancel := context.WithTimeout(ctx, identifyTimeout)
 	defer cancel()
@@ -215,38 +221,38 @@
 		return Health{}, &mtreply.UnknownError{Cause: mtreply.CauseLost, Err: err}
 	}
 	_ = response.Body.Close()
-	return Health{Server: mtid.Server(response.Header.Get(c.Names.Answerer)), Cold: c.cold(response.Header)}, nil
+	return Health{Server: mtid.Server(response.Header.Get(c.Names.Answerer)), Cold: c.parseCold(response.Header)}, nil
 }
 
-// cold returns for how long a server says that it stays cold. One that says nothing that
-// can be read is as warm as its beats tell.
-func (c *Client) cold(h http.Header) time.Duration {
+// parseCold returns how much longer a server stays cold by its header. If that is missing
+// or invalid, the heartbeats determine the warm-up state.
+func (c *Client) parseCold(h http.Header) time.Duration {
 	if c.Names.Cold == "" {
 		return 0
 	}
 	ms, err := strconv.ParseFloat(h.Get(c.Names.Cold), 64)
-	if err != nil || ms < 0 || ms > mostCold {
+	if err != nil || ms < 0 || ms > maxCold {
 		return 0
 	}
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// mostCold bounds what a server is believed of how long it stays cold, in milliseconds.
-const mostCold = 60_000
+// maxCold is the largest cold time accepted from a server, in milliseconds.
+const maxCold = 60_000
 
-// identifyTimeout bounds the question which life of a server answers. It waits
-// for a slot like any other request.
+// identifyTimeout limits the query for the incarnation of a server. The query waits for a
+// slot like any other request.
 const identifyTimeout = time.Second
 
-// foreignError says that a connection gave only answers of other calls.
-type foreignError struct{}
+// mismatchError reports a connection that returned only answers to other calls.
+type mismatchError struct{}
 
 // Error implements error.
-func (*foreignError) Error() string { return "backend server answers other requests" }
+func (*mismatchError) Error() string { return "backend server sent only answers to other requests" }
 
-// encode returns the bytes of a call. The target is written as the caller wrote
-// it: url.URL.Opaque is what net/http sends unchanged.
-func (c *Client) encode(target Target, call *mtcall.Call, left time.Duration) []byte {
+// encode returns the bytes of a call. The request target is written as the caller wrote it:
+// net/http sends url.URL.Opaque unchanged.
+func (c *Client) encode(target Target, call *mtcall.Call, remaining time.Duration) []byte {
 	header := make(http.Header, len(call.Header)+6)
 	for _, f := range call.Header {
 		header[f.Name] = append(header[f.Name], f.Value)
@@ -255,7 +261,7 @@
 		header["User-Agent"] = []string{""} // net/http would add its own
 	}
 	header[c.Names.ID] = []string{string(call.ID)}
-	header[c.Names.Deadline] = []string{strconv.FormatInt(max(left.Milliseconds(), 1), 10)}
+	header[c.Names.Deadline] = []string{strconv.FormatInt(max(remaining.Milliseconds(), 1), 10)}
 	header[c.Names.Server] = []string{string(target.Server)}
 	header[c.Names.Caller] = []string{string(call.Caller)}
 	if call.Keyed {
@@ -268,7 +274,7 @@
 		Header: header,
 	}
 	if strings.HasPrefix(call.Target, "//") {
-		// An opaque target that begins so would be sent as an absolute one.
+		// An opaque target that begins with // would be sent as an absolute URL.
 		path, query, _ := strings.Cut(call.Target, "?")
 		request.URL = &url.URL{Path: path, RawPath: path, RawQuery: query}
 	}
@@ -277,13 +283,13 @@
 		request.ContentLength = int64(len(call.Body))
 	}
 	var out bytes.Buffer
-	// Writing to memory can't fail, and the fields were read from a valid
-	// request; an invalid one shows as an incomplete request to the server.
+	// Writing to memory can't fail, and the fields were read from a valid request. The
+	// server would receive an invalid one as an incomplete request.
 	_ = request.Write(&out)
 	return out.Bytes()
 }
 
-// readResponse reads the head of a final response.
+// readResponse reads the head of the final response.
 func readResponse(r *bufio.Reader, method string) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(r, &http.Request{Method: method})
@@ -296,14 +302,14 @@
 	}
 }
 
-// sizeError says that an answer is larger than is passed on.
+// sizeError reports an answer whose body exceeds maxAnswer.
 type sizeError struct{}
 
 // Error implements error.
-func (*sizeError) Error() string { return "answer is too large" }
+func (*sizeError) Error() string { return "answer body exceeds 64 MiB" }
 
-// readAnswer reads the whole body and reports whether the connection can carry
-// another call.
+// readAnswer reads the whole body, and reports whether the connection can carry another
+// call.
 func readAnswer(conn *conn, response *http.Response) (*mtcall.Answer, bool, error) {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer+1))
 	if err != nil {
@@ -313,15 +319,15 @@
 		return nil, false, &sizeError{}
 	}
 	_ = response.Body.Close()
-	answer := &mtcall.Answer{Status: response.StatusCode, Header: fields(response.Header), Body: body}
-	// Bytes behind a complete answer belong to no call.
+	answer := &mtcall.Answer{Status: response.StatusCode, Header: endToEndFields(response.Header), Body: body}
+	// Bytes after a complete answer belong to no call.
 	reusable := !response.Close && conn.reader.Buffered() == 0
-	conn.idle = keepAlive(response.Header)
+	conn.idleTimeout = keepAlive(response.Header)
 	return answer, reusable, nil
 }
 
-// fields returns the header less what concerns only the connection.
-func fields(h http.Header) []mtcall.Field {
+// endToEndFields returns the header without the fields that apply only to the connection.
+func endToEndFields(h http.Header) []mtcall.Field {
 	out := make([]mtcall.Field, 0, len(h))
 	for name, values := range h {
 		if mtheader.HopByHop(name) {
@@ -334,13 +340,13 @@
 	return out
 }
 
-// refusal returns what a server's own refusal means, or nil. Only the mark of
-// the server, or the status that says it has another name, proves that the call
-// was not run.
+// refusal returns the error for an answer in which the server refuses the call, or nil.
+// Only the server's not-run header, or the status for a request to another server, proves
+// that the call was not run.
 func (c *Client) refusal(response *http.Response, target Target) error {
 	if response.StatusCode == http.StatusMisdirectedRequest {
 		if other := response.Header.Get(c.Names.Answerer); other != "" && other != string(target.Server) {
-			return &mtreply.RefusedError{Cause: mtreply.CauseNoServer, RetryAfter: unreachableRetry, Detail: "another server has the address"}
+			return &mtreply.RefusedError{Cause: mtreply.CauseNoServer, RetryAfter: unreachableRetry, Detail: "another server answers at the address"}
 		}
 		return &mtreply.RefusedError{Cause: mtreply.CauseFenced, RetryAfter: unreachableRetry, Detail: "the server does not hold the key"}
 	}
@@ -350,8 +356,8 @@
 	return nil
 }
 
-// explain turns the failure of an exchange into what is known of the call.
-func explain(ctx context.Context, err error) error {
+// classify converts the error of an exchange to one that states what is known of the call.
+func classify(ctx context.Context, err error) error {
 	var refused *mtreply.RefusedError
 	if errors.As(err, &refused) {
 		return refused
@@ -362,9 +368,9 @@
 	case ctx.Err() != nil:
 		return &mtreply.UnknownError{Cause: mtreply.CauseGone, Err: err}
 	}
-	var foreign *foreignError
-	var forged *forgedError
-	if errors.As(err, &foreign) || errors.As(err, &forged) || errors.Is(err, io.ErrUnexpectedEOF) {
+	var mismatch *mismatchError
+	var untrusted *untrustedError
+	if errors.As(err, &mismatch) || errors.As(err, &untrusted) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return &mtreply.UnknownError{Cause: mtreply.CauseTruncated, Err: err}
 	}
 	return &mtreply.UnknownError{Cause: mtreply.CauseLost, Err: err}
--- a/io/mtbackend/mtbackend_test.go
+++ b/io/mtbackend/mtbackend_test.go
@@ -21,20 +21,20 @@
 	"magnoliaturn/io/mttime"
 )
 
-// raw is a backend server that answers each request with bytes of the test's
-// choice. "ID" in them stands for the identifier of the request.
-type raw struct {
+// rawServer is a backend server that answers each request with arbitrary bytes. "ID" in
+// them is replaced by the identifier of the request.
+type rawServer struct {
 	listener net.Listener
 	conns    atomic.Int64
 	mu       sync.Mutex
 	requests []string
 }
 
-func newRaw(t *testing.T, answer func(n int, c net.Conn, id string) (keep bool)) *raw {
+func newRawServer(t *testing.T, answer func(n int, c net.Conn, id string) (keep bool)) *rawServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	s := &raw{listener: listener}
+	s := &rawServer{listener: listener}
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
@@ -49,7 +49,7 @@
 	return s
 }
 
-func (s *raw) serve(conn net.Conn, answer func(n int, c net.Conn, id string) bool) {
+func (s *rawServer) serve(conn net.Conn, answer func(n int, c net.Conn, id string) bool) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	for {
@@ -67,19 +67,20 @@
 	}
 }
 
-func (s *raw) target() mtbackend.Target {
+func (s *rawServer) target() mtbackend.Target {
 	return mtbackend.Target{Address: s.listener.Addr().String(), Server: "life-1"}
 }
 
-// say answers with a text in which ID is replaced.
-func say(text string) func(int, net.Conn, string) bool {
+// replyWith answers with a text in which ID is replaced, and closes the connection if the
+// text contains CLOSE.
+func replyWith(text string) func(int, net.Conn, string) bool {
 	return func(_ int, c net.Conn, id string) bool {
 		_, _ = c.Write([]byte(strings.ReplaceAll(text, "ID", id)))
 		return !strings.Contains(text, "CLOSE")
 	}
 }
 
-const good = "HTTP/1.1 200 OK\r\nRequest-Id: ID\r\nReply-Signature: s\r\nContent-Length: 5\r\n\r\nwhole"
+const goodAnswer = "HTTP/1.1 200 OK\r\nRequest-Id: ID\r\nReply-Signature: s\r\nContent-Length: 5\r\n\r\nwhole"
 
 func client(t *testing.T) (*mtbackend.Client, *mttime.Clock) {
 	t.Helper()
@@ -93,8 +94,8 @@
 	return &mtcall.Call{ID: id, Method: http.MethodGet, Target: "/plans/7?floor=2", Host: "maps.example", Idempotent: true, Deadline: clock.Now().Add(3 * time.Second)}
 }
 
-// Each row is what a faulty server may send, and what the caller must be told:
-// never part of an answer, never another's, and "not run" only with proof.
+// Each case is an answer that a faulty server may send, and the result for the caller:
+// never part of an answer, never that of another call, and "not run" only with proof.
 func TestAnswers(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -103,25 +104,25 @@
 		refused mtreply.Cause
 		unknown mtreply.Cause
 	}{
-		{name: "whole", answer: good, body: "whole"},
-		{name: "without length", answer: "HTTP/1.1 200 OK\r\nRequest-Id: ID\r\nReply-Signature: s\r\nX-End: CLOSE\r\n\r\nto the end", body: "to the end"},
+		{name: "whole", answer: goodAnswer, body: "whole"},
+		{name: "without content length", answer: "HTTP/1.1 200 OK\r\nRequest-Id: ID\r\nReply-Signature: s\r\nX-End: CLOSE\r\n\r\nto the end", body: "to the end"},
 		{name: "chunked", answer: "HTTP/1.1 200 OK\r\nRequest-Id: ID\r\nReply-Signature: s\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", body: "abc"},
-		{name: "second answer of another call first", answer: strings.ReplaceAll(good, "ID", "other") + good, body: "whole"},
-		{name: "a failure of its own", answer: "HTTP/1.1 500 Oops\r\nRequest-Id: ID\r\nReply-Signature: s\r\nContent-Length: 2\r\n\r\nno", body: "no"},
-		{name: "cut body", answer: "HTTP/1.1 200 OK\r\nRequest-Id: ID\r\nReply-Signature: s\r\nContent-Length: 50\r\nX-End: CLOSE\r\n\r\npart", unknown: mtreply.CauseTruncated},
-		{name: "cut header", answer: "HTTP/1.1 200 OK\r\nRequest-Id: ID\r\nX-End: CLOSE", unknown: mtreply.CauseTruncated},
-		{name: "no HTTP", answer: "CLOSE garbage\r\n\r\n", unknown: mtreply.CauseLost},
-		{name: "an empty line and the end", answer: "\r\nCLOSE", unknown: mtreply.CauseLost},
-		{name: "success without the server's mark", answer: "HTTP/1.1 200 OK\r\nRequest-Id: ID\r\nContent-Length: 2\r\n\r\nno", unknown: mtreply.CauseTruncated},
+		{name: "second answer to another call first", answer: strings.ReplaceAll(goodAnswer, "ID", "other") + goodAnswer, body: "whole"},
+		{name: "server error", answer: "HTTP/1.1 500 Oops\r\nRequest-Id: ID\r\nReply-Signature: s\r\nContent-Length: 2\r\n\r\nno", body: "no"},
+		{name: "truncated body", answer: "HTTP/1.1 200 OK\r\nRequest-Id: ID\r\nReply-Signature: s\r\nContent-Length: 50\r\nX-End: CLOSE\r\n\r\npart", unknown: mtreply.CauseTruncated},
+		{name: "truncated header", answer: "HTTP/1.1 200 OK\r\nRequest-Id: ID\r\nX-End: CLOSE", unknown: mtreply.CauseTruncated},
+		{name: "not HTTP", answer: "CLOSE garbage\r\n\r\n", unknown: mtreply.CauseLost},
+		{name: "empty line and end of stream", answer: "\r\nCLOSE", unknown: mtreply.CauseLost},
+		{name: "success without signature", answer: "HTTP/1.1 200 OK\r\nRequest-Id: ID\r\nContent-Length: 2\r\n\r\nno", unknown: mtreply.CauseTruncated},
 		{name: "encoded", answer: "HTTP/1.1 200 OK\r\nRequest-Id: ID\r\nReply-Signature: s\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n\r\nno", unknown: mtreply.CauseTruncated},
-		{name: "only answers of others", answer: strings.Repeat(strings.ReplaceAll(good, "ID", "other"), 4), unknown: mtreply.CauseTruncated},
-		{name: "says that it was not run", answer: "HTTP/1.1 503 Busy\r\nRequest-Id: ID\r\nRequest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", refused: mtreply.CauseRefused},
-		{name: "holds no such key", answer: "HTTP/1.1 421 No\r\nRequest-Id: ID\r\nRequest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", refused: mtreply.CauseFenced},
-		{name: "is another life", answer: "HTTP/1.1 421 No\r\nRequest-Id: ID\r\nServer-Answering: life-2\r\nContent-Length: 0\r\n\r\n", refused: mtreply.CauseNoServer},
-		{name: "503 without the mark proves nothing", answer: "HTTP/1.1 503 Busy\r\nRequest-Id: ID\r\nContent-Length: 0\r\n\r\n", body: ""},
+		{name: "only answers to other calls", answer: strings.Repeat(strings.ReplaceAll(goodAnswer, "ID", "other"), 4), unknown: mtreply.CauseTruncated},
+		{name: "refused by the server", answer: "HTTP/1.1 503 Busy\r\nRequest-Id: ID\r\nRequest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", refused: mtreply.CauseRefused},
+		{name: "key not held", answer: "HTTP/1.1 421 No\r\nRequest-Id: ID\r\nRequest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", refused: mtreply.CauseFenced},
+		{name: "another incarnation", answer: "HTTP/1.1 421 No\r\nRequest-Id: ID\r\nServer-Answering: life-2\r\nContent-Length: 0\r\n\r\n", refused: mtreply.CauseNoServer},
+		{name: "503 without the not-run header", answer: "HTTP/1.1 503 Busy\r\nRequest-Id: ID\r\nContent-Length: 0\r\n\r\n", body: ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			server := newRaw(t, say(test.answer))
+			server := newRawServer(t, replyWith(test.answer))
 			c, clock := client(t)
 			answer, err := c.Do(t.Context(), server.target(), call(clock, "7"))
 			var refused *mtreply.RefusedError
@@ -141,11 +142,11 @@
 	}
 }
 
-// Bytes behind a complete answer belong to no call. On a connection that was
-// used again, the next caller would take them for its own answer.
-func TestAConnectionWithStrayBytesIsNotUsedAgain(t *testing.T) {
-	server := newRaw(t, func(n int, c net.Conn, id string) bool {
-		text := strings.ReplaceAll(good, "ID", id)
+// Bytes after a complete answer belong to no call. If the connection were reused, the next
+// caller would receive them as its answer.
+func TestConnectionWithStrayBytesIsNotReused(t *testing.T) {
+	server := newRawServer(t, func(n int, c net.Conn, id string) bool {
+		text := strings.ReplaceAll(goodAnswer, "ID", id)
 		if n == 1 {
 			text += "stray"
 		}
@@ -161,10 +162,10 @@
 	assert.Equal(t, server.conns.Load(), int64(2))
 }
 
-// The path and query reach the server as the caller wrote them: decoded and
-// encoded again they might name something else.
-func TestTheTargetIsPassedOnUnchanged(t *testing.T) {
-	server := newRaw(t, say(good))
+// The path and query reach the server as the caller wrote them. Decoding and encoding them
+// again could change their meaning.
+func TestTargetIsForwardedUnchanged(t *testing.T) {
+	server := newRawServer(t, replyWith(goodAnswer))
 	c, clock := client(t)
 	for _, target := range []string{"/a%2Fb/c%20d?x=1&x=%31", "/a/../b", "//double//slash?q", "/semi;colon=1", "/q?"} {
 		one := call(clock, "7")
@@ -177,11 +178,11 @@
 	}
 }
 
-// A server that ails rejects half of what comes, although it has slots free. A caller who was
-// told to come back after half a second came back too late for its objective; one that asks
-// again at once is mostly taken.
-func TestARejectedCallMayComeBackAtOnce(t *testing.T) {
-	server := newRaw(t, say("HTTP/1.1 503 Busy\r\nRequest-Id: ID\r\nRequest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"))
+// A faulty server rejects half of its calls although it has free slots. A caller that
+// waited for half a second before its retry missed its objective; a retry at once usually
+// succeeds.
+func TestRejectedCallHasShortRetryAfter(t *testing.T) {
+	server := newRawServer(t, replyWith("HTTP/1.1 503 Busy\r\nRequest-Id: ID\r\nRequest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"))
 	c, clock := client(t)
 	_, err := c.Do(t.Context(), server.target(), call(clock, "7"))
 	var refused *mtreply.RefusedError
@@ -189,9 +190,9 @@
 	assert.Assert(t, refused.RetryAfter <= 100*time.Millisecond, "%s", refused.RetryAfter)
 }
 
-// Nothing listens: no byte of the call can have left, so it was not run.
-func TestARefusedConnectionIsNotRun(t *testing.T) {
-	server := newRaw(t, say(good))
+// Nothing listens, so no byte of the call can have been sent, and it was not run.
+func TestRefusedConnectionMeansNotRun(t *testing.T) {
+	server := newRawServer(t, replyWith(goodAnswer))
 	_ = server.listener.Close()
 	c, clock := client(t)
 	_, err := c.Do(t.Context(), server.target(), call(clock, "7"))
@@ -200,12 +201,12 @@
 	assert.Equal(t, refused.Cause, mtreply.CauseNoServer)
 }
 
-// The caller leaves while the server works: the connection closes at once, by
-// which the server knows, and nobody is told that the call was not run.
-func TestACallerThatLeavesEndsTheCall(t *testing.T) {
-	begun, ended := make(chan struct{}), make(chan struct{})
-	server := newRaw(t, func(_ int, c net.Conn, _ string) bool {
-		close(begun)
+// The caller cancels while the server works. The connection is closed at once, which
+// notifies the server, and the call must not be reported as not run.
+func TestCanceledCallerEndsCall(t *testing.T) {
+	started, ended := make(chan struct{}), make(chan struct{})
+	server := newRawServer(t, func(_ int, c net.Conn, _ string) bool {
+		close(started)
 		_, _ = c.Read(make([]byte, 1))
 		close(ended)
 		return false
@@ -213,7 +214,7 @@
 	c, clock := client(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		<-begun
+		<-started
 		cancel()
 	}()
 	_, err := c.Do(ctx, server.target(), call(clock, "7"))
--- a/io/mtbackend/pool.go
+++ b/io/mtbackend/pool.go
@@ -15,29 +15,30 @@
 )
 
 const (
-	// readBuffer is the size of a connection's buffer, in bytes: most answers
-	// fit, and a hundred connections stay under half a megabyte.
+	// readBuffer is the size of a connection's read buffer, in bytes: most answers fit, and
+	// a hundred connections use less than half a megabyte.
 	readBuffer = 4 << 10
-	// defaultIdle is how long a connection is kept if the server names no time.
+	// defaultIdle is how long an idle connection is kept if the server specifies no
+	// timeout.
 	defaultIdle = 4 * time.Second
-	// idleSpare is kept free before the time that the server names, so that a
-	// call never crosses the server's close.
-	idleSpare = time.Second
-	// freshFor is how long a kept connection is good for a call that must not
-	// run twice. A server that has dropped an idle connection without a word
-	// resets it on the next call, and then nobody knows whether that was run.
-	freshFor = 1500 * time.Millisecond
+	// idleMargin is subtracted from the timeout that the server specifies, so that no call
+	// is sent while the server closes the connection.
+	idleMargin = time.Second
+	// nonIdempotentMaxIdle is how long a connection may have been idle for a call that must
+	// not run twice. If a server has dropped an idle connection without closing it, it
+	// resets the connection on the next call, and it is unknown whether that call was run.
+	nonIdempotentMaxIdle = 1500 * time.Millisecond
 )
 
 // conn is a connection to the backend server.
 type conn struct {
 	net.Conn
-	reader *bufio.Reader
-	idle   time.Duration // that the server keeps it open for
-	since  mtclock.Instant
+	reader      *bufio.Reader
+	idleTimeout time.Duration // how long the connection is kept while idle
+	idleSince   mtclock.Instant
 }
 
-// pool keeps idle connections, the last used first.
+// pool keeps idle connections. The last used one is used first.
 type pool struct {
 	mu      sync.Mutex
 	address string
@@ -47,19 +48,19 @@
 
 func newPool() *pool { return &pool{} }
 
-// get returns a connection to the address that can still be used, or nil.
+// get returns a usable connection to the address, or nil.
 func (p *pool) get(address string, now mtclock.Instant, idempotent bool) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.aim(address)
+	p.setAddress(address)
 	for len(p.idle) > 0 {
 		last := len(p.idle) - 1
 		c := p.idle[last]
-		if !idempotent && now.Sub(c.since) > freshFor {
+		if !idempotent && now.Sub(c.idleSince) > nonIdempotentMaxIdle {
 			return nil
 		}
 		p.idle = p.idle[:last]
-		if now.Sub(c.since) < c.idle && quiet(c) {
+		if now.Sub(c.idleSince) < c.idleTimeout && nothingReceived(c) {
 			return c
 		}
 		_ = c.Close()
@@ -67,34 +68,34 @@
 	return nil
 }
 
-// put keeps a connection that has ended its call in order.
+// put keeps a connection whose call has ended without error.
 func (p *pool) put(address string, c *conn, now mtclock.Instant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_ = c.SetDeadline(time.Time{})
-	p.aim(address)
-	if p.closed || c.idle <= 0 {
+	p.setAddress(address)
+	if p.closed || c.idleTimeout <= 0 {
 		_ = c.Close()
 		return
 	}
-	c.since = now
+	c.idleSince = now
 	p.idle = append(p.idle, c)
-	for len(p.idle) > 0 && now.Sub(p.idle[0].since) >= p.idle[0].idle {
+	for len(p.idle) > 0 && now.Sub(p.idle[0].idleSince) >= p.idle[0].idleTimeout {
 		_ = p.idle[0].Close()
 		p.idle = p.idle[1:]
 	}
 }
 
-// aim drops the connections to a former address.
-func (p *pool) aim(address string) {
+// setAddress closes the connections to any other address.
+func (p *pool) setAddress(address string) {
 	if p.address == address {
 		return
 	}
-	p.drop()
+	p.closeIdle()
 	p.address = address
 }
 
-func (p *pool) drop() {
+func (p *pool) closeIdle() {
 	for _, c := range p.idle {
 		_ = c.Close()
 	}
@@ -105,13 +106,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	p.drop()
+	p.closeIdle()
 }
 
-// quiet reports whether nothing has arrived on an idle connection: neither its
-// end nor bytes that belong to no call, which the next caller would take for
-// its answer.
-func quiet(c *conn) bool {
+// nothingReceived reports whether nothing has arrived on an idle connection: neither its end nor
+// bytes that belong to no call, which the next caller would receive as its answer.
+func nothingReceived(c *conn) bool {
 	tcp, ok := c.Conn.(*net.TCPConn)
 	if !ok {
 		return true
@@ -120,17 +120,17 @@
 	if err != nil {
 		return false
 	}
-	nothing := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
-		_, _, got := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		nothing = got == unix.EAGAIN
+		_, _, errno := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		empty = errno == unix.EAGAIN
 		return true
 	})
-	return err == nil && nothing
+	return err == nil && empty
 }
 
-// keepAlive returns for how long the server keeps the connection.
+// keepAlive returns how long a connection is kept while idle, by the server's header.
 func keepAlive(h http.Header) time.Duration {
 	_, rest, ok := strings.Cut(h.Get("Keep-Alive"), "timeout=")
 	if !ok {
@@ -141,5 +141,5 @@
 	if err != nil || seconds < 0 {
 		return defaultIdle
 	}
-	return time.Duration(seconds)*time.Second - idleSpare
+	return time.Duration(seconds)*time.Second - idleMargin
 }
