--- a/io/mtbackend/mtbackend.go
+++ b/io/mtbackend/mtbackend.go
@@ -130,18 +130,18 @@
 // dialCause distinguishes a server whose process has terminated, which the kernel of the VM
 // reports at once, from one that does not answer.
 func dialCause(err error) mtreply.Cause {
-	if Refused(err) {
+	if ConnectionRefused(err) {
 		return mtreply.CauseNoServer
 	}
 	return mtreply.CauseUnreachable
 }
 
-// Refused reports whether a connection failed because nothing listens at the address.
-func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// ConnectionRefused reports whether a connection failed because nothing listens at the address.
+func ConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// TimedOut reports whether a connection failed because the other end did not answer in
+// ConnectionTimedOut reports whether a connection failed because the other end did not answer in
 // time.
-func TimedOut(err error) bool {
+func ConnectionTimedOut(err error) bool {
 	var timeout net.Error
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
--- a/io/mtgate/mtgate.go
+++ b/io/mtgate/mtgate.go
@@ -8,8 +8,8 @@
 //	end, err := admission.Admit(ctx, ticket) // waits
 //	defer end()
 //
-// A Door is safe for concurrent use. It sets a timer for the next request that will have
-// waited too long; polling for such requests would keep an idle daemon busy.
+// An AdmissionController is safe for concurrent use. It sets a timer for the next request
+// that will have waited too long; polling for such requests would keep an idle daemon busy.
 package mtgate
 
 import (
@@ -32,8 +32,8 @@
 	Steady() mtclock.Instant
 }
 
-// Door controls the admission of requests to one backend server.
-type Door[O mtgate.Order] struct {
+// AdmissionController controls the admission of requests to one backend server.
+type AdmissionController[O mtgate.Order] struct {
 	clock       clock
 	onRangeIdle func(low, high mtid.Point)
 	idle        chan struct{}
@@ -51,10 +51,10 @@
 	timerAt     mtclock.Instant // when the timer fires, if it is set
 }
 
-// New returns a Door without slots. onRangeIdle is called, with the Door locked, once
-// nothing is in flight in a stopped range.
-func New[O mtgate.Order](clk clock, order O, limits mtgate.Limits, onRangeIdle func(low, high mtid.Point)) *Door[O] {
-	return &Door[O]{
+// New returns an AdmissionController without slots. onRangeIdle is called, with the
+// controller locked, once nothing is in flight in a stopped range.
+func New[O mtgate.Order](clk clock, order O, limits mtgate.Limits, onRangeIdle func(low, high mtid.Point)) *AdmissionController[O] {
+	return &AdmissionController[O]{
 		clock:       clk,
 		onRangeIdle: onRangeIdle,
 		idle:        make(chan struct{}),
@@ -65,14 +65,14 @@
 }
 
 // Declare sets the limits of a class of a business.
-func (c *Door[O]) Declare(business mtid.Business, class mtbundle.Class) {
+func (c *AdmissionController[O]) Declare(business mtid.Business, class mtbundle.Class) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.gate.Declare(business, class)
 }
 
 // Expect sets the expected service time of a class until a request of it has ended.
-func (c *Door[O]) Expect(business mtid.Business, class mtid.Class, usual time.Duration) {
+func (c *AdmissionController[O]) Expect(business mtid.Business, class mtid.Class, usual time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.gate.Expect(business, class, usual)
@@ -80,7 +80,7 @@
 
 // Resize sets the gate's limits to those of the backend server. It is called for each
 // request, and costs two comparisons if nothing changed.
-func (c *Door[O]) Resize(slots, conns int) {
+func (c *AdmissionController[O]) Resize(slots, conns int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.slots == slots && c.conns == conns {
@@ -92,7 +92,7 @@
 
 // Limit sets the maximum number of requests started in a second; zero means no limit. It is
 // called often, and costs a comparison if nothing changed.
-func (c *Door[O]) Limit(limit mtgate.Pace) {
+func (c *AdmissionController[O]) Limit(limit mtgate.Pace) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.startLimit == limit {
@@ -108,7 +108,7 @@
 
 // Slow sets how much longer requests currently take than on average, as a multiple. It is
 // called often, and costs a comparison if the multiple has hardly changed.
-func (c *Door[O]) Slow(multiple float64) {
+func (c *AdmissionController[O]) Slow(multiple float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if math.Abs(multiple-c.slowness) < minSlownessChange {
@@ -118,9 +118,9 @@
 	c.apply(c.gate.Slow(c.now(), multiple))
 }
 
-// Unseen makes the start limit count requests that may have been started just before,
-// unknown to the Door.
-func (c *Door[O]) Unseen() {
+// AssumeRecentStarts makes the start limit count requests that may have been started just
+// before, unknown to the controller.
+func (c *AdmissionController[O]) AssumeRecentStarts() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.gate.Unseen(c.now())
@@ -129,7 +129,7 @@
 // now returns the current time. While starts are limited it checks whether the clock has
 // jumped ahead: otherwise a second that has just begun would count as over. It is called
 // with mu held.
-func (c *Door[O]) now() mtclock.Instant {
+func (c *AdmissionController[O]) now() mtclock.Instant {
 	now := c.clock.Now()
 	if c.startLimit == 0 {
 		return now
@@ -144,7 +144,7 @@
 
 // Admit waits until the request may start, and returns the function that ends it. It fails
 // with a *mtreply.RefusedError.
-func (c *Door[O]) Admit(ctx context.Context, t mtgate.Ticket) (func(), error) {
+func (c *AdmissionController[O]) Admit(ctx context.Context, t mtgate.Ticket) (func(), error) {
 	result := make(chan *mtreply.RefusedError, 1)
 	c.mu.Lock()
 	c.lastNumber++
@@ -167,13 +167,13 @@
 	return func() { c.done(t.Number) }, nil
 }
 
-func (c *Door[O]) done(n mtgate.Number) {
+func (c *AdmissionController[O]) done(n mtgate.Number) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.apply(c.gate.Done(c.now(), n))
 }
 
-func (c *Door[O]) cancel(n mtgate.Number) {
+func (c *AdmissionController[O]) cancel(n mtgate.Number) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.apply(c.gate.Cancel(c.now(), n))
@@ -181,7 +181,7 @@
 
 // setTimer sets the timer for the next request that will have waited too long, unless it
 // fires earlier anyway. It is called with mu held.
-func (c *Door[O]) setTimer() {
+func (c *AdmissionController[O]) setTimer() {
 	at, pending := c.gate.Next()
 	if !pending || (c.timerSet && c.timerAt <= at) {
 		return
@@ -196,7 +196,7 @@
 }
 
 // expire refuses the requests that have waited too long.
-func (c *Door[O]) expire() {
+func (c *AdmissionController[O]) expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.timerSet = false
@@ -204,66 +204,66 @@
 }
 
 // Stop holds new requests for a range. onRangeIdle is called once none is in flight there.
-func (c *Door[O]) Stop(low, high mtid.Point) {
+func (c *AdmissionController[O]) Stop(low, high mtid.Point) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.apply(c.gate.Stop(c.now(), low, high, mtgate.HoldNew))
 }
 
 // Resume admits the held requests of a range here.
-func (c *Door[O]) Resume(low, high mtid.Point) {
+func (c *AdmissionController[O]) Resume(low, high mtid.Point) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.apply(c.gate.Resume(c.now(), low, high))
 }
 
 // Release refuses the held requests of a range, so that they go to its new owner.
-func (c *Door[O]) Release(low, high mtid.Point) {
+func (c *AdmissionController[O]) Release(low, high mtid.Point) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.apply(c.gate.Release(c.now(), low, high))
 }
 
 // Drain refuses all new requests. Idle is closed once none is in flight.
-func (c *Door[O]) Drain() {
+func (c *AdmissionController[O]) Drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.apply(c.gate.Drain(c.now()))
 }
 
 // Close refuses all waiting requests, and all new ones until Reopen.
-func (c *Door[O]) Close() {
+func (c *AdmissionController[O]) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.apply(c.gate.Close(c.now()))
 }
 
 // Reopen admits requests again after Close.
-func (c *Door[O]) Reopen() {
+func (c *AdmissionController[O]) Reopen() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.apply(c.gate.Reopen(c.now()))
 }
 
 // Idle returns a channel that is closed once nothing is in flight after Drain.
-func (c *Door[O]) Idle() <-chan struct{} { return c.idle }
+func (c *AdmissionController[O]) Idle() <-chan struct{} { return c.idle }
 
 // Busy returns the numbers of requests in flight and waiting.
-func (c *Door[O]) Busy() (running, waiting int) {
+func (c *AdmissionController[O]) Busy() (running, waiting int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.gate.Busy()
 }
 
 // Counts returns the gate's counters.
-func (c *Door[O]) Counts() mtgate.Counts {
+func (c *AdmissionController[O]) Counts() mtgate.Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.gate.Counts()
 }
 
 // apply carries out the effects that the gate returned. It is called with mu held.
-func (c *Door[O]) apply(effects []mtgate.Effect) {
+func (c *AdmissionController[O]) apply(effects []mtgate.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case mtgate.Start:
@@ -279,7 +279,7 @@
 	c.setTimer()
 }
 
-func (c *Door[O]) resolve(n mtgate.Number, refused *mtreply.RefusedError) {
+func (c *AdmissionController[O]) resolve(n mtgate.Number, refused *mtreply.RefusedError) {
 	result := c.waiters[n]
 	delete(c.waiters, n)
 	result <- refused
--- a/io/mthost/crash.go
+++ b/io/mthost/crash.go
@@ -68,8 +68,8 @@
 	h.Log.Warn("requests in flight when the server was lost are suspected", "server", h.record.Incarnation.String(), "suspects", string(suspects))
 }
 
-// Heard merges the suspects that another daemon published in its record.
-func (h *Host) Heard(r mtbackend.Record) {
+// MergeSuspects merges the suspects that another daemon published in its record.
+func (h *Host) MergeSuspects(r mtbackend.Record) {
 	if r.Suspects == "" {
 		return
 	}
--- a/io/mthost/end.go
+++ b/io/mthost/end.go
@@ -26,7 +26,7 @@
 func (h *Host) acknowledgeLeaving(incarnation mtid.Life, now mtclock.Instant) {
 	at := now
 	if h.record.Incarnation != incarnation || h.record.State != mtbackend.Ready {
-		at = now.Add(-h.Drain)
+		at = now.Add(-h.DrainPeriod)
 	}
 	if known, ok := h.leavingSince[incarnation]; ok && known <= at {
 		return
@@ -51,7 +51,7 @@
 		return
 	}
 	h.Log.Info("server is leaving", "server", h.record.Incarnation.String(), "why", why, "since", now.Sub(at))
-	h.drainAt = at.Add(time.Duration(float64(h.Drain) * drainFraction))
+	h.drainAt = at.Add(time.Duration(float64(h.DrainPeriod) * drainFraction))
 	if !now.Before(h.drainAt) {
 		h.drainAt = 0
 		h.admission.Drain()
@@ -79,11 +79,11 @@
 	}
 }
 
-// Former processes the record that a previous process of this daemon left. If its server
-// was draining, that process acknowledged the leaving at a time that is no longer known, so
-// no new work reaches that incarnation. A server that has deregistered does not report it
-// again.
-func (h *Host) Former(r mtbackend.Record) {
+// ProcessPreviousRecord processes the record that a previous process of this daemon left.
+// If its server was draining, that process acknowledged the leaving at a time that is no
+// longer known, so no new work reaches that incarnation. A server that has deregistered
+// does not report it again.
+func (h *Host) ProcessPreviousRecord(r mtbackend.Record) {
 	if r.State != mtbackend.Draining {
 		return
 	}
@@ -93,7 +93,7 @@
 		return
 	}
 	now := h.Clock.Now()
-	h.leavingSince[r.Incarnation] = now.Add(-h.Drain)
+	h.leavingSince[r.Incarnation] = now.Add(-h.DrainPeriod)
 	if h.record.Incarnation == r.Incarnation && h.record.State == mtbackend.Ready {
 		h.startDraining(now, "as a former daemon knew")
 	}
@@ -126,7 +126,7 @@
 // interval, and only where the server reports its birth.
 func (h *Host) recordDenial(incarnation mtid.Life, key mtid.Number) {
 	if incarnation.Born == 0 {
-		h.Fenced(key)
+		h.OnKeyDenied(key)
 		return
 	}
 	h.mu.Lock()
@@ -140,7 +140,7 @@
 // heartbeat has confirmed its incarnation. It is called with mu held.
 func (h *Host) regrantDenied() {
 	for key := range h.deniedKeys {
-		h.Fenced(key)
+		h.OnKeyDenied(key)
 	}
 	clear(h.deniedKeys)
 }
@@ -196,7 +196,7 @@
 
 // commandsExpired reports whether no command can be in force at the server any more.
 func (h *Host) commandsExpired(now mtclock.Instant) bool {
-	return h.Lasts != nil && !now.Before(h.Lasts())
+	return h.CommandExpiry != nil && !now.Before(h.CommandExpiry())
 }
 
 // processGone reports whether nothing listens at the address any more: the kernel of this
@@ -213,7 +213,7 @@
 			_ = conn.Close()
 			return false
 		}
-		if !iobackend.Refused(err) && !(noHeartbeat && iobackend.TimedOut(err)) {
+		if !iobackend.ConnectionRefused(err) && !(noHeartbeat && iobackend.ConnectionTimedOut(err)) {
 			return false
 		}
 	}
--- a/io/mthost/end_test.go
+++ b/io/mthost/end_test.go
@@ -131,12 +131,12 @@
 	previous := mtbackend.Record{Daemon: "a", Incarnation: mtid.Life{Server: "life"}, State: mtbackend.Draining}
 	for name, deliver := range map[string]func(s *fixture){
 		"record before heartbeat": func(s *fixture) {
-			s.host.Former(previous)
+			s.host.ProcessPreviousRecord(previous)
 			s.heartbeat(s.newHeartbeat("life", 7))
 		},
 		"record after heartbeat": func(s *fixture) {
 			s.startServer("life")
-			s.host.Former(previous)
+			s.host.ProcessPreviousRecord(previous)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -148,7 +148,7 @@
 		})
 	}
 	s := newFixture(t, "server")
-	s.host.Former(previous)
+	s.host.ProcessPreviousRecord(previous)
 	s.startServer("next")
 	assert.Equal(t, s.refusalCause(true), mtreply.Cause(""), "the next incarnation is not bound")
 }
@@ -215,7 +215,7 @@
 	s := newFixture(t, address)
 	var commandExpiry atomic.Int64
 	commandExpiry.Store(int64(s.clock.Now().Add(time.Hour)))
-	s.host.Lasts = func() mtclock.Instant { return mtclock.Instant(commandExpiry.Load()) }
+	s.host.CommandExpiry = func() mtclock.Instant { return mtclock.Instant(commandExpiry.Load()) }
 	s.host.Suspect(mtid.Life{})
 	time.Sleep(400 * time.Millisecond) // longer than the checks take
 	assert.Equal(t, s.record().State, mtbackend.Unknown)
@@ -233,7 +233,7 @@
 	s.startServer("one")
 	var commandExpiry atomic.Int64
 	commandExpiry.Store(int64(s.clock.Now().Add(time.Hour)))
-	s.host.Lasts = func() mtclock.Instant { return mtclock.Instant(commandExpiry.Load()) }
+	s.host.CommandExpiry = func() mtclock.Instant { return mtclock.Instant(commandExpiry.Load()) }
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	leaving := s.newHeartbeat("one", 2)
@@ -257,7 +257,7 @@
 	s := newFixture(t, "server")
 	s.server.incarnation = "one"
 	fenced := make(chan mtid.Number, 8)
-	s.host.Fenced = func(key mtid.Number) { fenced <- key }
+	s.host.OnKeyDenied = func(key mtid.Number) { fenced <- key }
 	s.heartbeat(s.heartbeatBorn(100, 1))
 	s.waitFor("the server is ready", func(r mtbackend.Record) bool { return r.AcceptsWork() })
 	s.server.mu.Lock()
--- a/io/mthost/life.go
+++ b/io/mthost/life.go
@@ -25,12 +25,12 @@
 	}
 }
 
-// ForeignError reports a heartbeat that can't come from this VM's server, because the
-// configuration does not declare its service.
-type ForeignError struct{ Service mtid.Service }
+// UndeclaredServiceError reports a heartbeat that can't come from this VM's server, because
+// the configuration does not declare its service.
+type UndeclaredServiceError struct{ Service mtid.Service }
 
 // Error implements error.
-func (e *ForeignError) Error() string {
+func (e *UndeclaredServiceError) Error() string {
 	return fmt.Sprintf("host: heartbeat from service %q, which the configuration does not declare", e.Service)
 }
 
@@ -43,10 +43,11 @@
 // query the server. If it were trusted, the keys of the running incarnation would appear to
 // be free and would be granted to another server.
 //
-// It fails with a *ForeignError if the heartbeat names a service that is not declared.
+// It fails with a *UndeclaredServiceError if the heartbeat names a service that is not
+// declared.
 func (h *Host) Beat(b mtbackend.Heartbeat) error {
-	if b.Service != h.Service && !h.Named(b.Service) {
-		return &ForeignError{Service: b.Service}
+	if b.Service != h.Service && !h.IsDeclared(b.Service) {
+		return &UndeclaredServiceError{Service: b.Service}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -173,7 +174,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), clearTimeout)
 		defer cancel()
-		err := h.Clear(ctx, b.Incarnation, b.Address)
+		err := h.ClearGrants(ctx, b.Incarnation, b.Address)
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		h.clearing = false
@@ -239,5 +240,5 @@
 	h.Log.Info("server state", "server", h.record.Incarnation.String(), "from", h.record.State, "to", s, "slots", h.record.Slots, "sequence", h.sequence)
 	h.record.State = s
 	h.Publish(h.record)
-	h.Changed()
+	h.OnChange()
 }
--- a/io/mthost/mthost.go
+++ b/io/mthost/mthost.go
@@ -68,8 +68,8 @@
 	// checked. A server sends a heartbeat about once a second, and one may arrive seconds
 	// late.
 	heartbeatTimeout = 2500 * time.Millisecond
-	// drainFraction is the part of Config.Drain in which this daemon sends new calls to a
-	// leaving server. The keys move to other servers during that time.
+	// drainFraction is the part of Config.DrainPeriod in which this daemon sends new calls
+	// to a leaving server. The keys move to other servers during that time.
 	drainFraction = 0.6
 	// tickInterval is how often the host checks the state of its server. It bounds the
 	// delay until a server comes into service, and until a leaving one gets no new work.
@@ -82,41 +82,41 @@
 
 // Config holds the settings and dependencies of a Host.
 type Config struct {
-	Daemon  mtid.Daemon
-	Zone    mtid.Zone
-	Link    mtbackend.Bandwidth
-	Service mtid.Service // service of the server on this VM
-	Address string       // configured address of the server
-	Peer    string       // address of this daemon for other daemons
-	// Drain is how long after the acknowledgement that a server is leaving new work may
-	// reach it.
-	Drain  time.Duration
-	Clock  clock
-	Client backendClient
-	Log    *slog.Logger
+	Daemon      mtid.Daemon
+	Zone        mtid.Zone
+	Link        mtbackend.Bandwidth
+	Service     mtid.Service // service of the server on this VM
+	Address     string       // configured address of the server
+	PeerAddress string       // address of this daemon for other daemons
+	// DrainPeriod is how long after the acknowledgement that a server is leaving new work
+	// may reach it.
+	DrainPeriod time.Duration
+	Clock       clock
+	Client      backendClient
+	Log         *slog.Logger
 	// Health returns the path of the server's health check, or an empty string while it is
 	// unknown.
 	Health func() string
 	// Publish is called with the record whenever it changes.
 	Publish func(mtbackend.Record)
-	// Named reports whether the configuration in force declares a service.
-	Named func(service mtid.Service) bool
+	// IsDeclared reports whether the configuration in force declares a service.
+	IsDeclared func(service mtid.Service) bool
 	// Keyed reports whether the service is divided by key.
 	Keyed func() bool
-	// Holds checks that the server has been granted the key. It fails with a
+	// CheckGrant checks that the server has been granted the key. It fails with a
 	// *mtreply.RefusedError if not. It is called for keyed calls.
-	Holds func(incarnation mtid.Life, key mtid.Number) error
-	// Fenced is called when the server denied holding a key that it was granted.
-	Fenced func(key mtid.Number)
-	// Clear removes from a new incarnation of the server the grants that commands meant for
-	// a previous one may have given it. It may take a moment.
-	Clear func(ctx context.Context, incarnation mtid.Life, address string) error
-	// Lasts returns the time until which a command may be in force at the server. It may be
-	// nil if commands do not expire at a known time.
-	Lasts func() mtclock.Instant
-	// Changed is called when the incarnation or the state of the server has changed. It
+	CheckGrant func(incarnation mtid.Life, key mtid.Number) error
+	// OnKeyDenied is called when the server denied holding a key that it was granted.
+	OnKeyDenied func(key mtid.Number)
+	// ClearGrants removes from a new incarnation of the server the grants that commands
+	// meant for a previous one may have given it. It may take a moment.
+	ClearGrants func(ctx context.Context, incarnation mtid.Life, address string) error
+	// CommandExpiry returns the time until which a command may be in force at the server.
+	// It may be nil if commands do not expire at a known time.
+	CommandExpiry func() mtclock.Instant
+	// OnChange is called when the incarnation or the state of the server has changed. It
 	// must not block.
-	Changed func()
+	OnChange func()
 }
 
 // Host represents the backend server on this VM.
@@ -130,7 +130,7 @@
 	ended    map[mtid.Life]bool // terminated or replaced
 	// leavingSince holds, by incarnation, when its leaving was acknowledged.
 	leavingSince  map[mtid.Life]mtclock.Instant
-	admission     *iogate.Door[*mtgate.Urgent]
+	admission     *iogate.AdmissionController[*mtgate.Urgent]
 	routes        []mtroute.Route
 	drainAt       mtclock.Instant // while draining, the end of new work; zero otherwise
 	checking      bool
@@ -189,12 +189,12 @@
 		recurring: mtpoison.NewRecurrenceDetector(),
 	}
 	h.record = mtbackend.Record{
-		Daemon: config.Daemon, Address: config.Peer, Zone: config.Zone, Link: config.Link, Service: config.Service, State: mtbackend.Unknown,
+		Daemon: config.Daemon, Address: config.PeerAddress, Zone: config.Zone, Link: config.Link, Service: config.Service, State: mtbackend.Unknown,
 	}
 	h.lastHeartbeat = config.Clock.Now()
 	h.admission = h.newAdmission()
 	// The previous process of this daemon may have sent requests until just now.
-	h.admission.Unseen()
+	h.admission.AssumeRecentStarts()
 	h.warmup.MarkPossiblyCold(h.lastHeartbeat)
 	h.lastRun = h.lastHeartbeat
 	config.Publish(h.record)
@@ -209,7 +209,7 @@
 // here waits for that: the server itself answers a release command only then.
 func ignoreIdleRange(mtid.Point, mtid.Point) {}
 
-func (h *Host) newAdmission() *iogate.Door[*mtgate.Urgent] {
+func (h *Host) newAdmission() *iogate.AdmissionController[*mtgate.Urgent] {
 	limits := mtgate.Limits{Waiting: maxWaiting, Patience: 1}
 	admission := iogate.New(h.Clock, mtgate.NewUrgent(), limits, ignoreIdleRange)
 	for _, r := range h.routes {
@@ -219,7 +219,7 @@
 }
 
 // declareRoute declares a route to the gate, as a class of calls.
-func declareRoute(admission *iogate.Door[*mtgate.Urgent], r mtroute.Route) {
+func declareRoute(admission *iogate.AdmissionController[*mtgate.Urgent], r mtroute.Route) {
 	// The most urgent route has the lowest priority value, the most urgent class the
 	// highest.
 	class := mtbundle.Class{Name: r.Name, Idempotent: r.Idempotent, Timeout: r.Timeout, Priority: -r.Priority, Queue: maxWaiting}
@@ -294,7 +294,7 @@
 	h.currentAdmission().Release(low.Point(), high.LastPoint())
 }
 
-func (h *Host) currentAdmission() *iogate.Door[*mtgate.Urgent] {
+func (h *Host) currentAdmission() *iogate.AdmissionController[*mtgate.Urgent] {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.admission
@@ -366,7 +366,7 @@
 	defer end()
 	// The key may have moved while the call waited.
 	if call.Keyed {
-		if err := h.Holds(record.Incarnation, call.Key); err != nil {
+		if err := h.CheckGrant(record.Incarnation, call.Key); err != nil {
 			return nil, err
 		}
 	}
@@ -431,7 +431,7 @@
 }
 
 // checkAccepts returns the server's record and gate if the server accepts the call.
-func (h *Host) checkAccepts(call *mtcall.Call) (mtbackend.Record, *iogate.Door[*mtgate.Urgent], error) {
+func (h *Host) checkAccepts(call *mtcall.Call) (mtbackend.Record, *iogate.AdmissionController[*mtgate.Urgent], error) {
 	h.mu.Lock()
 	now := h.Clock.Now()
 	h.detectPause(now)
@@ -451,7 +451,7 @@
 		return record, nil, &mtreply.RefusedError{Cause: mtreply.CauseZoneOut, RetryAfter: keyMoveRetry}
 	}
 	if call.Keyed {
-		if err := h.Holds(record.Incarnation, call.Key); err != nil {
+		if err := h.CheckGrant(record.Incarnation, call.Key); err != nil {
 			return record, nil, err
 		}
 	}
--- a/io/mthost/mthost_test.go
+++ b/io/mthost/mthost_test.go
@@ -77,7 +77,7 @@
 	s := &fixture{t: t, clock: &clock{Clock: mttime.New()}, server: &server{}, path: "/health"}
 	s.server.answer = func(context.Context) (*mtcall.Answer, error) { return &mtcall.Answer{Status: 200}, nil }
 	host, cleanUp := mthost.New(mthost.Config{
-		Daemon: "a", Service: "maps", Address: address, Drain: 300 * time.Millisecond, Clock: s.clock, Client: s.server,
+		Daemon: "a", Service: "maps", Address: address, DrainPeriod: 300 * time.Millisecond, Clock: s.clock, Client: s.server,
 		Log: slog.New(slog.DiscardHandler), Health: func() string {
 			s.mu.Lock()
 			defer s.mu.Unlock()
@@ -88,14 +88,14 @@
 			defer s.mu.Unlock()
 			s.published = r
 		},
-		Keyed: func() bool { return s.keyed.Load() },
-		Named: func(service mtid.Service) bool { return service == "desk" },
-		Holds: func(mtid.Life, mtid.Number) error {
+		Keyed:      func() bool { return s.keyed.Load() },
+		IsDeclared: func(service mtid.Service) bool { return service == "desk" },
+		CheckGrant: func(mtid.Life, mtid.Number) error {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			return s.holds
 		},
-		Clear: func(context.Context, mtid.Life, string) error {
+		ClearGrants: func(context.Context, mtid.Life, string) error {
 			s.mu.Lock()
 			answer := s.clear
 			s.mu.Unlock()
@@ -104,7 +104,7 @@
 			}
 			return answer()
 		},
-		Fenced: func(mtid.Number) {}, Changed: func() {},
+		OnKeyDenied: func(mtid.Number) {}, OnChange: func() {},
 	})
 	host.Declare([]mtroute.Route{{Name: "plans", Objective: 300 * time.Millisecond}})
 	s.host = host
@@ -341,7 +341,7 @@
 	s.server.incarnation = "one"
 	b := s.newHeartbeat("one", 1)
 	b.Service = "nobody's"
-	var foreign *mthost.ForeignError
+	var foreign *mthost.UndeclaredServiceError
 	assert.Assert(t, errors.As(s.host.Beat(b), &foreign))
 	assert.Assert(t, s.record().Incarnation.IsZero())
 	b.Service = "desk" // declared
--- a/io/mthost/tether.go
+++ b/io/mthost/tether.go
@@ -165,5 +165,5 @@
 	}
 	t.confirmed = true
 	h.lastConfirmed = t.incarnation
-	go h.Changed()
+	go h.OnChange()
 }
--- a/io/mtmesh/former.go
+++ b/io/mtmesh/former.go
@@ -24,7 +24,7 @@
 	}
 	f.mu.Unlock()
 	if host != nil {
-		host.Former(r)
+		host.ProcessPreviousRecord(r)
 	}
 }
 
@@ -35,6 +35,6 @@
 	early := f.early
 	f.mu.Unlock()
 	if early != nil {
-		host.Former(*early)
+		host.ProcessPreviousRecord(*early)
 	}
 }
--- a/io/mtmesh/mtmesh.go
+++ b/io/mtmesh/mtmesh.go
@@ -245,27 +245,27 @@
 	}
 	var grants atomic.Pointer[mtgrant.Grants]
 	host, closeHost := mthost.New(mthost.Config{
-		Daemon:  m.config.Daemon,
-		Zone:    m.config.Zone,
-		Link:    m.config.Link,
-		Service: m.config.Service,
-		Address: m.config.Server,
-		Peer:    m.config.Peers,
-		Drain:   m.config.Drain,
-		Clock:   clock,
-		Client:  client,
-		Log:     m.config.Log,
-		Health:  m.health,
-		Named:   m.named,
-		Keyed:   m.keyed,
-		Publish: directory.Publish,
-		Holds:   func(life mtid.Life, key mtid.Number) error { return grants.Load().Holds(life, key) },
-		Fenced:  func(key mtid.Number) { grants.Load().Fenced(key) },
-		Clear: func(ctx context.Context, life mtid.Life, address string) error {
+		Daemon:      m.config.Daemon,
+		Zone:        m.config.Zone,
+		Link:        m.config.Link,
+		Service:     m.config.Service,
+		Address:     m.config.Server,
+		PeerAddress: m.config.Peers,
+		DrainPeriod: m.config.Drain,
+		Clock:       clock,
+		Client:      client,
+		Log:         m.config.Log,
+		Health:      m.health,
+		IsDeclared:  m.named,
+		Keyed:       m.keyed,
+		Publish:     directory.Publish,
+		CheckGrant:  func(life mtid.Life, key mtid.Number) error { return grants.Load().Holds(life, key) },
+		OnKeyDenied: func(key mtid.Number) { grants.Load().Fenced(key) },
+		ClearGrants: func(ctx context.Context, life mtid.Life, address string) error {
 			return grants.Load().Clear(ctx, life, address)
 		},
-		Lasts: func() mtclock.Instant { return grants.Load().Lasts() },
-		Changed: func() {
+		CommandExpiry: func() mtclock.Instant { return grants.Load().Lasts() },
+		OnChange: func() {
 			if g := grants.Load(); g != nil {
 				g.Wake()
 			}
@@ -292,7 +292,7 @@
 	m.former.follow(host)
 	m.host.Store(host)
 	for _, member := range directory.Now().Members {
-		host.Heard(member.Record)
+		host.MergeSuspects(member.Record)
 	}
 	directory.OnChange(m.zones)
 	m.zones()
@@ -307,7 +307,7 @@
 // read once it does.
 func (m *Mesh) heard(r mtbackend.Record) {
 	if host := m.host.Load(); host != nil {
-		host.Heard(r)
+		host.MergeSuspects(r)
 	}
 }
 
--- a/io/mtowner/door.go
+++ b/io/mtowner/door.go
@@ -12,14 +12,14 @@
 
 // door is the admission of one service, with the declaration in force there.
 type door struct {
-	*iogate.Door[*mtgate.Fair]
+	*iogate.AdmissionController[*mtgate.Fair]
 	mu       sync.Mutex
 	declared *mtbundle.Service
 }
 
 func newDoor(c clock, quiet func(low, high mtid.Point)) *door {
 	order := mtgate.NewFair(mtgate.DefaultGuaranteed)
-	return &door{Door: iogate.New(c, order, mtgate.Limits{}, quiet)}
+	return &door{AdmissionController: iogate.New(c, order, mtgate.Limits{}, quiet)}
 }
 
 // fit brings the gate's limits in line with the backend server and the bundle.
