--- a/io/mtbackend/mtbackend.go
+++ b/io/mtbackend/mtbackend.go
@@ -187,7 +187,7 @@
 
 // Error implements error.
 func (*untrustedError) Error() string {
-	return "answer lacks the backend server's signature or is encoded"
+	return "answer is not the backend server's own"
 }
 
 // authentic reports whether an answer is the server's own: a success has its signature, and
@@ -248,7 +248,7 @@
 type mismatchError struct{}
 
 // Error implements error.
-func (*mismatchError) Error() string { return "backend server sent only answers to other requests" }
+func (*mismatchError) Error() string { return "backend server answers other requests" }
 
 // encode returns the bytes of a call. The request target is written as the caller wrote it:
 // net/http sends url.URL.Opaque unchanged.
@@ -306,7 +306,7 @@
 type sizeError struct{}
 
 // Error implements error.
-func (*sizeError) Error() string { return "answer body exceeds 64 MiB" }
+func (*sizeError) Error() string { return "answer is too large" }
 
 // readAnswer reads the whole body, and reports whether the connection can carry another
 // call.
@@ -346,7 +346,7 @@
 func (c *Client) refusal(response *http.Response, target Target) error {
 	if response.StatusCode == http.StatusMisdirectedRequest {
 		if other := response.Header.Get(c.Names.AnsweringServer); other != "" && other != string(target.Server) {
-			return &mtreply.RefusedError{Cause: mtreply.CauseNoServer, RetryAfter: unreachableRetry, Detail: "another server answers at the address"}
+			return &mtreply.RefusedError{Cause: mtreply.CauseNoServer, RetryAfter: unreachableRetry, Detail: "another server has the address"}
 		}
 		return &mtreply.RefusedError{Cause: mtreply.CauseFenced, RetryAfter: unreachableRetry, Detail: "the server does not hold the key"}
 	}
--- a/io/mthost/crash.go
+++ b/io/mthost/crash.go
@@ -24,7 +24,7 @@
 	if left == 0 {
 		return nil
 	}
-	return &mtreply.RefusedError{Cause: mtreply.CauseQuarantined, RetryAfter: left, Detail: "each server that ran the request was lost"}
+	return &mtreply.RefusedError{Cause: mtreply.CauseQuarantined, RetryAfter: left, Detail: "servers were lost each time that the request ran"}
 }
 
 // requestStarted records that a request is sent to the server.
--- a/io/mthost/life.go
+++ b/io/mthost/life.go
@@ -31,7 +31,7 @@
 
 // Error implements error.
 func (e *UndeclaredServiceError) Error() string {
-	return fmt.Sprintf("host: heartbeat from service %q, which the configuration does not declare", e.Service)
+	return fmt.Sprintf("host: a beat names the service %q, which nothing declares", e.Service)
 }
 
 // Beat processes a heartbeat of the server. It returns once the reported state is in force
--- a/io/mthost/mthost.go
+++ b/io/mthost/mthost.go
@@ -282,7 +282,9 @@
 }
 
 // Stop makes new calls for keys wait while the keys move to another owner.
-func (h *Host) Stop(low, high mtid.KeyNumber) { h.currentAdmission().Stop(low.Point(), high.LastPoint()) }
+func (h *Host) Stop(low, high mtid.KeyNumber) {
+	h.currentAdmission().Stop(low.Point(), high.LastPoint())
+}
 
 // Resume admits calls for keys again after a stopped move.
 func (h *Host) Resume(low, high mtid.KeyNumber) {
@@ -440,7 +442,7 @@
 	h.mu.Unlock()
 	switch {
 	case record.Service != call.Service:
-		return record, nil, &mtreply.RefusedError{Cause: mtreply.CauseStaleRoute, Detail: "the server here belongs to another service"}
+		return record, nil, &mtreply.RefusedError{Cause: mtreply.CauseStaleRoute, Detail: "another service runs here"}
 	case record.State == mtbackend.Unknown || record.State == mtbackend.Ended:
 		return record, nil, &mtreply.RefusedError{Cause: mtreply.CauseNoServer, RetryAfter: time.Second}
 	case record.Leaving && !call.Keyed:
