--- a/io/mtforward/server.go
+++ b/io/mtforward/server.go
@@ -186,7 +186,7 @@
 		Service:    mtid.Service(w.GetService()),
 		Route:      mtid.Class(w.GetRoute()),
 		Keyed:      w.GetKeyed(),
-		Key:        mtid.Number(w.GetKey()),
+		Key:        mtid.KeyNumber(w.GetKey()),
 		Idempotent: w.GetIdempotent(),
 		Nested:     w.GetNested(),
 		Repeat:     w.GetRepeat(),
@@ -219,14 +219,14 @@
 func wireLoad(l mtcall.Load) *mtwire.ForwardLoad {
 	return &mtwire.ForwardLoad{
 		Running: uint32(l.Running), Waiting: uint32(l.Waiting), Slots: uint32(l.Slots),
-		ServiceUs: l.Service.Microseconds(), Demand: float32(l.Demand),
+		ServiceUs: l.ServiceTime.Microseconds(), Demand: float32(l.Demand),
 	}
 }
 
 func readLoad(w *mtwire.ForwardLoad) mtcall.Load {
 	return mtcall.Load{
 		Running: int(w.GetRunning()), Waiting: int(w.GetWaiting()), Slots: int(w.GetSlots()),
-		Service: micros(w.GetServiceUs()), Demand: float64(w.GetDemand()),
+		ServiceTime: micros(w.GetServiceUs()), Demand: float64(w.GetDemand()),
 	}
 }
 
--- a/io/mtgrant/mtgrant_test.go
+++ b/io/mtgrant/mtgrant_test.go
@@ -75,31 +75,31 @@
 	return h.record
 }
 
-func (*host) Stop(mtid.Number, mtid.Number)    {}
-func (*host) Resume(mtid.Number, mtid.Number)  {}
-func (*host) Release(mtid.Number, mtid.Number) {}
-func (*host) Forget(mtid.Number, mtid.Number)  {}
-func (*host) Gain(mtid.Number, mtid.Number)    {}
-func (*host) Suspect(mtid.Life)                {}
-func (h *host) Bound(mtid.Life) bool           { return !h.unbound.Load() }
+func (*host) Stop(mtid.KeyNumber, mtid.KeyNumber)    {}
+func (*host) Resume(mtid.KeyNumber, mtid.KeyNumber)  {}
+func (*host) Release(mtid.KeyNumber, mtid.KeyNumber) {}
+func (*host) Forget(mtid.KeyNumber, mtid.KeyNumber)  {}
+func (*host) Gain(mtid.KeyNumber, mtid.KeyNumber)    {}
+func (*host) Suspect(mtid.ServerIncarnation)         {}
+func (h *host) Bound(mtid.ServerIncarnation) bool    { return !h.unbound.Load() }
 
 // Spill gives each range to one of the others, in turn.
-func (*host) Spill(ranges []mtrange.Range, _ mtrange.Turn, others []mtrange.Standing) []mtrange.Run {
-	var runs []mtrange.Run
+func (*host) Spill(ranges []mtrange.Range, _ mtrange.SpillPosition, others []mtrange.LoadReport) []mtrange.KeyMove {
+	var runs []mtrange.KeyMove
 	for i, r := range ranges {
 		if len(others) > 0 {
-			runs = append(runs, mtrange.Run{Low: r.Low, High: r.High, To: others[i%len(others)].Owner})
+			runs = append(runs, mtrange.KeyMove{Low: r.Low, High: r.High, To: others[i%len(others)].Owner})
 		}
 	}
 	return runs
 }
 
 // Cut gives a hundred keys for each gift.
-func (*host) Cut(ranges []mtrange.Range, gifts []mtrange.Gift) []mtrange.Run {
-	var runs []mtrange.Run
+func (*host) Cut(ranges []mtrange.Range, gifts []mtrange.Offload) []mtrange.KeyMove {
+	var runs []mtrange.KeyMove
 	low := ranges[0].Low
 	for _, g := range gifts {
-		runs = append(runs, mtrange.Run{Low: low, High: low + 99, To: g.To})
+		runs = append(runs, mtrange.KeyMove{Low: low, High: low + 99, To: g.To})
 		low += 100
 	}
 	return runs
@@ -128,7 +128,7 @@
 	return nil
 }
 
-func (p *port) Release(_ context.Context, _ string, low, high mtid.Number, epoch mtid.Epoch) (string, error) {
+func (p *port) Release(_ context.Context, _ string, low, high mtid.KeyNumber, epoch mtid.Epoch) (string, error) {
 	p.note("release %d-%d at %d", low, high, epoch)
 	return "warm", nil
 }
@@ -163,8 +163,8 @@
 
 	mu       sync.Mutex
 	inform   func(to mtid.Daemon, a mtdirectory.Assignment, since mtid.Epoch)
-	standing mtrange.Standing
-	others   []mtrange.Standing
+	standing mtrange.LoadReport
+	others   []mtrange.LoadReport
 	// surveys counts how often others were asked for their load.
 	surveys atomic.Int64
 	// source is where daemon a hears of changes; nil is the store.
@@ -173,16 +173,16 @@
 	delegate func(ctx context.Context, b mtrange.Batch) ([]mtrange.Outcome, bool)
 }
 
-func lifeOf(daemon mtid.Daemon) mtid.Life {
-	return mtid.Life{Server: mtid.Server("of-" + daemon), Born: 1}
+func lifeOf(daemon mtid.Daemon) mtid.ServerIncarnation {
+	return mtid.ServerIncarnation{Server: mtid.Server("of-" + daemon), Started: 1}
 }
 
 func record(daemon mtid.Daemon, s mtbackend.State) mtbackend.Record {
-	return mtbackend.Record{Daemon: daemon, Address: string(daemon) + ":1", Service: service, Life: lifeOf(daemon), Slots: 10, State: s}
+	return mtbackend.Record{Daemon: daemon, Address: string(daemon) + ":1", Service: service, Incarnation: lifeOf(daemon), Slots: 10, State: s}
 }
 
 func ownerOf(daemon mtid.Daemon) mtrange.Owner {
-	return mtrange.Owner{Daemon: daemon, Life: lifeOf(daemon)}
+	return mtrange.Owner{Daemon: daemon, Incarnation: lifeOf(daemon)}
 }
 
 func (f *fleet) write(r mtbackend.Record) {
@@ -223,7 +223,7 @@
 	grants, closeGrants := mtgrant.New(mtgrant.Config{
 		Self: "a", Service: service, Keyed: func() bool { return true }, Hold: hold, Directory: directory,
 		Store: f.store, Host: f.host, Port: f.port, Clock: f.clock, Log: slog.New(slog.DiscardHandler),
-		Standings: func() (mtrange.Standing, []mtrange.Standing) {
+		Standings: func() (mtrange.LoadReport, []mtrange.LoadReport) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			return f.standing, f.others
@@ -254,7 +254,7 @@
 // turns lets the duties look several times.
 func (f *fleet) turns() { time.Sleep(700 * time.Millisecond) }
 
-func (f *fleet) owner(key mtid.Number) mtid.Daemon {
+func (f *fleet) owner(key mtid.KeyNumber) mtid.Daemon {
 	a, ok := f.directory.Now().Assignments[service]
 	if !ok {
 		return ""
@@ -295,7 +295,7 @@
 	f.grants.Wake()
 	f.until("a renewal is under way", func() bool { return f.port.count("grant 0-") == 2 })
 	f.directory.Publish(f.host.set(mtbackend.Draining))
-	f.until("the other range has moved", func() bool { return f.owner(mtid.LastNumber) == "b" })
+	f.until("the other range has moved", func() bool { return f.owner(mtid.LastKeyNumber) == "b" })
 	close(gate)
 	f.until("all keys have moved", func() bool { return f.owner(0) == "b" })
 	f.turns()
@@ -323,12 +323,12 @@
 		}
 		return nil
 	})
-	free := func(d mtid.Daemon) mtrange.Standing {
-		return mtrange.Standing{Owner: ownerOf(d), Slots: 10, Demand: 1, Service: time.Second, Keys: 100, Known: true}
+	free := func(d mtid.Daemon) mtrange.LoadReport {
+		return mtrange.LoadReport{Owner: ownerOf(d), Slots: 10, Demand: 1, ServiceTime: time.Second, Keys: 100, Known: true}
 	}
 	f.mu.Lock()
-	f.standing = mtrange.Standing{Owner: ownerOf("a"), Slots: 10, Demand: 40, Service: time.Second, Keys: 100, Known: true}
-	f.others = []mtrange.Standing{free("b"), free("c"), free("d")}
+	f.standing = mtrange.LoadReport{Owner: ownerOf("a"), Slots: 10, Demand: 40, ServiceTime: time.Second, Keys: 100, Known: true}
+	f.others = []mtrange.LoadReport{free("b"), free("c"), free("d")}
 	f.mu.Unlock()
 	f.until("three runs have gone", func() bool {
 		return f.owner(0) != "a" && f.owner(100) != "a" && f.owner(200) != "a"
@@ -351,9 +351,9 @@
 	f.clock.advance(hold)
 	f.directory.Publish(record("a", mtbackend.Ready))
 	f.turns()
-	assert.Equal(t, f.owner(mtid.LastNumber), mtid.Daemon("b"), "taken while a grant may still be in force")
+	assert.Equal(t, f.owner(mtid.LastKeyNumber), mtid.Daemon("b"), "taken while a grant may still be in force")
 	f.clock.advance(lease + time.Second)
-	f.until("the keys are taken over", func() bool { return f.owner(mtid.LastNumber) == "a" })
+	f.until("the keys are taken over", func() bool { return f.owner(mtid.LastKeyNumber) == "a" })
 	f.until("and granted", func() bool { return f.port.count("grant") >= 2 })
 }
 
@@ -371,7 +371,7 @@
 	f.clock.advance(lastOrder + hold)
 	f.directory.Publish(record("a", mtbackend.Ready))
 	f.turns()
-	assert.Equal(t, f.owner(mtid.LastNumber), mtid.Daemon("b"), "taken while a grant may still be in force")
+	assert.Equal(t, f.owner(mtid.LastKeyNumber), mtid.Daemon("b"), "taken while a grant may still be in force")
 }
 
 // All VMs of a large fleet lose power while the store is away, and once it is back
@@ -390,7 +390,7 @@
 	f.start()
 	f.until("all keys are taken over", func() bool {
 		a, ok := f.directory.Now().Assignments[service]
-		return ok && a.Keys(ownerOf("a")) == int(mtid.LastNumber)+1
+		return ok && a.Keys(ownerOf("a")) == int(mtid.LastKeyNumber)+1
 	})
 }
 
@@ -399,8 +399,8 @@
 func TestKeysOfAnEndedServerAreTakenAtOnce(t *testing.T) {
 	for name, change := range map[string]func(r *mtbackend.Record){
 		"ended":                     func(r *mtbackend.Record) { r.State = mtbackend.Ended },
-		"another life":              func(r *mtbackend.Record) { r.Life.Server = "next" },
-		"another life of that name": func(r *mtbackend.Record) { r.Life.Born++ },
+		"another life":              func(r *mtbackend.Record) { r.Incarnation.Server = "next" },
+		"another life of that name": func(r *mtbackend.Record) { r.Incarnation.Started++ },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, "a", "b")
@@ -428,7 +428,7 @@
 	f.clock.advance(hold + lease + time.Minute)
 	f.directory.Publish(record("a", mtbackend.Ready))
 	f.turns()
-	assert.Equal(t, f.owner(mtid.LastNumber), mtid.Daemon("b"))
+	assert.Equal(t, f.owner(mtid.LastKeyNumber), mtid.Daemon("b"))
 }
 
 // A move's taker learns of its keys only by its watch, a tenth of a second later, and
@@ -460,7 +460,7 @@
 	f.clock.advance(time.Minute)
 	f.directory.Publish(record("a", mtbackend.Ready))
 	f.turns()
-	assert.Equal(t, f.owner(mtid.LastNumber), mtid.Daemon("b"))
+	assert.Equal(t, f.owner(mtid.LastKeyNumber), mtid.Daemon("b"))
 }
 
 func asRefused(err error, into **mtreply.RefusedError) bool {
@@ -555,7 +555,7 @@
 	f.grants.Wake()
 	f.until("a renewal is under way", func() bool { return f.port.count("grant") == 2 })
 	cleared := make(chan error)
-	go func() { cleared <- f.grants.Clear(t.Context(), mtid.Life{Server: "next"}, "server") }()
+	go func() { cleared <- f.grants.Clear(t.Context(), mtid.ServerIncarnation{Server: "next"}, "server") }()
 	f.turns()
 	assert.Equal(t, f.port.count("release"), 0, "cleared while an order was under way")
 	close(gate)
@@ -574,7 +574,7 @@
 	f.until("the other is seen", func() bool { return len(f.directory.Now().Members) == 2 })
 	f.turns()
 	f.clock.advance(2 * time.Second)
-	f.until("keys are assigned", func() bool { return f.owner(0) == "a" && f.owner(mtid.LastNumber) == "b" })
+	f.until("keys are assigned", func() bool { return f.owner(0) == "a" && f.owner(mtid.LastKeyNumber) == "b" })
 }
 
 // The daemon that writes for all is cut off with a move in its hands: it may write it
@@ -589,7 +589,7 @@
 		if batch.CompareAndSwap(nil, &b) {
 			close(asked)
 		}
-		return []mtrange.Outcome{mtrange.Doubtful}, true
+		return []mtrange.Outcome{mtrange.OutcomeUnknown}, true
 	}
 	f.start()
 	f.until("own range is granted", func() bool { return f.port.count("grant") == 1 })
@@ -609,7 +609,7 @@
 	away.Store(false)
 	f.until("the move has landed", func() bool { return f.owner(0) == "b" })
 	assert.Equal(t, f.port.count("grant"), 1)
-	assert.Assert(t, !f.directory.Now().Assignments[service].Stands(batch.Load().Transfers[0]))
+	assert.Assert(t, !f.directory.Now().Assignments[service].CanApply(batch.Load().Transfers[0]))
 }
 
 // Every server has more than it can do. Each owner asked a dozen others every 0.7 s whether
@@ -617,24 +617,24 @@
 // room it is still found.
 func TestAnOwnerAsksSeldomForRoomThatNobodyHas(t *testing.T) {
 	f := newFleet(t, "a", "b")
-	busy := mtrange.Standing{Owner: ownerOf("b"), Slots: 10, Demand: 30, Keys: 100, Known: true}
-	f.standing = mtrange.Standing{Owner: ownerOf("a"), Slots: 10, Demand: 30, Keys: 100, Known: true}
-	f.others = []mtrange.Standing{busy}
+	busy := mtrange.LoadReport{Owner: ownerOf("b"), Slots: 10, Demand: 30, Keys: 100, Known: true}
+	f.standing = mtrange.LoadReport{Owner: ownerOf("a"), Slots: 10, Demand: 30, Keys: 100, Known: true}
+	f.others = []mtrange.LoadReport{busy}
 	f.start()
 	f.until("own range is granted", func() bool { return f.port.count("grant") == 1 })
 	const looks = 20
 	for range looks {
-		f.clock.advance(mtrange.MovePause)
+		f.clock.advance(mtrange.MoveCooldown)
 		time.Sleep(250 * time.Millisecond) // the duty looks once at least, or the test asks for less
 	}
 	assert.Assert(t, f.surveys.Load() <= looks/2, "asked %d times", f.surveys.Load())
 	idle := busy
 	idle.Demand = 1
 	f.mu.Lock()
-	f.others = []mtrange.Standing{idle}
+	f.others = []mtrange.LoadReport{idle}
 	f.mu.Unlock()
 	f.until("keys have gone to the other server", func() bool {
-		f.clock.advance(mtrange.MovePause)
+		f.clock.advance(mtrange.MoveCooldown)
 		return f.port.count("release") > 0
 	})
 }
@@ -668,11 +668,11 @@
 		assert.Check(t, err)
 		table, err := mtrange.Decode(entry.Value)
 		assert.Check(t, err)
-		if !table.Stands(b.Transfers[0]) {
+		if !table.CanApply(b.Transfers[0]) {
 			return []mtrange.Outcome{mtrange.Refused}, true
 		}
 		tr := b.Transfers[0]
-		next, err := table.Move(tr.Low, tr.High, tr.To, tr.Warmth)
+		next, err := table.Move(tr.Low, tr.High, tr.To, tr.WarmupState)
 		assert.Check(t, err)
 		value, err := next.Encode()
 		assert.Check(t, err)
@@ -684,11 +684,11 @@
 	f.start()
 	f.until("own range is granted", func() bool { return f.port.count("grant") == 1 })
 	f.mu.Lock()
-	f.standing = mtrange.Standing{Owner: ownerOf("a"), Slots: 10, Demand: 30, Keys: 100, Known: true}
-	f.others = []mtrange.Standing{{Owner: ownerOf("b"), Slots: 10, Demand: 1, Keys: 100, Known: true}}
+	f.standing = mtrange.LoadReport{Owner: ownerOf("a"), Slots: 10, Demand: 30, Keys: 100, Known: true}
+	f.others = []mtrange.LoadReport{{Owner: ownerOf("b"), Slots: 10, Demand: 1, Keys: 100, Known: true}}
 	f.mu.Unlock()
 	watch.deaf.Store(true)
-	f.clock.advance(mtrange.MovePause)
+	f.clock.advance(mtrange.MoveCooldown)
 	<-wrote
 	f.turns()
 	for _, order := range f.port.seen() {
@@ -709,15 +709,15 @@
 		f.delegate = func(ctx context.Context, _ mtrange.Batch) ([]mtrange.Outcome, bool) {
 			told()
 			<-ctx.Done()
-			return []mtrange.Outcome{mtrange.Doubtful}, true
+			return []mtrange.Outcome{mtrange.OutcomeUnknown}, true
 		}
 		f.start()
 		f.until("own range is granted", func() bool { return f.port.count("grant") == 1 })
 		f.mu.Lock()
-		f.standing = mtrange.Standing{Owner: ownerOf("a"), Slots: 10, Demand: 30, Keys: 100, Known: true}
-		f.others = []mtrange.Standing{{Owner: ownerOf("b"), Slots: 10, Demand: 1, Keys: 100, Known: true}}
+		f.standing = mtrange.LoadReport{Owner: ownerOf("a"), Slots: 10, Demand: 30, Keys: 100, Known: true}
+		f.others = []mtrange.LoadReport{{Owner: ownerOf("b"), Slots: 10, Demand: 1, Keys: 100, Known: true}}
 		f.mu.Unlock()
-		f.clock.advance(mtrange.MovePause)
+		f.clock.advance(mtrange.MoveCooldown)
 		<-asked
 		before := f.port.count("grant")
 		f.closeGrants()
@@ -735,8 +735,8 @@
 	f.store.Fail(func(op, _ string) error { return &mtstore.UnavailableError{Op: op, Err: errors.New("away")} })
 	f.until("the outage is noticed", func() bool { return !f.directory.Answers() })
 	f.mu.Lock()
-	f.standing = mtrange.Standing{Owner: ownerOf("a"), Slots: 10, Demand: 25, Keys: 32768, Known: true}
-	f.others = []mtrange.Standing{{Owner: ownerOf("b"), Slots: 10, Demand: 1, Keys: 32768, Known: true}}
+	f.standing = mtrange.LoadReport{Owner: ownerOf("a"), Slots: 10, Demand: 25, Keys: 32768, Known: true}
+	f.others = []mtrange.LoadReport{{Owner: ownerOf("b"), Slots: 10, Demand: 1, Keys: 32768, Known: true}}
 	f.mu.Unlock()
 	f.turns()
 	assert.Equal(t, f.port.count("release"), 0)
@@ -766,8 +766,8 @@
 	f.until("the keys are granted", func() bool { return f.port.count("grant") >= 1 })
 	granted := f.port.count("grant")
 	f.mu.Lock()
-	f.standing = mtrange.Standing{Owner: ownerOf("a"), Slots: 10, Demand: 25, Keys: 32768, Known: true}
-	f.others = []mtrange.Standing{{Owner: ownerOf("b"), Slots: 10, Demand: 1, Keys: 32768, Known: true}}
+	f.standing = mtrange.LoadReport{Owner: ownerOf("a"), Slots: 10, Demand: 25, Keys: 32768, Known: true}
+	f.others = []mtrange.LoadReport{{Owner: ownerOf("b"), Slots: 10, Demand: 1, Keys: 32768, Known: true}}
 	f.mu.Unlock()
 	<-refused
 	f.turns()
--- a/io/mthost/end.go
+++ b/io/mthost/end.go
@@ -22,9 +22,9 @@
 // server got calls 2.0 s after the acknowledgement. One that had said so to the former
 // process of its daemon got calls even later. So the time for new work runs only for a
 // life that is in service here; that of another may be over already.
-func (h *Host) acknowledge(life mtid.Life, now mtclock.Instant) {
+func (h *Host) acknowledge(life mtid.ServerIncarnation, now mtclock.Instant) {
 	at := now
-	if h.record.Life != life || h.record.State != mtbackend.Ready {
+	if h.record.Incarnation != life || h.record.State != mtbackend.Ready {
 		at = now.Add(-h.Drain)
 	}
 	if known, ok := h.leaving[life]; ok && known <= at {
@@ -44,11 +44,11 @@
 // leave. Calls without a key go elsewhere from now on; keyed ones are served until their
 // keys have moved, but not for long. It is called with mu held.
 func (h *Host) leave(now mtclock.Instant, why string) {
-	at, leaves := h.leaving[h.record.Life]
+	at, leaves := h.leaving[h.record.Incarnation]
 	if !leaves || h.record.State == mtbackend.Draining || h.record.State == mtbackend.Ended {
 		return
 	}
-	h.Log.Info("server is leaving", "server", h.record.Life.String(), "why", why, "since", now.Sub(at))
+	h.Log.Info("server is leaving", "server", h.record.Incarnation.String(), "why", why, "since", now.Sub(at))
 	h.drains = at.Add(time.Duration(float64(h.Drain) * drainPart))
 	if !now.Before(h.drains) {
 		h.drains = 0
@@ -60,19 +60,19 @@
 // Leave takes in that the server takes itself out. It serves on for a while and
 // exits then. One that does not say when it was born is the life that runs: the
 // leaving is acknowledged, and that binds this daemon.
-func (h *Host) Leave(life mtid.Life) {
+func (h *Host) Leave(life mtid.ServerIncarnation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if life.Born == 0 && life.Server == h.record.Life.Server {
-		life = h.record.Life
+	if life.Started == 0 && life.Server == h.record.Incarnation.Server {
+		life = h.record.Incarnation
 	}
-	if life.Before(h.record.Life) {
+	if life.Before(h.record.Incarnation) {
 		h.over[life] = true
 		return
 	}
 	now := h.Clock.Now()
 	h.acknowledge(life, now)
-	if h.record.Life == life && h.record.State == mtbackend.Ready {
+	if h.record.Incarnation == life && h.record.State == mtbackend.Ready {
 		h.leave(now, "deregistered")
 	}
 }
@@ -86,18 +86,18 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.over[r.Life] || r.Life.Before(h.record.Life) {
+	if h.over[r.Incarnation] || r.Incarnation.Before(h.record.Incarnation) {
 		return
 	}
 	now := h.Clock.Now()
-	h.leaving[r.Life] = now.Add(-h.Drain)
-	if h.record.Life == r.Life && h.record.State == mtbackend.Ready {
+	h.leaving[r.Incarnation] = now.Add(-h.Drain)
+	if h.record.Incarnation == r.Incarnation && h.record.State == mtbackend.Ready {
 		h.leave(now, "as a former daemon knew")
 	}
 }
 
 // failed looks into a failure that says something of the server itself.
-func (h *Host) failed(life mtid.Life, call *mtcall.Call, err error) {
+func (h *Host) failed(life mtid.ServerIncarnation, call *mtcall.Call, err error) {
 	var refused *mtreply.RefusedError
 	if errors.As(err, &refused) {
 		switch refused.Cause {
@@ -120,14 +120,14 @@
 // had under the same epoch, so where lives share a name the key is granted anew
 // only after the next beat, which tells them apart. It costs such a key the time
 // between two beats, and only where the server says when it was born.
-func (h *Host) deny(life mtid.Life, key mtid.Number) {
-	if life.Born == 0 {
+func (h *Host) deny(life mtid.ServerIncarnation, key mtid.KeyNumber) {
+	if life.Started == 0 {
 		h.Fenced(key)
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.record.Life == life {
+	if h.record.Incarnation == life {
 		h.denied[key] = true
 	}
 }
@@ -142,7 +142,7 @@
 }
 
 // Suspect is told that an order found nobody at the server's address.
-func (h *Host) Suspect(life mtid.Life) { h.check(life) }
+func (h *Host) Suspect(life mtid.ServerIncarnation) { h.check(life) }
 
 // check finds out whether the server's process is gone, unless a check runs.
 //
@@ -157,10 +157,10 @@
 //     grant. A leaving server takes no new connections and works on, and one that has
 //     taken itself out says nothing more. Taken for ended at once, two servers held its
 //     keys for half a second. Mostly its keys have moved by then.
-func (h *Host) check(life mtid.Life) {
+func (h *Host) check(life mtid.ServerIncarnation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.checking || h.record.Life != life || h.record.State == mtbackend.Ended {
+	if h.checking || h.record.Incarnation != life || h.record.State == mtbackend.Ended {
 		return
 	}
 	h.checking = true
@@ -171,7 +171,7 @@
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		h.checking = false
-		if !gone || h.record.Life != life {
+		if !gone || h.record.Incarnation != life {
 			return
 		}
 		if h.record.State != mtbackend.Ready && !h.idle(h.Clock.Now()) {
--- a/io/mthost/mthost.go
+++ b/io/mthost/mthost.go
@@ -84,7 +84,7 @@
 type Config struct {
 	Daemon  mtid.Daemon
 	Zone    mtid.Zone
-	Link    mtbackend.Rate
+	Link    mtbackend.Bandwidth
 	Service mtid.Service // of the server on this VM
 	Address string       // of the server, as the settings name it
 	Peer    string       // of this daemon, for other daemons
@@ -105,12 +105,12 @@
 	Keyed func() bool
 	// Holds reports whether the server has been granted the key; it fails with
 	// a *mtreply.RefusedError. It is called for keyed calls.
-	Holds func(life mtid.Life, key mtid.Number) error
+	Holds func(life mtid.ServerIncarnation, key mtid.KeyNumber) error
 	// Fenced is told that the server denied holding a key that it was granted.
-	Fenced func(key mtid.Number)
+	Fenced func(key mtid.KeyNumber)
 	// Clear takes from a new life of the server what orders meant for a former
 	// one may have given it. It may take a moment.
-	Clear func(ctx context.Context, life mtid.Life, address string) error
+	Clear func(ctx context.Context, life mtid.ServerIncarnation, address string) error
 	// Lasts returns until when an order may be in force at the server. It may be
 	// nil, if orders end by themselves at no known time.
 	Lasts func() mtclock.Instant
@@ -127,41 +127,41 @@
 	record   mtbackend.Record
 	sequence uint64
 	address  string
-	over     map[mtid.Life]bool // lives that have ended
+	over     map[mtid.ServerIncarnation]bool // lives that have ended
 	// leaving is since when lives are known to leave.
-	leaving  map[mtid.Life]mtclock.Instant
+	leaving  map[mtid.ServerIncarnation]mtclock.Instant
 	door     *iogate.Door[*mtgate.Urgent]
 	routes   []mtroute.Route
 	drains   mtclock.Instant // Draining: no new work from then on; zero if not draining
 	checking bool
 	clearing bool
-	stranger mtbackend.Beat  // the last beat of a life that is not known here
-	strange  mtclock.Instant // when it came
-	askAgain mtclock.Instant // not asked before which life runs
+	stranger mtbackend.Heartbeat // the last beat of a life that is not known here
+	strange  mtclock.Instant     // when it came
+	askAgain mtclock.Instant     // not asked before which life runs
 	// uncleared is the last beat of a life that still has to be cleared.
-	uncleared  mtbackend.Beat
+	uncleared  mtbackend.Heartbeat
 	clearAgain mtclock.Instant
 	// identifying says that the server is being asked which life runs.
 	identifying bool
-	beaten      mtclock.Instant      // last beat
-	checked     mtclock.Instant      // last look after a silent server
-	tether      *tether              // nil if there is none
-	tying       bool                 // one is being opened
-	tieAgain    mtclock.Instant      // none is opened before
-	recognised  mtid.Life            // that was known to be at the end of a tether
-	denied      map[mtid.Number]bool // keys that the server said not to hold, since its last beat
+	beaten      mtclock.Instant         // last beat
+	checked     mtclock.Instant         // last look after a silent server
+	tether      *tether                 // nil if there is none
+	tying       bool                    // one is being opened
+	tieAgain    mtclock.Instant         // none is opened before
+	recognised  mtid.ServerIncarnation  // that was known to be at the end of a tether
+	denied      map[mtid.KeyNumber]bool // keys that the server said not to hold, since its last beat
 	zone        mtzone.Door
 	shut        bool // the gate is closed for the zone
-	warmth      mtbackend.Warmth
-	most        mtgate.Pace     // while the server is cold; zero is no limit
-	cold        bool            // the gate is limited to it
-	awake       mtclock.Instant // this process ran then
+	warmth      mtbackend.WarmupTracker
+	most        mtgate.StartRate // while the server is cold; zero is no limit
+	cold        bool             // the gate is limited to it
+	awake       mtclock.Instant  // this process ran then
 
 	runMu   sync.Mutex
 	running map[mtcall.ID]int // calls at the server, by identifier
 
 	crashMu   sync.Mutex
-	recurring *mtpoison.Recurring
+	recurring *mtpoison.RecurrenceDetector
 
 	meterMu  sync.Mutex
 	meter    *mtrange.Meter
@@ -177,16 +177,16 @@
 	h := &Host{
 		Config:  config,
 		address: config.Address,
-		over:    make(map[mtid.Life]bool),
-		leaving: make(map[mtid.Life]mtclock.Instant),
-		denied:  make(map[mtid.Number]bool),
+		over:    make(map[mtid.ServerIncarnation]bool),
+		leaving: make(map[mtid.ServerIncarnation]mtclock.Instant),
+		denied:  make(map[mtid.KeyNumber]bool),
 		running: make(map[mtcall.ID]int),
 		pace:    1,
 		times:   make(map[mtid.Class]time.Duration),
 		usual:   make(map[mtid.Class]time.Duration),
 		meter:   mtrange.NewMeter(config.Clock.Now()),
 
-		recurring: mtpoison.NewRecurring(),
+		recurring: mtpoison.NewRecurrenceDetector(),
 	}
 	h.record = mtbackend.Record{
 		Daemon: config.Daemon, Address: config.Peer, Zone: config.Zone, Link: config.Link, Service: config.Service, State: mtbackend.Unknown,
@@ -195,7 +195,7 @@
 	h.door = h.newDoor()
 	// The process before this one may have sent requests until just now.
 	h.door.Unseen()
-	h.warmth.Doubt(h.beaten)
+	h.warmth.MarkPossiblyCold(h.beaten)
 	h.awake = h.beaten
 	config.Publish(h.record)
 	stop := mtduty.Every(lookEvery, func(context.Context) { h.tick(h.Clock.Now()) })
@@ -210,7 +210,7 @@
 func quiet(mtid.Point, mtid.Point) {}
 
 func (h *Host) newDoor() *iogate.Door[*mtgate.Urgent] {
-	limits := mtgate.Limits{Waiting: waiting, Patience: 1}
+	limits := mtgate.Limits{Waiting: waiting, MaxWaitFraction: 1}
 	door := iogate.New(h.Clock, mtgate.NewUrgent(), limits, quiet)
 	for _, r := range h.routes {
 		declare(door, r)
@@ -281,13 +281,13 @@
 }
 
 // Stop lets new calls for keys wait, while the keys move to another owner.
-func (h *Host) Stop(low, high mtid.Number) { h.gate().Stop(low.Point(), high.LastPoint()) }
+func (h *Host) Stop(low, high mtid.KeyNumber) { h.gate().Stop(low.Point(), high.LastPoint()) }
 
 // Resume takes keys back into service here.
-func (h *Host) Resume(low, high mtid.Number) { h.gate().Resume(low.Point(), high.LastPoint()) }
+func (h *Host) Resume(low, high mtid.KeyNumber) { h.gate().Resume(low.Point(), high.LastPoint()) }
 
 // Release sends the calls that wait for keys to their new owner.
-func (h *Host) Release(low, high mtid.Number) { h.gate().Release(low.Point(), high.LastPoint()) }
+func (h *Host) Release(low, high mtid.KeyNumber) { h.gate().Release(low.Point(), high.LastPoint()) }
 
 func (h *Host) gate() *iogate.Door[*mtgate.Urgent] {
 	h.mu.Lock()
@@ -326,9 +326,9 @@
 	record, _ := u.host.Record()
 	attrs := []slog.Attr{
 		slog.String("id", string(u.call.ID)), slog.String("route", string(u.call.Route)),
-		slog.String("server", record.Life.String()), slog.String("state", string(record.State)),
+		slog.String("server", record.Incarnation.String()), slog.String("state", string(record.State)),
 		slog.Int("running", load.Running), slog.Int("waiting", load.Waiting), slog.Int("slots", load.Slots),
-		slog.String("service", load.Service.String()),
+		slog.String("service", load.ServiceTime.String()),
 		slog.String("left", u.call.Deadline.Sub(u.host.Clock.Now()).String()), slog.String("error", u.err.Error()),
 	}
 	if u.call.Keyed {
@@ -343,7 +343,7 @@
 	if err != nil {
 		return nil, err
 	}
-	mark := call.Print()
+	mark := call.Fingerprint()
 	if err := h.contain(arrived, mark, call.Proven); err != nil {
 		return nil, err
 	}
@@ -361,7 +361,7 @@
 	defer end()
 	// What held on arrival may have changed while the call waited.
 	if call.Keyed {
-		if err := h.Holds(record.Life, call.Key); err != nil {
+		if err := h.Holds(record.Incarnation, call.Key); err != nil {
 			return nil, err
 		}
 	}
@@ -372,10 +372,10 @@
 	defer h.track(call.ID)()
 	_, address := h.Record()
 	h.began(mark)
-	answer, err := h.Client.Do(ctx, iobackend.Target{Address: address, Server: record.Life.Server}, call)
+	answer, err := h.Client.Do(ctx, iobackend.Target{Address: address, Server: record.Incarnation.Server}, call)
 	h.ended(mark, err)
 	if err != nil {
-		h.failed(record.Life, call, err)
+		h.failed(record.Incarnation, call, err)
 		return nil, err
 	}
 	answer.Queued = started.Sub(arrived)
@@ -447,7 +447,7 @@
 		return record, nil, &mtreply.RefusedError{Cause: mtreply.CauseZoneOut, RetryAfter: elsewhereRetry}
 	}
 	if call.Keyed {
-		if err := h.Holds(record.Life, call.Key); err != nil {
+		if err := h.Holds(record.Incarnation, call.Key); err != nil {
 			return record, nil, err
 		}
 	}
--- a/io/mthost/tether.go
+++ b/io/mthost/tether.go
@@ -33,14 +33,14 @@
 // tether is the connection that ends with the server's process.
 type tether struct {
 	conn   net.Conn
-	life   mtid.Life       // that is taken to be at its end
-	opened mtclock.Instant // after it had been opened
-	known  bool            // that life is certainly at its end
+	life   mtid.ServerIncarnation // that is taken to be at its end
+	opened mtclock.Instant        // after it had been opened
+	known  bool                   // that life is certainly at its end
 }
 
 // Bound reports whether whatever is sent to the server's address now reaches that
 // life.
-func (h *Host) Bound(life mtid.Life) bool {
+func (h *Host) Bound(life mtid.ServerIncarnation) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.tether != nil && h.tether.life == life && h.tether.known
@@ -49,7 +49,7 @@
 // tie opens the connection if there is none, or the present one is old. It is
 // called with mu held.
 func (h *Host) tie(now mtclock.Instant) {
-	life := h.record.Life
+	life := h.record.Incarnation
 	fresh := h.tether != nil && h.tether.life == life && now.Sub(h.tether.opened) < tieFor
 	if life.IsZero() || h.over[life] || fresh || h.tying || now.Before(h.tieAgain) {
 		return
@@ -75,7 +75,7 @@
 // tied puts a new connection in the place of the former one. While that one stands,
 // both lead to the same process. It is called with mu held.
 func (h *Host) tied(t, former *tether) {
-	if t.life != h.record.Life || h.tether != former {
+	if t.life != h.record.Incarnation || h.tether != former {
 		_ = t.conn.Close()
 		return
 	}
@@ -151,7 +151,9 @@
 
 // reborn reports whether the server's name does not tell which life of it answers:
 // a life that was at the end of a connection before may have ended with it.
-func (h *Host) reborn(life mtid.Life) bool { return life.Born != 0 && h.recognised == life }
+func (h *Host) reborn(life mtid.ServerIncarnation) bool {
+	return life.Started != 0 && h.recognised == life
+}
 
 // confirm notes that the life at the end of a connection is known. It is called with
 // mu held.
--- a/io/mtingress/send_test.go
+++ b/io/mtingress/send_test.go
@@ -55,9 +55,9 @@
 
 func (host) Load() mtcall.Load { return mtcall.Load{} }
 
-func (host) Proven(mtpoison.Print) bool { return false }
+func (host) Proven(mtpoison.Fingerprint) bool { return false }
 
-func (host) Prove(mtpoison.Print) {}
+func (host) Prove(mtpoison.Fingerprint) {}
 
 // newSender returns a sender that knows three servers beside other daemons.
 func newSender(t *testing.T, p *peers) (*mtingress.Sender, *mttime.Clock) {
@@ -65,7 +65,7 @@
 	clock := mttime.New()
 	store := mtstandin.NewRevisions(time.Now)
 	for _, d := range []mtid.Daemon{"b", "c", "d"} {
-		value, err := mtbackend.Record{Daemon: d, Address: string(d) + ":1", Service: "desk", Life: mtid.Life{Server: "s"}, Slots: 10, State: mtbackend.Ready}.Encode()
+		value, err := mtbackend.Record{Daemon: d, Address: string(d) + ":1", Service: "desk", Incarnation: mtid.ServerIncarnation{Server: "s"}, Slots: 10, State: mtbackend.Ready}.Encode()
 		assert.NilError(t, err)
 		store.Put(mtstore.BackendName(d), value)
 	}
@@ -99,7 +99,7 @@
 // keyed makes the call one for a key of a service that daemon b owns.
 func keyed(t *testing.T, sender *mtingress.Sender, call *mtcall.Call) *mtcall.Call {
 	t.Helper()
-	table, err := mtrange.Spread("desk", []mtrange.Owner{{Daemon: "b", Life: mtid.Life{Server: "s"}}})
+	table, err := mtrange.Spread("desk", []mtrange.Owner{{Daemon: "b", Incarnation: mtid.ServerIncarnation{Server: "s"}}})
 	assert.NilError(t, err)
 	sender.Directory.Learn(mtdirectory.Assignment{Table: table, Version: 1})
 	call.Keyed = true
@@ -144,7 +144,7 @@
 		}
 		if n == 4 {
 			own := s.Directory.Now().Assignments["desk"]
-			next, err := own.Move(0, mtid.LastNumber, mtrange.Owner{Daemon: "c", Life: mtid.Life{Server: "s"}}, "")
+			next, err := own.Move(0, mtid.LastKeyNumber, mtrange.Owner{Daemon: "c", Incarnation: mtid.ServerIncarnation{Server: "s"}}, "")
 			assert.NilError(t, err)
 			s.Directory.Learn(mtdirectory.Assignment{Table: next, Version: own.Version + 1})
 		}
@@ -271,7 +271,7 @@
 	clock := mttime.New()
 	ingress := mtingress.New(mtingress.Config{
 		Denies: func(mtclock.Instant) bool { return true },
-		Names:  mtheader.Passed, Service: "own", Parent: func(mtcall.ID) bool { return false }, Send: s, Clock: clock, Log: slog.New(slog.DiscardHandler),
+		Names:  mtheader.DefaultNames, Service: "own", Parent: func(mtcall.ID) bool { return false }, Send: s, Clock: clock, Log: slog.New(slog.DiscardHandler),
 		Done: func(*mtcall.Call, *mtcall.Answer, int, error, time.Duration) {},
 	})
 	router := echo.New()
@@ -293,7 +293,7 @@
 	r := httptest.NewRequest(http.MethodGet, target, nil)
 	r.Host = "maps.example"
 	if id != "" {
-		r.Header.Set(mtheader.Passed.ID, id)
+		r.Header.Set(mtheader.DefaultNames.ID, id)
 	}
 	for i := 0; i+1 < len(header); i += 2 {
 		r.Header.Set(header[i], header[i+1])
@@ -331,7 +331,7 @@
 			handler.ServeHTTP(w, test.request)
 			assert.Equal(t, w.Code, test.status)
 			assert.Equal(t, w.Header().Get("Retry-After") != "", test.retry)
-			assert.Equal(t, w.Header().Get(mtheader.Passed.ID), test.request.Header.Get(mtheader.Passed.ID))
+			assert.Equal(t, w.Header().Get(mtheader.DefaultNames.ID), test.request.Header.Get(mtheader.DefaultNames.ID))
 		})
 	}
 }
@@ -354,8 +354,8 @@
 	s := &sent{answer: &mtcall.Answer{Status: http.StatusTeapot, Header: []mtcall.Field{{Name: "X-A", Value: "1"}, {Name: "X-A", Value: "2"}}, Body: []byte("tea")}}
 	ingress, clock, handler := newIngress(t, s)
 	ingress.Configure(configuration(t, 1))
-	r := request("/plans/a%2Fb?x=%31", "id-7", mtheader.Passed.Key, "4096", mtheader.Passed.Caller, "forged",
-		mtheader.Passed.Deadline, "700", "Connection", "X-Hop", "X-Hop", "1", "X-Kept", "2", mtheader.Passed.Server, "forged")
+	r := request("/plans/a%2Fb?x=%31", "id-7", mtheader.DefaultNames.Key, "4096", mtheader.DefaultNames.Caller, "forged",
+		mtheader.DefaultNames.Deadline, "700", "Connection", "X-Hop", "X-Hop", "1", "X-Kept", "2", mtheader.DefaultNames.TargetServer, "forged")
 	w := httptest.NewRecorder()
 	handler.ServeHTTP(w, r)
 	assert.Equal(t, w.Code, http.StatusTeapot)
@@ -363,7 +363,7 @@
 	assert.DeepEqual(t, w.Header()["X-A"], []string{"1", "2"})
 	assert.Equal(t, s.call.Target, "/plans/a%2Fb?x=%31")
 	assert.Equal(t, s.call.Caller, mtid.Service("own"))
-	assert.Equal(t, s.call.Key, mtid.Number(4096))
+	assert.Equal(t, s.call.Key, mtid.KeyNumber(4096))
 	assert.DeepEqual(t, s.call.Header, []mtcall.Field{{Name: "X-Kept", Value: "2"}})
 	left := s.call.Deadline.Sub(clock.Now())
 	assert.Assert(t, left <= 700*time.Millisecond && left > 0, "left %s", left)
@@ -408,14 +408,14 @@
 	clock := &stepped{now: mtclock.Instant(time.Hour)}
 	ingress := mtingress.New(mtingress.Config{
 		Denies: func(mtclock.Instant) bool { return true },
-		Names:  mtheader.Passed, Service: "own", Parent: func(mtcall.ID) bool { return false }, Send: s, Clock: clock, Log: slog.New(slog.DiscardHandler),
+		Names:  mtheader.DefaultNames, Service: "own", Parent: func(mtcall.ID) bool { return false }, Send: s, Clock: clock, Log: slog.New(slog.DiscardHandler),
 		Done: func(*mtcall.Call, *mtcall.Answer, int, error, time.Duration) {},
 	})
 	router := echo.New()
 	router.Any("/*", ingress.Handle)
 	ingress.Configure(configuration(t, 1))
 	ask := func(deadline string) time.Duration {
-		router.ServeHTTP(httptest.NewRecorder(), request("/plans/1", "1", mtheader.Passed.Key, "1", mtheader.Passed.Deadline, deadline))
+		router.ServeHTTP(httptest.NewRecorder(), request("/plans/1", "1", mtheader.DefaultNames.Key, "1", mtheader.DefaultNames.Deadline, deadline))
 		return s.call.Objective.Sub(clock.now)
 	}
 	assert.Equal(t, ask("5000"), time.Second)
--- a/io/mtmember/taker.go
+++ b/io/mtmember/taker.go
@@ -59,7 +59,7 @@
 	m.counters.Suspicions.Add(1)
 	t := mttakeover.New(j.record, j.version)
 	for _, w := range j.silent {
-		t.Silent(w)
+		t.CountAsAgreed(w)
 	}
 	end := m.config.Clock.Steady().Add(patience)
 	for !m.config.Clock.Steady().After(end) {
@@ -84,7 +84,7 @@
 // writeRevoked writes the record that fences a life, and tells t what stands.
 // It returns false if the store can't be reached.
 func (m *Member) writeRevoked(t *mttakeover.Takeover) bool {
-	record := t.Revoked(m.stamp())
+	record := t.RevokedRecord(m.stamp())
 	value, err := record.Encode()
 	if err != nil {
 		m.config.Log.Error("member: record can't be written", "target", t.Target(), "err", err)
@@ -108,7 +108,7 @@
 	if err != nil {
 		return false
 	}
-	t.Seen(current, entry.Version)
+	t.Observe(current, entry.Version)
 	m.fenced.Store(current.Holder.Daemon, current)
 	m.wrote(entry.Name, entry.Version, entry.Value)
 	return true
@@ -154,9 +154,9 @@
 		return nil
 	}
 	got, err := mtwire.NewWitnessClient(conn).Revoke(ctx, &mtwire.RevokeRequest{
-		Target:  mtroster.WireHolder(r.Target),
+		Target:  mtroster.HolderToWire(r.Target),
 		Version: uint64(r.Version),
-		Witness: mtroster.WireHolder(r.Witness),
+		Witness: mtroster.HolderToWire(r.Witness),
 	})
 	if err != nil {
 		m.config.Log.Debug("member: witness can't be asked", "witness", r.Witness, "err", err)
@@ -169,7 +169,7 @@
 // have no live state yet, and then reads the record.
 func (m *Member) addressOf(d mtid.Daemon) (string, bool) {
 	if record, _, ok := m.config.View.Record(d); ok {
-		return record.Relay, true
+		return record.RelayAddress, true
 	}
 	entry, err := m.store.get(m.stop, mtstore.RosterName(d))
 	if err != nil {
@@ -179,7 +179,7 @@
 	if err != nil {
 		return "", false
 	}
-	return record.Relay, true
+	return record.RelayAddress, true
 }
 
 // roster returns the live records, with what this process revoked itself.
@@ -190,7 +190,7 @@
 	}
 	m.fenced.Range(func(key, value any) bool {
 		d, record := key.(mtid.Daemon), value.(*mtroster.Record)
-		if known, ok := roster[d]; ok && known.Revoked >= record.Revoked {
+		if known, ok := roster[d]; ok && known.RevokedBelow >= record.RevokedBelow {
 			m.fenced.Delete(d)
 			return true
 		}
@@ -201,8 +201,8 @@
 }
 
 // stamp returns the mark of this process's next write.
-func (m *Member) stamp() mtroster.Stamp {
-	return mtroster.Stamp{Writer: m.Holder(), Sequence: uint64(m.config.Clock.Wall().UnixNano())}
+func (m *Member) stamp() mtroster.WriteID {
+	return mtroster.WriteID{Writer: m.Holder(), Sequence: uint64(m.config.Clock.Wall().UnixNano())}
 }
 
 // fail has the chunks failed over that name a fenced owner.
@@ -244,7 +244,7 @@
 
 // writeChunk writes next over table. It returns done if the write took effect,
 // and else what stands; nil if the store can't be reached.
-func (m *Member) writeChunk(table, next *mtshard.Table, stamp mtroster.Stamp) (current *mtshard.Table, done bool) {
+func (m *Member) writeChunk(table, next *mtshard.Table, stamp mtroster.WriteID) (current *mtshard.Table, done bool) {
 	value, err := next.Encode()
 	if err != nil {
 		m.config.Log.Error("member: chunk can't be written", "service", table.Service, "err", err)
--- a/io/mtmesh/commit.go
+++ b/io/mtmesh/commit.go
@@ -29,9 +29,9 @@
 // delegate leaves changes of owners to the first source, which writes for all. It returns
 // false if that is this daemon, or nobody can be asked.
 func (m *Mesh) delegate(ctx context.Context, b mtrange.Batch) ([]mtrange.Outcome, bool) {
-	peers := mtkernel.Need[*mtforward.Client](m.kernel, NamePeers)
-	writer, ok := m.learner.tree().First()
-	if !ok || writer.Daemon == m.config.Daemon || b.Record == 0 || peers.Silent(writer.Address) {
+	peers := mtkernel.MustLookup[*mtforward.Client](m.kernel, NamePeers)
+	writer, ok := m.learner.tree().PrimaryWatcher()
+	if !ok || writer.Daemon == m.config.Daemon || b.RecordVersion == 0 || peers.Silent(writer.Address) {
 		return nil, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, delegateTimeout)
@@ -48,19 +48,19 @@
 	}
 	doubtful := make([]mtrange.Outcome, len(b.Transfers))
 	for i := range doubtful {
-		doubtful[i] = mtrange.Doubtful
+		doubtful[i] = mtrange.OutcomeUnknown
 	}
 	return doubtful, true
 }
 
 // commitFor writes changes of owners on behalf of another daemon.
 func (m *Mesh) commitFor(ctx context.Context, b mtrange.Batch) ([]mtrange.Outcome, mtstore.Entry) {
-	outcomes := mtkernel.Need[*mtcommit.Committer](m.kernel, NameCommitter).Gather(ctx, b)
+	outcomes := mtkernel.MustLookup[*mtcommit.Committer](m.kernel, NameCommitter).Gather(ctx, b)
 	assignment, ok := m.directory.Load().Now().Assignments[b.Service]
 	if !ok {
 		return outcomes, mtstore.Entry{}
 	}
-	entry, err := patchEntry(assignment, min(b.Known, assignment.Next))
+	entry, err := patchEntry(assignment, min(b.KnownEpoch, assignment.Next))
 	if err != nil {
 		m.config.Log.Error("word of an assignment can't be encoded", "service", b.Service, "error", err)
 	}
--- a/io/mtowner/recent.go
+++ b/io/mtowner/recent.go
@@ -117,7 +117,7 @@
 	defer r.mu.Unlock()
 	r.next++
 	v := r.table.Begin(clock.Now(), clock.Wall(), mtrecent.Request{
-		Name:        nameOf(q),
+		DedupKey:    nameOf(q),
 		Fingerprint: mtrecent.Fingerprint(q.Fingerprint()),
 		Minted:      q.Minted,
 	}, r.next)
@@ -149,7 +149,7 @@
 func (r *recent) end(clock clock, q *mtrequest.Request, reply *mtrequest.Reply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	outcome := mtrecent.Outcome{What: reply.Outcome}
+	outcome := mtrecent.Result{Outcome: reply.Outcome}
 	if reply.Outcome == mtreply.Answered {
 		outcome.Answer = &mtrecent.Answer{Status: reply.Status, ContentType: reply.ContentType, Body: reply.Body}
 	}
@@ -169,14 +169,14 @@
 	case <-ctx.Done():
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.table.Leave(nameOf(q), v.waiter)
+		r.table.RemoveWaiter(nameOf(q), v.waiter)
 		delete(r.waiters, v.waiter)
 		return nil, &mtreply.UnknownError{Cause: mtreply.CauseEarlier, Err: ctx.Err()}
 	}
 }
 
-func nameOf(q *mtrequest.Request) mtrecent.Name {
-	return mtrecent.Name{Point: q.Point(), ID: uuid.UUID(q.ID)}
+func nameOf(q *mtrequest.Request) mtrecent.DedupKey {
+	return mtrecent.DedupKey{Point: q.Point(), ID: uuid.UUID(q.ID)}
 }
 
 // exposure is how long after a takeover the requests of a range may be the ones
@@ -190,12 +190,12 @@
 // request is a suspect; one that isn't idempotent needn't be, since it is
 // answered as unknown and never run.
 func (o *Owner) expose(r *mtrequest.Request, class *mtbundle.Class, self mtid.Holder) {
-	tables := o.View.Now().Tables(r.Service)
+	tables := o.View.Snapshot().Tables(r.Service)
 	memory := o.recent(r.Service)
 	memory.adopt(o.Clock, self, tables[mtshard.ChunkOf(r.Point(), len(tables))])
 	lost, ok := memory.lost(r.Point())
-	r.Exposed = ok && o.Clock.Wall().Before(lost.Add(exposure))
-	if r.Exposed && class.Idempotent && !r.Minted && !r.ID.Made().After(lost) {
+	r.RecentTakeover = ok && o.Clock.Wall().Before(lost.Add(exposure))
+	if r.RecentTakeover && class.Idempotent && !r.Minted && !r.ID.CreatedAt().After(lost) {
 		r.Suspect = true
 	}
 }
@@ -205,7 +205,7 @@
 func (r *recent) lost(p mtid.Point) (time.Time, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.table.Lost(p)
+	return r.table.Horizon(p)
 }
 
 // Adopt makes the memories answer for all shards that this daemon owns. It is
@@ -213,7 +213,7 @@
 // granted as of then, not as of its first request.
 func (o *Owner) Adopt() {
 	holder, _ := o.Lease.Permit()
-	s := o.View.Now()
+	s := o.View.Snapshot()
 	for _, ref := range s.Services() {
 		for _, table := range s.Tables(ref) {
 			if table != nil && len(table.Owned(holder)) > 0 {
--- a/io/mtowner/recent_test.go
+++ b/io/mtowner/recent_test.go
@@ -61,7 +61,7 @@
 	self     = mtid.Holder{Daemon: "self", Incarnation: 1}
 	other    = mtid.Holder{Daemon: "other", Incarnation: 1}
 	gone     = mtid.Holder{Daemon: "gone", Incarnation: 1}
-	none     = mtroster.Stamp{}
+	none     = mtroster.WriteID{}
 )
 
 // clock stands still; its wall time is set by the test.
@@ -228,8 +228,8 @@
 
 	b.clock.pass(time.Second)
 	order := b.order(1)
-	name := mtrecent.Name{Point: order.Point(), ID: uuid.UUID(order.ID)}
-	verdict := memory.Begin(1, b.clock.Wall(), mtrecent.Request{Name: name}, 1)
+	name := mtrecent.DedupKey{Point: order.Point(), ID: uuid.UUID(order.ID)}
+	verdict := memory.Begin(1, b.clock.Wall(), mtrecent.Request{DedupKey: name}, 1)
 	assert.Equal(t, verdict.Kind, mtrecent.Run) // at the other owner, lost since
 
 	b.clock.pass(2 * time.Second)
@@ -311,7 +311,7 @@
 			r.Class, r.Minted = tt.class, tt.minted
 			b.clock.pass(tt.after)
 			b.Serve(context.Background(), r)
-			assert.Equal(t, r.Exposed, tt.exposed)
+			assert.Equal(t, r.RecentTakeover, tt.exposed)
 			assert.Equal(t, r.Suspect, tt.suspect)
 		})
 	}
--- a/io/mtplanner/mtplanner.go
+++ b/io/mtplanner/mtplanner.go
@@ -65,7 +65,7 @@
 	// is not registered.
 	Self func() mtid.Holder
 	// Stamp returns a stamp that no other write of this daemon carries.
-	Stamp func() mtroster.Stamp
+	Stamp func() mtroster.WriteID
 	// Now returns the present time.
 	Now func() mtclock.Instant
 	Log *slog.Logger
@@ -241,7 +241,7 @@
 	first, ok := p.view.Table(ref, 0)
 	if !ok {
 		if state.creation.Ready(p.config.Now(), holders(serving)) {
-			laid := mtplan.Lay(service.Shards, max(1, service.Chunks), layout(serving, ref))
+			laid := mtplan.InitialLayout(service.Shards, max(1, service.Chunks), layout(serving, ref))
 			p.writer.write(ctx, mtshard.New(ref, 0, len(laid)), laid[0]...)
 		}
 		return
@@ -250,7 +250,7 @@
 	if len(missing) == 0 || len(serving) == 0 {
 		return
 	}
-	laid := mtplan.Lay(service.Shards, first.Chunks, layout(serving, ref))
+	laid := mtplan.InitialLayout(service.Shards, first.Chunks, layout(serving, ref))
 	for _, chunk := range missing {
 		p.writer.write(ctx, mtshard.New(ref, chunk, len(laid)), laid[chunk]...)
 	}
@@ -271,7 +271,7 @@
 func members(roster []*mtroster.Record, ref mtid.Ref) []*mtroster.Record {
 	var found []*mtroster.Record
 	for _, record := range roster {
-		if !record.Live() {
+		if !record.MayHoldLease() {
 			continue
 		}
 		if _, ok := record.Offer(ref); ok {
--- a/io/mtpoison/attend.go
+++ b/io/mtpoison/attend.go
@@ -37,7 +37,7 @@
 		return func(error) {}
 	}
 	flight := &mtwire.Flight{
-		Holder:   mtroster.WireHolder(w.Self()),
+		Holder:   mtroster.HolderToWire(w.Self()),
 		Print:    r.Fingerprint(),
 		Business: string(r.Service.Business),
 		Service:  string(r.Service.Service),
@@ -64,8 +64,8 @@
 	self := w.Self()
 	var best *mtroster.Record
 	var bestRank uint64
-	for _, record := range w.View.Now().Roster() {
-		if !record.Live() || record.Holder.Daemon == self.Daemon {
+	for _, record := range w.View.Snapshot().Roster() {
+		if !record.MayHoldLease() || record.Holder.Daemon == self.Daemon {
 			continue
 		}
 		rank := mtid.Rank(record.Holder.Daemon, mtid.Ref{}.Point(mtid.Key(self.Daemon)))
@@ -76,7 +76,7 @@
 	if best == nil {
 		return ""
 	}
-	return best.Relay
+	return best.RelayAddress
 }
 
 // begin sends a begin, on a new stream if need be, and returns what is closed
@@ -139,7 +139,7 @@
 }
 
 // end sends an end.
-func (a *attendant) end(number uint64, how mtpoison.End) {
+func (a *attendant) end(number uint64, how mtpoison.RunResult) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.begun, number)
@@ -147,7 +147,7 @@
 		return
 	}
 	end := &mtwire.Flight{
-		Number: number, Ended: true, Whole: how == mtpoison.Whole, Left: how == mtpoison.Left || how == mtpoison.Broken,
+		Number: number, Ended: true, Whole: how == mtpoison.Answered, Left: how == mtpoison.Abandoned || how == mtpoison.Broken,
 	}
 	if err := a.stream.Send(end); err != nil {
 		a.reset()
@@ -214,9 +214,9 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := w.number()
-	w.table.Relayed(n, mtroster.ReadHolder(flight.GetHolder()), mtpoison.Print(flight.GetPrint()))
+	w.table.Relayed(n, mtroster.HolderFromWire(flight.GetHolder()), mtpoison.Fingerprint(flight.GetPrint()))
 	if flight.GetAlone() {
-		w.table.Begun(n)
+		w.table.StartedAlone(n)
 	}
 	return &Relayed{watch: w, number: n, service: ref}
 }
