--- a/io/mtmesh/certainty.go
+++ b/io/mtmesh/certainty.go
@@ -9,92 +9,93 @@
 	"magnoliaturn/core/mtroute"
 )
 
-// certainty is how old the knowledge of the configuration is, for several goroutines.
-type certainty struct {
-	mu   sync.Mutex
-	core mtroute.Certainty
-	told mtclock.Instant // up to which others were told to look
-	// stirred is told when others should look.
-	stirred *beacon
+// freshness is a mtroute.Certainty for concurrent use: the instant at which the
+// configuration of this daemon was last known to be the newest.
+type freshness struct {
+	mu       sync.Mutex
+	core     mtroute.Certainty
+	notified mtclock.Instant // the instant of which waiting daemons were last notified
+	// changed is signaled when waiting daemons should be sent the newer instant.
+	changed *broadcast
 }
 
-func newCertainty(now mtclock.Instant, within time.Duration, stirred *beacon) *certainty {
-	return &certainty{core: mtroute.NewCertainty(now, within), stirred: stirred}
+func newFreshness(now mtclock.Instant, within time.Duration, changed *broadcast) *freshness {
+	return &freshness{core: mtroute.NewCertainty(now, within), changed: changed}
 }
 
-func (c *certainty) confirm(at mtclock.Instant) {
-	c.change(func() { c.core.Confirm(at) })
+func (f *freshness) confirm(at mtclock.Instant) {
+	f.update(func() { f.core.Confirm(at) })
 }
 
-func (c *certainty) hear(own, theirs mtid.Version, age time.Duration, sent mtclock.Instant) {
-	c.change(func() { c.core.Hear(own, theirs, age, sent) })
+func (f *freshness) observe(own, theirs mtid.Version, age time.Duration, sent mtclock.Instant) {
+	f.update(func() { f.core.Hear(own, theirs, age, sent) })
 }
 
-// change lets those look who wait for news, if there are.
-func (c *certainty) change(f func()) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	f()
-	if c.core.Fresher(c.core.At(), c.told) {
-		c.told = c.core.At()
-		c.stirred.fire()
+// update calls apply and signals changed if the instant has advanced far enough.
+func (f *freshness) update(apply func()) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	apply()
+	if f.core.Fresher(f.core.At(), f.notified) {
+		f.notified = f.core.At()
+		f.changed.notify()
 	}
 }
 
-// fresher reports whether the knowledge is so much newer than another daemon's that it
-// should hear of it.
-func (c *certainty) fresher(theirs mtclock.Instant) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.core.Fresher(c.core.At(), theirs)
+// fresher reports whether the configuration was confirmed so much later here than at
+// another daemon that the other one should be notified.
+func (f *freshness) fresher(theirs mtclock.Instant) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.core.Fresher(f.core.At(), theirs)
 }
 
-func (c *certainty) at() mtclock.Instant {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.core.At()
+func (f *freshness) at() mtclock.Instant {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.core.At()
 }
 
-func (c *certainty) age(now mtclock.Instant) time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.core.Age(now)
+func (f *freshness) age(now mtclock.Instant) time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.core.Age(now)
 }
 
-func (c *certainty) ask(now mtclock.Instant, turn mtroute.Turn) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.core.Ask(now, turn)
+func (f *freshness) startPoll(now mtclock.Instant, turn mtroute.Turn) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.core.Ask(now, turn)
 }
 
-func (c *certainty) due(turn mtroute.Turn) mtclock.Instant {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.core.Due(turn)
+func (f *freshness) nextPoll(turn mtroute.Turn) mtclock.Instant {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.core.Due(turn)
 }
 
-func (c *certainty) denies(now mtclock.Instant) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.core.Denies(now)
+func (f *freshness) mayDenyRoute(now mtclock.Instant) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.core.Denies(now)
 }
 
-// beacon wakes all who wait for something to happen.
-type beacon struct {
+// broadcast signals an event to all goroutines that wait for it.
+type broadcast struct {
 	mu   sync.Mutex
 	next chan struct{}
 }
 
-func newBeacon() *beacon { return &beacon{next: make(chan struct{})} }
+func newBroadcast() *broadcast { return &broadcast{next: make(chan struct{})} }
 
-// wait returns what is closed at the next fire.
-func (b *beacon) wait() <-chan struct{} {
+// wait returns a channel that is closed by the next call of notify.
+func (b *broadcast) wait() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.next
 }
 
-func (b *beacon) fire() {
+func (b *broadcast) notify() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	close(b.next)
--- a/io/mtmesh/commit.go
+++ b/io/mtmesh/commit.go
@@ -15,22 +15,24 @@
 	"magnoliaturn/io/mtforward"
 )
 
-// delegateTimeout is how long another daemon may take to write for this one: a few writes,
-// each of which takes some milliseconds. After that this daemon writes itself.
+// delegateTimeout limits how long the primary watcher may take to write transfers for this
+// daemon: a few writes of some milliseconds each. After that their outcome is unknown, or
+// this daemon writes them itself if they were never sent.
 const delegateTimeout = 500 * time.Millisecond
 
 func (m *Mesh) addCommitter() error {
 	committer, cleanUp := mtcommit.New(mtcommit.Config{
-		Directory: m.directory.Load(), Store: m.config.Store, Log: m.config.Log, Inform: m.inform,
+		Directory: m.directory.Load(), Store: m.config.Store, Log: m.config.Log, Inform: m.sendOwnershipUpdate,
 	})
 	return mtkernel.Register(m.kernel, NameCommitter, committer, cleanUp)
 }
 
-// delegate leaves changes of owners to the first source, which writes for all. It returns
-// false if that is this daemon, or nobody can be asked.
+// delegate sends transfers to the primary watcher, which writes for all daemons. It returns
+// false if this daemon has to write them itself: it is the primary watcher or has no record
+// in the store, or the primary watcher is unresponsive or cannot be reached.
 func (m *Mesh) delegate(ctx context.Context, b mtrange.Batch) ([]mtrange.Outcome, bool) {
 	peers := mtkernel.MustLookup[*mtforward.Client](m.kernel, NamePeers)
-	writer, ok := m.learner.tree().PrimaryWatcher()
+	writer, ok := m.feed.tree().PrimaryWatcher()
 	if !ok || writer.Daemon == m.config.Daemon || b.RecordVersion == 0 || peers.Silent(writer.Address) {
 		return nil, false
 	}
@@ -41,19 +43,20 @@
 		m.directory.Load().Inform(entry)
 		return outcomes, true
 	}
-	m.config.Log.Warn("moves were not written by another daemon", "peer", writer.Daemon, "transfers", len(b.Transfers), "error", err)
+	m.config.Log.Warn("writing transfers through another daemon failed", "peer", writer.Daemon, "transfers", len(b.Transfers), "error", err)
 	var refused *mtreply.RefusedError
 	if errors.As(err, &refused) {
 		return nil, false
 	}
-	doubtful := make([]mtrange.Outcome, len(b.Transfers))
-	for i := range doubtful {
-		doubtful[i] = mtrange.OutcomeUnknown
+	unknown := make([]mtrange.Outcome, len(b.Transfers))
+	for i := range unknown {
+		unknown[i] = mtrange.OutcomeUnknown
 	}
-	return doubtful, true
+	return unknown, true
 }
 
-// commitFor writes changes of owners on behalf of another daemon.
+// commitFor writes transfers on behalf of another daemon. It returns the outcomes, and the
+// changes of the assignment since the epoch that the other daemon knows.
 func (m *Mesh) commitFor(ctx context.Context, b mtrange.Batch) ([]mtrange.Outcome, mtstore.Entry) {
 	outcomes := mtkernel.MustLookup[*mtcommit.Committer](m.kernel, NameCommitter).Gather(ctx, b)
 	assignment, ok := m.directory.Load().Now().Assignments[b.Service]
@@ -62,12 +65,12 @@
 	}
 	entry, err := patchEntry(assignment, min(b.KnownEpoch, assignment.Next))
 	if err != nil {
-		m.config.Log.Error("word of an assignment can't be encoded", "service", b.Service, "error", err)
+		m.config.Log.Error("encoding an ownership update failed", "service", b.Service, "error", err)
 	}
 	return outcomes, entry
 }
 
-// patchEntry returns what has changed of an assignment since an epoch.
+// patchEntry returns an entry with the changes of an assignment since an epoch.
 func patchEntry(a mtdirectory.Assignment, since mtid.Epoch) (mtstore.Entry, error) {
 	value, err := a.Since(since).Encode()
 	return mtstore.Entry{Name: mtstore.RangeName(a.Service), Value: value, Version: a.Version}, err
--- a/io/mtmesh/export_test.go
+++ b/io/mtmesh/export_test.go
@@ -12,33 +12,34 @@
 	"magnoliaturn/io/mtwatch"
 )
 
-// Learner lets tests hear of changes as a daemon does.
-type Learner struct{ *learner }
+// Feed exports changeFeed to tests.
+type Feed struct{ *changeFeed }
 
-// NewLearner returns the Learner of a daemon that goes by a fixed tree.
-func NewLearner(n mtspread.Node, tree *mtspread.Tree, store mtwatch.Source, peers teachers, directory func() *mtdirectory.Directory, configured bool) Learner {
+// NewFeed returns the Feed of a daemon with a fixed distribution tree.
+func NewFeed(n mtspread.Node, tree *mtspread.Tree, store mtwatch.Source, peers upstreamClient, directory func() *mtdirectory.Directory, configured bool) Feed {
 	clock := mttime.New()
-	certainty := newCertainty(clock.Now(), 2*time.Second, newBeacon())
-	return Learner{&learner{
-		self: n.Daemon, zone: n.Zone, store: store, peers: peers, clock: clock, certainty: certainty, directory: directory,
-		stirred: certainty.stirred, paused: make(map[string]time.Time), configured: func() bool { return configured },
+	freshness := newFreshness(clock.Now(), 2*time.Second, newBroadcast())
+	return Feed{&changeFeed{
+		self: n.Daemon, zone: n.Zone, store: store, peers: peers, clock: clock, freshness: freshness, directory: directory,
+		changed: freshness.changed, pausedUntil: make(map[string]time.Time), configured: func() bool { return configured },
 		tree: func() *mtspread.Tree { return tree },
 	}}
 }
 
-// Teach answers another daemon.
-func (l Learner) Teach(ctx context.Context, q mtforward.Question) (mtforward.Lesson, error) {
-	return l.teach(ctx, q)
+// Serve answers a pull of another daemon.
+func (f Feed) Serve(ctx context.Context, q mtforward.Question) (mtforward.Lesson, error) {
+	return f.serve(ctx, q)
 }
 
-// HearsCertainty reports whether a daemon that knows of no configuration and of no zone out of
-// service becomes certain by another one's news, which answer what was sent a moment ago.
-func HearsCertainty(theirs mtforward.News) (bool, error) {
+// AdoptsPeerFreshness reports whether a daemon without a configuration, for which all zones
+// are in service, adopts the freshness in a reply of another daemon to a message sent just
+// now.
+func AdoptsPeerFreshness(theirs mtforward.News) (bool, error) {
 	m := &Mesh{kernel: mtkernel.New()}
 	if err := m.addClock(); err != nil {
 		return false, err
 	}
-	before := m.certainty.at()
-	m.hear(theirs, m.steady())
-	return m.certainty.at() > before, nil
+	before := m.freshness.at()
+	m.compareVersions(theirs, m.now())
+	return m.freshness.at() > before, nil
 }
--- a/io/mtmesh/former.go
+++ b/io/mtmesh/former.go
@@ -7,34 +7,34 @@
 	"magnoliaturn/io/mthost"
 )
 
-// former passes the record of a former life of this daemon on to the host, which does not
-// stand yet when the directory begins to look.
-type former struct {
-	mu    sync.Mutex
-	host  *mthost.Host      // nil while the daemon is being put together
-	early *mtbackend.Record // found by then
+// previousRecord passes the record of a previous incarnation of this daemon to the host.
+// The directory may read the record before the host exists.
+type previousRecord struct {
+	mu      sync.Mutex
+	host    *mthost.Host      // nil until attach is called
+	pending *mtbackend.Record // received before attach
 }
 
-// hear takes in a record of a former life.
-func (f *former) hear(r mtbackend.Record) {
-	f.mu.Lock()
-	host := f.host
+// receive handles a record of a previous incarnation.
+func (p *previousRecord) receive(r mtbackend.Record) {
+	p.mu.Lock()
+	host := p.host
 	if host == nil {
-		f.early = &r
+		p.pending = &r
 	}
-	f.mu.Unlock()
+	p.mu.Unlock()
 	if host != nil {
 		host.Former(r)
 	}
 }
 
-// follow tells the host what was found before it stood, and from now on.
-func (f *former) follow(host *mthost.Host) {
-	f.mu.Lock()
-	f.host = host
-	early := f.early
-	f.mu.Unlock()
-	if early != nil {
-		host.Former(*early)
+// attach passes the records received so far, and all later ones, to the host.
+func (p *previousRecord) attach(host *mthost.Host) {
+	p.mu.Lock()
+	p.host = host
+	pending := p.pending
+	p.mu.Unlock()
+	if pending != nil {
+		host.Former(*pending)
 	}
 }
--- a/io/mtmesh/learn.go
+++ b/io/mtmesh/learn.go
@@ -17,91 +17,94 @@
 	"magnoliaturn/io/mtwatch"
 )
 
-// Each change costs the store one answer for each watcher, and all calls are paid for.
-// So two daemons watch, and the others learn from them (core/mtspread).
+// Each change costs the store one reply for each watch, and all calls to it are billed. So
+// two daemons watch it, and the others pull updates from them (core/mtspread).
 const (
-	// gather is how long a watcher waits after a change before it asks for the
-	// next ones, so that changes that come together cost one answer.
-	gather = 110 * time.Millisecond
-	// gatherIdle is the same while no configuration is known: nobody is served yet, and
-	// all daemons write their records at once when the whole system starts.
-	gatherIdle = 500 * time.Millisecond
-	// teacherPause is how long a daemon that could not be learned from is passed
-	// over.
-	teacherPause = time.Second
-	// mostTeachers is how many daemons are asked in turn before the store is. When the first
-	// of a zone is restarted, all others of the zone need somebody else for a second.
-	mostTeachers = 2
-	// learnPause is the least time between two questions that bring no changes. A teacher
-	// that is certain of a configuration which this daemon does not have yet would answer
-	// each of them at once.
-	learnPause = 50 * time.Millisecond
-	// deferPause is how long a daemon that is to learn from others waits for them when
-	// the whole system starts, and mostDeferred how often.
-	deferPause   = 300 * time.Millisecond
-	mostDeferred = 8
-	// learnWait is how long one question waits at a teacher. It is renewed at a
-	// teacher that is silent for longer than a lost connection takes to show.
-	learnWait = 10 * time.Second
-	// farthest is how many hops from the store a daemon may be that teaches others: two
-	// that learned from each other would be further and further away, and know nothing.
-	farthest = 2
+	// batchDelay is how long a watcher waits after a change before it requests the next
+	// ones, so that changes in quick succession cost one reply.
+	batchDelay = 110 * time.Millisecond
+	// startupBatchDelay replaces batchDelay while no configuration is known: no requests
+	// are served yet, and all daemons write their records at once when the whole system
+	// starts.
+	startupBatchDelay = 500 * time.Millisecond
+	// upstreamPause is how long an upstream is skipped after a failed pull.
+	upstreamPause = time.Second
+	// maxUpstreamAttempts is how many upstreams are tried before the store. While the
+	// distributor of a zone restarts, all others of the zone need another upstream for a
+	// second.
+	maxUpstreamAttempts = 2
+	// minPullInterval is the minimum time between two pulls that return no changes. An
+	// upstream whose configuration is fresh, but not yet known here, would answer each of
+	// them at once.
+	minPullInterval = 50 * time.Millisecond
+	// startupPause is how long a daemon that should not watch the store waits for an
+	// upstream when the whole system starts, and maxStartupPauses how often it does.
+	startupPause     = 300 * time.Millisecond
+	maxStartupPauses = 8
+	// pullWait is how long a pull waits at the upstream for changes before it is repeated.
+	// That is longer than it takes to detect a lost connection.
+	pullWait = 10 * time.Second
+	// maxServingHops is the maximum distance from the store of a daemon that serves pulls.
+	// Without the limit, two daemons could pull from each other, count ever more hops and
+	// receive nothing.
+	maxServingHops = 2
 )
 
-// teachers are the daemons to learn from.
-type teachers interface {
+// upstreamClient pulls updates from other daemons.
+type upstreamClient interface {
 	Learn(ctx context.Context, address string, q mtforward.Question) (mtforward.Lesson, error)
 }
 
-// learner hears of changes: from the store itself, or from a daemon that does.
-type learner struct {
+// changeFeed receives the changes of the store, from the store itself or from an upstream
+// daemon, and serves them to other daemons.
+type changeFeed struct {
 	self      mtid.Daemon
 	zone      mtid.Zone
 	store     mtwatch.Source
-	peers     teachers
+	peers     upstreamClient
 	clock     clock
-	certainty *certainty
-	directory func() *mtdirectory.Directory // nil while there is none
+	freshness *freshness
+	directory func() *mtdirectory.Directory // returns nil before the directory exists
 	// configured reports whether a configuration is in force.
 	configured func() bool
-	// hops is how far from the store this daemon hears of changes: one, if from the
-	// store itself, or zero while it does not.
+	// hops is the distance from the store: one if this daemon watches the store itself,
+	// zero while it receives no changes.
 	hops atomic.Int32
-	// stirred is told of what those who learn here may wait for.
-	stirred *beacon
-	// tree returns who hears from whom, as this daemon knows.
-	tree    func() *mtspread.Tree
-	planned atomic.Pointer[plan]
-	// read is when the last reading of everything from the store itself began.
-	read atomic.Int64
-	// paused are the addresses to pass over, until when. Only the goroutine that
-	// watches looks.
-	paused   map[string]time.Time
-	deferred int // looks at others before there was a configuration
+	// changed is signaled when waiting pulls have to be checked again.
+	changed *broadcast
+	// tree returns the distribution tree as this daemon knows it.
+	tree   func() *mtspread.Tree
+	cached atomic.Pointer[cachedTree]
+	// fullReadStarted is when the last full read from the store itself began.
+	fullReadStarted atomic.Int64
+	// pausedUntil is until when upstreams are skipped, by address. Only the goroutine that
+	// calls Watch uses it.
+	pausedUntil   map[string]time.Time
+	startupPauses int // made so far, before a configuration was in force
 }
 
-// plan is who hears from whom among the members of a view.
-type plan struct {
+// cachedTree is the distribution tree for one version of the members.
+type cachedTree struct {
 	roll uint64
 	tree *mtspread.Tree
 }
 
-// view returns what is known, or nil while there is nothing.
-func (l *learner) view() *mtdirectory.View {
-	directory := l.directory()
+// view returns the current copy of the directory, or nil before the directory exists.
+func (f *changeFeed) view() *mtdirectory.View {
+	directory := f.directory()
 	if directory == nil {
 		return nil
 	}
 	return directory.Now()
 }
 
-// plan returns who hears from whom among the members that are known.
-func (l *learner) plan() *mtspread.Tree {
-	view := l.view()
+// memberTree returns the distribution tree of the known live members.
+func (f *changeFeed) memberTree() *mtspread.Tree {
+	view := f.view()
 	if view == nil {
 		return mtspread.New(nil)
 	}
-	if p := l.planned.Load(); p != nil && p.roll == view.Roll {
+	if p := f.cached.Load(); p != nil && p.roll == view.Roll {
 		return p.tree
 	}
 	nodes := make([]mtspread.Node, 0, len(view.Members))
@@ -110,196 +113,202 @@
 			nodes = append(nodes, mtspread.Node{Daemon: m.Daemon, Zone: m.Zone, Address: m.Address, Link: m.Link})
 		}
 	}
-	p := &plan{roll: view.Roll, tree: mtspread.New(nodes)}
-	l.planned.Store(p)
+	p := &cachedTree{roll: view.Roll, tree: mtspread.New(nodes)}
+	f.cached.Store(p)
 	return p.tree
 }
 
-// turn returns when it is this daemon's turn to ask the store.
-func (l *learner) turn() mtroute.Turn { return l.tree().PollSchedule(l.self) }
+// pollSchedule returns the schedule by which this daemon polls the store for the
+// configuration.
+func (f *changeFeed) pollSchedule() mtroute.Turn { return f.tree().PollSchedule(f.self) }
 
-// Watch implements mtwatch.Source.
-func (l *learner) Watch(ctx context.Context, prefix string, after mtid.Revision, wait time.Duration) (mtstore.Changes, error) {
-	for range mostTeachers {
-		teacher, ok := l.teacher(time.Now())
+// Watch implements mtwatch.Source. It pulls from an upstream if there is one, and watches
+// the store otherwise.
+func (f *changeFeed) Watch(ctx context.Context, prefix string, after mtid.Revision, wait time.Duration) (mtstore.Changes, error) {
+	for range maxUpstreamAttempts {
+		upstream, ok := f.upstream(time.Now())
 		if !ok {
 			break
 		}
-		changes, err := l.learn(ctx, teacher, after, min(wait, learnWait))
+		changes, err := f.pull(ctx, upstream, after, min(wait, pullWait))
 		if err == nil || ctx.Err() != nil {
 			return changes, err
 		}
-		l.paused[teacher] = time.Now().Add(teacherPause)
+		f.pausedUntil[upstream] = time.Now().Add(upstreamPause)
 	}
 	if after == 0 {
-		return l.readAll(ctx, prefix)
+		return f.readAll(ctx, prefix)
 	}
-	if l.defers() {
-		mtduty.Sleep(ctx, deferPause)
+	if f.deferWatch() {
+		mtduty.Sleep(ctx, startupPause)
 		return mtstore.Changes{Revision: after}, nil
 	}
-	l.move(1)
-	changes, err := l.store.Watch(ctx, prefix, after, wait)
+	f.setHops(1)
+	changes, err := f.store.Watch(ctx, prefix, after, wait)
 	if err != nil {
-		l.move(0)
+		f.setHops(0)
 		return changes, err
 	}
 	if len(changes.Entries) > 0 {
-		mtduty.Sleep(ctx, l.gather())
+		mtduty.Sleep(ctx, f.batchDelay())
 	}
 	return changes, nil
 }
 
-// defers reports whether this daemon waits for others to hear of changes first, and looks
-// again then who could tell it. When the whole system starts nobody hears of anything yet,
-// and all watched the store in the meantime, woken by each other's records.
-func (l *learner) defers() bool {
-	if l.configured() || l.turn() != mtroute.Last || l.deferred >= mostDeferred {
+// deferWatch reports whether to pause and look for an upstream again instead of watching
+// the store. When the whole system starts, no daemon receives changes yet. Without the
+// pause all daemons would watch the store, and each would be woken by the records of all
+// others.
+func (f *changeFeed) deferWatch() bool {
+	if f.configured() || f.pollSchedule() != mtroute.Last || f.startupPauses >= maxStartupPauses {
 		return false
 	}
-	l.deferred++
+	f.startupPauses++
 	return true
 }
 
-// gather returns how long to wait after a change before asking for the next ones.
-func (l *learner) gather() time.Duration {
-	if l.configured() {
-		return gather
+// batchDelay returns how long to wait after a change before requesting the next ones.
+func (f *changeFeed) batchDelay() time.Duration {
+	if f.configured() {
+		return batchDelay
 	}
-	return gatherIdle
+	return startupBatchDelay
 }
 
 // readAll reads everything from the store.
-func (l *learner) readAll(ctx context.Context, prefix string) (mtstore.Changes, error) {
-	begun := l.clock.Now()
-	changes, err := l.store.Watch(ctx, prefix, 0, 0)
+func (f *changeFeed) readAll(ctx context.Context, prefix string) (mtstore.Changes, error) {
+	started := f.clock.Now()
+	changes, err := f.store.Watch(ctx, prefix, 0, 0)
 	if err == nil {
-		l.read.Store(int64(begun))
+		f.fullReadStarted.Store(int64(started))
 	}
 	return changes, err
 }
 
-// applied notes that what was read has been taken in: the configuration with it.
-func (l *learner) applied(u mtwatch.Update) {
-	if begun := mtclock.Instant(l.read.Swap(0)); u.Whole && begun != 0 {
-		l.certainty.confirm(begun)
+// applied confirms the freshness of the configuration once a full read from the store has
+// been applied.
+func (f *changeFeed) applied(u mtwatch.Update) {
+	if started := mtclock.Instant(f.fullReadStarted.Swap(0)); u.Whole && started != 0 {
+		f.freshness.confirm(started)
 	}
 }
 
-// move notes how far from the store this daemon hears of changes. Those who learn here
-// have to go elsewhere if that is too far.
-func (l *learner) move(hops int) {
-	if l.hops.Swap(int32(hops)) != int32(hops) {
-		l.stirred.fire()
+// setHops sets the distance from the store, and wakes the waiting pulls: their daemons need
+// another upstream if the distance is now too large.
+func (f *changeFeed) setHops(hops int) {
+	if f.hops.Swap(int32(hops)) != int32(hops) {
+		f.changed.notify()
 	}
 }
 
-// learn asks another daemon. For a reading of everything it has to know more than
-// this daemon does: else the store itself must tell. A daemon that the store turns
-// away can still read everything so.
-func (l *learner) learn(ctx context.Context, teacher string, after mtid.Revision, wait time.Duration) (mtstore.Changes, error) {
-	if l.hops.Load() == 1 {
-		// The store is not watched any more. Those who relied on that go elsewhere; this
-		// daemon might be going to learn from one of them.
-		l.move(0)
+// pull requests changes from an upstream. A full read (after is 0) is accepted only if the
+// upstream knows a newer revision than this daemon; otherwise it has to be made from the
+// store. So a daemon that the store rejects can still make a full read.
+func (f *changeFeed) pull(ctx context.Context, upstream string, after mtid.Revision, wait time.Duration) (mtstore.Changes, error) {
+	if f.hops.Load() == 1 {
+		// This daemon no longer watches the store. Daemons that pull from it have to switch
+		// to another upstream, since its own upstream may be one of them.
+		f.setHops(0)
 	}
-	view := l.view()
-	q := mtforward.Question{After: after, Relays: l.turn() != mtroute.Last, Age: l.certainty.age(l.clock.Now())}
+	view := f.view()
+	q := mtforward.Question{After: after, Relays: f.pollSchedule() != mtroute.Last, Age: f.freshness.age(f.clock.Now())}
 	if after != 0 {
 		q.Epochs, q.Wait = view.Epochs(), wait
 	}
-	begun := l.clock.Now()
-	lesson, err := l.peers.Learn(ctx, teacher, q)
+	started := f.clock.Now()
+	reply, err := f.peers.Learn(ctx, upstream, q)
 	if err != nil {
-		l.move(0)
-		return lesson.Changes, err
+		f.setHops(0)
+		return reply.Changes, err
 	}
-	l.move(lesson.Hops + 1)
-	if took := l.clock.Now().Sub(begun); len(lesson.Changes.Entries) == 0 && took < learnPause {
-		mtduty.Sleep(ctx, learnPause-took)
+	f.setHops(reply.Hops + 1)
+	if took := f.clock.Now().Sub(started); len(reply.Changes.Entries) == 0 && took < minPullInterval {
+		mtduty.Sleep(ctx, minPullInterval-took)
 	}
-	if after == 0 && lesson.Changes.Revision <= view.Revision {
-		return lesson.Changes, &mtstore.UnavailableError{Op: "learn", Err: notWatching{}}
+	if after == 0 && reply.Changes.Revision <= view.Revision {
+		return reply.Changes, &mtstore.UnavailableError{Op: "learn", Err: notWatching{}}
 	}
-	return lesson.Changes, nil
+	return reply.Changes, nil
 }
 
-// teacher returns the address of the daemon to learn from, or false if this one
-// watches the store itself: it is a source, or finds nobody who does.
-func (l *learner) teacher(now time.Time) (string, bool) {
-	if view := l.view(); view == nil || view.Revision == 0 {
+// upstream returns the address of the daemon to pull from, or false if this daemon has to
+// watch the store itself: it is a watcher, or no upstream is available.
+func (f *changeFeed) upstream(now time.Time) (string, bool) {
+	if view := f.view(); view == nil || view.Revision == 0 {
 		return "", false
 	}
-	for _, n := range l.tree().Upstreams(l.self, l.zone) {
-		if now.After(l.paused[n.Address]) {
+	for _, n := range f.tree().Upstreams(f.self, f.zone) {
+		if now.After(f.pausedUntil[n.Address]) {
 			return n.Address, true
 		}
 	}
 	return "", false
 }
 
-// teaches reports whether this daemon hears of changes from close enough to tell others,
-// who relay them or not.
-func (l *learner) teaches(relays bool) bool {
-	hops := int(l.hops.Load())
+// mayServe reports whether this daemon is close enough to the store to serve a daemon that
+// passes updates on (relays), or one that does not.
+func (f *changeFeed) mayServe(relays bool) bool {
+	hops := int(f.hops.Load())
 	if relays {
 		return hops == 1
 	}
-	return hops > 0 && hops <= farthest
+	return hops > 0 && hops <= maxServingHops
 }
 
-// teach waits for changes on behalf of another daemon, or until this one is certain of its
-// configuration for so much longer that the other should hear of it.
-func (l *learner) teach(ctx context.Context, q mtforward.Question) (mtforward.Lesson, error) {
+// serve waits for changes on behalf of another daemon. It also returns if the configuration
+// of this daemon has become so much fresher than the other's that the other should be
+// notified.
+func (f *changeFeed) serve(ctx context.Context, q mtforward.Question) (mtforward.Lesson, error) {
 	ctx, cancel := context.WithTimeout(ctx, q.Wait)
 	defer cancel()
-	directory := l.directory()
-	theirs := l.clock.Now().Add(-q.Age)
+	directory := f.directory()
+	theirs := f.clock.Now().Add(-q.Age)
 	for {
-		stirred := l.stirred.wait()
-		if directory == nil || !l.teaches(q.Relays) {
+		changed := f.changed.wait()
+		if directory == nil || !f.mayServe(q.Relays) {
 			return mtforward.Lesson{}, &mtstore.UnavailableError{Op: "teach", Err: notWatching{}}
 		}
 		if _, up := directory.Up(); !up {
 			return mtforward.Lesson{}, &mtstore.UnavailableError{Op: "teach", Err: notWatching{}}
 		}
 		changes, next := directory.Since(q.After, q.Epochs)
-		lesson := mtforward.Lesson{Changes: changes, Hops: int(l.hops.Load())}
-		if len(changes.Entries) > 0 || l.certainty.fresher(theirs) {
-			return lesson, nil
+		reply := mtforward.Lesson{Changes: changes, Hops: int(f.hops.Load())}
+		if len(changes.Entries) > 0 || f.freshness.fresher(theirs) {
+			return reply, nil
 		}
 		select {
 		case <-next:
-		case <-stirred:
+		case <-changed:
 		case <-ctx.Done():
-			return lesson, nil
+			return reply, nil
 		}
 	}
 }
 
-// notWatching says that a daemon can't teach.
+// notWatching reports that a daemon cannot serve pulls, since it is too far from the store
+// or receives no changes.
 type notWatching struct{}
 
 // Error implements error.
 func (notWatching) Error() string { return "this daemon does not watch the store" }
 
-// inform tells a daemon of an assignment that gives it keys.
-func (m *Mesh) inform(to mtid.Daemon, a mtdirectory.Assignment, since mtid.Epoch) {
+// sendOwnershipUpdate sends a daemon the changes of an assignment that gives it keys.
+func (m *Mesh) sendOwnershipUpdate(to mtid.Daemon, a mtdirectory.Assignment, since mtid.Epoch) {
 	member, ok := m.directory.Load().Now().Members[to]
 	if !ok {
 		return
 	}
 	entry, err := patchEntry(a, since)
 	if err != nil {
-		m.config.Log.Error("word of an assignment can't be encoded", "service", a.Service, "error", err)
+		m.config.Log.Error("encoding an ownership update failed", "service", a.Service, "error", err)
 		return
 	}
 	peers := mtkernel.MustLookup[*mtforward.Client](m.kernel, NamePeers)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 		defer cancel()
 		if err := peers.Inform(ctx, member.Address, entry); err != nil {
-			m.config.Log.Info("daemon could not be told of its keys", "peer", to, "error", err)
+			m.config.Log.Info("sending an ownership update to a daemon failed", "peer", to, "error", err)
 		}
 	}()
 }
--- a/io/mtmesh/mtmesh.go
+++ b/io/mtmesh/mtmesh.go
@@ -1,24 +1,23 @@
-// Package mtmesh puts a daemon together that stands beside a backend server on a
-// platform which has no other tier: it takes the requests of callers on its own
-// VM by host and path, sees them to a backend server anywhere, and answers for
-// the one on its VM.
+// Package mtmesh assembles the daemon for a platform on which every VM runs a backend
+// server and a daemon, and nothing else. The daemon accepts the requests of callers on its
+// own VM by host and path, forwards each to a backend server on any VM, and serves the
+// requests for the backend server on its own VM.
 //
-// It needs no witnesses, no bundles and no certificates: the platform's store
-// holds the configuration, the records and the assignments. What the platform
-// calls things, and how it is spoken to, is the caller's of this package: it
-// gives a store, a port for grants, header names, and tells beats and
-// configurations.
+// It needs no witnesses, bundles or certificates: the platform's store holds the
+// configuration, the records and the assignments. Everything specific to the platform is
+// supplied by the code that uses this package: a store, a port for grants and the names of
+// headers in the Config, and heartbeats and configurations as they arrive.
 //
 // # Usage
 //
 //	mesh, cleanUp, err := mtmesh.New(config)
 //	defer cleanUp()
-//	mesh.Ingress().Configure(configuration)
-//	mesh.Host().Beat(beat)
+//	mesh.Configure(configuration)
+//	mesh.Host().Beat(heartbeat)
 //	err = mesh.Run(ctx)
 //
-// When ctx ends, Run shuts down gracefully: others are told, callers are served
-// until they have gone elsewhere, and what is in flight finishes.
+// When ctx ends, Run shuts down gracefully: it notifies the other daemons, serves callers
+// until they have switched to another daemon, and lets requests in flight finish.
 package mtmesh
 
 import (
@@ -55,7 +54,7 @@
 	"magnoliaturn/io/mttime"
 )
 
-// Names under which the services of a daemon find each other.
+// Names under which the components of a daemon are registered in its kernel.
 const (
 	NameClock     mtkernel.Name = "clock"
 	NameMetrics   mtkernel.Name = "metrics"
@@ -71,72 +70,75 @@
 	NameListeners mtkernel.Name = "listeners"
 )
 
-// Config is what a Mesh is made of.
+// Config defines the identity, the addresses, the time limits and the dependencies of a
+// Mesh.
 type Config struct {
 	Daemon  mtid.Daemon
 	Zone    mtid.Zone
 	Link    mtbackend.Bandwidth // of this VM
 	Service mtid.Service        // of the backend server on this VM
 	Server  string              // address of the backend server
-	Callers string              // where callers on this VM send requests
-	Peers   string              // where other daemons send calls
+	Callers string              // address on which to accept requests of callers on this VM
+	Peers   string              // address on which to accept calls of other daemons
 	Store   mtstore.ConditionalStore
 	Port    mtgrant.Port
 	Names   mtheader.Names
-	// Slowness reads from an answer of the server how long work takes on its machine; it may
-	// be nil.
+	// Slowness returns the slowdown of the server's machine that a response reports, as a
+	// multiple of the usual processing time; zero if none is reported. It may be nil.
 	Slowness func(http.Header) float64
-	// Lease is how long the daemon's record in the store outlives it, and Hold
-	// how long a grant lasts. Their sum bounds for how long keys of a lost VM
-	// are unavailable, and for how long the store may be away.
+	// Lease is how long the daemon's record in the store outlives the daemon, and Hold is
+	// how long a grant lasts. Their sum limits how long the keys of a lost VM are unserved,
+	// and how long the store may be unavailable.
 	Lease time.Duration
 	Hold  time.Duration
-	Drain time.Duration // new work may reach a leaving server for so long
-	Grace time.Duration // from the order to stop until the process is ended
-	// Within is within which time a configuration has to be in force everywhere; zero
+	Drain time.Duration // how long new requests may still reach a draining server
+	Grace time.Duration // from the request to stop until the process is killed
+	// Within is the time within which a configuration must be in force on all daemons; zero
 	// stands for mtroute.Within.
 	Within time.Duration
 	Log    *slog.Logger
-	// Close is within which time a zone that is taken out of service gets no new work;
-	// zero stands for mtzone.Within.
+	// Close is the time within which a zone that is taken out of service must receive no
+	// new requests; zero stands for mtzone.Within.
 	Close time.Duration
-	// Warmup is by how much the rate of a cold server may be exceeded.
+	// Warmup defines by how much the rate of a cold server may be exceeded.
 	Warmup mtbackend.Allowance
-	// Refresh reads anew all that operators have written: another daemon has a newer
-	// configuration, or the store is to be asked in case its watches have gone deaf.
-	// It fails if the store did not answer.
+	// Refresh reads everything again that operators have written. It is called if another
+	// daemon has a newer configuration, and regularly in case the watches no longer deliver
+	// changes. It fails if the store did not answer.
 	Refresh func() (mtstore.Changes, error)
-	// Other is told of every entry of the store that is not the product's own.
+	// Other is called with every entry of the store that is neither a record nor an
+	// assignment.
 	Other func(mtstore.Entry)
-	// Calls returns how often the store was called since it was last asked for, by what
-	// the calls were for. It may be nil.
+	// Calls returns how often the store was called since the previous call, by purpose. It
+	// may be nil.
 	Calls func() map[string]int
 }
 
-// Mesh is one daemon.
+// Mesh is the daemon of one VM. See the package comment.
 type Mesh struct {
-	config  Config
-	kernel  *mtkernel.Kernel
-	callers *mtlisten.Server
-	peers   *grpc.Server
-	record  *recorder
-	ready   atomic.Bool
-	// The store is asked for what another daemon has seen: a configuration, and
-	// records.
-	asking    atomic.Bool
-	certainty *certainty
-	doubting  atomic.Bool
-	learner   *learner
-	former    former
-	zone      zone
-	host      atomic.Pointer[mthost.Host]
-	// The news go with each message, and the kernel's lookups are not for that.
+	config   Config
+	kernel   *mtkernel.Kernel
+	callers  *mtlisten.Server
+	peers    *grpc.Server
+	recorder *recorder
+	ready    atomic.Bool
+	// configCheckPending and recordCheckPending are set while a check is scheduled, since
+	// another daemon has reported a newer configuration or newer records.
+	configCheckPending atomic.Bool
+	freshness          *freshness
+	recordCheckPending atomic.Bool
+	feed               *changeFeed
+	previous           previousRecord
+	zoneState          zoneState
+	host               atomic.Pointer[mthost.Host]
+	// These are read for each message between daemons, for which lookups in the kernel are
+	// too slow.
 	directory atomic.Pointer[mtdirectory.Directory]
 	ingress   atomic.Pointer[mtingress.Ingress]
 }
 
-// New puts a daemon together, opens its listeners and starts its duties. The
-// clean-up function ends them; Run calls it too.
+// New assembles a daemon, opens its listeners and starts its background tasks. The clean-up
+// function stops them; Run calls it too.
 func New(config Config) (*Mesh, func(), error) {
 	if config.Within <= 0 {
 		config.Within = mtroute.Within
@@ -146,7 +148,7 @@
 	}
 	m := &Mesh{config: config, kernel: mtkernel.New()}
 	steps := []func() error{
-		m.addClock, m.addMetrics, m.addPeers, m.addDirectory, m.addCommitter, m.addHost, m.addIngress, m.addNews, m.addSums, m.listen,
+		m.addClock, m.addMetrics, m.addPeers, m.addDirectory, m.addCommitter, m.addHost, m.addIngress, m.addConfigPoller, m.addSummary, m.listen,
 	}
 	for _, step := range steps {
 		if err := step(); err != nil {
@@ -158,24 +160,24 @@
 	return m, m.kernel.Close, nil
 }
 
-// Host returns the backend server on this VM.
+// Host returns the component that manages the backend server on this VM.
 func (m *Mesh) Host() *mthost.Host { return mtkernel.MustLookup[*mthost.Host](m.kernel, NameHost) }
 
-// Ingress returns the way in for callers.
+// Ingress returns the component that accepts the requests of callers.
 func (m *Mesh) Ingress() *mtingress.Ingress {
 	return mtkernel.MustLookup[*mtingress.Ingress](m.kernel, NameIngress)
 }
 
-// Metrics returns the figures of the daemon.
+// Metrics returns the metrics of the daemon.
 func (m *Mesh) Metrics() *mtmetric.Metrics {
 	return mtkernel.MustLookup[*mtmetric.Metrics](m.kernel, NameMetrics)
 }
 
-// Kernel returns the services, for more duties.
+// Kernel returns the registry of the daemon's components, to which more can be added.
 func (m *Mesh) Kernel() *mtkernel.Kernel { return m.kernel }
 
-// Ready reports whether callers should be sent here: a configuration is in
-// force, the other servers are known, and the daemon does not shut down.
+// Ready reports whether callers should send requests to this daemon: a configuration is in
+// force, the other servers are known, and the daemon is not shutting down.
 func (m *Mesh) Ready() bool {
 	directory := mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory)
 	return m.ready.Load() && m.Ingress().Configuration() != nil && directory.Now().Revision != 0
@@ -183,16 +185,16 @@
 
 func (m *Mesh) addClock() error {
 	clock := mttime.New()
-	m.certainty = newCertainty(clock.Now(), m.config.Within, newBeacon())
+	m.freshness = newFreshness(clock.Now(), m.config.Within, newBroadcast())
 	return mtkernel.Register(m.kernel, NameClock, clock, nil)
 }
 
 func (m *Mesh) addMetrics() error {
 	metrics, cleanUp := mtmetric.New()
 	clock := mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock)
-	m.record = newRecorder(metrics, clock, m.config.Service, m.config.Log, func() (configuration, seen mtid.Version) {
-		news := m.tell()
-		return news.Config, news.Seen
+	m.recorder = newRecorder(metrics, clock, m.config.Service, m.config.Log, func() (configuration, seen mtid.Version) {
+		versions := m.knownVersions()
+		return versions.Config, versions.Seen
 	})
 	return mtkernel.Register(m.kernel, NameMetrics, metrics, cleanUp)
 }
@@ -203,39 +205,39 @@
 }
 
 func (m *Mesh) addDirectory() error {
-	m.learner = &learner{
-		self:      m.config.Daemon,
-		zone:      m.config.Zone,
-		store:     m.config.Store,
-		peers:     mtkernel.MustLookup[*mtforward.Client](m.kernel, NamePeers),
-		clock:     mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock),
-		certainty: m.certainty,
-		stirred:   m.certainty.stirred,
-		paused:    make(map[string]time.Time),
-		directory: m.directory.Load,
+	m.feed = &changeFeed{
+		self:        m.config.Daemon,
+		zone:        m.config.Zone,
+		store:       m.config.Store,
+		peers:       mtkernel.MustLookup[*mtforward.Client](m.kernel, NamePeers),
+		clock:       mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock),
+		freshness:   m.freshness,
+		changed:     m.freshness.changed,
+		pausedUntil: make(map[string]time.Time),
+		directory:   m.directory.Load,
 
 		configured: func() bool { return m.configuration() != nil },
 	}
-	m.learner.tree = m.learner.plan
+	m.feed.tree = m.feed.memberTree
 	directory, cleanUp := mtdirectory.New(mtdirectory.Config{
 		Self:   m.config.Daemon,
 		Store:  m.config.Store,
 		Clock:  mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock),
 		Lease:  m.config.Lease,
 		Log:    m.config.Log,
-		Source: m.learner,
+		Source: m.feed,
 		Other:  m.config.Other,
-		Former: m.former.hear,
-		Heard:  m.heard,
+		Former: m.previous.receive,
+		Heard:  m.receiveRecord,
 
-		Applied: m.learner.applied,
+		Applied: m.feed.applied,
 	})
 	m.directory.Store(directory)
 	return mtkernel.Register(m.kernel, NameDirectory, directory, cleanUp)
 }
 
-// addHost adds the backend server on this VM and the grants of its keys, which
-// need each other.
+// addHost adds the host of the backend server on this VM and the grants of its keys, which
+// depend on each other.
 func (m *Mesh) addHost() error {
 	clock := mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock)
 	directory := mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory)
@@ -255,14 +257,16 @@
 		Clock:   clock,
 		Client:  client,
 		Log:     m.config.Log,
-		Health:  m.health,
-		Named:   m.named,
+		Health:  m.healthPath,
+		Named:   m.declares,
 		Keyed:   m.keyed,
 		Publish: directory.Publish,
-		Holds:   func(life mtid.ServerIncarnation, key mtid.KeyNumber) error { return grants.Load().Holds(life, key) },
-		Fenced:  func(key mtid.KeyNumber) { grants.Load().Fenced(key) },
-		Clear: func(ctx context.Context, life mtid.ServerIncarnation, address string) error {
-			return grants.Load().Clear(ctx, life, address)
+		Holds: func(incarnation mtid.ServerIncarnation, key mtid.KeyNumber) error {
+			return grants.Load().Holds(incarnation, key)
+		},
+		Fenced: func(key mtid.KeyNumber) { grants.Load().Fenced(key) },
+		Clear: func(ctx context.Context, incarnation mtid.ServerIncarnation, address string) error {
+			return grants.Load().Clear(ctx, incarnation, address)
 		},
 		Lasts: func() mtclock.Instant { return grants.Load().Lasts() },
 		Changed: func() {
@@ -271,7 +275,7 @@
 			}
 		},
 	})
-	held, closeGrants := mtgrant.New(mtgrant.Config{
+	created, closeGrants := mtgrant.New(mtgrant.Config{
 		Self:      m.config.Daemon,
 		Service:   m.config.Service,
 		Keyed:     m.keyed,
@@ -282,37 +286,37 @@
 		Port:      m.config.Port,
 		Clock:     clock,
 		Log:       m.config.Log,
-		Standings: m.standings,
+		Standings: m.loadReports,
 		Survey:    m.survey,
-		Inform:    m.inform,
+		Inform:    m.sendOwnershipUpdate,
 		Committer: mtkernel.MustLookup[*mtcommit.Committer](m.kernel, NameCommitter),
 		Delegate:  m.delegate,
 	})
-	grants.Store(held)
-	m.former.follow(host)
+	grants.Store(created)
+	m.previous.attach(host)
 	m.host.Store(host)
 	for _, member := range directory.Now().Members {
 		host.Heard(member.Record)
 	}
-	directory.OnChange(m.zones)
-	m.zones()
+	directory.OnChange(m.applyZone)
+	m.applyZone()
 	m.Metrics().Gauge("host", "status", func() any { return host.Status() })
 	if err := mtkernel.Register(m.kernel, NameHost, host, closeHost); err != nil {
 		return err
 	}
-	return mtkernel.Register(m.kernel, NameGrants, held, closeGrants)
+	return mtkernel.Register(m.kernel, NameGrants, created, closeGrants)
 }
 
-// heard passes on what another daemon suspects. What is heard before the host stands is
-// read once it does.
-func (m *Mesh) heard(r mtbackend.Record) {
+// receiveRecord passes the suspects in another daemon's record to the host. Records that
+// arrive before the host exists are passed on by addHost.
+func (m *Mesh) receiveRecord(r mtbackend.Record) {
 	if host := m.host.Load(); host != nil {
 		host.Heard(r)
 	}
 }
 
-// configuration returns what is in force, or nil if nothing is, or while the
-// daemon is still being put together.
+// configuration returns the configuration in force. It returns nil if there is none, or if
+// the daemon is still being assembled.
 func (m *Mesh) configuration() *mtroute.Config {
 	ingress := m.ingress.Load()
 	if ingress == nil {
@@ -321,8 +325,8 @@
 	return ingress.Configuration()
 }
 
-// health returns the path of the health check of this VM's server.
-func (m *Mesh) health() string {
+// healthPath returns the path of the health check of the backend server on this VM.
+func (m *Mesh) healthPath() string {
 	configuration := m.configuration()
 	if configuration == nil {
 		return ""
@@ -330,8 +334,8 @@
 	return configuration.Services[m.config.Service].Health
 }
 
-// named reports whether the configuration in force declares a service.
-func (m *Mesh) named(service mtid.Service) bool {
+// declares reports whether the configuration in force declares a service.
+func (m *Mesh) declares(service mtid.Service) bool {
 	configuration := m.configuration()
 	if configuration == nil {
 		return false
@@ -340,7 +344,7 @@
 	return ok
 }
 
-// keyed reports whether the service of this VM is divided by key.
+// keyed reports whether the service of this VM is partitioned by key.
 func (m *Mesh) keyed() bool {
 	configuration := m.configuration()
 	return configuration != nil && configuration.Services[m.config.Service].Keyed
@@ -364,25 +368,25 @@
 		Names:   m.config.Names,
 		Service: m.config.Service,
 		Parent:  m.Host().Parent,
-		Denies:  m.certainty.denies,
+		Denies:  m.freshness.mayDenyRoute,
 		Send:    sender,
 		Clock:   clock,
 		Log:     m.config.Log,
-		Done:    m.record.done,
+		Done:    m.recorder.done,
 	})
 	m.ingress.Store(ingress)
 	return mtkernel.Register(m.kernel, NameIngress, ingress, nil)
 }
 
-// addSums adds the duty that sums up what became of requests.
-func (m *Mesh) addSums() error {
+// addSummary adds the task that logs a summary of the requests in each interval.
+func (m *Mesh) addSummary() error {
 	grants := mtkernel.MustLookup[*mtgrant.Grants](m.kernel, NameGrants)
-	stop := mtduty.Every(tallyEvery, func(context.Context) { m.record.sum(m.Host().Load(), grants.TakeMoved(), m.calls()) })
+	stop := mtduty.Every(summaryInterval, func(context.Context) { m.recorder.logSummary(m.Host().Load(), grants.TakeMoved(), m.storeCalls()) })
 	return mtkernel.Register(m.kernel, NameSums, stop, stop)
 }
 
-// calls returns how often the store was called since the last time, by purpose.
-func (m *Mesh) calls() map[string]int {
+// storeCalls returns how often the store was called since the previous call, by purpose.
+func (m *Mesh) storeCalls() map[string]int {
 	if m.config.Calls == nil {
 		return nil
 	}
@@ -390,21 +394,22 @@
 }
 
 const (
-	// linger is how long callers are served after the order to stop: until they
-	// have been told at least twice, a second apart, to go elsewhere.
-	linger = 2600 * time.Millisecond
-	// spare is kept free before the process is ended, for the clean-ups, which
-	// may have to wait for a store that does not answer.
-	spare = 700 * time.Millisecond
-	// lastWord is how long before that the final answers are given.
-	lastWord = 200 * time.Millisecond
-	// connections is how many callers may be connected, and streams how many
-	// calls of one other daemon may be under way.
-	connections = 3000
-	streams     = 4096
+	// retireDelay is how long callers are served after the request to stop. By then they
+	// have been notified at least twice, one second apart, to use another daemon.
+	retireDelay = 2600 * time.Millisecond
+	// cleanupReserve is reserved for the clean-up functions before the process is killed.
+	// They may have to wait for a store that does not answer.
+	cleanupReserve = 700 * time.Millisecond
+	// finalReplyMargin is how long before the end of the grace period, less cleanupReserve,
+	// the final replies are sent.
+	finalReplyMargin = 200 * time.Millisecond
+	// maxCallerConnections limits the connections of callers, and maxPeerStreams the
+	// concurrent calls of one other daemon.
+	maxCallerConnections = 3000
+	maxPeerStreams       = 4096
 )
 
-// listen opens the ways in.
+// listen opens the listeners for callers and for other daemons.
 func (m *Mesh) listen() error {
 	peers, err := mtdial.Listen(context.Background(), m.config.Peers)
 	if err != nil {
@@ -415,32 +420,32 @@
 		_ = peers.Close()
 		return &mtlisten.ListenError{Purpose: "callers", Address: m.config.Callers, Err: err}
 	}
-	m.peers = grpc.NewServer(grpc.MaxConcurrentStreams(streams),
+	m.peers = grpc.NewServer(grpc.MaxConcurrentStreams(maxPeerStreams),
 		grpc.InitialWindowSize(mtforward.Window), grpc.InitialConnWindowSize(mtforward.Window),
-		grpc.ReadBufferSize(peerBuffer), grpc.WriteBufferSize(peerBuffer), grpc.SharedWriteBuffer(true))
+		grpc.ReadBufferSize(peerBufferSize), grpc.WriteBufferSize(peerBufferSize), grpc.SharedWriteBuffer(true))
 	mtforward.Register(m.peers, mtforward.Server{
-		Host: m.Host(), Clock: mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock), News: m.exchange(), Teach: m.learner.teach, Inform: m.directory.Load().Inform, Commit: m.commitFor,
+		Host: m.Host(), Clock: mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock), News: m.exchange(), Teach: m.feed.serve, Inform: m.directory.Load().Inform, Commit: m.commitFor,
 	})
 	go func() {
 		if err := m.peers.Serve(peers); err != nil {
-			m.config.Log.Error("listener for daemons ended", "error", err)
+			m.config.Log.Error("listener for other daemons failed", "error", err)
 		}
 	}()
 	router := echo.New()
 	router.HideBanner = true
 	router.Any("/*", m.Ingress().Handle)
-	m.callers = mtlisten.Start(callers, router, mtlisten.Options{Connections: connections, Pipelined: true, Log: m.config.Log})
+	m.callers = mtlisten.Start(callers, router, mtlisten.Options{Connections: maxCallerConnections, Pipelined: true, Log: m.config.Log})
 	return mtkernel.Register(m.kernel, NameListeners, m, func() {
 		m.callers.Close()
 		m.peers.Stop()
 	})
 }
 
-// peerBuffer is the size of the buffers of a connection from another daemon, in
-// bytes.
-const peerBuffer = 8 << 10
+// peerBufferSize is the size in bytes of the read and write buffers of a connection from
+// another daemon.
+const peerBufferSize = 8 << 10
 
-// Run serves until ctx ends and shuts down gracefully then.
+// Run serves until ctx ends, and then shuts down gracefully.
 func (m *Mesh) Run(ctx context.Context) error {
 	inner, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -458,16 +463,17 @@
 	return m.kernel.Run(inner)
 }
 
-// shutdown lets everybody go elsewhere before it ends what is left.
+// shutdown gives callers and other daemons time to switch to another daemon, and then
+// closes the remaining connections.
 func (m *Mesh) shutdown() {
 	clock := mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock)
-	left := m.config.Grace - spare
-	end := time.Now().Add(left)
+	remaining := m.config.Grace - cleanupReserve
+	end := time.Now().Add(remaining)
 	m.config.Log.Info("stopping", "grace", m.config.Grace)
 	m.ready.Store(false)
-	m.Ingress().Retire(clock.Now().Add(left - lastWord))
+	m.Ingress().Retire(clock.Now().Add(remaining - finalReplyMargin))
 	m.Host().Retire()
-	time.Sleep(min(linger, left/2))
+	time.Sleep(min(retireDelay, remaining/2))
 	m.Host().Close()
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
@@ -480,13 +486,13 @@
 	select {
 	case <-stopped:
 	case <-ctx.Done():
-		m.config.Log.Warn("calls of other daemons were cut off")
+		m.config.Log.Warn("calls of other daemons were still in flight at the shutdown deadline")
 	}
-	m.record.figures()
+	m.recorder.logTotals()
 	m.config.Log.Info("stopped")
 }
 
-// Handler answers whether the daemon is ready: 200 or 503.
+// Handler returns a readiness check: 200 if the daemon is ready, 503 otherwise.
 func (m *Mesh) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if m.Ready() {
--- a/io/mtmesh/news.go
+++ b/io/mtmesh/news.go
@@ -16,68 +16,71 @@
 	"magnoliaturn/io/mttime"
 )
 
-// A watch of the store may hear nothing for seconds while changes are made. So a
-// few daemons ask for the configuration regularly, and all tell each other in
-// passing what they have seen.
+// A watch of the store may deliver nothing for seconds although changes are made. So a few
+// daemons regularly poll the store for the configuration, and all daemons attach the
+// versions that they know to the messages between them.
 const (
-	// askLook is the least time, and lookAgain the most, until it is looked again whether
-	// the store is to be asked for the configuration: whose turn it is may change.
-	askLook   = 50 * time.Millisecond
-	lookAgain = 400 * time.Millisecond
-	// doubtAfter is how long a daemon that hears of a newer configuration waits
-	// for its own watch to bring it, which usually takes some milliseconds.
-	doubtAfter = 150 * time.Millisecond
-	// recordsDoubt is the same for newer records and assignments. Another daemon
-	// learns of its own write at once, others over two hops, and reading
-	// everything anew costs the store a call and the link a hundred kilobytes.
-	recordsDoubt = 700 * time.Millisecond
-	// doubtPart is by how much longer those doubt whom others tell, one over it of the time
-	// in which a configuration has to be in force: once for those who tell others in turn,
-	// twice for all others. Where a watch is deaf it is mostly a source's, and once that
-	// one has read everything anew, nobody else needs to.
-	doubtPart = 8
-	// tellTimeout bounds the telling of one other daemon.
-	tellTimeout = 500 * time.Millisecond
+	// minPollCheck and maxPollCheck limit the time between two checks whether a poll is
+	// due. The poll schedule of this daemon may change in the meantime.
+	minPollCheck = 50 * time.Millisecond
+	maxPollCheck = 400 * time.Millisecond
+	// configCheckDelay is how long to wait, after another daemon has reported a newer
+	// configuration, for the watch of this daemon to deliver it, which usually takes some
+	// milliseconds.
+	configCheckDelay = 150 * time.Millisecond
+	// recordCheckDelay is the same for newer records and assignments. A daemon knows its
+	// own write at once, but others receive it over two hops, and reading everything again
+	// costs the store a call and the link a hundred kilobytes.
+	recordCheckDelay = 700 * time.Millisecond
+	// The checks of daemons that do not watch the store are delayed further, so that the
+	// watchers check first: by the time within which a configuration must be in force,
+	// divided by deferralDivisor, for daemons that relay updates, and by twice that for all
+	// others. A watch that delivers nothing usually belongs to a watcher, and once that one
+	// has read everything again, no other daemon needs to.
+	deferralDivisor = 8
+	// notifyTimeout limits a notification of one other daemon.
+	notifyTimeout = 500 * time.Millisecond
 )
 
-// exchange returns how this daemon takes part in the news.
+// exchange returns the functions by which versions are exchanged with other daemons.
 func (m *Mesh) exchange() mtforward.Exchange {
-	return mtforward.Exchange{Tell: m.tell, Hear: m.hear}
+	return mtforward.Exchange{Tell: m.knownVersions, Hear: m.compareVersions}
 }
 
-// tell returns what this daemon has seen.
-func (m *Mesh) tell() mtforward.News {
-	var news mtforward.News
+// knownVersions returns the versions that this daemon knows, to be sent to another daemon.
+func (m *Mesh) knownVersions() mtforward.News {
+	var versions mtforward.News
 	if directory := m.directory.Load(); directory != nil {
-		news.Seen = directory.Seen()
-		news.Zones = directory.Now().Out.Digest()
+		versions.Seen = directory.Seen()
+		versions.Zones = directory.Now().Out.Digest()
 	}
 	if c := m.configuration(); c != nil {
-		news.Config = c.Version
+		versions.Config = c.Version
 	}
-	news.Age = m.certainty.age(m.steady())
-	return news
+	versions.Age = m.freshness.age(m.now())
+	return versions
 }
 
-// hear compares what another daemon has seen, and asks the store if the own
-// watches don't bring it soon.
-func (m *Mesh) hear(theirs mtforward.News, sent mtclock.Instant) {
-	own := m.tell()
+// compareVersions compares the versions that another daemon has sent with those of this
+// daemon. Where the other's are newer, it schedules a check that reads the store unless the
+// watch has delivered them by then.
+func (m *Mesh) compareVersions(theirs mtforward.News, sent mtclock.Instant) {
+	own := m.knownVersions()
 	if sent != 0 && own.Zones == theirs.Zones {
-		m.certainty.hear(own.Config, theirs.Config, theirs.Age, sent)
+		m.freshness.observe(own.Config, theirs.Config, theirs.Age, sent)
 	}
 	if own.Config < theirs.Config {
-		soon(&m.asking, doubtAfter+m.deference(), func() { m.doubtConfiguration(theirs) })
+		scheduleOnce(&m.configCheckPending, configCheckDelay+m.deferral(), func() { m.checkConfiguration(theirs) })
 	}
 	if own.Seen < theirs.Seen {
-		soon(&m.doubting, recordsDoubt+m.deference(), func() { m.doubtRecords(theirs) })
+		scheduleOnce(&m.recordCheckPending, recordCheckDelay+m.deferral(), func() { m.checkRecords(theirs) })
 	}
 }
 
-// deference is how much longer this daemon waits than a source before it asks the store
-// for what it has heard of.
-func (m *Mesh) deference() time.Duration {
-	tree, step := m.learner.tree(), m.config.Within/doubtPart
+// deferral returns how much longer than a watcher this daemon waits before it reads the
+// store for a version that another daemon has reported.
+func (m *Mesh) deferral() time.Duration {
+	tree, step := m.feed.tree(), m.config.Within/deferralDivisor
 	switch {
 	case tree.WatchesStore(m.config.Daemon):
 		return 0
@@ -87,109 +90,110 @@
 	return 2 * step
 }
 
-// soon looks after a while, unless a look is pending already.
-func soon(pending *atomic.Bool, after time.Duration, look func()) {
+// scheduleOnce calls check after a delay, unless a call is already pending.
+func scheduleOnce(pending *atomic.Bool, after time.Duration, check func()) {
 	if !pending.CompareAndSwap(false, true) {
 		return
 	}
 	time.AfterFunc(after, func() {
 		defer pending.Store(false)
-		look()
+		check()
 	})
 }
 
-// doubtConfiguration asks for the configuration if nothing has brought it.
-func (m *Mesh) doubtConfiguration(theirs mtforward.News) {
-	if own := m.tell(); own.Config < theirs.Config {
+// checkConfiguration polls the store if the newer configuration still has not arrived.
+func (m *Mesh) checkConfiguration(theirs mtforward.News) {
+	if own := m.knownVersions(); own.Config < theirs.Config {
 		m.config.Log.Warn("another daemon has a newer configuration", "own", uint64(own.Config), "newest", uint64(theirs.Config))
-		m.refresh()
+		m.pollStore()
 	}
 }
 
-// refresh asks the store for the configuration and the zones that are out of service. If
-// it has what the watch has not brought, the watch is deaf, and others that learn from it
-// with it.
-func (m *Mesh) refresh() {
+// pollStore polls the store for the configuration and the zones that are out of service. If
+// the store has changes that the watch has not delivered, the watch has failed silently. A
+// daemon from which others pull then reads everything again, since they miss the changes
+// too.
+func (m *Mesh) pollStore() {
 	directory := mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory)
-	begun, before := m.steady(), m.tell().Config
+	started, before := m.now(), m.knownVersions().Config
 	read, err := m.config.Refresh()
 	if err != nil {
-		m.config.Log.Warn("configuration could not be asked for", "error", err)
+		m.config.Log.Warn("polling the store for the configuration failed", "error", err)
 		return
 	}
 	for _, e := range read.Entries {
 		m.config.Other(e)
 	}
-	news := directory.Recheck(read)
-	m.certainty.confirm(begun)
-	newer := m.tell().Config > before && before != 0
-	if (newer || news) && m.learner.turn() != mtroute.Last {
+	zonesChanged := directory.Recheck(read)
+	m.freshness.confirm(started)
+	newer := m.knownVersions().Config > before && before != 0
+	if (newer || zonesChanged) && m.feed.pollSchedule() != mtroute.Last {
 		directory.Resync()
 	}
 }
 
-// steady returns the instant by which ages are counted.
-func (m *Mesh) steady() mtclock.Instant {
+// now returns the current time by the clock that is used for ages.
+func (m *Mesh) now() mtclock.Instant {
 	return mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock).Now()
 }
 
-// doubtRecords reads everything anew if nothing has brought the newer records.
-func (m *Mesh) doubtRecords(theirs mtforward.News) {
-	if own := m.tell(); own.Seen < theirs.Seen {
+// checkRecords reads everything again if the newer records still have not arrived.
+func (m *Mesh) checkRecords(theirs mtforward.News) {
+	if own := m.knownVersions(); own.Seen < theirs.Seen {
 		m.config.Log.Warn("another daemon has seen newer records", "own", uint64(own.Seen), "newest", uint64(theirs.Seen))
 		mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory).Resync()
 	}
 }
 
-// addNews adds the duty that asks for the configuration.
-func (m *Mesh) addNews() error {
+// addConfigPoller adds the task that polls the store for the configuration.
+func (m *Mesh) addConfigPoller() error {
 	ctx, cancel := context.WithCancel(context.Background())
-	var duty sync.WaitGroup
-	duty.Go(func() {
-		for mtduty.Sleep(ctx, m.untilDue()) {
-			if m.certainty.ask(m.steady(), m.learner.turn()) {
-				m.refresh()
+	var task sync.WaitGroup
+	task.Go(func() {
+		for mtduty.Sleep(ctx, m.untilNextPoll()) {
+			if m.freshness.startPoll(m.now(), m.feed.pollSchedule()) {
+				m.pollStore()
 			}
 		}
 	})
 	stop := func() {
 		cancel()
-		duty.Wait()
+		task.Wait()
 	}
 	return mtkernel.Register(m.kernel, NameNews, stop, stop)
 }
 
-// untilDue returns when to look again whether the store is to be asked.
-func (m *Mesh) untilDue() time.Duration {
-	due := m.certainty.due(m.learner.turn())
-	return min(max(due.Sub(m.steady()), askLook), lookAgain)
+// untilNextPoll returns how long to wait before checking again whether a poll is due.
+func (m *Mesh) untilNextPoll() time.Duration {
+	due := m.freshness.nextPoll(m.feed.pollSchedule())
+	return min(max(due.Sub(m.now()), minPollCheck), maxPollCheck)
 }
 
-// Configure puts a configuration in force, unless a newer one is. Those that ask
-// for it tell all others, since nobody else may have heard of it.
+// Configure puts a configuration in force, unless a newer one is. Watchers of the store
+// then notify all other daemons, which may not have received it yet.
 func (m *Mesh) Configure(c *mtroute.Config) {
 	if !m.Ingress().Configure(c) {
 		return
 	}
 	m.Host().Declare(c.Routes())
 	m.Host().Warmup(mtgate.StartRate(m.config.Warmup.Limit(c.Services[m.config.Service].ColdRate)))
-	if m.learner.tree().WatchesStore(m.config.Daemon) {
-		go m.spread()
+	if m.feed.tree().WatchesStore(m.config.Daemon) {
+		go m.notifyPeers()
 	}
 }
 
-// spread tells all other daemons what this one has seen.
-func (m *Mesh) spread() {
+// notifyPeers sends the versions that this daemon knows to all other live daemons.
+func (m *Mesh) notifyPeers() {
 	peers := mtkernel.MustLookup[*mtforward.Client](m.kernel, NamePeers)
 	for name, member := range mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory).Now().Members {
 		if name == m.config.Daemon || member.Lapsed {
 			continue
 		}
 		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
+			ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 			defer cancel()
 			if err := peers.Observe(ctx, name, member.Address); err != nil {
-				m.config.Log.Info("daemon could not be told", "peer", name, "error", err)
+				m.config.Log.Info("sending known versions to a daemon failed", "peer", name, "error", err)
 			}
 		}()
 	}
--- a/io/mtmesh/record.go
+++ b/io/mtmesh/record.go
@@ -14,35 +14,34 @@
 	"magnoliaturn/io/mtmetric"
 )
 
-// sampled is of how many answered requests one gets a line of its own: enough to
-// see what usual ones look like, and at a hundred requests a second a line every
-// few seconds.
-const sampled = 512
+// sampleInterval is the number of finished requests for each logged answer. At a hundred
+// requests per second that is a line every few seconds, enough to see what usual requests
+// look like.
+const sampleInterval = 512
 
-// recorder notes what became of requests: every one in counters and histograms,
-// failures in a line each, up to the rate of the log's limits, answers now and
-// then.
+// recorder records the results of requests: all of them in counters and histograms, each
+// failure in a log line, up to the rate limits of the log, and a sample of the answers.
 type recorder struct {
-	metrics *mtmetric.Metrics
-	ends    *expvar.Map
-	answers *expvar.Int
-	calls   *expvar.Map // of the store
-	tally   *tally
-	clock   clock
-	service mtid.Service // on this VM
-	log     *slog.Logger
-	known   func() (configuration, seen mtid.Version)
+	metrics  *mtmetric.Metrics
+	results  *expvar.Map
+	total    *expvar.Int
+	calls    *expvar.Map // to the store, by purpose
+	tally    *tally
+	clock    clock
+	service  mtid.Service // on this VM
+	log      *slog.Logger
+	versions func() (configuration, seen mtid.Version)
 }
 
 type clock interface{ Now() mtclock.Instant }
 
-func newRecorder(m *mtmetric.Metrics, c clock, service mtid.Service, log *slog.Logger, known func() (configuration, seen mtid.Version)) *recorder {
+func newRecorder(m *mtmetric.Metrics, c clock, service mtid.Service, log *slog.Logger, versions func() (configuration, seen mtid.Version)) *recorder {
 	return &recorder{
-		metrics: m, tally: newTally(), clock: c, service: service, ends: m.Counters("requests", "ends"), answers: m.Counter("requests", "answered"), calls: m.Counters("store", "calls"), log: log, known: known,
+		metrics: m, tally: newTally(), clock: c, service: service, results: m.Counters("requests", "ends"), total: m.Counter("requests", "answered"), calls: m.Counters("store", "calls"), log: log, versions: versions,
 	}
 }
 
-// done takes in what became of a request.
+// done records the result of a request.
 func (r *recorder) done(call *mtcall.Call, answer *mtcall.Answer, status int, err error, took time.Duration) {
 	sample := mtmetric.Sample{
 		Service: mtid.Ref{Service: call.Service}, Class: call.Route, Outcome: mtreply.Answered, Total: took,
@@ -58,43 +57,44 @@
 	if call.Route != "" {
 		r.metrics.Record(sample)
 	}
-	r.count(call, sample, status)
-	r.tally.add(call, r.end(call, sample, status))
-	r.write(call, sample, status, err, took)
+	r.countResult(call, sample, status)
+	r.tally.add(call, r.result(call, sample, status))
+	r.logRequest(call, sample, status, err, took)
 }
 
-// count adds to the counters: what callers sent apart from what servers did.
-func (r *recorder) count(call *mtcall.Call, s mtmetric.Sample, status int) {
+// countResult increments the counters. Requests of callers are counted apart from nested
+// requests, which servers make.
+func (r *recorder) countResult(call *mtcall.Call, s mtmetric.Sample, status int) {
 	kind := "caller"
 	if call.Nested {
 		kind = "nested"
 	}
-	what := string(s.Cause)
+	result := string(s.Cause)
 	switch {
 	case s.Outcome == mtreply.Answered && status >= 500:
-		what = "failed by the server"
+		result = "failed by the server"
 	case s.Outcome == mtreply.Answered:
-		what = "answered"
+		result = "answered"
 	}
-	r.ends.Add(kind+" "+what, 1)
-	r.answers.Add(1)
+	r.results.Add(kind+" "+result, 1)
+	r.total.Add(1)
 }
 
-// write writes the line of a request. Its message holds the cause, so that one
-// frequent cause does not use up the room of the others.
-func (r *recorder) write(call *mtcall.Call, s mtmetric.Sample, status int, err error, took time.Duration) {
+// logRequest logs a request. The message contains the cause, so that a frequent cause does
+// not use up the rate limit of the others.
+func (r *recorder) logRequest(call *mtcall.Call, s mtmetric.Sample, status int, err error, took time.Duration) {
 	message := "request answered"
 	if err != nil {
 		message = "request " + string(s.Outcome) + ": " + string(s.Cause)
-	} else if r.answers.Value()%sampled != 0 {
+	} else if r.total.Value()%sampleInterval != 0 {
 		return
 	}
-	r.log.Info(message, slog.Any("", ended{recorder: r, call: call, sample: s, status: status, err: err, took: took}))
+	r.log.Info(message, slog.Any("", requestAttrs{recorder: r, call: call, sample: s, status: status, err: err, took: took}))
 }
 
-// ended is what the line of a request says. It is gathered only if the line is written:
-// under load most are left out.
-type ended struct {
+// requestAttrs holds what is logged of a request. The attributes are built only if the line
+// is written: under load most lines are left out.
+type requestAttrs struct {
 	recorder *recorder
 	call     *mtcall.Call
 	sample   mtmetric.Sample
@@ -104,8 +104,8 @@
 }
 
 // LogValue implements slog.LogValuer.
-func (e ended) LogValue() slog.Value {
-	configuration, seen := e.recorder.known()
+func (e requestAttrs) LogValue() slog.Value {
+	configuration, seen := e.recorder.versions()
 	attrs := []slog.Attr{
 		slog.String("id", string(e.call.ID)), slog.String("route", string(e.call.Route)), slog.String("service", string(e.call.Service)),
 		slog.Int("status", e.status), slog.String("took", e.took.String()),
@@ -131,9 +131,9 @@
 	return slog.GroupValue(attrs...)
 }
 
-// figures writes the counters in one line, at a stop.
-func (r *recorder) figures() {
+// logTotals logs all counters in one line, at shutdown.
+func (r *recorder) logTotals() {
 	attrs := []any{}
-	r.ends.Do(func(kv expvar.KeyValue) { attrs = append(attrs, kv.Key, kv.Value.String()) })
+	r.results.Do(func(kv expvar.KeyValue) { attrs = append(attrs, kv.Key, kv.Value.String()) })
 	r.log.Info("requests so far", attrs...)
 }
--- a/io/mtmesh/standing.go
+++ b/io/mtmesh/standing.go
@@ -14,51 +14,51 @@
 )
 
 const (
-	// reportLife is how long a reported load is believed. Hot runs move on within
-	// seconds: with reports of up to three seconds, owners gave keys to servers
-	// that had become busy since.
-	reportLife = 700 * time.Millisecond
-	// surveyed is how many other servers are asked for their load before keys are
-	// moved. Reports come with replies, and among 40 servers a daemon hears from
-	// any one of them every few seconds only; a dozen drawn by lot hold some with
-	// room.
-	surveyed = 12
-	// surveyFresh is how old a report may be to pass for an answer.
-	surveyFresh = 400 * time.Millisecond
-	// surveyTimeout bounds the survey: an answer takes a few milliseconds.
+	// reportTTL is how long a load report is used. The load of a range shifts within
+	// seconds: with reports of up to three seconds, owners moved keys to servers that had
+	// become busy since.
+	reportTTL = 700 * time.Millisecond
+	// surveySize is how many other servers are asked for a load report before keys are
+	// moved. Reports are attached to replies, and among 40 servers a daemon receives one
+	// from any given server only every few seconds. A random dozen includes some with spare
+	// capacity.
+	surveySize = 12
+	// surveyMaxAge is the maximum age of a report for which its server is not asked again.
+	surveyMaxAge = 400 * time.Millisecond
+	// surveyTimeout limits the survey: a reply takes a few milliseconds.
 	surveyTimeout = 150 * time.Millisecond
 )
 
-// standings returns what is known of the servers of this VM's service.
-func (m *Mesh) standings() (self mtrange.LoadReport, others []mtrange.LoadReport) {
+// loadReports returns the load reports of the servers of this VM's service.
+func (m *Mesh) loadReports() (self mtrange.LoadReport, others []mtrange.LoadReport) {
 	view := mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory).Now()
 	peers := mtkernel.MustLookup[*mtforward.Client](m.kernel, NamePeers)
 	now := mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock).Now()
-	var shares map[mtrange.Owner]int
+	var keyCounts map[mtrange.Owner]int
 	if assignment := view.Assignments[m.config.Service]; assignment.Table != nil {
-		shares = assignment.KeyCounts()
+		keyCounts = assignment.KeyCounts()
 	}
 	for _, member := range view.Serving(m.config.Service) {
-		s := mtrange.LoadReport{
+		report := mtrange.LoadReport{
 			Owner: member.Owner(),
 			Slots: member.Slots,
-			Keys:  shares[member.Owner()],
+			Keys:  keyCounts[member.Owner()],
 		}
 		if member.Daemon == m.config.Daemon {
 			load := m.Host().Load()
-			s.Demand, s.ServiceTime, s.Known = load.Demand, load.ServiceTime, true
-			self = s
+			report.Demand, report.ServiceTime, report.Known = load.Demand, load.ServiceTime, true
+			self = report
 			continue
 		}
-		if r, ok := peers.Report(member.Daemon); ok && now.Sub(r.At) < reportLife {
-			s.Demand, s.ServiceTime, s.Known = r.Demand, r.ServiceTime, true
+		if r, ok := peers.Report(member.Daemon); ok && now.Sub(r.At) < reportTTL {
+			report.Demand, report.ServiceTime, report.Known = r.Demand, r.ServiceTime, true
 		}
-		others = append(others, s)
+		others = append(others, report)
 	}
 	return self, others
 }
 
-// survey asks some servers of this VM's service for their load.
+// survey requests load reports from some other servers of this VM's service.
 func (m *Mesh) survey(ctx context.Context) {
 	peers := mtkernel.MustLookup[*mtforward.Client](m.kernel, NamePeers)
 	now := mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock).Now()
@@ -67,7 +67,7 @@
 		if member.Daemon == m.config.Daemon {
 			continue
 		}
-		if r, ok := peers.Report(member.Daemon); ok && now.Sub(r.At) < surveyFresh {
+		if r, ok := peers.Report(member.Daemon); ok && now.Sub(r.At) < surveyMaxAge {
 			continue
 		}
 		stale = append(stale, member)
@@ -76,10 +76,10 @@
 	ctx, cancel := context.WithTimeout(ctx, surveyTimeout)
 	defer cancel()
 	var asked sync.WaitGroup
-	for _, member := range stale[:min(len(stale), surveyed)] {
+	for _, member := range stale[:min(len(stale), surveySize)] {
 		asked.Go(func() {
 			if err := peers.Observe(ctx, member.Daemon, member.Address); err != nil {
-				m.config.Log.Info("server could not be asked for its load", "peer", member.Daemon, "error", err)
+				m.config.Log.Info("requesting a load report failed", "peer", member.Daemon, "error", err)
 			}
 		})
 	}
--- a/io/mtmesh/tally.go
+++ b/io/mtmesh/tally.go
@@ -11,87 +11,87 @@
 	"magnoliaturn/io/mtmetric"
 )
 
-// tallyEvery is how often the ends of requests are summed up in a line.
-const tallyEvery = time.Second
+// summaryInterval is how often a summary of the results of requests is logged.
+const summaryInterval = time.Second
 
-// End is how a request ended for its caller, as the summary of a second names it.
-// What failed or was refused is named by its cause.
+// End is the result of a request for its caller, as the logged summary names it. Requests
+// that failed or were refused are named by their cause.
 type End string
 
-// The ends of answered requests.
+// Results of answered requests. See also mtreply.Cause.
 const (
 	EndInTime End = "in time" // within the route's objective
 	EndLate   End = "late"
 	EndFailed End = "failed by the server"
 )
 
-// againPrefix marks the ends of callers' second tries.
-const againPrefix = "again "
+// retryPrefix marks the results of requests that their callers have retried.
+const retryPrefix = "again "
 
-// tally counts the ends of requests until it is summed up. Lines of single requests
-// are left out under load; these sums hold every one.
+// tally counts results until the next summary. Under load most log lines of single requests
+// are left out, but the summaries count every request.
 type tally struct {
-	mu   sync.Mutex
-	ends map[mtid.Class]map[End]int
+	mu     sync.Mutex
+	counts map[mtid.Class]map[End]int
 }
 
-func newTally() *tally { return &tally{ends: make(map[mtid.Class]map[End]int)} }
+func newTally() *tally { return &tally{counts: make(map[mtid.Class]map[End]int)} }
 
-// add counts one end.
-func (t *tally) add(call *mtcall.Call, end End) {
+// add counts one result.
+func (t *tally) add(call *mtcall.Call, result End) {
 	route := call.Route
 	if route == "" {
 		route = "no route"
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	ends, ok := t.ends[route]
+	counts, ok := t.counts[route]
 	if !ok {
-		ends = make(map[End]int)
-		t.ends[route] = ends
+		counts = make(map[End]int)
+		t.counts[route] = counts
 	}
-	ends[end]++
+	counts[result]++
 }
 
-// take returns what was counted and begins anew.
-func (t *tally) take() map[mtid.Class]map[End]int {
+// reset returns the counts and starts again from zero.
+func (t *tally) reset() map[mtid.Class]map[End]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	ends := t.ends
-	t.ends = make(map[mtid.Class]map[End]int)
-	return ends
+	counts := t.counts
+	t.counts = make(map[mtid.Class]map[End]int)
+	return counts
 }
 
-// end names how a call ended.
-func (r *recorder) end(call *mtcall.Call, s mtmetric.Sample, status int) End {
-	end := End(s.Cause)
+// result returns the result of a request for its caller.
+func (r *recorder) result(call *mtcall.Call, s mtmetric.Sample, status int) End {
+	result := End(s.Cause)
 	now := r.clock.Now()
 	switch {
 	case s.Outcome != mtreply.Answered:
 	case status >= 500:
-		end = EndFailed
+		result = EndFailed
 	case call.Objective != 0 && now.After(call.Objective):
-		end = EndLate
+		result = EndLate
 	default:
-		end = EndInTime
+		result = EndInTime
 	}
 	if call.IsRetry() {
-		return againPrefix + end
+		return retryPrefix + result
 	}
-	return end
+	return result
 }
 
-// sum writes the line of a second: how requests ended here, how the server was used, and
-// what the store was called for. It writes none if nothing happened.
-func (r *recorder) sum(load mtcall.Load, moved int, calls map[string]int) {
-	ends := r.tally.take()
+// logSummary logs the results of requests on this daemon, the load of the server, and the
+// calls to the store since the previous summary. It logs nothing if there were none.
+func (r *recorder) logSummary(load mtcall.Load, moved int, calls map[string]int) {
+	counts := r.tally.reset()
 	for purpose, n := range calls {
 		r.calls.Add(purpose, int64(n))
 	}
-	if len(ends) == 0 && load.Running == 0 && moved == 0 && len(calls) == 0 {
+	if len(counts) == 0 && load.Running == 0 && moved == 0 && len(calls) == 0 {
 		return
 	}
-	r.log.Log(context.Background(), mtmetric.Sum, "second", "service", string(r.service), "ends", ends,
+	r.log.Log(context.Background(), mtmetric.Sum, "second", "service", string(r.service), "ends", counts,
 		"running", load.Running, "waiting", load.Waiting, "slots", load.Slots, "pace", load.ServiceTime.String(),
 		"demand", load.Demand, "moved", moved, "store", calls)
 }
--- a/io/mtmesh/zone.go
+++ b/io/mtmesh/zone.go
@@ -7,35 +7,35 @@
 	"magnoliaturn/core/mtzone"
 )
 
-// zone is what the host was told last of the availability zone of this VM.
-type zone struct {
-	mu      sync.Mutex
-	changed mtid.Revision
+// zoneState is the state of this VM's availability zone that the host was last notified of.
+type zoneState struct {
+	mu       sync.Mutex
+	revision mtid.Revision
 }
 
-// zones tells the host if the zone of this VM was taken out of service or back. It is
-// called whenever the directory changes.
-func (m *Mesh) zones() {
+// applyZone notifies the host if the zone of this VM was taken out of service or put back.
+// It is called whenever the directory changes.
+func (m *Mesh) applyZone() {
 	directory, host := m.directory.Load(), m.host.Load()
 	if directory == nil || host == nil {
 		return
 	}
 	own := m.config.Zone
 	out := directory.Now().Out
-	m.zone.mu.Lock()
-	defer m.zone.mu.Unlock()
-	if m.zone.changed == out.Changed(own) {
+	m.zoneState.mu.Lock()
+	defer m.zoneState.mu.Unlock()
+	if m.zoneState.revision == out.Changed(own) {
 		return
 	}
-	m.zone.changed = out.Changed(own)
+	m.zoneState.revision = out.Changed(own)
 	if !out.Has(own) {
-		m.config.Log.Info("own availability zone is in service", "zone", own, "revision", uint64(m.zone.changed))
+		m.config.Log.Info("own availability zone is in service", "zone", own, "revision", uint64(m.zoneState.revision))
 		host.ZoneBack()
 		return
 	}
-	certain := m.certainty.at()
-	until := mtzone.Until(certain, m.config.Close)
-	m.config.Log.Info("own availability zone is out of service", "zone", own, "revision", uint64(m.zone.changed),
-		"certain", m.steady().Sub(certain), "keys", until.Sub(m.steady()))
+	confirmed := m.freshness.at()
+	until := mtzone.Until(confirmed, m.config.Close)
+	m.config.Log.Info("own availability zone is out of service", "zone", own, "revision", uint64(m.zoneState.revision),
+		"certain", m.now().Sub(confirmed), "keys", until.Sub(m.now()))
 	host.ZoneOut(out.Version(own), until)
 }
--- a/io/mtmesh/zone_test.go
+++ b/io/mtmesh/zone_test.go
@@ -10,13 +10,13 @@
 	"magnoliaturn/io/mtmesh"
 )
 
-// A daemon whose watch is deaf hears from others that they are certain of the configuration,
-// which is the same as its own, while they know of a zone that is out of service and it does
-// not. Were it certain then, it would not ask the store.
-func TestCertaintyOfOthersCountsOnlyForTheSameZones(t *testing.T) {
+// The watch of a daemon delivers no changes. Other daemons report that the configuration,
+// which is the same as its own, is fresh, but they know a zone out of service that it does
+// not know. If it adopted their freshness, it would not poll the store.
+func TestPeerFreshnessCountsOnlyForTheSameZones(t *testing.T) {
 	for zones, want := range map[mtzone.Digest]bool{0: true, 7: false} {
-		certain, err := mtmesh.HearsCertainty(mtforward.News{Zones: zones})
+		adopted, err := mtmesh.AdoptsPeerFreshness(mtforward.News{Zones: zones})
 		assert.NilError(t, err)
-		assert.Equal(t, certain, want, "digest %d", zones)
+		assert.Equal(t, adopted, want, "digest %d", zones)
 	}
 }
