--- a/io/mtsync/mtsync.go
+++ b/io/mtsync/mtsync.go
@@ -1,17 +1,17 @@
 // Package mtsync keeps a daemon's copy of the live state up to date.
 //
-// Three ways feed it. Two daemons per availability zone, chosen by rendezvous
-// rank, keep a watch open at the platform's store. Every daemon hears its
-// peers' frontiers on the renewal datagrams and pulls the delta from whoever is
-// ahead. And every daemon asks the store once a minute, which mends whatever
-// the first two missed. With the store down, a daemon that starts takes the
-// state from its seeds.
+// The copy receives changes in three ways. Two daemons per availability zone, chosen by
+// rendezvous rank, keep a watch open at the platform's store. Every daemon receives the
+// frontiers of its peers on the renewal datagrams, and pulls the delta from any peer that
+// is ahead. And every daemon reads the store once a minute, which recovers whatever the
+// first two missed. If the store is down, a daemon that starts pulls the state from its
+// seeds.
 //
 // # Usage
 //
 //	sync, cleanUp := mtsync.New(config)
 //	sync.Hint(address, frontier) // from a datagram or a relayed request
-//	sync.Refresh()               // after a write of one's own
+//	sync.Refresh()               // after this daemon has written to the store
 //	sync.OnChange(func(names []string) { ... })
 package mtsync
 
@@ -33,69 +33,70 @@
 	"magnoliaturn/io/mtduty"
 )
 
-// WatchersPerZone is how many daemons of an availability zone watch the store.
+// WatchersPerZone is how many daemons of each availability zone watch the store.
 const WatchersPerZone = 2
 
 const (
-	watchWait      = 30 * time.Second // a waiting watch is one call of the store
-	antiEntropy    = time.Minute
-	pullTimeout    = 2 * time.Second
-	retryAfter     = time.Second // after a failed call of the store
-	hintsWaiting   = 256
-	refreshTimeout = 3 * time.Second
+	watchWait           = 30 * time.Second // a watch counts as one call to the store, however long it waits
+	antiEntropyInterval = time.Minute
+	pullTimeout         = 2 * time.Second
+	retryDelay          = time.Second // after a failed call to the store
+	hintQueueSize       = 256
+	refreshTimeout      = 3 * time.Second
 )
 
-// puller is the part of the relay's client that pulls deltas.
+// puller pulls deltas from peers. The client of the relay implements it.
 type puller interface {
-	Pull(ctx context.Context, address string, after mtid.Revision, whole bool) (mtview.Delta, error)
+	Pull(ctx context.Context, address string, after mtid.Revision, full bool) (mtview.Delta, error)
 }
 
-// Config is what a Sync works with.
+// Config defines the identity, the peers and the dependencies of a Sync.
 type Config struct {
 	Self  mtid.Daemon
 	Zone  mtid.Zone
-	Seeds []string // relay addresses of peers to ask while the store is down
+	Seeds []string // relay addresses of the peers to pull from while the store is down
 	Store mtstore.Store
 	Peers puller
 	View  *mtview.View
-	// Count adds one to a counter of this duty.
+	// Count increments a counter of the metrics by one.
 	Count func(name string)
 	Log   *slog.Logger
 }
 
-// hint says that a peer is complete up to a revision.
+// hint reports that a peer's copy is complete up to a revision.
 type hint struct {
 	address  string
 	revision mtid.Revision
 }
 
-// Sync runs the duties.
+// Sync updates the copy in the background. See the package comment.
 type Sync struct {
 	config    Config
 	hints     *mtring.Ring[hint]
 	refresh   chan struct{}
 	mu        sync.Mutex
 	listeners []func(names []string)
-	started   atomic.Bool // the state was read at least once
+	loaded    atomic.Bool // the state was read at least once
 }
 
-// New starts the duties and returns the Sync with its clean-up function, which
-// returns when all duties have ended.
+// New starts the background tasks and returns the Sync with its clean-up function, which
+// stops the tasks and waits until they have returned.
 func New(config Config) (*Sync, func()) {
-	s := &Sync{config: config, hints: mtring.New[hint](hintsWaiting), refresh: make(chan struct{}, 1)}
+	s := &Sync{config: config, hints: mtring.New[hint](hintQueueSize), refresh: make(chan struct{}, 1)}
 	ctx, cancel := context.WithCancel(context.Background())
-	var duties sync.WaitGroup
-	duties.Go(func() { s.pullHints(ctx) })
-	duties.Go(func() { s.readStore(ctx) })
-	duties.Go(func() { s.watchStore(ctx) })
+	var tasks sync.WaitGroup
+	tasks.Go(func() { s.pullHints(ctx) })
+	tasks.Go(func() { s.readStore(ctx) })
+	tasks.Go(func() { s.watchStore(ctx) })
 	return s, func() {
 		cancel()
-		duties.Wait()
+		tasks.Wait()
 	}
 }
 
-// Hint says that the peer at a relay address is complete up to a revision. It
-// is called for every datagram and costs nothing if the copy is as far.
+// Hint reports that the copy of the peer at a relay address is complete up to a revision.
+// It is called for every datagram, and does nothing if the copy of this
+// daemon is at least as recent.
 func (s *Sync) Hint(address string, revision mtid.Revision) {
 	if address == "" || revision <= s.config.View.Snapshot().Frontier() {
 		return
@@ -103,7 +104,7 @@
 	s.hints.Put(hint{address: address, revision: revision})
 }
 
-// Refresh asks the store for changes soon. It is called after a write.
+// Refresh schedules a read of the store. It is called after a write.
 func (s *Sync) Refresh() {
 	select {
 	case s.refresh <- struct{}{}:
@@ -111,22 +112,22 @@
 	}
 }
 
-// Started reports whether the live state was read once, from the store or a
+// Started reports whether the live state was read at least once, from the store or from a
 // peer.
-func (s *Sync) Started() bool { return s.started.Load() }
+func (s *Sync) Started() bool { return s.loaded.Load() }
 
-// OnChange adds a function that is called with the names that changed, by the
-// duty that learnt of them. It must not block.
+// OnChange registers a function that is called with the names that have changed. It is
+// called by the task that received the change and must not block.
 func (s *Sync) OnChange(f func(names []string)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listeners = append(s.listeners, f)
 }
 
-// merge takes a delta in and tells the listeners.
+// merge applies a delta and notifies the listeners.
 func (s *Sync) merge(d mtview.Delta) error {
 	changed, err := s.config.View.Merge(d)
-	s.started.Store(true)
+	s.loaded.Store(true)
 	if len(changed) == 0 {
 		return err
 	}
@@ -154,26 +155,26 @@
 	}
 }
 
-// pull brings the copy up to a peer's frontier and reports whether it could.
+// pull updates the copy to a peer's frontier and reports whether that succeeded.
 func (s *Sync) pull(ctx context.Context, address string) bool {
-	whole := false
+	full := false
 	for {
 		after := s.config.View.Snapshot().Frontier()
-		d, err := s.pullOnce(ctx, address, after, whole)
+		d, err := s.pullOnce(ctx, address, after, full)
 		if err != nil {
 			s.config.Count("pull_failed")
-			s.config.Log.Debug("pull failed", "address", address, "error", err)
+			s.config.Log.Debug("pulling a delta from a peer failed", "address", address, "error", err)
 			return false
 		}
 		s.config.Count("pulled")
 		err = s.merge(d)
 		var gap *mtshard.GapError
 		switch {
-		case errors.As(err, &gap) && !whole:
-			whole = true
+		case errors.As(err, &gap) && !full:
+			full = true
 			continue
 		case err != nil:
-			s.mend(ctx, err)
+			s.refetch(ctx, err)
 			return false
 		case !d.More || d.Revision <= after:
 			return true
@@ -181,15 +182,15 @@
 	}
 }
 
-func (s *Sync) pullOnce(ctx context.Context, address string, after mtid.Revision, whole bool) (mtview.Delta, error) {
+func (s *Sync) pullOnce(ctx context.Context, address string, after mtid.Revision, full bool) (mtview.Delta, error) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	return s.config.Peers.Pull(ctx, address, after, whole)
+	return s.config.Peers.Pull(ctx, address, after, full)
 }
 
-// mend reads a value from the store after a peer's form of it was no use. A
-// frontier that can't pass the value would stay for good otherwise.
-func (s *Sync) mend(ctx context.Context, failed error) {
+// refetch reads a value from the store that could not be applied in the form in which a
+// peer sent it. Otherwise the frontier could never advance past it.
+func (s *Sync) refetch(ctx context.Context, failed error) {
 	var item *mtview.ItemError
 	if !errors.As(failed, &item) {
 		return
@@ -204,21 +205,21 @@
 		Name: entry.Name, Version: entry.Version, Revision: entry.Revision, Value: entry.Value,
 	}}}
 	if err := s.merge(d); err != nil {
-		s.config.Log.Warn("value can't be read", "name", item.Name, "error", err)
+		s.config.Log.Warn("applying a value read from the store failed", "name", item.Name, "error", err)
 	}
 }
 
-// readStore reads at the start, when asked to, and once a minute.
+// readStore reads the store at the start, on each Refresh, and once a minute.
 func (s *Sync) readStore(ctx context.Context) {
 	for !s.readOnce(ctx) {
 		if s.startFromSeeds(ctx) {
 			break
 		}
-		if !mtduty.Sleep(ctx, retryAfter) {
+		if !mtduty.Sleep(ctx, retryDelay) {
 			return
 		}
 	}
-	ticker := time.NewTicker(antiEntropy)
+	ticker := time.NewTicker(antiEntropyInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -231,15 +232,14 @@
 	}
 }
 
-// readOnce takes in all changes that the store knows now.
+// readOnce applies all changes that the store has now.
 func (s *Sync) readOnce(ctx context.Context) bool {
 	return s.watch(ctx, 0, refreshTimeout) == nil
 }
 
-// watch takes in the changes after the frontier, waiting for some if there are
-// none.
-func (s *Sync) watch(ctx context.Context, wait, spare time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, wait+spare)
+// watch applies the changes after the frontier. If there are none, it waits for some.
+func (s *Sync) watch(ctx context.Context, wait, margin time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, wait+margin)
 	defer cancel()
 	for {
 		after := s.config.View.Snapshot().Frontier()
@@ -250,7 +250,7 @@
 		}
 		s.config.Count("store_read")
 		if err := s.merge(mtview.FromStore(after, changes)); err != nil {
-			s.config.Log.Warn("live state can't be read", "error", err)
+			s.config.Log.Warn("applying changes read from the store failed", "error", err)
 			return err
 		}
 		if !changes.More {
@@ -259,9 +259,8 @@
 	}
 }
 
-// startFromSeeds takes the state from the seeds while the store is down. All
-// are asked, since one of them may have started just now and know nothing: the
-// highest revision wins.
+// startFromSeeds pulls the state from the seeds while the store is down. It pulls from all
+// of them, since some may have just started with an empty copy: the highest revision wins.
 func (s *Sync) startFromSeeds(ctx context.Context) bool {
 	found := false
 	for _, address := range s.config.Seeds {
@@ -272,16 +271,16 @@
 	return found
 }
 
-// watchStore keeps a watch open while this daemon is among its zone's watchers.
+// watchStore keeps a watch open while this daemon is one of its zone's watchers.
 func (s *Sync) watchStore(ctx context.Context) {
 	for {
 		if !s.Started() || !s.Watcher() {
-			if !mtduty.Sleep(ctx, retryAfter) {
+			if !mtduty.Sleep(ctx, retryDelay) {
 				return
 			}
 			continue
 		}
-		if err := s.watch(ctx, watchWait, refreshTimeout); err != nil && !mtduty.Sleep(ctx, retryAfter) {
+		if err := s.watch(ctx, watchWait, refreshTimeout); err != nil && !mtduty.Sleep(ctx, retryDelay) {
 			return
 		}
 		if ctx.Err() != nil {
@@ -290,19 +289,20 @@
 	}
 }
 
-// Watcher reports whether this daemon watches the store for its zone: whether
-// it has one of the first ranks there. Daemons that see another roster may
-// disagree; then there is a watcher more or fewer, which anti-entropy covers.
+// Watcher reports whether this daemon watches the store for its zone, that is, whether it
+// has one of the first ranks there. Daemons with different views of the roster may
+// disagree. There is then one watcher more or fewer, which the read once a minute
+// compensates for.
 func (s *Sync) Watcher() bool {
-	var zone []mtid.Daemon
+	var candidates []mtid.Daemon
 	for _, r := range s.config.View.Snapshot().Roster() {
 		if r.Zone == s.config.Zone && r.MayHoldLease() && r.Holder.Daemon != s.config.Self {
-			zone = append(zone, r.Holder.Daemon)
+			candidates = append(candidates, r.Holder.Daemon)
 		}
 	}
-	zone = append(zone, s.config.Self)
-	slices.SortFunc(zone, func(a, b mtid.Daemon) int {
+	candidates = append(candidates, s.config.Self)
+	slices.SortFunc(candidates, func(a, b mtid.Daemon) int {
 		return cmp.Compare(mtid.Rank(b, 0), mtid.Rank(a, 0))
 	})
-	return slices.Index(zone, s.config.Self) < WatchersPerZone
+	return slices.Index(candidates, s.config.Self) < WatchersPerZone
 }
--- a/io/mtsync/mtsync_test.go
+++ b/io/mtsync/mtsync_test.go
@@ -20,39 +20,39 @@
 	"magnoliaturn/io/mtsync"
 )
 
-// peers are other daemons, by address.
+// peers simulates other daemons, by address.
 type peers struct {
 	mu     sync.Mutex
 	views  map[string]*mtview.View
-	pulled []bool // for each pull, whether whole tables were asked for
+	pulled []bool // for each pull, whether a full delta was requested
 }
 
 var errDown = errors.New("down")
 
-func (p *peers) Pull(_ context.Context, address string, after mtid.Revision, whole bool) (mtview.Delta, error) {
+func (p *peers) Pull(_ context.Context, address string, after mtid.Revision, full bool) (mtview.Delta, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pulled = append(p.pulled, whole)
+	p.pulled = append(p.pulled, full)
 	view, ok := p.views[address]
 	if !ok {
 		return mtview.Delta{}, errDown
 	}
-	return view.Delta(after, 1<<20, whole), nil
+	return view.Delta(after, 1<<20, full), nil
 }
 
-func (p *peers) wholes() int {
+func (p *peers) fullPulls() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
-	for _, whole := range p.pulled {
-		if whole {
+	for _, full := range p.pulled {
+		if full {
 			n++
 		}
 	}
 	return n
 }
 
-// record writes a daemon's record with an incarnation.
+// record writes a daemon's record with the given incarnation.
 func record(t *testing.T, store *iostore.Memory, d mtid.Daemon, zone mtid.Zone, incarnation mtid.Incarnation) {
 	t.Helper()
 	r := mtroster.Record{Holder: mtid.Holder{Daemon: d, Incarnation: incarnation}, Zone: zone}
@@ -62,7 +62,7 @@
 	assert.NilError(t, err)
 }
 
-// copyOf returns a peer's copy of what the store holds now.
+// copyOf updates a peer's copy to the current state of the store, and returns it.
 func copyOf(t *testing.T, store *iostore.Memory, view *mtview.View) *mtview.View {
 	t.Helper()
 	after := view.Snapshot().Frontier()
@@ -84,13 +84,13 @@
 	return s, view
 }
 
-func reaches(view *mtview.View, d mtid.Daemon, incarnation mtid.Incarnation) poll.Check {
+func hasRecord(view *mtview.View, d mtid.Daemon, incarnation mtid.Incarnation) poll.Check {
 	return func(poll.LogT) poll.Result {
 		r, _, ok := view.Snapshot().Record(d)
 		if ok && r.Holder.Incarnation >= incarnation {
 			return poll.Success()
 		}
-		return poll.Continue("%s@%d is not known yet", d, incarnation)
+		return poll.Continue("record %s@%d has not been received yet", d, incarnation)
 	}
 }
 
@@ -103,18 +103,18 @@
 	store := iostore.NewMemory(time.Now)
 	record(t, store, "a", "bern-b", 1)
 	s, view := start(t, store, &peers{})
-	wait(t, reaches(view, "a", 1))
+	wait(t, hasRecord(view, "a", 1))
 	changed := make(chan string, 8)
 	s.OnChange(func(names []string) { changed <- names[0] })
 	record(t, store, "a", "bern-b", 2)
-	wait(t, reaches(view, "a", 2))
+	wait(t, hasRecord(view, "a", 2))
 	assert.Equal(t, <-changed, mtstore.RosterName("a"))
 }
 
-// The store is down when a daemon starts. Of its seeds one has started just now
-// and knows nothing, one is behind and one is gone: the daemon takes the newest
-// that any of them knows, and never falls back from it.
-func TestStartDuringOutageTakesTheNewest(t *testing.T) {
+// The store is down when a daemon starts. Of its seeds, one has just started with an empty
+// copy, one is behind and one is unreachable. The daemon must adopt the newest state of any
+// of them, and never fall back to an older one.
+func TestStartDuringOutageAdoptsNewestSeed(t *testing.T) {
 	store := iostore.NewMemory(time.Now)
 	record(t, store, "a", "bern-b", 1)
 	behind := copyOf(t, store, mtview.New())
@@ -123,16 +123,16 @@
 	store.SetFaults(iostore.Faults{Down: true})
 	p := &peers{views: map[string]*mtview.View{"new": mtview.New(), "newest": newest, "behind": behind}}
 	s, view := start(t, store, p, "new", "gone", "newest", "behind")
-	wait(t, reaches(view, "a", 2))
+	wait(t, hasRecord(view, "a", 2))
 	assert.Assert(t, s.Started())
 	s.Hint("behind", 99)
 	r, _, _ := view.Snapshot().Record("a")
 	assert.Equal(t, r.Holder.Incarnation, mtid.Incarnation(2))
 }
 
-// The store is cut off from a daemon alone. It hears of a change by a peer's
-// datagram and pulls it from there.
-func TestHintIsPulled(t *testing.T) {
+// One daemon is disconnected from the store. It receives a hint from a peer that is ahead,
+// and must pull the change from that peer.
+func TestHintTriggersPull(t *testing.T) {
 	store := iostore.NewMemory(time.Now)
 	record(t, store, "a", "bern-b", 1)
 	ahead := mtview.New()
@@ -142,12 +142,13 @@
 	copyOf(t, store, ahead)
 	s, view := start(t, cut, p)
 	s.Hint("ahead", ahead.Snapshot().Frontier())
-	wait(t, reaches(view, "a", 1))
+	wait(t, hasRecord(view, "a", 1))
 }
 
-// A peer sends the steps of a table of which this daemon lacks the beginning.
-// With the store down nothing else could bring it in: the whole is asked for.
-func TestGapIsFilledByTheWhole(t *testing.T) {
+// A peer sends an assignment as steps of which the daemon lacks the first ones, and the
+// store is down. The daemon must request a full delta from the peer, since the steps alone
+// never apply.
+func TestGapIsFilledByFullDelta(t *testing.T) {
 	ref := mtid.Ref{Business: "bundesamt", Service: "loan-desk"}
 	store := iostore.NewMemory(time.Now)
 	table, err := mtshard.New(ref, 0, 1).Apply(mtroster.WriteID{}, mtshard.Create{Shards: 2, Among: []mtid.Holder{{Daemon: "a", Incarnation: 1}}})
@@ -168,7 +169,7 @@
 	store.SetFaults(iostore.Faults{Down: true})
 	p := &peers{views: map[string]*mtview.View{"ahead": ahead}}
 	s, view := start(t, store, p)
-	// The daemon passed the table's first version in a delta that was cut.
+	// The daemon has passed the first version of the table in a truncated delta.
 	_, err = view.Merge(ahead.Delta(0, 1, true))
 	assert.NilError(t, err)
 	assert.Assert(t, view.Snapshot().Frontier() < ahead.Snapshot().Frontier())
@@ -177,22 +178,22 @@
 		if got, ok := view.Snapshot().Table(ref, 0); ok && got.Version == 2 {
 			return poll.Success()
 		}
-		return poll.Continue("the table is not known yet")
+		return poll.Continue("version 2 of the table has not been received yet")
 	})
-	assert.Equal(t, p.wholes(), 1)
+	assert.Equal(t, p.fullPulls(), 1)
 }
 
-func TestTwoOfAZoneWatch(t *testing.T) {
+func TestTwoDaemonsPerZoneWatch(t *testing.T) {
 	store := iostore.NewMemory(time.Now)
 	s, view := start(t, store, &peers{})
-	assert.Assert(t, s.Watcher(), "the only one of its zone")
+	assert.Assert(t, s.Watcher(), "the only daemon of its zone must watch")
 	for _, d := range []mtid.Daemon{"a", "b", "c", "d", "e", "f"} {
 		record(t, store, d, "bern-a", 1)
 		record(t, store, d+"-elsewhere", "bern-b", 1)
 	}
 	wait(t, func(l poll.LogT) poll.Result {
-		s.Refresh() // who watches no more would wait for the next minute
-		return reaches(view, "f-elsewhere", 1)(l)
+		s.Refresh() // if this daemon is no longer a watcher, the next read would be a minute away
+		return hasRecord(view, "f-elsewhere", 1)(l)
 	})
 	ahead := 0
 	for _, r := range view.Snapshot().Roster() {
