--- a/io/mtmesh/mtmesh.go
+++ b/io/mtmesh/mtmesh.go
@@ -56,62 +56,62 @@
 
 // Names under which the components of a daemon are registered in its kernel.
 const (
-	NameClock     mtkernel.Name = "clock"
-	NameMetrics   mtkernel.Name = "metrics"
-	NameDirectory mtkernel.Name = "directory"
-	NamePeers     mtkernel.Name = "peers"
-	NameClient    mtkernel.Name = "client"
-	NameHost      mtkernel.Name = "host"
-	NameGrants    mtkernel.Name = "grants"
-	NameCommitter mtkernel.Name = "committer"
-	NameIngress   mtkernel.Name = "ingress"
-	NameNews      mtkernel.Name = "news"
-	NameSums      mtkernel.Name = "sums"
-	NameListeners mtkernel.Name = "listeners"
+	NameClock        mtkernel.Name = "clock"
+	NameMetrics      mtkernel.Name = "metrics"
+	NameDirectory    mtkernel.Name = "directory"
+	NamePeers        mtkernel.Name = "peers"
+	NameClient       mtkernel.Name = "client"
+	NameHost         mtkernel.Name = "host"
+	NameGrants       mtkernel.Name = "grants"
+	NameCommitter    mtkernel.Name = "committer"
+	NameIngress      mtkernel.Name = "ingress"
+	NameConfigPoller mtkernel.Name = "news"
+	NameSummary      mtkernel.Name = "sums"
+	NameListeners    mtkernel.Name = "listeners"
 )
 
 // Config defines the identity, the addresses, the time limits and the dependencies of a
 // Mesh.
 type Config struct {
-	Daemon  mtid.Daemon
-	Zone    mtid.Zone
-	Link    mtbackend.Bandwidth // of this VM
-	Service mtid.Service        // of the backend server on this VM
-	Server  string              // address of the backend server
-	Callers string              // address on which to accept requests of callers on this VM
-	Peers   string              // address on which to accept calls of other daemons
-	Store   mtstore.ConditionalStore
-	Port    mtgrant.Port
-	Names   mtheader.Names
+	Daemon        mtid.Daemon
+	Zone          mtid.Zone
+	Link          mtbackend.Bandwidth // of this VM
+	Service       mtid.Service        // of the backend server on this VM
+	ServerAddress string              // address of the backend server
+	CallerAddress string              // address on which to accept requests of callers on this VM
+	PeerAddress   string              // address on which to accept calls of other daemons
+	Store         mtstore.ConditionalStore
+	Port          mtgrant.Port
+	Names         mtheader.Names
 	// Slowness returns the slowdown of the server's machine that a response reports, as a
 	// multiple of the usual processing time; zero if none is reported. It may be nil.
 	Slowness func(http.Header) float64
-	// Lease is how long the daemon's record in the store outlives the daemon, and Hold is
-	// how long a grant lasts. Their sum limits how long the keys of a lost VM are unserved,
-	// and how long the store may be unavailable.
-	Lease time.Duration
-	Hold  time.Duration
-	Drain time.Duration // how long new requests may still reach a draining server
-	Grace time.Duration // from the request to stop until the process is killed
-	// Within is the time within which a configuration must be in force on all daemons; zero
-	// stands for mtroute.Within.
-	Within time.Duration
-	Log    *slog.Logger
-	// Close is the time within which a zone that is taken out of service must receive no
-	// new requests; zero stands for mtzone.Within.
-	Close time.Duration
+	// Lease is how long the daemon's record in the store outlives the daemon, and
+	// GrantDuration is how long a grant lasts. Their sum limits how long the keys of a lost
+	// VM are unserved, and how long the store may be unavailable.
+	Lease         time.Duration
+	GrantDuration time.Duration
+	Drain         time.Duration // how long new requests may still reach a draining server
+	Grace         time.Duration // from the request to stop until the process is killed
+	// ConfigDeadline is the time within which a configuration must be in force on all
+	// daemons; zero stands for mtroute.Within.
+	ConfigDeadline time.Duration
+	Log            *slog.Logger
+	// ZoneOutDeadline is the time within which a zone that is taken out of service must
+	// receive no new requests; zero stands for mtzone.Within.
+	ZoneOutDeadline time.Duration
 	// Warmup defines by how much the rate of a cold server may be exceeded.
 	Warmup mtbackend.Allowance
 	// Refresh reads everything again that operators have written. It is called if another
 	// daemon has a newer configuration, and regularly in case the watches no longer deliver
 	// changes. It fails if the store did not answer.
 	Refresh func() (mtstore.Changes, error)
-	// Other is called with every entry of the store that is neither a record nor an
+	// OnOtherEntry is called with every entry of the store that is neither a record nor an
 	// assignment.
-	Other func(mtstore.Entry)
-	// Calls returns how often the store was called since the previous call, by purpose. It
-	// may be nil.
-	Calls func() map[string]int
+	OnOtherEntry func(mtstore.Entry)
+	// StoreCalls returns how often the store was called since the previous call, by
+	// purpose. It may be nil.
+	StoreCalls func() map[string]int
 }
 
 // Mesh is the daemon of one VM. See the package comment.
@@ -140,11 +140,11 @@
 // New assembles a daemon, opens its listeners and starts its background tasks. The clean-up
 // function stops them; Run calls it too.
 func New(config Config) (*Mesh, func(), error) {
-	if config.Within <= 0 {
-		config.Within = mtroute.Within
+	if config.ConfigDeadline <= 0 {
+		config.ConfigDeadline = mtroute.Within
 	}
-	if config.Close <= 0 {
-		config.Close = mtzone.Within
+	if config.ZoneOutDeadline <= 0 {
+		config.ZoneOutDeadline = mtzone.Within
 	}
 	m := &Mesh{config: config, kernel: mtkernel.New()}
 	steps := []func() error{
@@ -185,7 +185,7 @@
 
 func (m *Mesh) addClock() error {
 	clock := mttime.New()
-	m.freshness = newFreshness(clock.Now(), m.config.Within, newBroadcast())
+	m.freshness = newFreshness(clock.Now(), m.config.ConfigDeadline, newBroadcast())
 	return mtkernel.Register(m.kernel, NameClock, clock, nil)
 }
 
@@ -226,7 +226,7 @@
 		Lease:  m.config.Lease,
 		Log:    m.config.Log,
 		Source: m.feed,
-		Other:  m.config.Other,
+		Other:  m.config.OnOtherEntry,
 		Former: m.previous.receive,
 		Heard:  m.receiveRecord,
 
@@ -251,8 +251,8 @@
 		Zone:    m.config.Zone,
 		Link:    m.config.Link,
 		Service: m.config.Service,
-		Address: m.config.Server,
-		Peer:    m.config.Peers,
+		Address: m.config.ServerAddress,
+		Peer:    m.config.PeerAddress,
 		Drain:   m.config.Drain,
 		Clock:   clock,
 		Client:  client,
@@ -279,7 +279,7 @@
 		Self:      m.config.Daemon,
 		Service:   m.config.Service,
 		Keyed:     m.keyed,
-		Hold:      m.config.Hold,
+		Hold:      m.config.GrantDuration,
 		Directory: directory,
 		Store:     m.config.Store,
 		Host:      host,
@@ -382,15 +382,15 @@
 func (m *Mesh) addSummary() error {
 	grants := mtkernel.MustLookup[*mtgrant.Grants](m.kernel, NameGrants)
 	stop := mtduty.Every(summaryInterval, func(context.Context) { m.recorder.logSummary(m.Host().Load(), grants.TakeMoved(), m.storeCalls()) })
-	return mtkernel.Register(m.kernel, NameSums, stop, stop)
+	return mtkernel.Register(m.kernel, NameSummary, stop, stop)
 }
 
 // storeCalls returns how often the store was called since the previous call, by purpose.
 func (m *Mesh) storeCalls() map[string]int {
-	if m.config.Calls == nil {
+	if m.config.StoreCalls == nil {
 		return nil
 	}
-	return m.config.Calls()
+	return m.config.StoreCalls()
 }
 
 const (
@@ -411,14 +411,14 @@
 
 // listen opens the listeners for callers and for other daemons.
 func (m *Mesh) listen() error {
-	peers, err := mtdial.Listen(context.Background(), m.config.Peers)
+	peers, err := mtdial.Listen(context.Background(), m.config.PeerAddress)
 	if err != nil {
-		return &mtlisten.ListenError{Purpose: "other daemons", Address: m.config.Peers, Err: err}
+		return &mtlisten.ListenError{Purpose: "other daemons", Address: m.config.PeerAddress, Err: err}
 	}
-	callers, err := net.Listen("tcp", m.config.Callers)
+	callers, err := net.Listen("tcp", m.config.CallerAddress)
 	if err != nil {
 		_ = peers.Close()
-		return &mtlisten.ListenError{Purpose: "callers", Address: m.config.Callers, Err: err}
+		return &mtlisten.ListenError{Purpose: "callers", Address: m.config.CallerAddress, Err: err}
 	}
 	m.peers = grpc.NewServer(grpc.MaxConcurrentStreams(maxPeerStreams),
 		grpc.InitialWindowSize(mtforward.Window), grpc.InitialConnWindowSize(mtforward.Window),
--- a/io/mtmesh/news.go
+++ b/io/mtmesh/news.go
@@ -80,7 +80,7 @@
 // deferral returns how much longer than a watcher this daemon waits before it reads the
 // store for a version that another daemon has reported.
 func (m *Mesh) deferral() time.Duration {
-	tree, step := m.feed.tree(), m.config.Within/deferralDivisor
+	tree, step := m.feed.tree(), m.config.ConfigDeadline/deferralDivisor
 	switch {
 	case tree.WatchesStore(m.config.Daemon):
 		return 0
@@ -122,7 +122,7 @@
 		return
 	}
 	for _, e := range read.Entries {
-		m.config.Other(e)
+		m.config.OnOtherEntry(e)
 	}
 	zonesChanged := directory.Recheck(read)
 	m.freshness.confirm(started)
@@ -160,7 +160,7 @@
 		cancel()
 		task.Wait()
 	}
-	return mtkernel.Register(m.kernel, NameNews, stop, stop)
+	return mtkernel.Register(m.kernel, NameConfigPoller, stop, stop)
 }
 
 // untilNextPoll returns how long to wait before checking again whether a poll is due.
--- a/io/mtmesh/tally.go
+++ b/io/mtmesh/tally.go
@@ -14,15 +14,15 @@
 // summaryInterval is how often a summary of the results of requests is logged.
 const summaryInterval = time.Second
 
-// End is the result of a request for its caller, as the logged summary names it. Requests
-// that failed or were refused are named by their cause.
-type End string
+// Result is the result of a request for its caller, as the logged summary names it.
+// Requests that failed or were refused are named by their cause.
+type Result string
 
 // Results of answered requests. See also mtreply.Cause.
 const (
-	EndInTime End = "in time" // within the route's objective
-	EndLate   End = "late"
-	EndFailed End = "failed by the server"
+	ResultInTime      Result = "in time" // within the route's objective
+	ResultLate        Result = "late"
+	ResultServerError Result = "failed by the server"
 )
 
 // retryPrefix marks the results of requests that their callers have retried.
@@ -32,13 +32,13 @@
 // are left out, but the summaries count every request.
 type tally struct {
 	mu     sync.Mutex
-	counts map[mtid.Class]map[End]int
+	counts map[mtid.Class]map[Result]int
 }
 
-func newTally() *tally { return &tally{counts: make(map[mtid.Class]map[End]int)} }
+func newTally() *tally { return &tally{counts: make(map[mtid.Class]map[Result]int)} }
 
 // add counts one result.
-func (t *tally) add(call *mtcall.Call, result End) {
+func (t *tally) add(call *mtcall.Call, result Result) {
 	route := call.Route
 	if route == "" {
 		route = "no route"
@@ -47,33 +47,33 @@
 	defer t.mu.Unlock()
 	counts, ok := t.counts[route]
 	if !ok {
-		counts = make(map[End]int)
+		counts = make(map[Result]int)
 		t.counts[route] = counts
 	}
 	counts[result]++
 }
 
 // reset returns the counts and starts again from zero.
-func (t *tally) reset() map[mtid.Class]map[End]int {
+func (t *tally) reset() map[mtid.Class]map[Result]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	counts := t.counts
-	t.counts = make(map[mtid.Class]map[End]int)
+	t.counts = make(map[mtid.Class]map[Result]int)
 	return counts
 }
 
 // result returns the result of a request for its caller.
-func (r *recorder) result(call *mtcall.Call, s mtmetric.Sample, status int) End {
-	result := End(s.Cause)
+func (r *recorder) result(call *mtcall.Call, s mtmetric.Sample, status int) Result {
+	result := Result(s.Cause)
 	now := r.clock.Now()
 	switch {
 	case s.Outcome != mtreply.Answered:
 	case status >= 500:
-		result = EndFailed
+		result = ResultServerError
 	case call.Objective != 0 && now.After(call.Objective):
-		result = EndLate
+		result = ResultLate
 	default:
-		result = EndInTime
+		result = ResultInTime
 	}
 	if call.IsRetry() {
 		return retryPrefix + result
--- a/io/mtmesh/zone.go
+++ b/io/mtmesh/zone.go
@@ -34,7 +34,7 @@
 		return
 	}
 	confirmed := m.freshness.at()
-	until := mtzone.Until(confirmed, m.config.Close)
+	until := mtzone.Until(confirmed, m.config.ZoneOutDeadline)
 	m.config.Log.Info("own availability zone is out of service", "zone", own, "revision", uint64(m.zoneState.revision),
 		"certain", m.now().Sub(confirmed), "keys", until.Sub(m.now()))
 	host.ZoneOut(out.Version(own), until)
--- a/io/mtsync/mtsync.go
+++ b/io/mtsync/mtsync.go
@@ -112,9 +112,9 @@
 	}
 }
 
-// Started reports whether the live state was read at least once, from the store or from a
+// Loaded reports whether the live state was read at least once, from the store or from a
 // peer.
-func (s *Sync) Started() bool { return s.loaded.Load() }
+func (s *Sync) Loaded() bool { return s.loaded.Load() }
 
 // OnChange registers a function that is called with the names that have changed. It is
 // called by the task that received the change and must not block.
@@ -274,7 +274,7 @@
 // watchStore keeps a watch open while this daemon is one of its zone's watchers.
 func (s *Sync) watchStore(ctx context.Context) {
 	for {
-		if !s.Started() || !s.Watcher() {
+		if !s.Loaded() || !s.IsWatcher() {
 			if !mtduty.Sleep(ctx, retryDelay) {
 				return
 			}
@@ -289,11 +289,11 @@
 	}
 }
 
-// Watcher reports whether this daemon watches the store for its zone, that is, whether it
+// IsWatcher reports whether this daemon watches the store for its zone, that is, whether it
 // has one of the first ranks there. Daemons with different views of the roster may
 // disagree. There is then one watcher more or fewer, which the read once a minute
 // compensates for.
-func (s *Sync) Watcher() bool {
+func (s *Sync) IsWatcher() bool {
 	var candidates []mtid.Daemon
 	for _, r := range s.config.View.Snapshot().Roster() {
 		if r.Zone == s.config.Zone && r.MayHoldLease() && r.Holder.Daemon != s.config.Self {
--- a/io/mtsync/mtsync_test.go
+++ b/io/mtsync/mtsync_test.go
@@ -124,7 +124,7 @@
 	p := &peers{views: map[string]*mtview.View{"new": mtview.New(), "newest": newest, "behind": behind}}
 	s, view := start(t, store, p, "new", "gone", "newest", "behind")
 	wait(t, hasRecord(view, "a", 2))
-	assert.Assert(t, s.Started())
+	assert.Assert(t, s.Loaded())
 	s.Hint("behind", 99)
 	r, _, _ := view.Snapshot().Record("a")
 	assert.Equal(t, r.Holder.Incarnation, mtid.Incarnation(2))
@@ -186,7 +186,7 @@
 func TestTwoDaemonsPerZoneWatch(t *testing.T) {
 	store := iostore.NewMemory(time.Now)
 	s, view := start(t, store, &peers{})
-	assert.Assert(t, s.Watcher(), "the only daemon of its zone must watch")
+	assert.Assert(t, s.IsWatcher(), "the only daemon of its zone must watch")
 	for _, d := range []mtid.Daemon{"a", "b", "c", "d", "e", "f"} {
 		record(t, store, d, "bern-a", 1)
 		record(t, store, d+"-elsewhere", "bern-b", 1)
@@ -201,5 +201,5 @@
 			ahead++
 		}
 	}
-	assert.Equal(t, s.Watcher(), ahead < mtsync.WatchersPerZone)
+	assert.Equal(t, s.IsWatcher(), ahead < mtsync.WatchersPerZone)
 }
