--- a/io/mtmesh/mtmesh.go
+++ b/io/mtmesh/mtmesh.go
@@ -253,7 +253,7 @@
 		Service:     m.config.Service,
 		Address:     m.config.ServerAddress,
 		PeerAddress: m.config.PeerAddress,
-		DrainPeriod: m.config.DrainPeriod,
+		DrainPeriod: m.config.Drain,
 		Clock:       clock,
 		Client:      client,
 		Log:         m.config.Log,
@@ -262,11 +262,11 @@
 		Keyed:       m.keyed,
 		Publish:     directory.Publish,
 		CheckGrant: func(incarnation mtid.ServerIncarnation, key mtid.KeyNumber) error {
-			return grants.Load().CheckGrant(incarnation, key)
+			return grants.Load().Holds(incarnation, key)
 		},
-		OnKeyDenied: func(key mtid.KeyNumber) { grants.Load().OnKeyDenied(key) },
+		OnKeyDenied: func(key mtid.KeyNumber) { grants.Load().Fenced(key) },
 		ClearGrants: func(ctx context.Context, incarnation mtid.ServerIncarnation, address string) error {
-			return grants.Load().ClearGrants(ctx, incarnation, address)
+			return grants.Load().Clear(ctx, incarnation, address)
 		},
 		CommandExpiry: func() mtclock.Instant { return grants.Load().Lasts() },
 		OnChange: func() {
