--- a/core/mtchoice/estimator.go
+++ b/core/mtchoice/estimator.go
@@ -1,24 +1,24 @@
 package mtchoice
 
-// Estimator judges one server's availability from the ends of the requests that
-// were sent to it.
+// Estimator estimates one server's availability from the outcomes of the
+// requests that were sent to it.
 type Estimator interface {
-	// Note takes in one end.
-	Note(good bool)
-	// Availability estimates how likely the next request succeeds, 0 to 1.
+	// Note records the outcome of one request.
+	Note(success bool)
+	// Availability estimates the probability that the next request succeeds, 0 to 1.
 	Availability() float64
-	// Down reports whether the server should get no requests but probes.
+	// Down reports whether the server should receive no requests but probes.
 	Down() bool
 }
 
-// LastSuccess judges by the last request alone.
+// LastSuccess considers only the most recent request.
 type LastSuccess struct{ failed bool }
 
-// NewLastSuccess returns the judgement of a server that hasn't failed.
+// NewLastSuccess returns the estimator of a server without failures.
 func NewLastSuccess() *LastSuccess { return &LastSuccess{} }
 
 // Note implements Estimator.
-func (e *LastSuccess) Note(good bool) { e.failed = !good }
+func (e *LastSuccess) Note(success bool) { e.failed = !success }
 
 // Availability implements Estimator.
 func (e *LastSuccess) Availability() float64 {
@@ -31,18 +31,19 @@
 // Down implements Estimator.
 func (e *LastSuccess) Down() bool { return e.failed }
 
-// downStreak is how many failures in a row make a server count as down.
+// downStreak is the number of consecutive failures after which a server counts
+// as down.
 const downStreak = 3
 
-// Streak judges by failures in a row: fewer than three are taken for chance.
+// Streak counts consecutive failures. Fewer than three are treated as chance.
 type Streak struct{ failures int }
 
-// NewStreak returns the judgement of a server that hasn't failed.
+// NewStreak returns the estimator of a server without failures.
 func NewStreak() *Streak { return &Streak{} }
 
 // Note implements Estimator.
-func (e *Streak) Note(good bool) {
-	if good {
+func (e *Streak) Note(success bool) {
+	if success {
 		e.failures = 0
 		return
 	}
@@ -60,46 +61,46 @@
 // Down implements Estimator.
 func (e *Streak) Down() bool { return e.failures >= downStreak }
 
-// Parameters of Average: it halves with each failure, and four in a row make a
-// server count as down. A failing server loses its share by its cost long before
-// it is left out.
+// Parameters of Average. Each failure halves the estimate, so four in a row mark
+// a server as down. The rising cost of a failing server takes requests away from
+// it long before it is excluded.
 const (
-	averageWeight = 0.5
-	averageDown   = 0.1
+	averageWeight    = 0.5
+	averageDownBelow = 0.1
 )
 
-// Average judges by an exponentially weighted moving average of the ends.
+// Average is an exponentially weighted moving average of the outcomes.
 type Average struct{ value float64 }
 
-// NewAverage returns the judgement of a server that hasn't failed.
+// NewAverage returns the estimator of a server without failures.
 func NewAverage() *Average { return &Average{value: 1} }
 
 // Note implements Estimator.
-func (e *Average) Note(good bool) {
-	end := 0.0
-	if good {
-		end = 1
+func (e *Average) Note(success bool) {
+	outcome := 0.0
+	if success {
+		outcome = 1
 	}
-	e.value += averageWeight * (end - e.value)
+	e.value += averageWeight * (outcome - e.value)
 }
 
 // Availability implements Estimator.
 func (e *Average) Availability() float64 { return e.value }
 
 // Down implements Estimator.
-func (e *Average) Down() bool { return e.value < averageDown }
+func (e *Average) Down() bool { return e.value < averageDownBelow }
 
 // Parameters of Status.
 const (
-	firstUpRun   = 5 // successes in a row until a server counts as stable
-	firstDownRun = 3 // failures in a row until it counts as down
-	minRun       = 2
-	maxRun       = 20
-	learnAfter   = 200 // requests between two adjustments
-	keptVisits   = 16  // availabilities of past transient times
+	initialUpRun   = 5 // consecutive successes until a server counts as stable
+	initialDownRun = 3 // consecutive failures until it counts as down
+	minRun         = 2
+	maxRun         = 20
+	adjustEvery    = 200 // requests between two adjustments of the run lengths
+	maxPast        = 16  // transient periods whose availability is retained
 )
 
-// status is where a server stands in Status.
+// status is the state of a server as Status identifies it.
 type status uint8
 
 const (
@@ -108,101 +109,101 @@
 	shortTermDown
 )
 
-// Status identifies one of three statuses: stable up, transient down after a
-// failure, short-term down after failures in a row. The availability of a
-// transient time is a weighted average over past ones. The lengths of the runs
-// that change the status are adjusted to the runs seen. The method is that of
-// "Dynamic Availability Estimation for Service Selection based on Status
+// Status distinguishes three states of a server: stable up, transient down after
+// a failure, and short-term down after consecutive failures. The availability
+// in a transient period is the weighted average over previous ones. The lengths
+// of the runs that change the state adapt to the runs observed. The method is
+// that of "Dynamic Availability Estimation for Service Selection based on Status
 // Identification" (SIBE), with its rules c0 to c3 and its equations 2 and 3.
 type Status struct {
-	status  status
-	run     int // ends of the same kind in a row
-	good    bool
-	upRun   int
-	downRun int
-	visit   visit
-	past    []float64
-	noted   int
-	ups     [maxRun + 3]int // how often a run of successes reached a length
-	downs   [maxRun + 3]int
+	status      status
+	run         int // consecutive requests with the same outcome
+	lastSuccess bool
+	upRun       int
+	downRun     int
+	period      period
+	past        []float64 // availability in previous transient periods, oldest first
+	observed    int
+	upRuns      [maxRun + 3]int // how often a run of successes reached a length
+	downRuns    [maxRun + 3]int
 }
 
-// visit counts the requests of one transient time.
-type visit struct{ all, failed int }
+// period counts the requests of one transient period.
+type period struct{ all, failed int }
 
-// NewStatus returns the judgement of a server that hasn't failed.
+// NewStatus returns the estimator of a server without failures.
 func NewStatus() *Status {
-	return &Status{good: true, upRun: firstUpRun, downRun: firstDownRun}
+	return &Status{lastSuccess: true, upRun: initialUpRun, downRun: initialDownRun}
 }
 
 // Note implements Estimator.
-func (e *Status) Note(good bool) {
-	if good != e.good {
+func (e *Status) Note(success bool) {
+	if success != e.lastSuccess {
 		e.run = 0
 	}
-	e.good = good
+	e.lastSuccess = success
 	e.run++
-	e.count()
+	e.countRun()
 	before := e.status
-	e.status = e.after(good)
+	e.status = e.next(success)
 	if e.status == transientDown {
-		e.visit.note(good)
+		e.period.observe(success)
 	}
 	if before == transientDown && e.status != transientDown {
-		e.leave()
+		e.endPeriod()
 	}
-	e.noted++
-	if e.noted%learnAfter == 0 {
-		e.upRun = adjust(e.upRun, e.ups[:])
-		e.downRun = adjust(e.downRun, e.downs[:])
+	e.observed++
+	if e.observed%adjustEvery == 0 {
+		e.upRun = adjustRun(e.upRun, e.upRuns[:])
+		e.downRun = adjustRun(e.downRun, e.downRuns[:])
 	}
 }
 
-// after returns the status after an end.
-func (e *Status) after(good bool) status {
+// next returns the state after a request with the given outcome.
+func (e *Status) next(success bool) status {
 	switch {
-	case e.status == stableUp && !good:
+	case e.status == stableUp && !success:
 		return transientDown
-	case e.status == transientDown && good && e.run >= e.upRun:
+	case e.status == transientDown && success && e.run >= e.upRun:
 		return stableUp
-	case e.status == transientDown && !good && e.run >= e.downRun:
+	case e.status == transientDown && !success && e.run >= e.downRun:
 		return shortTermDown
-	case e.status == shortTermDown && good:
+	case e.status == shortTermDown && success:
 		return transientDown
 	}
 	return e.status
 }
 
-// count notes the length that the present run has reached.
-func (e *Status) count() {
+// countRun counts that the current run has reached its present length.
+func (e *Status) countRun() {
 	length := min(e.run, maxRun+2)
-	if e.good {
-		e.ups[length]++
+	if e.lastSuccess {
+		e.upRuns[length]++
 		return
 	}
-	e.downs[length]++
+	e.downRuns[length]++
 }
 
-// leave keeps the availability of a transient time that has ended.
-func (e *Status) leave() {
-	e.past = append(e.past, e.visit.availability())
-	if len(e.past) > keptVisits {
+// endPeriod stores the availability in the transient period that just ended.
+func (e *Status) endPeriod() {
+	e.past = append(e.past, e.period.availability())
+	if len(e.past) > maxPast {
 		e.past = e.past[1:]
 	}
-	e.visit = visit{}
+	e.period = period{}
 }
 
-// note takes in one end.
-func (v *visit) note(good bool) {
-	v.all++
-	if !good {
-		v.failed++
+// observe counts the outcome of one request.
+func (p *period) observe(success bool) {
+	p.all++
+	if !success {
+		p.failed++
 	}
 }
 
-// availability returns the part that succeeded.
-func (v *visit) availability() float64 {
-	return float64(v.all-v.failed) / float64(max(v.all, 1))
+// availability returns the fraction of the requests that succeeded.
+func (p *period) availability() float64 {
+	return float64(p.all-p.failed) / float64(max(p.all, 1))
 }
 
 // Availability implements Estimator.
@@ -214,7 +215,7 @@
 		return 0
 	}
 	if len(e.past) == 0 {
-		return e.visit.availability()
+		return e.period.availability()
 	}
 	sum, weights := 0.0, 0.0
 	for i, a := range e.past {
@@ -227,16 +228,17 @@
 // Down implements Estimator.
 func (e *Status) Down() bool { return e.status == shortTermDown }
 
-// adjust returns the run length next to the present one after which another
-// end of the same kind was the most likely.
-func adjust(length int, reached []int) int {
-	best, most := length, -1.0
+// adjustRun returns the run length, at most one away from the current one, after
+// which another request with the same outcome was most likely. reached[i] is how
+// often a run reached length i.
+func adjustRun(length int, reached []int) int {
+	best, highest := length, -1.0
 	for i := max(length-1, minRun); i <= min(length+1, maxRun); i++ {
 		if reached[i] == 0 {
 			continue
 		}
-		if likely := float64(reached[i+1]) / float64(reached[i]); likely > most {
-			best, most = i, likely
+		if probability := float64(reached[i+1]) / float64(reached[i]); probability > highest {
+			best, highest = i, probability
 		}
 	}
 	return best
--- a/core/mtchoice/least.go
+++ b/core/mtchoice/least.go
@@ -9,78 +9,81 @@
 	"magnoliaturn/core/mtid"
 )
 
-// Report is what a server's daemon said of its load, and when it was heard.
+// Report is the load of a server as its daemon reported it.
 type Report struct {
-	Busy    int           // requests at the server and waiting for it
-	Service time.Duration // that the same request takes there; its ratio counts
-	At      mtclock.Instant
+	Busy    int             // requests that run at the server or wait for it
+	Service time.Duration   // service time of a typical request; only ratios between servers matter
+	At      mtclock.Instant // when the report was received; zero means no report
 }
 
-// Figures of Least.
+// Parameters of Least.
 const (
-	// reportMemory is the age at which a report counts half: queues of servers
-	// that take some hundred milliseconds a request look different by then.
-	reportMemory = 400 * time.Millisecond
-	// jitter is the random part of a cost. Several daemons see the same reports
-	// at the same time, and without it all of them would choose the same server.
-	jitter = 0.15
-	// firstSpare and mostSpare are how long a server is passed over after one
-	// failure and after several in a row.
-	firstSpare = 200 * time.Millisecond
-	mostSpare  = 3 * time.Second
-	// fullFor is how long a server that refused for its load is taken for full. It
-	// ends some ten requests in that time, and refuses more than half of the calls
-	// that come meanwhile; four in ten of all calls were refused by near servers
-	// that had just refused others, beside far ones with a third of their slots
-	// free.
-	fullFor = 150 * time.Millisecond
-	// fullCost is how much more a full near server costs than another near one.
-	fullCost = 1.5
+	// reportHalfAge is the age at which a report counts half. The queues of servers
+	// that take a few hundred milliseconds per request have changed by then.
+	reportHalfAge = 400 * time.Millisecond
+	// costJitter is the random part of a cost. Several daemons receive the same
+	// reports at the same time, and without it they would all choose the same
+	// server.
+	costJitter = 0.15
+	// minBackoff and maxBackoff are how long a server is avoided after one failure
+	// and after several in a row.
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 3 * time.Second
+	// fullDuration is how long a server counts as full after it refused a call
+	// because of its load. In that time it completes about ten requests and would
+	// refuse more than half of the calls sent to it. Without this rule four in ten
+	// of all calls were refused by local servers that had just refused others,
+	// while remote servers had a third of their slots free.
+	fullDuration = 150 * time.Millisecond
+	// fullCostFactor multiplies the cost of a full server in the local zone.
+	fullCostFactor = 1.5
 )
 
-// Least chooses the server with the most room: by what is busy and queued there,
-// by its own report and by what was sent there since, and by how slow it is. It
-// answers the pattern of servers whose speeds differ by a factor of two: an equal
-// share of the requests overloads the slow ones while the fast ones are idle, and
-// the least time until the answer overloads the fast ones.
+// Least chooses the server with the most spare capacity. The cost of a server
+// combines the requests that run or wait there (its own report and what was sent
+// since) with its relative service time. Both count since the speeds of servers
+// differ by a factor of two: equal shares overload the slow servers while the
+// fast ones are idle, and the shortest expected response time overloads the fast
+// ones.
 //
-// Servers that fail are passed over for a while, unless all do, and those that
-// refuse for their load for a moment.
+// Servers that fail are avoided for some time, unless all of them fail, and
+// servers that refuse a call because of their load for a shorter time.
 type Least struct {
-	random  *rand.Rand
-	zone    mtid.Zone
-	far     float64
-	servers []*least
-	byName  map[mtid.Holder]*least
+	random        *rand.Rand
+	zone          mtid.Zone
+	crossZoneCost float64
+	servers       []*leastServer
+	byName        map[mtid.Holder]*leastServer
 }
 
-// least is what is known of one candidate.
-type least struct {
+// leastServer is the state of one candidate.
+type leastServer struct {
 	Candidate
-	estimate *Average
-	mine     int // requests of this daemon on their way
-	since    int // of these, sent after the report
-	report   Report
-	spared   mtclock.Instant
-	full     mtclock.Instant
-	failures int // in a row
+	estimate        *Average
+	inFlight        int // requests that this daemon sent and that have not ended
+	sentSinceReport int // of these, sent after the report was received
+	report          Report
+	avoidUntil      mtclock.Instant // after failures
+	fullUntil       mtclock.Instant // after a refusal because of load
+	failures        int             // in a row
 }
 
-// NewLeast returns a Least without candidates. far is what a server in another
-// availability zone costs more; one costs as much as all slots in use.
-func NewLeast(random *rand.Rand, zone mtid.Zone, far float64) *Least {
-	return &Least{random: random, zone: zone, far: far, byName: make(map[mtid.Holder]*least)}
+// NewLeast returns a Least without candidates. crossZoneCost is the additional
+// cost of a server in another availability zone; 1 is the cost of a server with
+// all slots in use.
+func NewLeast(random *rand.Rand, zone mtid.Zone, crossZoneCost float64) *Least {
+	return &Least{random: random, zone: zone, crossZoneCost: crossZoneCost, byName: make(map[mtid.Holder]*leastServer)}
 }
 
-// Update replaces the candidates. What is known of those that stay is kept.
+// Update replaces the candidates. The state of those that remain is retained.
 func (p *Least) Update(candidates []Candidate) {
 	before := p.byName
-	p.byName = make(map[mtid.Holder]*least, len(candidates))
+	p.byName = make(map[mtid.Holder]*leastServer, len(candidates))
 	p.servers = p.servers[:0]
 	for _, c := range sorted(candidates) {
 		s, ok := before[c.Holder]
 		if !ok {
-			s = &least{estimate: NewAverage()}
+			s = &leastServer{estimate: NewAverage()}
 		}
 		s.Candidate = c
 		p.byName[c.Holder] = s
@@ -88,49 +91,49 @@
 	}
 }
 
-// Pick returns a server that is not in without, or false if there is none. Servers
-// that have failed, and then those that were full a moment ago, are chosen only if
-// there are no others; a call that some server has refused already is not sent to
-// one that was full. The first try may go to a near one all the same: asking there
-// costs a millisecond and no bytes between zones, and a quarter of them have room
-// again.
-func (p *Least) Pick(now mtclock.Instant, without []mtid.Holder) (mtid.Holder, bool) {
-	usual := p.usual()
-	var best *least
+// Pick returns the cheapest server that is not excluded, or false if there is
+// none. Servers that failed recently are chosen only if no other is left, and
+// full ones only after those. A call that was already tried elsewhere (exclude is
+// not empty) is never sent to a full server. The first try may go to a full
+// server in the local zone, at a higher cost: it takes a millisecond and no
+// traffic between zones, and a quarter of these servers have spare capacity again.
+func (p *Least) Pick(now mtclock.Instant, exclude []mtid.Holder) (mtid.Holder, bool) {
+	meanService := p.meanServiceTime()
+	var best *leastServer
 	bestRank, bestCost := rankFull, 0.0
 	for _, s := range p.servers {
-		if contains(without, s.Holder) {
+		if contains(exclude, s.Holder) {
 			continue
 		}
-		rank, cost := s.rank(now), p.cost(now, s, usual)
-		if rank == rankFull && s.Zone == p.zone && len(without) == 0 {
-			rank, cost = rankGood, cost*fullCost
+		rank, cost := s.rank(now), p.cost(now, s, meanService)
+		if rank == rankFull && s.Zone == p.zone && len(exclude) == 0 {
+			rank, cost = rankNormal, cost*fullCostFactor
 		}
 		if best == nil || rank < bestRank || rank == bestRank && cost < bestCost {
 			best, bestRank, bestCost = s, rank, cost
 		}
 	}
-	if best == nil || bestRank == rankFull && len(without) > 0 {
+	if best == nil || bestRank == rankFull && len(exclude) > 0 {
 		return mtid.Holder{}, false
 	}
 	return best.Holder, true
 }
 
-// The ranks of servers, the first to be chosen first.
+// The ranks of servers; a lower rank is chosen first.
 const (
-	rankGood = iota
-	rankSpared
+	rankNormal = iota
+	rankFailed
 	rankFull
 )
 
-func (s *least) rank(now mtclock.Instant) int {
+func (s *leastServer) rank(now mtclock.Instant) int {
 	switch {
-	case now.Before(s.full):
+	case now.Before(s.fullUntil):
 		return rankFull
-	case now.Before(s.spared):
-		return rankSpared
+	case now.Before(s.avoidUntil):
+		return rankFailed
 	}
-	return rankGood
+	return rankNormal
 }
 
 func contains(holders []mtid.Holder, h mtid.Holder) bool {
@@ -142,8 +145,9 @@
 	return false
 }
 
-// usual returns the mean service time of the servers that have reported one.
-func (p *Least) usual() time.Duration {
+// meanServiceTime returns the mean over the servers that have reported a service
+// time.
+func (p *Least) meanServiceTime() time.Duration {
 	var sum time.Duration
 	n := 0
 	for _, s := range p.servers {
@@ -158,59 +162,62 @@
 	return sum / time.Duration(n)
 }
 
-// cost returns what it costs to send the next request to the server: what runs and
-// what waits there as parts of its slots, by how slow it is, plus the distance.
-// For what runs, how slow it is counts by its root only: requests mostly have time
-// for a slow server, and by its full measure the slow ones, which were a third of
-// all, stood idle while every fast one had two requests waiting for each slot.
-func (p *Least) cost(now mtclock.Instant, s *least, usual time.Duration) float64 {
-	pace := 1.0
+// cost returns the cost of sending the next request to the server: the running
+// and the waiting requests there relative to its slots, weighted by its slowness
+// (its service time relative to the mean), plus the cost of crossing zones.
+// Running requests are weighted by the square root of the slowness only. Most
+// requests have time enough for a slow server, and with the full weight the slow
+// servers (a third of all) were idle while every fast one had two requests
+// waiting for each slot.
+func (p *Least) cost(now mtclock.Instant, s *leastServer, meanService time.Duration) float64 {
+	slowness := 1.0
 	if s.report.Service > 0 {
-		pace = float64(s.report.Service) / float64(usual)
+		slowness = float64(s.report.Service) / float64(meanService)
 	}
-	fade := 1 / (1 + float64(now.Sub(s.report.At))/float64(reportMemory))
-	busy := max(float64(s.report.Busy)*fade+float64(s.since), float64(s.mine))
+	reportWeight := 1 / (1 + float64(now.Sub(s.report.At))/float64(reportHalfAge))
+	load := max(float64(s.report.Busy)*reportWeight+float64(s.sentSinceReport), float64(s.inFlight))
 	slots := float64(max(s.Slots, 1))
-	over := max(busy+1-slots, 0)
-	cost := math.Sqrt(pace)*(1+min(busy, slots)/slots) + pace*over/slots
+	excess := max(load+1-slots, 0)
+	cost := math.Sqrt(slowness)*(1+min(load, slots)/slots) + slowness*excess/slots
 	if s.Zone != p.zone {
-		cost += p.far
+		cost += p.crossZoneCost
 	}
 	cost /= max(s.estimate.Availability(), minAvailability)
-	return cost * (1 + jitter*p.random.Float64())
+	return cost * (1 + costJitter*p.random.Float64())
 }
 
-// Started says that a request is sent to the server.
+// Started records that a request is sent to the server.
 func (p *Least) Started(holder mtid.Holder) {
 	if s, ok := p.byName[holder]; ok {
-		s.mine++
-		s.since++
+		s.inFlight++
+		s.sentSinceReport++
 	}
 }
 
-// Ended says how it ended. Each Started is followed by one Ended.
+// Ended records how a request ended and, if report is newer than the last one,
+// the server's load. The caller makes one call to Ended for each call to Started.
 func (p *Least) Ended(now mtclock.Instant, holder mtid.Holder, kind Kind, report Report) {
 	s, ok := p.byName[holder]
 	if !ok {
 		return
 	}
-	s.mine = max(s.mine-1, 0)
+	s.inFlight = max(s.inFlight-1, 0)
 	if report.At != 0 && report.At > s.report.At {
-		s.report, s.since = report, 0
+		s.report, s.sentSinceReport = report, 0
 	}
 	switch kind {
 	case Good:
 		s.estimate.Note(true)
-		s.failures, s.spared = 0, 0
+		s.failures, s.avoidUntil = 0, 0
 		if s.report.Busy < s.Slots {
-			s.full = 0
+			s.fullUntil = 0
 		}
 	case Bad:
 		s.estimate.Note(false)
-		s.spared = now.Add(min(firstSpare<<min(s.failures, 8), mostSpare))
+		s.avoidUntil = now.Add(min(minBackoff<<min(s.failures, 8), maxBackoff))
 		s.failures++
 	case Busy:
-		s.full = now.Add(fullFor)
+		s.fullUntil = now.Add(fullDuration)
 	case Other:
 	}
 }
--- a/core/mtchoice/least_test.go
+++ b/core/mtchoice/least_test.go
@@ -22,9 +22,9 @@
 	return mtchoice.Candidate{Holder: mtid.Holder{Daemon: mtid.Daemon(name), Incarnation: 1}, Zone: zone, Slots: 10}
 }
 
-// Servers of one service differ in speed by more than two. With equal shares the
-// slow one has a queue while the fast one is half idle.
-func TestLeastGivesTheFastServerMore(t *testing.T) {
+// The servers of one service differ in speed by more than a factor of two. With
+// equal shares the slow one queues requests while the fast one is half idle.
+func TestLeastLoadedSendsMoreToFasterServer(t *testing.T) {
 	fast, slow := server("fast", "near"), server("slow", "near")
 	p := newLeast(fast, slow)
 	now := mtclock.Instant(time.Second)
@@ -42,10 +42,10 @@
 		got[h.Daemon]++
 	}
 	assert.Assert(t, got["fast"] > 20, "fast server got %d of 30", got["fast"])
-	assert.Assert(t, got["slow"] > 0, "the slow server got nothing although the fast one is full")
+	assert.Assert(t, got["slow"] > 0, "the slow server got no request although the fast one is full")
 }
 
-func TestLeastPassesOverServersThatFail(t *testing.T) {
+func TestLeastLoadedAvoidsFailingServers(t *testing.T) {
 	good, bad := server("good", "far"), server("bad", "near")
 	p := newLeast(good, bad)
 	now := mtclock.Instant(time.Second)
@@ -55,7 +55,7 @@
 		h, _ := p.Pick(now, nil)
 		assert.Equal(t, h, good.Holder)
 	}
-	// If it is the only one left, a server that has failed is better than none.
+	// A server that has failed is still picked if all others are excluded.
 	h, ok := p.Pick(now, []mtid.Holder{good.Holder})
 	assert.Assert(t, ok)
 	assert.Equal(t, h, bad.Holder)
@@ -63,7 +63,7 @@
 	assert.Assert(t, !ok)
 }
 
-func TestLeastPrefersTheOwnZone(t *testing.T) {
+func TestLeastLoadedPrefersOwnZone(t *testing.T) {
 	p := newLeast(server("a", "far"), server("b", "near"), server("c", "far"))
 	near := 0
 	for range 100 {
@@ -74,36 +74,36 @@
 	assert.Assert(t, near > 60, "the near server got %d of 100", near)
 }
 
-// Near servers are full, far ones have room. Whoever asks near ones again and again
-// is refused beside free slots; whoever asks all of them holds the refusal back
-// while there is no room anywhere.
-func TestLeastPassesOverServersThatAreFull(t *testing.T) {
+// The local servers are full and a remote one has free slots. Retrying local
+// servers again and again would have the call refused in spite of the free slots;
+// trying every server would delay the refusal when none has any.
+func TestLeastLoadedAvoidsFullServers(t *testing.T) {
 	near, other, far := server("a", "near"), server("b", "near"), server("c", "far")
 	p := newLeast(near, other, far)
 	now := mtclock.Instant(time.Second)
-	full := func(c mtchoice.Candidate) {
+	refuse := func(c mtchoice.Candidate) {
 		p.Started(c.Holder)
 		p.Ended(now, c.Holder, mtchoice.Busy, mtchoice.Report{Busy: 30, Service: time.Second, At: now})
 	}
-	full(near)
-	full(other)
+	refuse(near)
+	refuse(other)
 	for range 20 {
 		h, _ := p.Pick(now, []mtid.Holder{near.Holder})
 		assert.Equal(t, h, far.Holder)
 	}
-	full(far)
+	refuse(far)
 	_, ok := p.Pick(now, nil)
-	assert.Assert(t, ok, "a first try goes somewhere")
+	assert.Assert(t, ok, "the first try must be sent even if all servers are full")
 	_, ok = p.Pick(now, []mtid.Holder{near.Holder})
-	assert.Assert(t, !ok, "a second one does not")
+	assert.Assert(t, !ok, "a retry must not be sent to a full server")
 	_, ok = p.Pick(now.Add(time.Second), []mtid.Holder{near.Holder})
-	assert.Assert(t, ok, "room is looked for again")
+	assert.Assert(t, ok, "servers must count as full for a limited time only")
 }
 
-// A third of the servers take twice as long as the others, which requests have time
-// for. Fast ones were sent everything until two requests waited for each of their
-// slots and most were refused, beside slow ones without any.
-func TestLeastUsesSlowServersBeforeFastOnesQueue(t *testing.T) {
+// A third of the servers take twice as long as the others, and the deadlines allow
+// for that. Fast servers received all requests until two waited for each of their
+// slots and most were refused, while slow servers were idle.
+func TestLeastLoadedUsesSlowServersBeforeFastOnesQueue(t *testing.T) {
 	var servers []mtchoice.Candidate
 	for _, name := range []string{"f1", "f2", "s1"} {
 		servers = append(servers, server(name, "near"))
@@ -125,6 +125,6 @@
 		got[h.Daemon]++
 	}
 	assert.Assert(t, got["s1"] >= 3, "the slow server got %d of 24", got["s1"])
-	assert.Assert(t, got["f1"] <= 12 && got["f2"] <= 12, "fast servers queue: %v", got)
+	assert.Assert(t, got["f1"] <= 12 && got["f2"] <= 12, "fast servers have requests waiting: %v", got)
 	assert.Assert(t, got["s1"] < got["f1"] && got["s1"] < got["f2"], "%v", got)
 }
--- a/core/mtchoice/mtchoice.go
+++ b/core/mtchoice/mtchoice.go
@@ -1,15 +1,15 @@
-// Package mtchoice decides, at the caller's daemon, which server of a spread
-// service answers a request. Any server may; the choice is about load, distance
-// and failures.
+// Package mtchoice selects, at the caller's daemon, the server that processes a
+// request to a spread service. Any server can process it, so the selection
+// depends on load, distance and failures only.
 //
-// A Policy sees what this daemon itself has sent and how that ended, which is
-// neither late nor misleading, as reports of load and health are. Power is the
-// policy meant for service; RoundRobin and Random are the plain ones.
+// A Policy relies on the requests that this daemon itself sent and on their
+// outcomes, which are neither late nor misleading, as reports of load and health
+// can be. Power is the policy for production; RoundRobin and Random are baselines.
 //
 // # Usage
 //
 //	policy := mtchoice.NewPower(random, options, mtchoice.NewAverage)
-//	policy.Update(candidates) // when the roster or the offers changed
+//	policy.Update(candidates) // when the roster or the offers have changed
 //	server, ok := policy.Pick(now)
 //	policy.Started(now, server)
 //	policy.Ended(now, server, mtchoice.Result{Kind: mtchoice.Good, Queue: waited})
@@ -27,47 +27,49 @@
 	"magnoliaturn/core/mtid"
 )
 
-// Candidate is a server that may be chosen.
+// Candidate is a server that a policy may select.
 type Candidate struct {
 	Holder mtid.Holder
 	Zone   mtid.Zone
-	Slots  int // requests that it runs at once, at least 1
+	Slots  int // requests that it runs concurrently, at least 1
 }
 
-// Kind says how a request ended, as far as the server's fitness goes.
+// Kind classifies the outcome of a request by what it implies about the server.
 type Kind uint8
 
-// The kinds of result.
+// The kinds of results.
 const (
-	Good  Kind = iota // it answered
-	Bad               // it broke, hung or couldn't be reached
-	Busy              // it refused for its load: alive, but full
-	Other             // the end says nothing of the server
+	Good  Kind = iota // the server answered
+	Bad               // the server failed, hung or was unreachable
+	Busy              // the server is up but refused because of its load
+	Other             // the outcome implies nothing about the server
 )
 
-// Result is the end of a request.
+// Result is the outcome of a request.
 type Result struct {
 	Kind Kind
 	// Queue is how long the request waited at the server's gate.
 	Queue time.Duration
-	// RetryAfter is when a Busy server wants to be asked again.
+	// RetryAfter is how long a Busy server requests to be left alone.
 	RetryAfter time.Duration
 }
 
-// Policy chooses servers. It is told the start and the end of each request.
+// Policy selects servers. The caller reports the start and the end of each request
+// to it.
 type Policy interface {
-	// Update replaces the candidates. What is known of those that stay is kept.
+	// Update replaces the candidates. The state of those that remain is retained.
 	Update(candidates []Candidate)
 	// Pick returns a server, or false if there is no candidate.
 	Pick(now mtclock.Instant) (mtid.Holder, bool)
-	// Started says that a request is sent to the server.
+	// Started records that a request is sent to the server.
 	Started(now mtclock.Instant, server mtid.Holder)
-	// Ended says how it ended. Each Started is followed by one Ended.
+	// Ended records how a request ended. The caller makes one call to Ended for
+	// each call to Started.
 	Ended(now mtclock.Instant, server mtid.Holder, r Result)
 }
 
-// sorted returns the candidates in the order of their names, so that the same
-// set gives the same choices whatever order it came in.
+// sorted returns the candidates ordered by name and incarnation, so that the
+// selection does not depend on the order in which they were given.
 func sorted(candidates []Candidate) []Candidate {
 	out := slices.Clone(candidates)
 	slices.SortFunc(out, func(a, b Candidate) int {
@@ -76,7 +78,7 @@
 	return out
 }
 
-// RoundRobin takes one server after the other.
+// RoundRobin selects the servers in turn.
 type RoundRobin struct {
 	candidates []Candidate
 	next       int
@@ -103,7 +105,7 @@
 // Ended implements Policy.
 func (*RoundRobin) Ended(mtclock.Instant, mtid.Holder, Result) {}
 
-// Random takes any server.
+// Random selects each server with the same probability.
 type Random struct {
 	candidates []Candidate
 	random     *rand.Rand
--- a/core/mtchoice/mtchoice_test.go
+++ b/core/mtchoice/mtchoice_test.go
@@ -31,8 +31,8 @@
 	return p
 }
 
-// pick picks so many times and counts by zone.
-func pick(p mtchoice.Policy, now mtclock.Instant, times int) map[mtid.Zone]int {
+// pickMany calls Pick several times and counts the picks by zone.
+func pickMany(p mtchoice.Policy, now mtclock.Instant, times int) map[mtid.Zone]int {
 	count := make(map[mtid.Zone]int)
 	for range times {
 		h, _ := p.Pick(now)
@@ -41,7 +41,7 @@
 	return count
 }
 
-func end(p mtchoice.Policy, now mtclock.Instant, name string, times int, r mtchoice.Result) {
+func finish(p mtchoice.Policy, now mtclock.Instant, name string, times int, r mtchoice.Result) {
 	h := mtid.Holder{Daemon: mtid.Daemon(name), Incarnation: 1}
 	for range times {
 		p.Started(now, h)
@@ -49,95 +49,95 @@
 	}
 }
 
-func TestNobodyToChoose(t *testing.T) {
+func TestPickWithoutCandidates(t *testing.T) {
 	for _, p := range []mtchoice.Policy{newPower("a"), mtchoice.NewRoundRobin(), mtchoice.NewRandom(rand.New(rand.NewPCG(1, 2)))} {
 		_, ok := p.Pick(0)
 		assert.Assert(t, !ok)
 	}
 }
 
-func TestNearServersAreTakenUntilTheyAreLoaded(t *testing.T) {
+func TestOwnZoneIsPreferredUntilLoaded(t *testing.T) {
 	p := newPower("a", "a1", "a2", "b1", "b2")
-	assert.Equal(t, pick(p, 0, 100)["a"], 100)
+	assert.Equal(t, pickMany(p, 0, 100)["a"], 100)
 	for _, c := range candidates("a1", "a2") {
 		p.Started(0, c.Holder)
 		p.Started(0, c.Holder)
 	}
-	assert.Equal(t, pick(p, 0, 100)["b"], 100)
+	assert.Equal(t, pickMany(p, 0, 100)["b"], 100)
 }
 
-// A server breaks its connections. It is left out after the third failure,
-// probed by one request when its time is over, and taken back when that is
+// A server breaks its connections. It is ejected after the third failure, probed
+// by one request when the ejection expires, and reinstated when that request is
 // answered.
 func TestEjectionAndProbe(t *testing.T) {
 	p := newPower("", "a1", "b1", "c1", "d1")
-	end(p, 0, "a1", 2, mtchoice.Result{Kind: mtchoice.Bad})
+	finish(p, 0, "a1", 2, mtchoice.Result{Kind: mtchoice.Bad})
 	assert.Equal(t, p.Ejected(), 0)
-	end(p, 0, "a1", 1, mtchoice.Result{Kind: mtchoice.Bad})
+	finish(p, 0, "a1", 1, mtchoice.Result{Kind: mtchoice.Bad})
 	assert.Equal(t, p.Ejected(), 1)
-	assert.Equal(t, pick(p, 1, 100)["a"], 0)
+	assert.Equal(t, pickMany(p, 1, 100)["a"], 0)
 
 	probe := mtclock.Instant(500 * time.Millisecond)
-	assert.Equal(t, pick(p, probe, 100)["a"], 1)
-	end(p, probe, "a1", 1, mtchoice.Result{Kind: mtchoice.Bad})
-	assert.Equal(t, pick(p, probe+mtclock.Instant(999*time.Millisecond), 100)["a"], 0)
+	assert.Equal(t, pickMany(p, probe, 100)["a"], 1)
+	finish(p, probe, "a1", 1, mtchoice.Result{Kind: mtchoice.Bad})
+	assert.Equal(t, pickMany(p, probe+mtclock.Instant(999*time.Millisecond), 100)["a"], 0)
 
 	probe += mtclock.Instant(time.Second)
-	assert.Equal(t, pick(p, probe, 100)["a"], 1)
-	end(p, probe, "a1", 1, mtchoice.Result{Kind: mtchoice.Good})
+	assert.Equal(t, pickMany(p, probe, 100)["a"], 1)
+	finish(p, probe, "a1", 1, mtchoice.Result{Kind: mtchoice.Good})
 	assert.Equal(t, p.Ejected(), 0)
-	assert.Assert(t, pick(p, probe, 100)["a"] > 0)
+	assert.Assert(t, pickMany(p, probe, 100)["a"] > 0)
 }
 
-// The daemon's own network fails, so that every server looks broken. Requests
-// must go on being tried: half of the servers stay in at least.
-func TestEjectionHasACap(t *testing.T) {
+// The daemon's own network fails, so every server seems to be down. At least half
+// of the servers must remain eligible, so that requests are still tried.
+func TestEjectionIsLimited(t *testing.T) {
 	p := newPower("", "a1", "b1", "c1", "d1")
 	for _, name := range []string{"a1", "b1", "c1", "d1"} {
-		end(p, 0, name, 10, mtchoice.Result{Kind: mtchoice.Bad})
+		finish(p, 0, name, 10, mtchoice.Result{Kind: mtchoice.Bad})
 	}
 	assert.Equal(t, p.Ejected(), 2)
 	_, ok := p.Pick(0)
 	assert.Assert(t, ok)
 }
 
-func TestBusyServerIsSpared(t *testing.T) {
+func TestOverloadedServerIsAvoidedUntilRetryAfter(t *testing.T) {
 	p := newPower("", "a1", "b1")
-	end(p, 0, "a1", 1, mtchoice.Result{Kind: mtchoice.Busy, RetryAfter: 100 * time.Millisecond})
-	assert.Equal(t, pick(p, 1, 100)["a"], 0)
-	assert.Assert(t, pick(p, mtclock.Instant(100*time.Millisecond), 100)["a"] > 0)
-	end(p, 0, "b1", 1, mtchoice.Result{Kind: mtchoice.Busy, RetryAfter: time.Hour})
-	count := pick(p, 1, 100)
-	assert.Equal(t, count["a"]+count["b"], 100, "with all spared, somebody is asked")
-	assert.Assert(t, pick(p, mtclock.Instant(time.Second), 100)["b"] > 0)
+	finish(p, 0, "a1", 1, mtchoice.Result{Kind: mtchoice.Busy, RetryAfter: 100 * time.Millisecond})
+	assert.Equal(t, pickMany(p, 1, 100)["a"], 0)
+	assert.Assert(t, pickMany(p, mtclock.Instant(100*time.Millisecond), 100)["a"] > 0)
+	finish(p, 0, "b1", 1, mtchoice.Result{Kind: mtchoice.Busy, RetryAfter: time.Hour})
+	count := pickMany(p, 1, 100)
+	assert.Equal(t, count["a"]+count["b"], 100, "a server must be picked even if all are to be avoided")
+	assert.Assert(t, pickMany(p, mtclock.Instant(time.Second), 100)["b"] > 0)
 }
 
-func TestUpdateKeepsWhatIsKnown(t *testing.T) {
+func TestUpdateRetainsState(t *testing.T) {
 	p := newPower("", "a1", "b1", "c1", "d1")
-	end(p, 0, "a1", 3, mtchoice.Result{Kind: mtchoice.Bad})
+	finish(p, 0, "a1", 3, mtchoice.Result{Kind: mtchoice.Bad})
 	p.Update(candidates("e1", "d1", "a1"))
 	assert.Equal(t, p.Ejected(), 1)
-	count := pick(p, 1, 200)
+	count := pickMany(p, 1, 200)
 	assert.Equal(t, count["a"]+count["b"]+count["c"], 0)
 }
 
-// Whatever comes, a pick is one of the candidates, and no more than the cap of
-// them is left out by ejections since the last update.
-func TestPowerInvariants(t *testing.T) {
+// For any sequence of results, Pick returns a server, and no more servers are
+// ejected after an update of the candidates than the limit allows.
+func TestPowerOfTwoInvariants(t *testing.T) {
 	names := []string{"a1", "a2", "b1", "b2", "c1"}
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPower("a", names...)
 		now := mtclock.Instant(0)
-		open := []mtid.Holder{}
+		inFlight := []mtid.Holder{}
 		t.Repeat(map[string]func(*rapid.T){
 			"send": func(t *rapid.T) {
 				h, ok := p.Pick(now)
 				assert.Assert(t, ok)
 				p.Started(now, h)
-				open = append(open, h)
+				inFlight = append(inFlight, h)
 			},
 			"end": func(t *rapid.T) {
-				if len(open) == 0 {
+				if len(inFlight) == 0 {
 					return
 				}
 				r := mtchoice.Result{
@@ -145,9 +145,9 @@
 					Queue:      time.Duration(rapid.IntRange(0, 50).Draw(t, "queue")) * time.Millisecond,
 					RetryAfter: time.Duration(rapid.IntRange(-1, 5000).Draw(t, "after")) * time.Millisecond,
 				}
-				p.Ended(now, open[0], r)
-				open = open[1:]
-				assert.Assert(t, p.Ejected() <= len(names)/2, "%d are left out", p.Ejected())
+				p.Ended(now, inFlight[0], r)
+				inFlight = inFlight[1:]
+				assert.Assert(t, p.Ejected() <= len(names)/2, "%d servers are ejected", p.Ejected())
 			},
 			"pass": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
@@ -156,8 +156,8 @@
 	})
 }
 
-// notes feeds a pattern, in which 1 is a success.
-func notes(e mtchoice.Estimator, pattern string) {
+// observeAll records the outcomes of a pattern, in which 1 is a success.
+func observeAll(e mtchoice.Estimator, pattern string) {
 	for _, c := range pattern {
 		e.Note(c == '1')
 	}
@@ -172,24 +172,25 @@
 		want    float64
 	}{
 		{"last success, failed", func() mtchoice.Estimator { return mtchoice.NewLastSuccess() }, "110", true, 0},
-		{"last success, back", func() mtchoice.Estimator { return mtchoice.NewLastSuccess() }, "1101", false, 1},
+		{"last success, recovered", func() mtchoice.Estimator { return mtchoice.NewLastSuccess() }, "1101", false, 1},
 		{"streak of two", func() mtchoice.Estimator { return mtchoice.NewStreak() }, "100", false, 1},
 		{"streak of three", func() mtchoice.Estimator { return mtchoice.NewStreak() }, "1000", true, 0},
 		{"average", func() mtchoice.Estimator { return mtchoice.NewAverage() }, "00", false, 0.25},
 		{"average, down", func() mtchoice.Estimator { return mtchoice.NewAverage() }, "0000", true, 0.0625},
 		{"status, stable", func() mtchoice.Estimator { return mtchoice.NewStatus() }, "1111", false, 1},
-		{"status, first transient time", func() mtchoice.Estimator { return mtchoice.NewStatus() }, "1101", false, 0.5},
+		{"status, first transient period", func() mtchoice.Estimator { return mtchoice.NewStatus() }, "1101", false, 0.5},
 		{"status, stable again", func() mtchoice.Estimator { return mtchoice.NewStatus() }, "11011111", false, 1},
 		{"status, down", func() mtchoice.Estimator { return mtchoice.NewStatus() }, "11000", true, 0},
-		{"status, back from down", func() mtchoice.Estimator { return mtchoice.NewStatus() }, "110001", false, 0},
-		// Past transient times: 4 of 5 (the fifth success in a row ends it and
-		// isn't counted), then 2 of 5, ended by the third failure in a row.
+		{"status, recovered from down", func() mtchoice.Estimator { return mtchoice.NewStatus() }, "110001", false, 0},
+		// Previous transient periods: 4 of 5 succeeded (the fifth success in a row
+		// ends the period and isn't counted), then 2 of 5, ended by the third
+		// failure in a row.
 		{"status, weighted average", func() mtchoice.Estimator { return mtchoice.NewStatus() }, "1011111" + "0110001", false, (0.8 + 2*0.4) / 3},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			e := tt.make()
-			notes(e, tt.pattern)
+			observeAll(e, tt.pattern)
 			assert.Equal(t, e.Down(), tt.down)
 			got := e.Availability()
 			assert.Assert(t, got > tt.want-0.001 && got < tt.want+0.001, "got %.4f, want %.4f", got, tt.want)
@@ -197,7 +198,7 @@
 	}
 }
 
-// BenchmarkPick is one choice among the servers of a large service.
+// BenchmarkPick measures one pick among the servers of a large service.
 func BenchmarkPick(b *testing.B) {
 	var many []mtchoice.Candidate
 	for i := range 100 {
--- a/core/mtchoice/power.go
+++ b/core/mtchoice/power.go
@@ -8,82 +8,83 @@
 	"magnoliaturn/core/mtid"
 )
 
-// Options of a Power.
+// Options are the parameters of a Power policy.
 type Options struct {
-	Zone mtid.Zone // of this daemon; empty is no preference
-	// Ejected is the largest part of the candidates that may be left out for
-	// their failures. Beyond it something else is wrong, such as this daemon's
-	// own network, and leaving servers out would only load the others.
+	Zone mtid.Zone // of this daemon; if empty, no zone is preferred
+	// Ejected is the largest fraction of the candidates that may be ejected because
+	// of failures. If more of them fail, the cause lies elsewhere, such as in this
+	// daemon's own network, and ejecting more would only overload the others.
 	Ejected float64
-	// Reports says that the waiting times which servers report are counted as
-	// load. It tells of what other daemons send to the same server.
+	// Reports adds the queue times that servers report to their cost. They reflect
+	// the load that other daemons put on the same server.
 	Reports bool
 }
 
-// DefaultEjected is the usual Options.Ejected.
+// DefaultEjected is the Options.Ejected that a zero value stands for.
 const DefaultEjected = 0.5
 
-// How long a server is left out after it counts as down, doubled each time it
-// fails again.
+// The duration of an ejection. It doubles each time the server fails again.
 const (
 	minEjection = 500 * time.Millisecond
 	maxEjection = 8 * time.Second
 )
 
-// Weights of a server's cost, in requests in flight per slot.
+// Weights of a server's cost, whose unit is requests in flight per slot.
 const (
-	// farCost is what a server in another availability zone has to be less
-	// loaded by: a millisecond more on the way is worth a tenth of its slots.
-	farCost = 0.1
-	// queueUnit is the waiting time that counts as much as all slots being
-	// taken.
+	// crossZoneCost is the additional cost of a server in another availability
+	// zone: a millisecond of additional latency counts as a tenth of its slots.
+	crossZoneCost = 0.1
+	// queueUnit is the queue time that costs as much as all slots in use.
 	queueUnit = 10 * time.Millisecond
-	// queueWeight is the weight of a new report in the moving average.
-	queueWeight = 0.2
-	// queueMemory halves the average while nothing is heard of the server.
-	queueMemory = 200 * time.Millisecond
+	// reportWeight is the weight of a new report in the moving average.
+	reportWeight = 0.2
+	// queueHalfAge is the time without a new report after which the moving average
+	// counts half.
+	queueHalfAge = 200 * time.Millisecond
 	// minAvailability keeps the cost of a failing server finite.
 	minAvailability = 0.05
 )
 
-// busyWait bounds how long a server that refused for its load is spared.
-const busyWait = time.Second
+// maxRetryAfter limits how long a server that refused because of its load is
+// avoided.
+const maxRetryAfter = time.Second
 
-// Power draws two servers at random and takes the one that costs less: requests
-// in flight per slot, more for another availability zone, more for failures.
-// Servers that are down are left out, and probed by a single request when their
-// time is over.
+// Power implements the power of two choices: it draws two servers at random and
+// selects the one with the lower cost. The cost is the number of requests in
+// flight per slot, higher for another availability zone and after failures.
+// Servers that are down are ejected, and probed by a single request when the
+// ejection has expired.
 type Power[E Estimator] struct {
-	random  *rand.Rand
-	options Options
-	fresh   func() E
-	servers []*server[E]
-	byName  map[mtid.Holder]*server[E]
-	near    []*server[E] // scratch: those of the own zone that may be chosen
-	far     []*server[E] // scratch: the others
+	random       *rand.Rand
+	options      Options
+	newEstimator func() E
+	servers      []*server[E]
+	byName       map[mtid.Holder]*server[E]
+	local        []*server[E] // scratch: eligible servers in the own zone
+	remote       []*server[E] // scratch: other eligible servers
 }
 
-// server is what is known of one candidate.
+// server is the state of one candidate.
 type server[E Estimator] struct {
 	Candidate
-	estimate E
-	inFlight int
-	queue    float64 // moving average of the reported waits, in queueUnit
-	heard    mtclock.Instant
-	spared   mtclock.Instant // Busy: not before this time
-	ejected  bool
-	until    mtclock.Instant // Ejected: probed then
-	times    int             // Ejected: in a row
-	probing  bool
+	estimate   E
+	inFlight   int
+	queueWait  float64 // moving average of the reported queue times, in units of queueUnit
+	reportedAt mtclock.Instant
+	avoidUntil mtclock.Instant // after a Busy result
+	ejected    bool
+	probeAt    mtclock.Instant // when an ejected server is probed
+	ejections  int             // in a row
+	probing    bool
 }
 
-// NewPower returns a Power without candidates. fresh returns the judgement of a
-// server of which nothing is known.
-func NewPower[E Estimator](random *rand.Rand, options Options, fresh func() E) *Power[E] {
+// NewPower returns a Power without candidates. newEstimator returns the initial
+// estimator of a new candidate.
+func NewPower[E Estimator](random *rand.Rand, options Options, newEstimator func() E) *Power[E] {
 	if options.Ejected == 0 {
 		options.Ejected = DefaultEjected
 	}
-	return &Power[E]{random: random, options: options, fresh: fresh, byName: make(map[mtid.Holder]*server[E])}
+	return &Power[E]{random: random, options: options, newEstimator: newEstimator, byName: make(map[mtid.Holder]*server[E])}
 }
 
 // Update implements Policy.
@@ -94,7 +95,7 @@
 	for _, c := range sorted(candidates) {
 		s, ok := before[c.Holder]
 		if !ok {
-			s = &server[E]{estimate: p.fresh()}
+			s = &server[E]{estimate: p.newEstimator()}
 		}
 		s.Candidate = c
 		p.byName[c.Holder] = s
@@ -107,53 +108,53 @@
 	if len(p.servers) == 0 {
 		return mtid.Holder{}, false
 	}
-	if s := p.due(now); s != nil {
-		// Another probe follows if nothing is heard of this one.
+	if s := p.dueForProbe(now); s != nil {
+		// If this probe never ends, another one is sent.
 		s.probing = true
-		s.until = now.Add(minEjection)
+		s.probeAt = now.Add(minEjection)
 		return s.Holder, true
 	}
-	p.sort(now)
-	near, far := p.draw(now, p.near), p.draw(now, p.far)
-	if far == nil || (near != nil && p.cost(now, near) <= p.cost(now, far)) {
-		return near.Holder, true
+	p.partition(now)
+	local, remote := p.pickCheaper(now, p.local), p.pickCheaper(now, p.remote)
+	if remote == nil || (local != nil && p.cost(now, local) <= p.cost(now, remote)) {
+		return local.Holder, true
 	}
-	return far.Holder, true
+	return remote.Holder, true
 }
 
-// due returns a server that is to be probed, or nil.
-func (p *Power[E]) due(now mtclock.Instant) *server[E] {
+// dueForProbe returns an ejected server that is due for a probe, or nil.
+func (p *Power[E]) dueForProbe(now mtclock.Instant) *server[E] {
 	for _, s := range p.servers {
-		if s.ejected && !now.Before(s.until) {
+		if s.ejected && !now.Before(s.probeAt) {
 			return s
 		}
 	}
 	return nil
 }
 
-// sort finds the servers that may be chosen, by distance. Without a zone of its
-// own, all are far.
-func (p *Power[E]) sort(now mtclock.Instant) {
-	p.near, p.far = p.near[:0], p.far[:0]
+// partition collects the eligible servers by zone. If Options.Zone is empty, all
+// of them count as remote.
+func (p *Power[E]) partition(now mtclock.Instant) {
+	p.local, p.remote = p.local[:0], p.remote[:0]
 	for _, s := range p.servers {
 		switch {
-		case s.ejected || now.Before(s.spared):
+		case s.ejected || now.Before(s.avoidUntil):
 		case s.Zone == p.options.Zone && p.options.Zone != "":
-			p.near = append(p.near, s)
+			p.local = append(p.local, s)
 		default:
-			p.far = append(p.far, s)
+			p.remote = append(p.remote, s)
 		}
 	}
-	if len(p.near)+len(p.far) == 0 {
-		// All of them are spared or down: a refusal by one of them is more
-		// truthful than one made up here.
-		p.far = append(p.far, p.servers...)
+	if len(p.local)+len(p.remote) == 0 {
+		// All servers are avoided or ejected. Any of them is tried, since the refusal
+		// of a server is more accurate than one that is made up here.
+		p.remote = append(p.remote, p.servers...)
 	}
 }
 
-// draw returns the cheaper of two servers drawn at random, or nil if there is
-// none.
-func (p *Power[E]) draw(now mtclock.Instant, from []*server[E]) *server[E] {
+// pickCheaper returns the cheaper of two servers drawn at random, or nil if
+// there are none.
+func (p *Power[E]) pickCheaper(now mtclock.Instant, from []*server[E]) *server[E] {
 	if len(from) == 0 {
 		return nil
 	}
@@ -171,24 +172,25 @@
 	return from[i]
 }
 
-// cost returns what the next request would meet at the server.
+// cost returns the cost of sending the next request to the server.
 func (p *Power[E]) cost(now mtclock.Instant, s *server[E]) float64 {
 	cost := float64(s.inFlight+1) / float64(max(s.Slots, 1))
 	if p.options.Reports {
-		cost += s.waits(now)
+		cost += s.decayedQueueWait(now)
 	}
 	cost /= max(s.estimate.Availability(), minAvailability)
 	if s.Zone != p.options.Zone && p.options.Zone != "" {
-		cost += farCost
+		cost += crossZoneCost
 	}
 	return cost
 }
 
-// waits returns the reported waits, which fade: a server that was avoided for
-// its queue has to be tried again some time.
-func (s *server[E]) waits(now mtclock.Instant) float64 {
-	halvings := float64(now.Sub(s.heard)) / float64(queueMemory)
-	return s.queue / (1 + halvings)
+// decayedQueueWait returns the moving average of the reported queue times, which
+// decays with the age of the last report, so that a server that was avoided
+// because of its queue is eventually tried again.
+func (s *server[E]) decayedQueueWait(now mtclock.Instant) float64 {
+	relativeAge := float64(now.Sub(s.reportedAt)) / float64(queueHalfAge)
+	return s.queueWait / (1 + relativeAge)
 }
 
 // Started implements Policy.
@@ -207,51 +209,52 @@
 	s.inFlight = max(s.inFlight-1, 0)
 	switch r.Kind {
 	case Good:
-		s.hear(now, r.Queue)
+		s.recordQueueWait(now, r.Queue)
 		s.estimate.Note(true)
 		p.reinstate(s)
 	case Bad:
 		s.estimate.Note(false)
 		p.eject(now, s)
 	case Busy:
-		s.spared = now.Add(min(max(r.RetryAfter, 0), busyWait))
+		s.avoidUntil = now.Add(min(max(r.RetryAfter, 0), maxRetryAfter))
 		p.reinstate(s)
 	case Other:
 		s.probing = false
 	}
 }
 
-// hear takes in a reported wait.
-func (s *server[E]) hear(now mtclock.Instant, wait time.Duration) {
-	faded := s.waits(now)
-	s.queue = faded + queueWeight*(float64(wait)/float64(queueUnit)-faded)
-	s.heard = now
+// recordQueueWait adds a reported queue time to the moving average.
+func (s *server[E]) recordQueueWait(now mtclock.Instant, wait time.Duration) {
+	decayed := s.decayedQueueWait(now)
+	s.queueWait = decayed + reportWeight*(float64(wait)/float64(queueUnit)-decayed)
+	s.reportedAt = now
 }
 
-// reinstate ends an ejection, since the server has shown that it is up.
+// reinstate ends an ejection after a reply that proves the server to be up.
 func (p *Power[E]) reinstate(s *server[E]) {
 	s.ejected, s.probing = false, false
 	if !s.estimate.Down() {
-		s.times = 0
+		s.ejections = 0
 	}
 }
 
-// eject leaves out a server that counts as down, within the cap.
+// eject ejects a server that counts as down, unless the limit is reached, and
+// extends the ejection if its probe failed.
 func (p *Power[E]) eject(now mtclock.Instant, s *server[E]) {
-	if !s.ejected && (!s.estimate.Down() || !p.mayEject()) {
+	if !s.ejected && (!s.estimate.Down() || !p.canEject()) {
 		return
 	}
-	// Requests that were on their way when it was ejected tell nothing new.
+	// Requests that were in flight when the server was ejected add no evidence.
 	if s.ejected && !s.probing {
 		return
 	}
 	s.ejected, s.probing = true, false
-	s.until = now.Add(min(minEjection<<min(s.times, 8), maxEjection))
-	s.times++
+	s.probeAt = now.Add(min(minEjection<<min(s.ejections, 8), maxEjection))
+	s.ejections++
 }
 
-// mayEject reports whether one more server may be left out.
-func (p *Power[E]) mayEject() bool {
+// canEject reports whether the limit allows for one more ejected server.
+func (p *Power[E]) canEject() bool {
 	ejected := 0
 	for _, s := range p.servers {
 		if s.ejected {
@@ -261,7 +264,7 @@
 	return float64(ejected+1) <= p.options.Ejected*float64(len(p.servers))
 }
 
-// Ejected returns how many servers are left out, for metrics.
+// Ejected returns the number of ejected servers, for metrics.
 func (p *Power[E]) Ejected() int {
 	n := 0
 	for _, s := range p.servers {
