--- a/core/mtshard/codec.go
+++ b/core/mtshard/codec.go
@@ -10,7 +10,7 @@
 	"magnoliaturn/core/mtwire"
 )
 
-// DecodeError says that a stored chunk can't be read.
+// DecodeError reports that a stored chunk is invalid.
 type DecodeError struct {
 	Reason string
 	Err    error
@@ -19,16 +19,16 @@
 // Error implements error.
 func (e *DecodeError) Error() string {
 	if e.Err == nil {
-		return "shard: chunk can't be read: " + e.Reason
+		return "shard: invalid chunk: " + e.Reason
 	}
-	return fmt.Sprintf("shard: chunk can't be read: %s: %v", e.Reason, e.Err)
+	return fmt.Sprintf("shard: invalid chunk: %s: %v", e.Reason, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error that the protobuf decoder reported, or nil.
 func (e *DecodeError) Unwrap() error { return e.Err }
 
-// Encode returns the stored form of t, in columns with a dictionary of owners:
-// a shard costs about a dozen bytes.
+// Encode returns the stored form of t: columns with a dictionary of owners, in
+// which a shard takes about a dozen bytes.
 func (t *Table) Encode() ([]byte, error) {
 	w := &mtwire.Chunk{
 		Business:  string(t.Service.Business),
@@ -39,32 +39,32 @@
 		NextEpoch: uint64(t.NextEpoch),
 		Steps:     WireSteps(t.Steps),
 	}
-	places := make(map[mtid.Holder]uint32)
+	indexes := make(map[mtid.Holder]uint32)
 	for _, s := range t.Shards {
-		place, ok := places[s.Owner]
+		index, ok := indexes[s.Owner]
 		if !ok {
-			place = uint32(len(w.Owners))
-			places[s.Owner] = place
+			index = uint32(len(w.Owners))
+			indexes[s.Owner] = index
 			w.Owners = append(w.Owners, mtroster.WireHolder(s.Owner))
 		}
 		w.Lows = append(w.Lows, uint64(s.Low))
-		w.Owner = append(w.Owner, place)
+		w.Owner = append(w.Owner, index)
 		w.Epochs = append(w.Epochs, uint64(s.Epoch))
 	}
 	return proto.MarshalOptions{Deterministic: true}.Marshal(w)
 }
 
-// Decode reads a stored chunk. It fails with a *DecodeError.
+// Decode decodes a stored chunk. Its errors are of type *DecodeError.
 func Decode(value []byte) (*Table, error) {
 	w := &mtwire.Chunk{}
 	if err := proto.Unmarshal(value, w); err != nil {
-		return nil, &DecodeError{Reason: "not a chunk", Err: err}
+		return nil, &DecodeError{Reason: "not a Chunk message", Err: err}
 	}
 	if len(w.GetLows()) != len(w.GetOwner()) || len(w.GetLows()) != len(w.GetEpochs()) {
-		return nil, &DecodeError{Reason: "columns differ in length"}
+		return nil, &DecodeError{Reason: "lows, owner and epochs differ in length"}
 	}
 	if w.GetChunk() >= w.GetChunks() {
-		return nil, &DecodeError{Reason: "chunk number out of range"}
+		return nil, &DecodeError{Reason: "chunk number is not below the number of chunks"}
 	}
 	t := &Table{
 		Service:   mtid.Ref{Business: mtid.Business(w.GetBusiness()), Service: mtid.Service(w.GetService())},
@@ -76,16 +76,16 @@
 	}
 	owners := readHolders(w.GetOwners())
 	for i, low := range w.GetLows() {
-		place := w.GetOwner()[i]
-		if int(place) >= len(owners) {
-			return nil, &DecodeError{Reason: "owner out of range"}
+		index := w.GetOwner()[i]
+		if int(index) >= len(owners) {
+			return nil, &DecodeError{Reason: "owner index is beyond the list of owners"}
 		}
 		if i > 0 && low <= w.GetLows()[i-1] {
-			return nil, &DecodeError{Reason: "shards out of order"}
+			return nil, &DecodeError{Reason: "lows of the shards do not increase"}
 		}
 		t.Shards = append(t.Shards, Shard{
 			Low:   mtid.Point(low),
-			Owner: owners[place],
+			Owner: owners[index],
 			Epoch: mtid.Epoch(w.GetEpochs()[i]),
 		})
 	}
@@ -105,9 +105,8 @@
 	return out
 }
 
-// ReadSteps returns the steps that w stands for. Ops of an unknown kind are
-// kept as ones that fit no table, so that Replay fails and the whole chunk is
-// read instead.
+// ReadSteps decodes steps. An op of an unknown kind is decoded as one that can be
+// applied to no table, so that Replay fails and the whole chunk is read instead.
 func ReadSteps(w []*mtwire.Step) []Step {
 	var out []Step
 	for _, s := range w {
@@ -120,11 +119,11 @@
 	return out
 }
 
-// unknown is an op that a newer release wrote.
+// unknown is an op of a kind that only a newer release supports.
 type unknown struct{}
 
 func (o unknown) apply(*Table) error {
-	return &OpError{Op: o, Reason: "of a kind that this release does not know"}
+	return &OpError{Op: o, Reason: "kind of op is not supported by this release"}
 }
 
 func wireOp(op Op) *mtwire.Op {
@@ -140,22 +139,22 @@
 	case Failover:
 		return &mtwire.Op{Kind: &mtwire.Op_Failover{Failover: &mtwire.Failover{Lost: wireHolders(o.Lost), Among: wireHolders(o.Among)}}}
 	case Evict:
-		return &mtwire.Op{Kind: &mtwire.Op_Evict{Evict: &mtwire.Evict{Places: wirePlaces(o.Places)}}}
+		return &mtwire.Op{Kind: &mtwire.Op_Evict{Evict: &mtwire.Evict{Places: wireIndexes(o.Places)}}}
 	}
 	return &mtwire.Op{}
 }
 
-func wirePlaces(places []int) []uint32 {
+func wireIndexes(indexes []int) []uint32 {
 	var out []uint32
-	for _, p := range places {
+	for _, p := range indexes {
 		out = append(out, uint32(p))
 	}
 	return out
 }
 
-func readPlaces(places []uint32) []int {
+func readIndexes(indexes []uint32) []int {
 	var out []int
-	for _, p := range places {
+	for _, p := range indexes {
 		out = append(out, int(p))
 	}
 	return out
@@ -174,7 +173,7 @@
 	case *mtwire.Op_Failover:
 		return Failover{Lost: readHolders(k.Failover.GetLost()), Among: readHolders(k.Failover.GetAmong())}
 	case *mtwire.Op_Evict:
-		return Evict{Places: readPlaces(k.Evict.GetPlaces())}
+		return Evict{Places: readIndexes(k.Evict.GetPlaces())}
 	}
 	return unknown{}
 }
--- a/core/mtshard/mtshard.go
+++ b/core/mtshard/mtshard.go
@@ -1,21 +1,22 @@
-// Package mtshard is the assignment of a keyed service: which holder owns which
-// range of the ring, under which epoch, and how that changes.
+// Package mtshard implements the assignment of a keyed service: which holder owns
+// which range of the ring, under which epoch, and how the assignment changes.
 //
-// A Table is one chunk of the assignment. It changes only by ops (create,
-// split, merge, move, failover), each a deterministic function of the table, so
-// that a change can travel as a few bytes and every daemon that applies it
-// arrives at the same table as the one in the store. A failover op names the
-// lost holders and the survivors; who gets which shard follows by rendezvous
-// rank, so the loss of an availability zone costs one short op per chunk.
+// A Table is one chunk of the assignment. It is changed only by ops (create,
+// split, merge, move, failover), each of which is a deterministic function of
+// the table. A change is therefore sent as a few bytes, and every daemon that
+// applies it computes the same table as the one in the store. A failover op names
+// the lost holders and the survivors only; the new owner of each shard follows
+// from the rendezvous ranks, so the loss of an availability zone takes one short
+// op per chunk.
 //
 // # Usage
 //
-//	next, err := table.Apply(stamp, mtshard.Move{Low: low, To: holder})
+//	next, err := table.Apply(writeID, mtshard.Move{Low: low, To: holder})
 //	shard, ok := next.Lookup(ref.Point(key))
 //
 // A Table is immutable: Apply returns a new one. It is safe for concurrent use.
-// The owner in a table may serve only while its lease is valid; the table alone
-// is no permission.
+// A table does not permit its owners to serve: an owner may serve only while its
+// lease is valid.
 package mtshard
 
 import (
@@ -29,13 +30,13 @@
 	"magnoliaturn/core/mtroster"
 )
 
-// KeptSteps is how many past steps a stored chunk carries, so that a daemon
-// that watches the store can pass deltas on, and a writer in doubt can find
-// its own write.
+// KeptSteps is the number of past steps that a stored chunk retains, so that a
+// daemon that watches the store can forward deltas, and a writer can check
+// whether a write with an unknown outcome took effect.
 const KeptSteps = 64
 
-// Shard is a range of the ring with one owner. It reaches from Low to the next
-// shard's Low, or to the end of the chunk.
+// Shard is a range of the ring with one owner. It extends from Low to the next
+// shard's Low (exclusive), or to the end of the chunk.
 type Shard struct {
 	Low   mtid.Point
 	Owner mtid.Holder
@@ -49,76 +50,78 @@
 	Chunks    int
 	Version   mtid.Version
 	NextEpoch mtid.Epoch
-	Shards    []Shard // ordered by Low; the first begins at the chunk's low
-	Steps     []Step  // the newest KeptSteps steps, oldest first
+	Shards    []Shard // ordered by Low; the first begins where the chunk does
+	Steps     []Step  // the latest KeptSteps steps, oldest first
 }
 
-// Step is the change that made one version.
+// Step is the change that produced one version of a table.
 type Step struct {
 	Version mtid.Version
 	Stamp   mtroster.Stamp
 	Ops     []Op
 }
 
-// Op is one change of a table.
+// Op is a single change of a table.
 type Op interface {
 	apply(t *Table) error
 }
 
-// Create lays the first shards of a chunk.
+// Create divides an empty chunk into shards of equal width and assigns them to
+// holders by rendezvous rank.
 type Create struct {
 	Shards int
 	Among  []mtid.Holder
 }
 
-// Split cuts the shard that covers Point, so that one begins at Point.
+// Split divides the shard that covers Point, so that a new shard begins at Point.
 type Split struct{ Point mtid.Point }
 
-// Merge joins the shard that begins at Low to the one before it. Both must
-// have the same owner.
+// Merge joins the shard that begins at Low with the preceding one. Both must have
+// the same owner.
 type Merge struct{ Low mtid.Point }
 
-// Move gives the shard that begins at Low to another holder.
+// Move assigns the shard that begins at Low to another holder.
 type Move struct {
 	Low mtid.Point
 	To  mtid.Holder
 }
 
-// Failover gives all shards of the lost holders to others.
+// Failover assigns all shards of the lost holders to the survivors.
 type Failover struct {
 	Lost  []mtid.Holder
 	Among []mtid.Holder
 }
 
-// Evict gives all shards of some owners to the other owners of the chunk. It is
-// the short form of a Failover whose survivors are just these: the loss of an
-// availability zone then costs two bytes a daemon lost instead of the names of
-// the whole fleet.
+// Evict assigns all shards of some owners to the other owners of the chunk. It is
+// the short form of a Failover whose survivors are exactly those owners: the loss
+// of an availability zone then takes two bytes for each lost daemon instead of the
+// names of the whole fleet.
 type Evict struct {
-	Places []int // of the lost, among Owners
+	Places []int // indexes of the lost owners in Table.Owners
 }
 
-// OpError says that an op does not fit the table that it met.
+// OpError reports that an op cannot be applied to a table.
 type OpError struct {
 	Op     Op
 	Reason string
 }
 
 // Error implements error.
-func (e *OpError) Error() string { return fmt.Sprintf("shard: %T: %s", e.Op, e.Reason) }
+func (e *OpError) Error() string { return fmt.Sprintf("shard: cannot apply %T: %s", e.Op, e.Reason) }
 
 // New returns the empty table (version zero) of a chunk.
 func New(ref mtid.Ref, chunk, chunks int) *Table {
 	return &Table{Service: ref, Chunk: chunk, Chunks: chunks, NextEpoch: 1}
 }
 
-// ChunkOf returns which of chunks covers the point.
+// ChunkOf returns the number of the chunk that covers the point, if the ring is
+// divided into the given number of chunks.
 func ChunkOf(p mtid.Point, chunks int) int {
 	hi, _ := bits.Mul64(uint64(p), uint64(chunks))
 	return int(hi)
 }
 
-// ChunkLow returns where a chunk begins on the ring.
+// ChunkLow returns the first point of a chunk.
 func ChunkLow(chunk, chunks int) mtid.Point {
 	if chunk == 0 {
 		return 0
@@ -130,9 +133,9 @@
 	return mtid.Point(q)
 }
 
-// Apply returns the table after one step of ops. t stays as it was. It fails
-// with an *OpError, and then nothing has changed.
-func (t *Table) Apply(stamp mtroster.Stamp, ops ...Op) (*Table, error) {
+// Apply returns the table that results from one step of ops. It does not modify
+// t. Its errors are of type *OpError.
+func (t *Table) Apply(writeID mtroster.Stamp, ops ...Op) (*Table, error) {
 	next := *t
 	next.Shards = slices.Clone(t.Shards)
 	next.Version++
@@ -141,17 +144,17 @@
 			return nil, err
 		}
 	}
-	step := Step{Version: next.Version, Stamp: stamp, Ops: ops}
+	step := Step{Version: next.Version, Stamp: writeID, Ops: ops}
 	next.Steps = append(slices.Clone(t.Steps), step)
-	if over := len(next.Steps) - KeptSteps; over > 0 {
-		next.Steps = next.Steps[over:]
+	if excess := len(next.Steps) - KeptSteps; excess > 0 {
+		next.Steps = next.Steps[excess:]
 	}
 	return &next, nil
 }
 
-// Replay returns the table after steps, which must begin at t's next version.
-// Steps at or below t's version are passed over. It fails with a *GapError or
-// an *OpError.
+// Replay returns the table that results from steps. Steps at or below t's version
+// are skipped; the others must continue from t's next version without a gap. The
+// error is a *GapError or an *OpError.
 func (t *Table) Replay(steps []Step) (*Table, error) {
 	next := t
 	for _, s := range steps {
@@ -170,8 +173,9 @@
 	return next, nil
 }
 
-// GapError says that steps between two versions are missing, so that the whole
-// table has to be read.
+// GapError reports that steps between two versions are missing, so that the whole
+// table has to be read. Have is the version of the table, Got that of the next
+// step received.
 type GapError struct {
 	Have mtid.Version
 	Got  mtid.Version
@@ -179,10 +183,11 @@
 
 // Error implements error.
 func (e *GapError) Error() string {
-	return fmt.Sprintf("shard: steps from version %d to %d are missing", e.Have, e.Got)
+	return fmt.Sprintf("shard: steps between version %d of the table and version %d received are missing", e.Have, e.Got)
 }
 
-// Since returns the steps after version, and whether they are complete.
+// Since returns the steps after version. It returns false if some of them are no
+// longer retained.
 func (t *Table) Since(version mtid.Version) ([]Step, bool) {
 	if version >= t.Version {
 		return nil, true
@@ -194,10 +199,11 @@
 	return t.Steps[i:], true
 }
 
-// Wrote returns the step with that stamp, if it is among the kept ones. A
-// writer whose answer was lost calls it to learn whether its write landed.
-func (t *Table) Wrote(stamp mtroster.Stamp) (Step, bool) {
-	i := slices.IndexFunc(t.Steps, func(s Step) bool { return s.Stamp == stamp })
+// Wrote returns the step with the given write ID, if it is still retained. A
+// writer that received no reply calls it to find out whether its write took
+// effect.
+func (t *Table) Wrote(writeID mtroster.Stamp) (Step, bool) {
+	i := slices.IndexFunc(t.Steps, func(s Step) bool { return s.Stamp == writeID })
 	if i < 0 {
 		return Step{}, false
 	}
@@ -213,8 +219,8 @@
 	return t.Shards[i], true
 }
 
-// High returns the last point of the shard that begins at low, or false if
-// none begins there.
+// High returns the last point of the shard that begins at low, or false if no
+// shard begins there.
 func (t *Table) High(low mtid.Point) (mtid.Point, bool) {
 	i := t.index(low)
 	if i < 0 || t.Shards[i].Low != low {
@@ -223,10 +229,10 @@
 	if i+1 < len(t.Shards) {
 		return t.Shards[i+1].Low - 1, true
 	}
-	return t.last(), true
+	return t.lastPoint(), true
 }
 
-// Owned returns the shards of holder, in order.
+// Owned returns the shards that holder owns, ordered by Low.
 func (t *Table) Owned(holder mtid.Holder) []Shard {
 	var owned []Shard
 	for _, s := range t.Shards {
@@ -249,28 +255,28 @@
 	return owners
 }
 
-// Short returns the op that changes t as f does and is the shortest to send: an
-// Evict where the survivors are the other owners of the chunk, else f itself.
+// Short returns the shortest op that changes t as f does: an Evict if the
+// survivors are exactly the other owners of the chunk, else f itself.
 func (t *Table) Short(f Failover) Op {
-	var places []int
-	rest := 0
+	var indexes []int
+	remaining := 0
 	for i, owner := range t.Owners() {
 		switch {
 		case slices.Contains(f.Lost, owner):
-			places = append(places, i)
+			indexes = append(indexes, i)
 		case slices.Contains(f.Among, owner):
-			rest++
+			remaining++
 		default:
 			return f
 		}
 	}
-	if len(places) == 0 || rest != len(f.Among) {
+	if len(indexes) == 0 || remaining != len(f.Among) {
 		return f
 	}
-	return Evict{Places: places}
+	return Evict{Places: indexes}
 }
 
-// index returns the place of the shard that covers p, or -1.
+// index returns the index of the shard that covers p, or -1.
 func (t *Table) index(p mtid.Point) int {
 	i, found := slices.BinarySearchFunc(t.Shards, p, func(s Shard, p mtid.Point) int {
 		return cmp.Compare(s.Low, p)
@@ -281,23 +287,23 @@
 	return i - 1
 }
 
-// last returns the last point of the chunk.
-func (t *Table) last() mtid.Point {
+// lastPoint returns the last point of the chunk.
+func (t *Table) lastPoint() mtid.Point {
 	if t.Chunk+1 == t.Chunks {
 		return ^mtid.Point(0)
 	}
 	return ChunkLow(t.Chunk+1, t.Chunks) - 1
 }
 
-// epoch takes the next epoch.
-func (t *Table) epoch() mtid.Epoch {
+// allocateEpoch returns the next epoch and increments NextEpoch.
+func (t *Table) allocateEpoch() mtid.Epoch {
 	e := t.NextEpoch
 	t.NextEpoch++
 	return e
 }
 
-// Choose returns the rendezvous choice for p among holders, or the zero holder
-// if there are none.
+// Choose returns the holder with the highest rendezvous rank for p, or the zero
+// holder if there are none.
 func Choose(p mtid.Point, among []mtid.Holder) mtid.Holder {
 	var best mtid.Holder
 	var bestRank uint64
@@ -310,15 +316,15 @@
 	return best
 }
 
-// MaxSurvivors is how many holders take over from the lost owners of a chunk.
-// Naming all of 480 cost each daemon 2.7 MB for the loss of an availability zone
-// in 250 chunks. Chunks choose differently, so the loss of many owners is still
-// spread over all.
+// MaxSurvivors limits the number of holders that take over from the lost owners
+// of a chunk. With all 480 holders named in each op, the loss of an availability
+// zone cost each daemon 2.7 MB for 250 chunks. Each chunk selects different
+// holders, so the load of many lost owners is still spread over all of them.
 const MaxSurvivors = 16
 
-// Survivors returns who takes over in a chunk: the first MaxSurvivors of the
-// holders by rendezvous rank for the chunk, ordered by name. All daemons that
-// see the same holders choose alike.
+// Survivors returns the holders that take over in a chunk: the MaxSurvivors
+// holders with the highest rendezvous rank for the chunk, ordered by name. All
+// daemons that know the same holders select the same ones.
 func (t *Table) Survivors(among []mtid.Holder) []mtid.Holder {
 	low := t.Service.Point("") + ChunkLow(t.Chunk, t.Chunks)
 	ranked := slices.Clone(among)
@@ -332,30 +338,30 @@
 
 func (o Create) apply(t *Table) error {
 	if len(t.Shards) > 0 {
-		return &OpError{Op: o, Reason: "the chunk has shards already"}
+		return &OpError{Op: o, Reason: "the chunk already has shards"}
 	}
 	if o.Shards < 1 || len(o.Among) == 0 {
-		return &OpError{Op: o, Reason: "needs a shard and a holder"}
+		return &OpError{Op: o, Reason: "at least one shard and one holder are required"}
 	}
 	low := ChunkLow(t.Chunk, t.Chunks)
-	width := (uint64(t.last()-low) / uint64(o.Shards)) + 1
+	width := (uint64(t.lastPoint()-low) / uint64(o.Shards)) + 1
 	for i := range o.Shards {
 		at := low + mtid.Point(uint64(i)*width)
-		t.Shards = append(t.Shards, Shard{Low: at, Owner: Choose(at, o.Among), Epoch: t.epoch()})
+		t.Shards = append(t.Shards, Shard{Low: at, Owner: Choose(at, o.Among), Epoch: t.allocateEpoch()})
 	}
 	return nil
 }
 
 func (o Split) apply(t *Table) error {
 	if ChunkOf(o.Point, t.Chunks) != t.Chunk {
-		return &OpError{Op: o, Reason: "the point lies in another chunk"}
+		return &OpError{Op: o, Reason: "the point belongs to another chunk"}
 	}
 	i := t.index(o.Point)
 	if i < 0 {
 		return &OpError{Op: o, Reason: "no shard covers the point"}
 	}
 	if t.Shards[i].Low == o.Point {
-		return &OpError{Op: o, Reason: "a shard begins there already"}
+		return &OpError{Op: o, Reason: "a shard already begins at the point"}
 	}
 	part := t.Shards[i]
 	part.Low = o.Point
@@ -366,14 +372,14 @@
 func (o Merge) apply(t *Table) error {
 	i := t.index(o.Low)
 	if i < 1 || t.Shards[i].Low != o.Low {
-		return &OpError{Op: o, Reason: "no shard begins there with one before it"}
+		return &OpError{Op: o, Reason: "no shard begins at Low, or it is the first of the chunk"}
 	}
 	before := &t.Shards[i-1]
 	if before.Owner != t.Shards[i].Owner {
 		return &OpError{Op: o, Reason: "the two shards have different owners"}
 	}
-	// The higher epoch is kept: an epoch seen by a backend server for either
-	// half must never be undercut by the whole.
+	// The merged shard has the higher of the two epochs, so that its epoch is
+	// never lower than one that a backend server has seen for either half.
 	before.Epoch = max(before.Epoch, t.Shards[i].Epoch)
 	t.Shards = slices.Delete(t.Shards, i, i+1)
 	return nil
@@ -382,13 +388,13 @@
 func (o Move) apply(t *Table) error {
 	i := t.index(o.Low)
 	if i < 0 || t.Shards[i].Low != o.Low {
-		return &OpError{Op: o, Reason: "no shard begins there"}
+		return &OpError{Op: o, Reason: "no shard begins at Low"}
 	}
 	if o.To.IsZero() {
-		return &OpError{Op: o, Reason: "names no holder"}
+		return &OpError{Op: o, Reason: "no new owner is named"}
 	}
 	t.Shards[i].Owner = o.To
-	t.Shards[i].Epoch = t.epoch()
+	t.Shards[i].Epoch = t.allocateEpoch()
 	return nil
 }
 
@@ -403,14 +409,14 @@
 		f.Among = append(f.Among, owner)
 	}
 	if len(f.Lost) != len(o.Places) {
-		return &OpError{Op: o, Reason: "names a place that no owner has"}
+		return &OpError{Op: o, Reason: "an index is repeated or beyond the list of owners"}
 	}
 	return f.apply(t)
 }
 
 func (o Failover) apply(t *Table) error {
 	if len(o.Among) == 0 {
-		return &OpError{Op: o, Reason: "names no survivor"}
+		return &OpError{Op: o, Reason: "no survivor is named"}
 	}
 	lost := make(map[mtid.Holder]bool, len(o.Lost))
 	for _, h := range o.Lost {
@@ -418,7 +424,7 @@
 	}
 	for _, h := range o.Among {
 		if lost[h] {
-			return &OpError{Op: o, Reason: "a survivor is among the lost"}
+			return &OpError{Op: o, Reason: "a holder is named both as lost and as survivor"}
 		}
 	}
 	for i := range t.Shards {
@@ -427,7 +433,7 @@
 			continue
 		}
 		s.Owner = Choose(s.Low, o.Among)
-		s.Epoch = t.epoch()
+		s.Epoch = t.allocateEpoch()
 	}
 	return nil
 }
--- a/core/mtshard/mtshard_test.go
+++ b/core/mtshard/mtshard_test.go
@@ -15,21 +15,21 @@
 )
 
 var (
-	ref  = mtid.Ref{Business: "ratins", Service: "mapsvc"}
-	a    = mtid.Holder{Daemon: "a", Incarnation: 1}
-	b    = mtid.Holder{Daemon: "b", Incarnation: 1}
-	c    = mtid.Holder{Daemon: "c", Incarnation: 2}
-	none = mtroster.Stamp{}
+	ref       = mtid.Ref{Business: "ratins", Service: "mapsvc"}
+	a         = mtid.Holder{Daemon: "a", Incarnation: 1}
+	b         = mtid.Holder{Daemon: "b", Incarnation: 1}
+	c         = mtid.Holder{Daemon: "c", Incarnation: 2}
+	noWriteID = mtroster.Stamp{}
 )
 
 func created(t *testing.T) *mtshard.Table {
 	t.Helper()
-	table, err := mtshard.New(ref, 0, 1).Apply(none, mtshard.Create{Shards: 4, Among: []mtid.Holder{a, b, c}})
+	table, err := mtshard.New(ref, 0, 1).Apply(noWriteID, mtshard.Create{Shards: 4, Among: []mtid.Holder{a, b, c}})
 	assert.NilError(t, err)
 	return table
 }
 
-func TestApplyRefusesOpsThatDoNotFit(t *testing.T) {
+func TestApplyRejectsInvalidOps(t *testing.T) {
 	table := created(t)
 	tests := []struct {
 		name string
@@ -37,16 +37,16 @@
 	}{
 		{"second create", mtshard.Create{Shards: 1, Among: []mtid.Holder{a}}},
 		{"split at a boundary", mtshard.Split{Point: table.Shards[1].Low}},
-		{"merge of the first", mtshard.Merge{Low: 0}},
-		{"merge where none begins", mtshard.Merge{Low: 77}},
-		{"move where none begins", mtshard.Move{Low: 77, To: a}},
-		{"move to nobody", mtshard.Move{Low: 0}},
+		{"merge of the first shard", mtshard.Merge{Low: 0}},
+		{"merge where no shard begins", mtshard.Merge{Low: 77}},
+		{"move where no shard begins", mtshard.Move{Low: 77, To: a}},
+		{"move without a new owner", mtshard.Move{Low: 0}},
 		{"failover without survivors", mtshard.Failover{Lost: []mtid.Holder{a}}},
 		{"failover to the lost", mtshard.Failover{Lost: []mtid.Holder{a}, Among: []mtid.Holder{a}}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			_, err := table.Apply(none, tt.op)
+			_, err := table.Apply(noWriteID, tt.op)
 			var got *mtshard.OpError
 			assert.Assert(t, errors.As(err, &got), "got %v, want an OpError", err)
 			assert.Equal(t, table.Version, mtid.Version(1))
@@ -54,10 +54,10 @@
 	}
 }
 
-func TestSingleKeyShard(t *testing.T) {
+func TestSplitIsolatesSingleKey(t *testing.T) {
 	table := created(t)
 	hot := ref.Point("hotel-7")
-	next, err := table.Apply(none, mtshard.Split{Point: hot}, mtshard.Split{Point: hot + 1}, mtshard.Move{Low: hot, To: c})
+	next, err := table.Apply(noWriteID, mtshard.Split{Point: hot}, mtshard.Split{Point: hot + 1}, mtshard.Move{Low: hot, To: c})
 	assert.NilError(t, err)
 	got, _ := next.Lookup(hot)
 	assert.Equal(t, got.Owner, c)
@@ -83,10 +83,10 @@
 	return slices.DeleteFunc(slices.Clone(holders), func(other mtid.Holder) bool { return other == h })
 }
 
-// The short form of a failover must give every shard to the same owner as the
-// long one, else daemons of two releases would route to two owners.
-func TestShortFailoverIsTheSame(t *testing.T) {
-	table, err := mtshard.New(ref, 0, 1).Apply(none, mtshard.Create{Shards: 64, Among: []mtid.Holder{a, b, c}})
+// The short form of a failover must assign every shard to the same owner as the
+// long form; otherwise daemons of two releases would route to different owners.
+func TestCompactFailoverIsEquivalent(t *testing.T) {
+	table, err := mtshard.New(ref, 0, 1).Apply(noWriteID, mtshard.Create{Shards: 64, Among: []mtid.Holder{a, b, c}})
 	assert.NilError(t, err)
 	tests := []struct {
 		name  string
@@ -94,8 +94,8 @@
 		short bool
 	}{
 		{"all others survive", mtshard.Failover{Lost: []mtid.Holder{b}, Among: []mtid.Holder{c, a}}, true},
-		{"a newcomer takes part", mtshard.Failover{Lost: []mtid.Holder{b}, Among: []mtid.Holder{a, c, {Daemon: "d", Incarnation: 1}}}, false},
-		{"an owner leaves and takes no part", mtshard.Failover{Lost: []mtid.Holder{b}, Among: []mtid.Holder{a}}, false},
+		{"an empty server is among the survivors", mtshard.Failover{Lost: []mtid.Holder{b}, Among: []mtid.Holder{a, c, {Daemon: "d", Incarnation: 1}}}, false},
+		{"an owner that is not lost is no survivor", mtshard.Failover{Lost: []mtid.Holder{b}, Among: []mtid.Holder{a}}, false},
 		{"the lost own nothing", mtshard.Failover{Lost: []mtid.Holder{{Daemon: "d", Incarnation: 1}}, Among: []mtid.Holder{a, b, c}}, false},
 	}
 	for _, tt := range tests {
@@ -103,27 +103,27 @@
 			op := table.Short(tt.op)
 			_, got := op.(mtshard.Evict)
 			assert.Equal(t, got, tt.short)
-			want, err := table.Apply(none, tt.op)
+			want, err := table.Apply(noWriteID, tt.op)
 			assert.NilError(t, err)
-			after, err := table.Apply(none, op)
+			after, err := table.Apply(noWriteID, op)
 			assert.NilError(t, err)
 			assert.DeepEqual(t, after.Shards, want.Shards)
 		})
 	}
 }
 
-// A daemon that learns a table by steps and one that reads it from the store
-// must agree on every owner; else a request would be relayed to a daemon that
-// never owned its key. An epoch must grow with each change of a point's owner.
-func TestStepsCodecAndEpochsAgree(t *testing.T) {
+// A daemon that receives a table as steps and one that reads it from the store
+// must agree on every owner; otherwise a request would be relayed to a daemon that
+// never owned its key. The epoch must increase with each change of a point's owner.
+func TestReplayAndCodecYieldSameTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table, err := mtshard.New(ref, 0, 1).Apply(none, mtshard.Create{Shards: 4, Among: []mtid.Holder{a, b, c}})
+		table, err := mtshard.New(ref, 0, 1).Apply(noWriteID, mtshard.Create{Shards: 4, Among: []mtid.Holder{a, b, c}})
 		assert.NilError(t, err)
 		follower := table
 		probe := mtid.Point(rapid.Uint64().Draw(t, "probe"))
 		before, _ := table.Lookup(probe)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			next, err := table.Apply(none, randomOp(t, table))
+			next, err := table.Apply(noWriteID, randomOp(t, table))
 			if err != nil {
 				continue
 			}
@@ -148,9 +148,9 @@
 	})
 }
 
-// The new owner of a shard must know whether it may trust a memory that was
-// handed over. If it trusted one of a move that was given up, a payment that ran
-// at the old owner meanwhile would run again.
+// The new owner of a shard must know whether it may trust the request identifiers
+// that were handed over. If it trusted those of a canceled move, a payment that
+// the previous owner processed afterwards could run a second time.
 func TestOriginOfShard(t *testing.T) {
 	by := func(h mtid.Holder) mtroster.Stamp { return mtroster.Stamp{Writer: h} }
 	create := mtshard.Create{Shards: 2, Among: []mtid.Holder{a}}
@@ -164,11 +164,11 @@
 		first, handed bool
 	}{
 		{"created", []step{{c, []mtshard.Op{create}}}, true, false},
-		{"created and placed in one", []step{{c, []mtshard.Op{create, mtshard.Move{Low: 0, To: b}}}}, true, false},
+		{"created and moved in one step", []step{{c, []mtshard.Op{create, mtshard.Move{Low: 0, To: b}}}}, true, false},
 		{"moved by its owner", []step{{c, []mtshard.Op{create}}, {a, []mtshard.Op{mtshard.Move{Low: 0, To: b}}}}, false, true},
-		{"moved by another", []step{{c, []mtshard.Op{create}}, {c, []mtshard.Op{mtshard.Move{Low: 0, To: b}}}}, false, false},
+		{"moved by another holder", []step{{c, []mtshard.Op{create}}, {c, []mtshard.Op{mtshard.Move{Low: 0, To: b}}}}, false, false},
 		{"lost", []step{{c, []mtshard.Op{create}}, {a, []mtshard.Op{mtshard.Failover{Lost: []mtid.Holder{a}, Among: []mtid.Holder{b}}}}}, false, false},
-		{"moved, then others lost", []step{
+		{"moved, then the previous owner lost", []step{
 			{c, []mtshard.Op{create}},
 			{a, []mtshard.Op{mtshard.Move{Low: 0, To: b}}},
 			{c, []mtshard.Op{mtshard.Failover{Lost: []mtid.Holder{a}, Among: []mtid.Holder{b}}}},
@@ -201,7 +201,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	table, _ := mtshard.New(ref, 0, 1).Apply(none, mtshard.Create{Shards: 2, Among: []mtid.Holder{a}})
+	table, _ := mtshard.New(ref, 0, 1).Apply(noWriteID, mtshard.Create{Shards: 2, Among: []mtid.Holder{a}})
 	value, _ := table.Encode()
 	f.Add(value)
 	f.Fuzz(func(_ *testing.T, value []byte) {
@@ -213,27 +213,27 @@
 	})
 }
 
-// An availability zone is lost. If the few that take over in each chunk were
-// mostly the same, they would drown in the lost zone's load.
-func TestSurvivorsAreSpread(t *testing.T) {
+// An availability zone is lost. If the survivors selected in each chunk were
+// mostly the same holders, the load of the lost zone would overload them.
+func TestSurvivorsAreSpreadEvenly(t *testing.T) {
 	const chunks, holders = 250, 384
 	var among []mtid.Holder
 	for i := range holders {
 		among = append(among, mtid.Holder{Daemon: mtid.Daemon(fmt.Sprintf("centrs-%d", i)), Incarnation: 1})
 	}
-	taken := map[mtid.Holder]int{}
+	selected := map[mtid.Holder]int{}
 	for chunk := range chunks {
 		got := mtshard.New(ref, chunk, chunks).Survivors(among)
 		assert.Equal(t, len(got), mtshard.MaxSurvivors)
 		for _, h := range got {
-			taken[h]++
+			selected[h]++
 		}
 	}
 	mean := float64(chunks*mtshard.MaxSurvivors) / holders
 	most := 0
-	for _, n := range taken {
+	for _, n := range selected {
 		most = max(most, n)
 	}
-	assert.Assert(t, float64(most) <= 2.5*mean, "one takes part in %d chunks, the mean is %.1f", most, mean)
-	assert.Assert(t, len(taken) > holders*99/100, "only %d of %d take part", len(taken), holders)
+	assert.Assert(t, float64(most) <= 2.5*mean, "a holder is selected in %d chunks, the mean is %.1f", most, mean)
+	assert.Assert(t, len(selected) > holders*99/100, "only %d of %d holders are selected", len(selected), holders)
 }
--- a/core/mtshard/origin.go
+++ b/core/mtshard/origin.go
@@ -2,34 +2,35 @@
 
 import "magnoliaturn/core/mtid"
 
-// First reports whether a shard of t has had no owner before its present one:
-// whether its epoch is one of those that the chunk's first version gave out.
-// Nobody served any key before that version was written, whatever its ops are.
-// It reports false where the first step is no longer kept.
+// First reports whether a shard of t has had no owner before its current one,
+// that is, whether its epoch was allocated by the chunk's first version. No key
+// was served before that version was written, whatever its ops are. First
+// reports false if the first step is no longer retained.
 func (t *Table) First(s Shard) bool {
 	if len(t.Steps) == 0 || t.Steps[0].Version != 1 {
 		return false
 	}
-	given := mtid.Epoch(0)
+	allocated := mtid.Epoch(0)
 	for _, op := range t.Steps[0].Ops {
 		switch o := op.(type) {
 		case Create:
-			given += mtid.Epoch(o.Shards)
+			allocated += mtid.Epoch(o.Shards)
 		case Move:
-			given++
+			allocated++
 		case Failover, Evict:
 			return false
 		}
 	}
-	return s.Epoch <= given
+	return s.Epoch <= allocated
 }
 
-// Handed reports whether the newest change of owner of the shard that begins at
-// low is a planned move from one holder to another, written by the former. An
-// owner writes such a move only right after a handover, and takes nothing in
-// between, so the memory that was handed over is whole. After a handover whose
-// move was given up the owner goes on; if it is lost then, its shards arrive by
-// failover, and what it handed over earlier must not be trusted.
+// Handed reports whether the latest change of owner of the shard that begins at
+// low is a planned move to the holder to, written by the previous owner from. An
+// owner writes such a move only right after a handover and accepts no request in
+// between, so the request identifiers that it handed over are complete. If the
+// move is canceled after the handover, the owner continues to serve. If it is
+// lost later, its shards are reassigned by a failover, and the identifiers of the
+// earlier handover must not be trusted.
 func (t *Table) Handed(low mtid.Point, from, to mtid.Holder) bool {
 	for i := len(t.Steps) - 1; i >= 0; i-- {
 		step := t.Steps[i]
