--- a/core/mtmove/mtmove.go
+++ b/core/mtmove/mtmove.go
@@ -1,16 +1,18 @@
-// Package mtmove is the owner's side of a planned move: stop a shard, finish
-// what is in flight, hand over the recent request identifiers, and only then
-// change the owner in the store.
+// Package mtmove implements the owner's side of a planned move: stop a shard, let
+// the requests in flight finish, hand over the recent request identifiers, and
+// only then change the owner in the store.
 //
-// The present owner executes the move, since it alone can stop itself without
-// waiting for a lease to end. A planner only asks. So a planner that is lost
-// half-way leaves nothing behind, a new owner that is lost before the write is
-// never named, and an owner that is lost is taken over like any other.
+// The current owner executes the move, since only the owner can stop itself
+// without waiting for a lease to expire. A planner merely requests it. So a planner
+// that is lost during a move leaves no state behind, a new owner that is lost
+// before the write never enters the table, and the keys of an owner that is lost
+// are taken over as usual.
 //
-// Until a write is attempted, the owner may take a stopped shard back. After
-// that it may not: the write may land late. It writes again instead: if that
-// succeeds the shard has moved, and if it is refused the version has moved on,
-// so the earlier write can't land any more and the table tells what holds.
+// Until a write is attempted, the owner may resume a stopped shard. Afterwards it
+// may not, since the write may still take effect later. It repeats the write
+// instead. If that succeeds, the shard has moved. If it conflicts, the version has
+// changed, so the previous write can't take effect any more and the table read
+// from the store is authoritative.
 //
 // # Usage
 //
@@ -18,15 +20,15 @@
 //	effects := moves.Want(now, table, low, to)
 //	for _, effect := range effects {
 //		switch e := effect.(type) {
-//		case mtmove.Stop:     // stop the range at the gate; later Quiet
-//		case mtmove.Handover: // send identifiers to e.To; later HandedOver or HandoverFailed
-//		case mtmove.Write:    // apply e.Ops and swap; later Wrote
-//		case mtmove.Resume:   // the shard stays here: admit again
-//		case mtmove.Release:  // the shard is another's: send what waits there
+//		case mtmove.Stop:     // stop the range at the gate; then call Quiet
+//		case mtmove.Handover: // send identifiers to e.To; then call HandedOver or HandoverFailed
+//		case mtmove.Write:    // apply e.Ops and swap; then call Wrote
+//		case mtmove.Resume:   // the shard was not moved: admit requests again
+//		case mtmove.Release:  // the shard has a new owner: forward the waiting requests
 //		}
 //	}
 //
-// A Moves isn't safe for concurrent use: one duty owns it.
+// A Moves isn't safe for concurrent use: a single goroutine owns it.
 package mtmove
 
 import (
@@ -40,51 +42,53 @@
 	"magnoliaturn/core/mtshard"
 )
 
-// Patience is how long a shard may stay stopped before anything was written.
-// A request that runs longer keeps its shard where it is; the planner may ask
-// again.
+// Patience is how long a shard may stay in each phase before a write, that is,
+// while its requests in flight finish and while the identifiers are handed over.
+// If a request runs longer, the move is canceled; the planner may request it again.
 const Patience = 10 * time.Second
 
-// DefaultLimit is how many shards of a daemon move at once.
+// DefaultLimit is the usual limit on concurrent moves of a daemon.
 const DefaultLimit = 64
 
-// Place names a shard of a service by where it begins.
+// Place identifies a shard of a service by its first point.
 type Place struct {
 	Service mtid.Ref
 	Low     mtid.Point
 }
 
-// Effect is what the caller of the moves has to do.
+// Effect is an action that the caller has to carry out.
 type Effect interface{ effect() }
 
-// Stop asks to hold new work for a range and report when none is in flight.
+// Stop requests that new requests for a range be held back, and that Quiet be
+// called when none is in flight.
 type Stop struct {
 	Place Place
 	High  mtid.Point
 }
 
-// Handover asks to send the recent identifiers of a range to its new owner.
+// Handover requests that the recent request identifiers of a range be sent to its
+// new owner.
 type Handover struct {
 	Place Place
 	High  mtid.Point
 	To    mtid.Holder
 }
 
-// Write asks to swap a chunk from the table it was given to one with Ops
-// applied. Exactly one Wrote for the chunk follows.
+// Write requests a compare-and-swap of a chunk from Table to the table with Ops
+// applied. The caller reports the result by exactly one call to Wrote.
 type Write struct {
 	Table *mtshard.Table
 	Ops   []mtshard.Op
 }
 
-// Resume says that the shard stays with this owner.
+// Resume reports that a move was canceled: the shard remains with this owner.
 type Resume struct {
 	Place Place
 	High  mtid.Point
 	Cause Cause
 }
 
-// Release says that the shard is no longer this owner's.
+// Release reports that the shard has another owner now.
 type Release struct {
 	Place Place
 	High  mtid.Point
@@ -96,19 +100,19 @@
 func (Resume) effect()   {}
 func (Release) effect()  {}
 
-// Cause tells why a move was given up.
+// Cause is the reason why a move was canceled.
 type Cause string
 
 // The causes of a Resume.
 const (
-	CauseSlow    Cause = "slow"    // requests in flight outlasted Patience
-	CauseRefused Cause = "refused" // the new owner did not take the identifiers
-	CauseStore   Cause = "store"   // the store did not take the write
-	CauseOverdue Cause = "overdue" // the identifiers could not be sent in time
-	CauseAltered Cause = "altered" // the shard's bounds changed meanwhile
+	CauseSlow    Cause = "slow"    // requests in flight took longer than Patience
+	CauseRefused Cause = "refused" // the new owner did not accept the identifiers
+	CauseStore   Cause = "store"   // the store did not accept the write
+	CauseOverdue Cause = "overdue" // the handover of the identifiers took too long
+	CauseAltered Cause = "altered" // the bounds of the shard changed during the move
 )
 
-// WantError says that a wish to move a shard was not taken.
+// WantError reports that a move was not begun.
 type WantError struct {
 	Place  Place
 	Reason string
@@ -116,232 +120,236 @@
 
 // Error implements error.
 func (e *WantError) Error() string {
-	return fmt.Sprintf("move: %s from %x: %s", e.Place.Service, uint64(e.Place.Low), e.Reason)
+	return fmt.Sprintf("move: cannot move shard %[2]x of %[1]s: %[3]s", e.Place.Service, uint64(e.Place.Low), e.Reason)
 }
 
-// phase is how far a move has come.
+// phase is the progress of a move.
 type phase int
 
 const (
-	stopping phase = iota // waits for Quiet
-	handing               // waits for HandedOver
-	ready                 // waits for its chunk's write to start
-	writing               // part of a write whose outcome isn't known yet
+	stopping    phase = iota // waits for a call to Quiet
+	handingOver              // waits for a call to HandedOver or HandoverFailed
+	ready                    // waits for the next write of its chunk
+	writing                  // part of a write in flight
 )
 
 type move struct {
-	place Place
-	high  mtid.Point
-	to    mtid.Holder
-	since mtclock.Instant
-	phase phase
-	// doubtful says that a write which names this move has an unknown outcome.
-	doubtful bool
+	place      Place
+	high       mtid.Point
+	to         mtid.Holder
+	phaseSince mtclock.Instant
+	phase      phase
+	// outcomeUnknown is whether a write that includes this move has an unknown
+	// outcome.
+	outcomeUnknown bool
 }
 
-// chunk names a chunk of a service.
-type chunk struct {
+// chunkID identifies a chunk of a service.
+type chunkID struct {
 	service mtid.Ref
 	number  int
 }
 
-// Result is what became of a write.
+// Result is the outcome of a write.
 type Result int
 
 // The results of a write.
 const (
-	Landed      Result = iota // it took effect
-	Refused                   // the version had moved on: it did not and never will
-	Unavailable               // the store did not take the call: it did not and never will
-	InDoubt                   // it may have, or may still
+	Landed      Result = iota // the write took effect
+	Refused                   // the version had changed: it did not take effect and never will
+	Unavailable               // the store did not accept the call: it did not take effect and never will
+	InDoubt                   // it may have taken effect, or may still do so
 )
 
-// Moves are the planned moves of one daemon's shards.
+// Moves is the state machine of all planned moves of one daemon's shards.
 type Moves struct {
-	self   mtid.Holder
-	limit  int
-	moves  map[Place]*move
-	tables map[chunk]*mtshard.Table // the newest known
-	busy   map[chunk][]*move        // the moves of the write under way
-	out    []Effect
+	self     mtid.Holder
+	limit    int
+	moves    map[Place]*move
+	tables   map[chunkID]*mtshard.Table // the latest known version of each chunk
+	inFlight map[chunkID][]*move        // the moves in the write in flight, by chunk
+	effects  []Effect
 }
 
-// New returns a machine without moves for one life of a daemon.
+// New returns a state machine without moves for one incarnation of a daemon, which
+// moves at most limit shards concurrently.
 func New(self mtid.Holder, limit int) *Moves {
 	return &Moves{
-		self:   self,
-		limit:  limit,
-		moves:  make(map[Place]*move),
-		tables: make(map[chunk]*mtshard.Table),
-		busy:   make(map[chunk][]*move),
+		self:     self,
+		limit:    limit,
+		moves:    make(map[Place]*move),
+		tables:   make(map[chunkID]*mtshard.Table),
+		inFlight: make(map[chunkID][]*move),
 	}
 }
 
-// Len returns how many shards are on the move.
+// Len returns the number of shards that are being moved.
 func (m *Moves) Len() int { return len(m.moves) }
 
-// Moving reports whether a shard is on the move.
+// Moving reports whether a shard is being moved.
 func (m *Moves) Moving(p Place) bool { return m.moves[p] != nil }
 
-// Want begins the move of the shard that begins at low to another holder. It
-// fails with a *WantError, and then nothing has changed.
+// Want starts to move the shard that begins at low to another holder. On an error,
+// which is a *WantError, the state does not change.
 func (m *Moves) Want(now mtclock.Instant, table *mtshard.Table, low mtid.Point, to mtid.Holder) ([]Effect, error) {
-	m.out = nil
+	m.effects = nil
 	place := Place{Service: table.Service, Low: low}
 	high, ok := table.High(low)
-	if reason := m.unfit(table, place, to, ok); reason != "" {
+	if reason := m.rejectReason(table, place, to, ok); reason != "" {
 		return nil, &WantError{Place: place, Reason: reason}
 	}
-	m.see(table)
-	m.moves[place] = &move{place: place, high: high, to: to, since: now, phase: stopping}
+	m.observe(table)
+	m.moves[place] = &move{place: place, high: high, to: to, phaseSince: now, phase: stopping}
 	m.emit(Stop{Place: place, High: high})
-	return m.out, nil
+	return m.effects, nil
 }
 
-func (m *Moves) unfit(table *mtshard.Table, place Place, to mtid.Holder, begins bool) string {
+func (m *Moves) rejectReason(table *mtshard.Table, place Place, to mtid.Holder, begins bool) string {
 	shard, _ := table.Lookup(place.Low)
 	switch {
 	case !begins:
-		return "no shard begins there"
+		return "no shard begins at this point"
 	case shard.Owner != m.self:
-		return "owned by " + shard.Owner.String()
+		return "the shard is owned by " + shard.Owner.String()
 	case to == m.self || to.IsZero():
-		return "no other holder named"
+		return "the new owner is missing or is this daemon"
 	case m.moves[place] != nil:
-		return "on the move already"
+		return "the shard is already being moved"
 	case len(m.moves) >= m.limit:
-		return "too many shards on the move"
+		return "the limit on concurrent moves is reached"
 	}
 	return ""
 }
 
-// Quiet says that no request is in flight in a stopped range.
+// Quiet reports that no request is in flight in a stopped range.
 func (m *Moves) Quiet(now mtclock.Instant, p Place) []Effect {
-	m.out = nil
+	m.effects = nil
 	mv := m.moves[p]
 	if mv == nil || mv.phase != stopping {
 		return nil
 	}
-	mv.phase = handing
-	mv.since = now
+	mv.phase = handingOver
+	mv.phaseSince = now
 	m.emit(Handover{Place: p, High: mv.high, To: mv.to})
-	return m.out
+	return m.effects
 }
 
-// HandedOver says that the new owner has the recent identifiers.
+// HandedOver reports that the new owner has accepted the recent identifiers.
 func (m *Moves) HandedOver(now mtclock.Instant, p Place) []Effect {
-	m.out = nil
+	m.effects = nil
 	mv := m.moves[p]
-	if mv == nil || mv.phase != handing {
+	if mv == nil || mv.phase != handingOver {
 		return nil
 	}
 	mv.phase = ready
-	mv.since = now
-	m.write(m.chunkOf(p))
-	return m.out
+	mv.phaseSince = now
+	m.startWrite(m.chunkOf(p))
+	return m.effects
 }
 
-// HandoverFailed says that the new owner did not take the identifiers, or that
-// it is not known. The shard stays: an identifier that the new owner forgot
-// would let a resend run a second time.
+// HandoverFailed reports that the new owner did not accept the identifiers, or
+// that it is not known whether it did. The move is canceled: if the new owner
+// lacked an identifier, it would run a resent request a second time.
 func (m *Moves) HandoverFailed(_ mtclock.Instant, p Place) []Effect {
-	m.out = nil
-	if mv := m.moves[p]; mv != nil && mv.phase == handing {
+	m.effects = nil
+	if mv := m.moves[p]; mv != nil && mv.phase == handingOver {
 		m.resume(mv, CauseRefused)
 	}
-	return m.out
+	return m.effects
 }
 
-// Wrote says what became of the write of a chunk. table is the newest one that
-// the caller knows: after Landed the one that was written, after Refused the
+// Wrote reports the result of the write of a chunk. table is the latest version
+// that the caller knows: after Landed the one that was written, after Refused the
 // one read from the store.
 func (m *Moves) Wrote(now mtclock.Instant, table *mtshard.Table, result Result) []Effect {
-	m.out = nil
-	c := chunk{service: table.Service, number: table.Chunk}
-	written := m.busy[c]
-	delete(m.busy, c)
-	m.see(table)
-	for _, mv := range written {
-		m.settle(now, mv, result)
+	m.effects = nil
+	c := chunkID{service: table.Service, number: table.Chunk}
+	finished := m.inFlight[c]
+	delete(m.inFlight, c)
+	m.observe(table)
+	for _, mv := range finished {
+		m.finishWrite(now, mv, result)
 	}
-	// After a failure of the store, Tick sets the pace of the next try.
+	// After a failure of the store, the write is repeated by Tick only, which limits
+	// the rate of attempts.
 	if result == Landed || result == Refused {
-		m.write(c)
+		m.startWrite(c)
 	}
-	return m.out
+	return m.effects
 }
 
-// settle decides what comes after a write that named mv.
-func (m *Moves) settle(now mtclock.Instant, mv *move, result Result) {
+// finishWrite updates a move after a write that included it.
+func (m *Moves) finishWrite(now mtclock.Instant, mv *move, result Result) {
 	switch result {
 	case Landed:
 		m.release(mv)
 	case Refused:
-		// The version moved on, so no earlier write can land: the table
-		// holds the truth.
-		mv.doubtful = false
-		if m.fits(mv) {
+		// The version has changed, so no previous write can take effect any more
+		// and the table is authoritative.
+		mv.outcomeUnknown = false
+		if m.stillValid(mv) {
 			mv.phase = ready
-			mv.since = now
+			mv.phaseSince = now
 		}
 	case Unavailable:
-		if mv.doubtful {
+		if mv.outcomeUnknown {
 			mv.phase = ready
 			return
 		}
 		m.resume(mv, CauseStore)
 	case InDoubt:
-		mv.doubtful = true
+		mv.outcomeUnknown = true
 		mv.phase = ready
 	}
 }
 
-// See takes note of a newer table of a chunk, learnt from peers or the store.
+// See processes a table of a chunk that was received from a peer or from the
+// store. Moves of shards that have another owner by now are released.
 func (m *Moves) See(_ mtclock.Instant, table *mtshard.Table) []Effect {
-	m.out = nil
-	m.see(table)
+	m.effects = nil
+	m.observe(table)
 	for _, mv := range m.ordered() {
-		if m.chunkOf(mv.place) != (chunk{service: table.Service, number: table.Chunk}) || mv.phase == writing {
+		if m.chunkOf(mv.place) != (chunkID{service: table.Service, number: table.Chunk}) || mv.phase == writing {
 			continue
 		}
 		if shard, ok := table.Lookup(mv.place.Low); ok && shard.Owner != m.self {
 			m.release(mv)
 		}
 	}
-	return m.out
+	return m.effects
 }
 
-// Tick gives up what takes too long and repeats writes that wait. It is called
-// a few times a second.
+// Tick cancels moves that take too long and starts or repeats pending writes. It
+// is called a few times a second.
 func (m *Moves) Tick(now mtclock.Instant) []Effect {
-	m.out = nil
+	m.effects = nil
 	for _, mv := range m.ordered() {
-		if now.Sub(mv.since) < Patience {
+		if now.Sub(mv.phaseSince) < Patience {
 			continue
 		}
 		switch mv.phase {
 		case stopping:
 			m.resume(mv, CauseSlow)
-		case handing:
+		case handingOver:
 			m.resume(mv, CauseOverdue)
 		}
 	}
 	for _, mv := range m.ordered() {
-		m.write(m.chunkOf(mv.place))
+		m.startWrite(m.chunkOf(mv.place))
 	}
-	return m.out
+	return m.effects
 }
 
-// write starts the write of a chunk's ready moves, all in one, unless one is
-// under way.
-func (m *Moves) write(c chunk) {
-	if m.busy[c] != nil {
+// startWrite starts a single write for all ready moves of a chunk, unless a write
+// of the chunk is in flight.
+func (m *Moves) startWrite(c chunkID) {
+	if m.inFlight[c] != nil {
 		return
 	}
 	var batch []*move
 	var ops []mtshard.Op
 	for _, mv := range m.ordered() {
-		if mv.phase == ready && m.chunkOf(mv.place) == c && m.fits(mv) {
+		if mv.phase == ready && m.chunkOf(mv.place) == c && m.stillValid(mv) {
 			mv.phase = writing
 			batch = append(batch, mv)
 			ops = append(ops, mtshard.Move{Low: mv.place.Low, To: mv.to})
@@ -350,14 +358,14 @@
 	if len(batch) == 0 {
 		return
 	}
-	m.busy[c] = batch
+	m.inFlight[c] = batch
 	m.emit(Write{Table: m.tables[c], Ops: ops})
 }
 
-// fits reports whether a move still fits the newest table, and ends it if not:
-// another may have become the owner, or the planner may have split the shard
-// while it was being stopped.
-func (m *Moves) fits(mv *move) bool {
+// stillValid reports whether a move can be applied to the latest table, and ends
+// the move if not: the shard may have another owner, or the planner may have split
+// it in the meantime.
+func (m *Moves) stillValid(mv *move) bool {
 	table := m.tables[m.chunkOf(mv.place)]
 	shard, _ := table.Lookup(mv.place.Low)
 	high, begins := table.High(mv.place.Low)
@@ -372,20 +380,20 @@
 	return true
 }
 
-func (m *Moves) see(table *mtshard.Table) {
-	c := chunk{service: table.Service, number: table.Chunk}
+func (m *Moves) observe(table *mtshard.Table) {
+	c := chunkID{service: table.Service, number: table.Chunk}
 	if old := m.tables[c]; old == nil || old.Version < table.Version {
 		m.tables[c] = table
 	}
 }
 
-func (m *Moves) chunkOf(p Place) chunk {
+func (m *Moves) chunkOf(p Place) chunkID {
 	for c, t := range m.tables {
 		if c.service == p.Service && mtshard.ChunkOf(p.Low, t.Chunks) == c.number {
 			return c
 		}
 	}
-	return chunk{service: p.Service}
+	return chunkID{service: p.Service}
 }
 
 func (m *Moves) resume(mv *move, cause Cause) {
@@ -398,10 +406,10 @@
 	m.emit(Release{Place: mv.place, High: mv.high})
 }
 
-func (m *Moves) emit(e Effect) { m.out = append(m.out, e) }
+func (m *Moves) emit(e Effect) { m.effects = append(m.effects, e) }
 
-// ordered returns the moves in the order of their places, so that the same
-// events give the same effects.
+// ordered returns the moves ordered by service and first point, so that the same
+// events always produce the same effects.
 func (m *Moves) ordered() []*move {
 	out := make([]*move, 0, len(m.moves))
 	for _, mv := range m.moves {
--- a/core/mtmove/mtmove_test.go
+++ b/core/mtmove/mtmove_test.go
@@ -28,7 +28,7 @@
 	return created
 }
 
-func TestWantIsRefused(t *testing.T) {
+func TestInvalidMoveIsRejected(t *testing.T) {
 	first := table(t)
 	second := first.Shards[1].Low
 	moves := mtmove.New(a, 1)
@@ -40,10 +40,10 @@
 		to   mtid.Holder
 	}{
 		{"no shard begins there", 5, b},
-		{"no other holder", second, a},
+		{"new owner is the current one", second, a},
 		{"nobody", second, mtid.Holder{}},
-		{"on the move already", 0, b},
-		{"too many at once", second, b},
+		{"already being moved", 0, b},
+		{"too many concurrent moves", second, b},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -55,10 +55,10 @@
 	}
 }
 
-// A request in flight outlasts the patience of a move. Callers of the shard
-// would wait for it to no end; instead the shard goes on where it is, since
-// nothing was written yet.
-func TestSlowRequestEndsMove(t *testing.T) {
+// A request in flight runs longer than a move may wait. Callers of the stopped
+// shard would wait without limit. Since nothing was written yet, the move must be
+// canceled, so that the owner resumes the shard.
+func TestSlowRequestCancelsMove(t *testing.T) {
 	moves := mtmove.New(a, 4)
 	_, err := moves.Want(0, table(t), 0, b)
 	assert.NilError(t, err)
@@ -67,11 +67,11 @@
 	assert.Equal(t, got[0].(mtmove.Resume).Cause, mtmove.CauseSlow)
 }
 
-// The answer to the write of a move is lost, the store stays silent, and the
-// owner would like to serve on. The write may still land, and then two daemons
-// would own the shard: it must stay stopped until a write of its own succeeded
-// or was refused.
-func TestDoubtfulWriteKeepsShardStopped(t *testing.T) {
+// The reply to the write of a move is lost and the store becomes unavailable. The
+// write may still take effect, and if the owner resumed the shard, two daemons
+// would serve it. It must stay stopped until another write by the owner succeeded
+// or conflicted.
+func TestUnknownWriteOutcomeKeepsShardStopped(t *testing.T) {
 	moves := mtmove.New(a, 4)
 	first := table(t)
 	place := mtmove.Place{Service: ref, Low: 0}
@@ -81,15 +81,15 @@
 	moves.HandedOver(0, place)
 	assert.Equal(t, len(moves.Wrote(0, first, mtmove.InDoubt)), 0)
 	late := mtclock.Instant(0).Add(10 * mtmove.Patience)
-	assert.Equal(t, len(moves.Tick(late)), 1) // writes again
+	assert.Equal(t, len(moves.Tick(late)), 1) // repeats the write
 	assert.Equal(t, len(moves.Wrote(late, first, mtmove.Unavailable)), 0)
 	assert.Assert(t, moves.Moving(place))
 }
 
-// The planner splits a shard while its owner stops it for a move. The handover was
-// for the whole; a write would move a part of it, and the owner would drop the
-// memory of the part that it keeps.
-func TestSplitMeanwhileEndsTheMove(t *testing.T) {
+// The planner splits a shard while its owner moves it. The handover covered the
+// whole shard, but the write would move a part of it only, and the owner would
+// drop the request identifiers of the part that it retains.
+func TestSplitDuringMoveCancelsIt(t *testing.T) {
 	moves := mtmove.New(a, 4)
 	first := table(t)
 	place := mtmove.Place{Service: ref, Low: 0}
@@ -104,10 +104,10 @@
 	assert.Equal(t, got[0].(mtmove.Resume).Cause, mtmove.CauseAltered)
 }
 
-// Two shards of a chunk are ready while a third one's write is under way. A write
-// beside it would be for the same version, and one of the two would be refused
-// for nothing; they go in one write after it.
-func TestWritesOfAChunkComeOneByOne(t *testing.T) {
+// Two shards of a chunk are ready while the write for a third one is in flight. A
+// concurrent write would be for the same version, and one of the two would conflict
+// needlessly. Both shards must go into a single write after the first.
+func TestChunkHasOneWriteInFlight(t *testing.T) {
 	first, err := mtshard.New(ref, 0, 1).Apply(mtroster.Stamp{}, mtshard.Create{Shards: 3, Among: []mtid.Holder{a}})
 	assert.NilError(t, err)
 	moves := mtmove.New(a, 4)
@@ -125,132 +125,133 @@
 	second, err := first.Apply(mtroster.Stamp{}, writes[0].Ops...)
 	assert.NilError(t, err)
 	effects := moves.Wrote(0, second, mtmove.Landed)
-	assert.Equal(t, len(effects), 2) // the release of the first, the write of the others
+	assert.Equal(t, len(effects), 2) // the release of the first shard, the write for the others
 	assert.Equal(t, len(effects[1].(mtmove.Write).Ops), 2)
 }
 
-// closed is a range that is stopped for a move or gone by one.
-type closed struct{ low, high mtid.Point }
+// stoppedRange is a range that is stopped for a move or was moved away.
+type stoppedRange struct{ low, high mtid.Point }
 
-// world is a store with writes that land late or lose their answers, and the
+// simulation is a store that may delay writes or lose the replies to them, and the
 // moves of one owner.
-type world struct {
-	t       *rapid.T
-	now     mtclock.Instant
-	stored  *mtshard.Table
-	moves   *mtmove.Moves
-	closed  []closed       // ranges that a does not serve
-	late    []mtmove.Write // sent, answer lost, may land any time
-	pending []mtmove.Write // not yet answered
-	steps   uint64
+type simulation struct {
+	t        *rapid.T
+	now      mtclock.Instant
+	stored   *mtshard.Table
+	moves    *mtmove.Moves
+	stopped  []stoppedRange // ranges that holder a does not serve
+	delayed  []mtmove.Write // reply lost, may take effect at any time
+	pending  []mtmove.Write // result not yet reported
+	sequence uint64
 }
 
-func (w *world) do(effects []mtmove.Effect) {
+func (s *simulation) apply(effects []mtmove.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case mtmove.Stop:
-			w.closed = append(w.closed, closed{low: e.Place.Low, high: e.High})
+			s.stopped = append(s.stopped, stoppedRange{low: e.Place.Low, high: e.High})
 		case mtmove.Write:
-			w.pending = append(w.pending, e)
+			s.pending = append(s.pending, e)
 		case mtmove.Resume:
-			w.closed = slices.DeleteFunc(w.closed, func(c closed) bool { return c.low == e.Place.Low })
+			s.stopped = slices.DeleteFunc(s.stopped, func(r stoppedRange) bool { return r.low == e.Place.Low })
 		}
 	}
 }
 
-// land applies a write if its version still fits.
-func (w *world) land(write mtmove.Write) bool {
-	if write.Table.Version != w.stored.Version {
+// store applies a write if the stored version is still the one that it expects.
+func (s *simulation) store(write mtmove.Write) bool {
+	if write.Table.Version != s.stored.Version {
 		return false
 	}
-	w.steps++
-	next, err := write.Table.Apply(mtroster.Stamp{Writer: a, Sequence: w.steps}, write.Ops...)
-	assert.NilError(w.t, err)
-	w.stored = next
+	s.sequence++
+	next, err := write.Table.Apply(mtroster.Stamp{Writer: a, Sequence: s.sequence}, write.Ops...)
+	assert.NilError(s.t, err)
+	s.stored = next
 	return true
 }
 
-func (w *world) answer() {
-	write := w.pending[0]
-	w.pending = w.pending[1:]
-	switch rapid.IntRange(0, 3).Draw(w.t, "result") {
+func (s *simulation) finishWrite() {
+	write := s.pending[0]
+	s.pending = s.pending[1:]
+	switch rapid.IntRange(0, 3).Draw(s.t, "result") {
 	case 0:
-		if w.land(write) {
-			w.do(w.moves.Wrote(w.now, w.stored, mtmove.Landed))
+		if s.store(write) {
+			s.apply(s.moves.Wrote(s.now, s.stored, mtmove.Landed))
 			return
 		}
-		w.do(w.moves.Wrote(w.now, w.stored, mtmove.Refused))
+		s.apply(s.moves.Wrote(s.now, s.stored, mtmove.Refused))
 	case 1:
-		w.do(w.moves.Wrote(w.now, write.Table, mtmove.Unavailable))
+		s.apply(s.moves.Wrote(s.now, write.Table, mtmove.Unavailable))
 	case 2:
-		w.land(write)
-		w.do(w.moves.Wrote(w.now, write.Table, mtmove.InDoubt))
+		s.store(write)
+		s.apply(s.moves.Wrote(s.now, write.Table, mtmove.InDoubt))
 	case 3:
-		w.late = append(w.late, write)
-		w.do(w.moves.Wrote(w.now, write.Table, mtmove.InDoubt))
+		s.delayed = append(s.delayed, write)
+		s.apply(s.moves.Wrote(s.now, write.Table, mtmove.InDoubt))
 	}
 }
 
-// planner splits or merges behind the owner's back.
-func (w *world) planner() {
-	point := mtid.Point(rapid.Uint64().Draw(w.t, "point"))
-	w.steps++
-	next, err := w.stored.Apply(mtroster.Stamp{Writer: b, Sequence: w.steps}, mtshard.Split{Point: point})
+// splitShard splits a shard in the store, as a planner would, without notifying
+// the owner.
+func (s *simulation) splitShard() {
+	point := mtid.Point(rapid.Uint64().Draw(s.t, "point"))
+	s.sequence++
+	next, err := s.stored.Apply(mtroster.Stamp{Writer: b, Sequence: s.sequence}, mtshard.Split{Point: point})
 	if err == nil {
-		w.stored = next
+		s.stored = next
 	}
 }
 
-func (w *world) step() {
-	shard := rapid.SampledFrom(w.stored.Shards).Draw(w.t, "shard")
+func (s *simulation) step() {
+	shard := rapid.SampledFrom(s.stored.Shards).Draw(s.t, "shard")
 	place := mtmove.Place{Service: ref, Low: shard.Low}
-	switch rapid.IntRange(0, 7).Draw(w.t, "event") {
+	switch rapid.IntRange(0, 7).Draw(s.t, "event") {
 	case 0:
-		effects, err := w.moves.Want(w.now, w.stored, shard.Low, b)
+		effects, err := s.moves.Want(s.now, s.stored, shard.Low, b)
 		if err == nil {
-			w.do(effects)
+			s.apply(effects)
 		}
 	case 1:
-		w.do(w.moves.Quiet(w.now, place))
+		s.apply(s.moves.Quiet(s.now, place))
 	case 2:
-		w.do(w.moves.HandedOver(w.now, place))
+		s.apply(s.moves.HandedOver(s.now, place))
 	case 3:
-		w.do(w.moves.HandoverFailed(w.now, place))
+		s.apply(s.moves.HandoverFailed(s.now, place))
 	case 4:
-		if len(w.pending) > 0 {
-			w.answer()
+		if len(s.pending) > 0 {
+			s.finishWrite()
 		}
 	case 5:
-		w.now = w.now.Add(rapid.SampledFrom([]time.Duration{time.Second, mtmove.Patience}).Draw(w.t, "pass"))
-		w.do(w.moves.Tick(w.now))
+		s.now = s.now.Add(rapid.SampledFrom([]time.Duration{time.Second, mtmove.Patience}).Draw(s.t, "pass"))
+		s.apply(s.moves.Tick(s.now))
 	case 6:
-		w.planner()
-		w.do(w.moves.See(w.now, w.stored))
+		s.splitShard()
+		s.apply(s.moves.See(s.now, s.stored))
 	case 7:
-		if len(w.late) > 0 {
-			w.land(w.late[0])
-			w.late = w.late[1:]
+		if len(s.delayed) > 0 {
+			s.store(s.delayed[0])
+			s.delayed = s.delayed[1:]
 		}
 	}
 }
 
-// A caller must never find a shard served at its old owner while the store
-// names the new one, whatever answers are lost, late or refused.
-func TestServedShardIsOwned(t *testing.T) {
+// The previous owner must never serve a shard that the store assigns to the new
+// owner, whichever replies are lost, delayed or negative.
+func TestOwnerDoesNotServeMovedShard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, stored: table(t), moves: mtmove.New(a, 8)}
+		s := &simulation{t: t, stored: table(t), moves: mtmove.New(a, 8)}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
-			w.step()
-			for _, shard := range w.stored.Shards {
+			s.step()
+			for _, shard := range s.stored.Shards {
 				if shard.Owner == b {
-					assert.Assert(t, w.isClosed(shard.Low), "shard %x is served by a and owned by b", shard.Low)
+					assert.Assert(t, s.isStopped(shard.Low), "shard %x is served by a but owned by b", shard.Low)
 				}
 			}
 		}
 	})
 }
 
-// isClosed reports whether a serves nothing at low.
-func (w *world) isClosed(low mtid.Point) bool {
-	return slices.ContainsFunc(w.closed, func(c closed) bool { return c.low <= low && low <= c.high })
+// isStopped reports whether holder a does not serve requests at low.
+func (s *simulation) isStopped(low mtid.Point) bool {
+	return slices.ContainsFunc(s.stopped, func(r stoppedRange) bool { return r.low <= low && low <= r.high })
 }
