--- a/core/mtsketch/mtsketch_test.go
+++ b/core/mtsketch/mtsketch_test.go
@@ -24,9 +24,9 @@
 	assert.Equal(t, got.Error, 0.0)
 }
 
-// A key is hot for a minute and then silent. Its rate must halve with each
-// half-life, or its shard is kept apart long after the peak has moved on.
-func TestRatesFade(t *testing.T) {
+// A key is hot for a minute and then receives no more requests. Its rate must halve
+// with each half-life; otherwise its shard would stay split off long after the peak.
+func TestRatesDecay(t *testing.T) {
 	s := mtsketch.New[int](2, time.Second)
 	s.Add(0, 1, 100)
 	before := s.Total(0)
@@ -34,9 +34,9 @@
 	assert.Assert(t, math.Abs(before/after-8) < 1e-9, "got a factor of %v, want 8", before/after)
 }
 
-// A daemon runs for weeks. The scale of the weights must start anew before it
-// overflows, without a change of what is reported.
-func TestRatesSurviveLongRuns(t *testing.T) {
+// A daemon runs for weeks. The weights must be rescaled before they overflow,
+// without a change of the reported rates.
+func TestRescalingKeepsRates(t *testing.T) {
 	s := mtsketch.New[int](2, time.Second)
 	var now mtclock.Instant
 	for range 20000 {
@@ -50,27 +50,27 @@
 	assert.Equal(t, top.Key, 8)
 }
 
-// Whatever the stream, a key above 1/size of the weight is found, no rate is
-// too low, and none is too high by more than its stated error.
+// For any stream, each key with more than 1/size of the total weight is found, no
+// rate is too low, and none is too high by more than the reported error.
 func TestHeavyKeysAreFound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const size = 8
 		s := mtsketch.New[int](size, time.Hour)
 		keys := rapid.SliceOfN(rapid.IntRange(0, 30), 1, 400).Draw(t, "keys")
-		truth := make(map[int]float64)
+		exact := make(map[int]float64)
 		for _, k := range keys {
 			s.Add(0, k, 1)
-			truth[k]++
+			exact[k]++
 		}
-		perUnit := s.Total(0) / float64(len(keys))
+		unitRate := s.Total(0) / float64(len(keys))
 		found := make(map[int]bool)
 		for _, c := range s.Top(0, size) {
 			found[c.Key] = true
-			want := truth[c.Key] * perUnit
+			want := exact[c.Key] * unitRate
 			assert.Assert(t, c.Rate >= want-1e-9, "key %d: got %v, want at least %v", c.Key, c.Rate, want)
 			assert.Assert(t, c.Rate-c.Error <= want+1e-9, "key %d: got %v-%v, want at most %v", c.Key, c.Rate, c.Error, want)
 		}
-		for k, n := range truth {
+		for k, n := range exact {
 			if n > float64(len(keys))/size {
 				assert.Assert(t, found[k], "key %d with %v of %d is missing", k, n, len(keys))
 			}
@@ -78,7 +78,7 @@
 	})
 }
 
-func TestBytesAreStated(t *testing.T) {
+func TestBytesWith64Counters(t *testing.T) {
 	got := mtsketch.New[uint64](64, time.Second).Bytes()
 	assert.Assert(t, got > 0 && got <= 8<<10, "got %d bytes, want at most 8 KiB for 64 counters", got)
 }
