--- a/core/mtchoice/mtchoice.go
+++ b/core/mtchoice/mtchoice.go
@@ -50,7 +50,7 @@
 	Kind Kind
 	// Queue is how long the request waited at the server's gate.
 	Queue time.Duration
-	// RetryAfter is how long a Busy server requests to be left alone.
+	// RetryAfter is the time after which a Busy server may be tried again.
 	RetryAfter time.Duration
 }
 
