--- a/core/mtchoice/estimator.go
+++ b/core/mtchoice/estimator.go
@@ -90,7 +90,8 @@
 // Down implements Estimator.
 func (e *Average) Down() bool { return e.value < averageDownBelow }
 
-// Parameters of Status.
+// Parameters of SIBE, as described in "Dynamic Availability Estimation for Service
+// Selection based on Status Identification".
 const (
 	initialUpRun   = 5 // consecutive successes until a server counts as stable
 	initialDownRun = 3 // consecutive failures until it counts as down
@@ -100,7 +101,7 @@
 	maxPast        = 16  // transient periods whose availability is retained
 )
 
-// status is the state of a server as Status identifies it.
+// status is the state of a server in SIBE.
 type status uint8
 
 const (
@@ -113,8 +114,7 @@
 // a failure, and short-term down after consecutive failures. The availability
 // in a transient period is the weighted average over previous ones. The lengths
 // of the runs that change the state adapt to the runs observed. The method is
-// that of "Dynamic Availability Estimation for Service Selection based on Status
-// Identification" (SIBE), with its rules c0 to c3 and its equations 2 and 3.
+// SIBE, with its rules c0 to c3 and its equations 2 and 3.
 type Status struct {
 	status      status
 	run         int // consecutive requests with the same outcome
