--- a/core/mtmove/mtmove.go
+++ b/core/mtmove/mtmove.go
@@ -134,7 +134,7 @@
 )
 
 type move struct {
-	place      Place
+	id         Place
 	high       mtid.Point
 	to         mtid.Holder
 	phaseSince mtclock.Instant
@@ -187,25 +187,25 @@
 func (m *Moves) Len() int { return len(m.moves) }
 
 // Moving reports whether a shard is being moved.
-func (m *Moves) Moving(p Place) bool { return m.moves[p] != nil }
+func (m *Moves) Moving(id Place) bool { return m.moves[id] != nil }
 
 // Want starts to move the shard that begins at low to another holder. On an error,
 // which is a *WantError, the state does not change.
 func (m *Moves) Want(now mtclock.Instant, table *mtshard.Table, low mtid.Point, to mtid.Holder) ([]Effect, error) {
 	m.effects = nil
-	place := Place{Service: table.Service, Low: low}
+	id := Place{Service: table.Service, Low: low}
 	high, ok := table.High(low)
-	if reason := m.rejectReason(table, place, to, ok); reason != "" {
-		return nil, &WantError{Place: place, Reason: reason}
+	if reason := m.rejectReason(table, id, to, ok); reason != "" {
+		return nil, &WantError{Place: id, Reason: reason}
 	}
 	m.observe(table)
-	m.moves[place] = &move{place: place, high: high, to: to, phaseSince: now, phase: stopping}
-	m.emit(Stop{Place: place, High: high})
+	m.moves[id] = &move{id: id, high: high, to: to, phaseSince: now, phase: stopping}
+	m.emit(Stop{Place: id, High: high})
 	return m.effects, nil
 }
 
-func (m *Moves) rejectReason(table *mtshard.Table, place Place, to mtid.Holder, begins bool) string {
-	shard, _ := table.Lookup(place.Low)
+func (m *Moves) rejectReason(table *mtshard.Table, id Place, to mtid.Holder, begins bool) string {
+	shard, _ := table.Lookup(id.Low)
 	switch {
 	case !begins:
 		return "no shard begins at this point"
@@ -213,7 +213,7 @@
 		return "the shard is owned by " + shard.Owner.String()
 	case to == m.self || to.IsZero():
 		return "the new owner is missing or is this daemon"
-	case m.moves[place] != nil:
+	case m.moves[id] != nil:
 		return "the shard is already being moved"
 	case len(m.moves) >= m.limit:
 		return "the limit on concurrent moves is reached"
@@ -222,37 +222,37 @@
 }
 
 // Quiet reports that no request is in flight in a stopped range.
-func (m *Moves) Quiet(now mtclock.Instant, p Place) []Effect {
+func (m *Moves) Quiet(now mtclock.Instant, id Place) []Effect {
 	m.effects = nil
-	mv := m.moves[p]
+	mv := m.moves[id]
 	if mv == nil || mv.phase != stopping {
 		return nil
 	}
 	mv.phase = handingOver
 	mv.phaseSince = now
-	m.emit(Handover{Place: p, High: mv.high, To: mv.to})
+	m.emit(Handover{Place: id, High: mv.high, To: mv.to})
 	return m.effects
 }
 
 // HandedOver reports that the new owner has accepted the recent identifiers.
-func (m *Moves) HandedOver(now mtclock.Instant, p Place) []Effect {
+func (m *Moves) HandedOver(now mtclock.Instant, id Place) []Effect {
 	m.effects = nil
-	mv := m.moves[p]
+	mv := m.moves[id]
 	if mv == nil || mv.phase != handingOver {
 		return nil
 	}
 	mv.phase = ready
 	mv.phaseSince = now
-	m.startWrite(m.chunkOf(p))
+	m.startWrite(m.chunkOf(id))
 	return m.effects
 }
 
 // HandoverFailed reports that the new owner did not accept the identifiers, or
 // that it is not known whether it did. The move is canceled: if the new owner
 // lacked an identifier, it would run a resent request a second time.
-func (m *Moves) HandoverFailed(_ mtclock.Instant, p Place) []Effect {
+func (m *Moves) HandoverFailed(_ mtclock.Instant, id Place) []Effect {
 	m.effects = nil
-	if mv := m.moves[p]; mv != nil && mv.phase == handingOver {
+	if mv := m.moves[id]; mv != nil && mv.phase == handingOver {
 		m.resume(mv, CauseRefused)
 	}
 	return m.effects
@@ -309,10 +309,10 @@
 	m.effects = nil
 	m.observe(table)
 	for _, mv := range m.ordered() {
-		if m.chunkOf(mv.place) != (chunkID{service: table.Service, number: table.Chunk}) || mv.phase == writing {
+		if m.chunkOf(mv.id) != (chunkID{service: table.Service, number: table.Chunk}) || mv.phase == writing {
 			continue
 		}
-		if shard, ok := table.Lookup(mv.place.Low); ok && shard.Owner != m.self {
+		if shard, ok := table.Lookup(mv.id.Low); ok && shard.Owner != m.self {
 			m.release(mv)
 		}
 	}
@@ -335,7 +335,7 @@
 		}
 	}
 	for _, mv := range m.ordered() {
-		m.startWrite(m.chunkOf(mv.place))
+		m.startWrite(m.chunkOf(mv.id))
 	}
 	return m.effects
 }
@@ -349,10 +349,10 @@
 	var batch []*move
 	var ops []mtshard.Op
 	for _, mv := range m.ordered() {
-		if mv.phase == ready && m.chunkOf(mv.place) == c && m.stillValid(mv) {
+		if mv.phase == ready && m.chunkOf(mv.id) == c && m.stillValid(mv) {
 			mv.phase = writing
 			batch = append(batch, mv)
-			ops = append(ops, mtshard.Move{Low: mv.place.Low, To: mv.to})
+			ops = append(ops, mtshard.Move{Low: mv.id.Low, To: mv.to})
 		}
 	}
 	if len(batch) == 0 {
@@ -366,9 +366,9 @@
 // the move if not: the shard may have another owner, or the planner may have split
 // it in the meantime.
 func (m *Moves) stillValid(mv *move) bool {
-	table := m.tables[m.chunkOf(mv.place)]
-	shard, _ := table.Lookup(mv.place.Low)
-	high, begins := table.High(mv.place.Low)
+	table := m.tables[m.chunkOf(mv.id)]
+	shard, _ := table.Lookup(mv.id.Low)
+	high, begins := table.High(mv.id.Low)
 	switch {
 	case shard.Owner != m.self:
 		m.release(mv)
@@ -387,23 +387,23 @@
 	}
 }
 
-func (m *Moves) chunkOf(p Place) chunkID {
+func (m *Moves) chunkOf(id Place) chunkID {
 	for c, t := range m.tables {
-		if c.service == p.Service && mtshard.ChunkOf(p.Low, t.Chunks) == c.number {
+		if c.service == id.Service && mtshard.ChunkOf(id.Low, t.Chunks) == c.number {
 			return c
 		}
 	}
-	return chunkID{service: p.Service}
+	return chunkID{service: id.Service}
 }
 
 func (m *Moves) resume(mv *move, cause Cause) {
-	delete(m.moves, mv.place)
-	m.emit(Resume{Place: mv.place, High: mv.high, Cause: cause})
+	delete(m.moves, mv.id)
+	m.emit(Resume{Place: mv.id, High: mv.high, Cause: cause})
 }
 
 func (m *Moves) release(mv *move) {
-	delete(m.moves, mv.place)
-	m.emit(Release{Place: mv.place, High: mv.high})
+	delete(m.moves, mv.id)
+	m.emit(Release{Place: mv.id, High: mv.high})
 }
 
 func (m *Moves) emit(e Effect) { m.effects = append(m.effects, e) }
@@ -416,10 +416,10 @@
 		out = append(out, mv)
 	}
 	slices.SortFunc(out, func(a, b *move) int {
-		if c := cmp.Compare(a.place.Service.String(), b.place.Service.String()); c != 0 {
+		if c := cmp.Compare(a.id.Service.String(), b.id.Service.String()); c != 0 {
 			return c
 		}
-		return cmp.Compare(a.place.Low, b.place.Low)
+		return cmp.Compare(a.id.Low, b.id.Low)
 	})
 	return out
 }
--- a/core/mtmove/mtmove_test.go
+++ b/core/mtmove/mtmove_test.go
@@ -74,16 +74,16 @@
 func TestUnknownWriteOutcomeKeepsShardStopped(t *testing.T) {
 	moves := mtmove.New(a, 4)
 	first := table(t)
-	place := mtmove.Place{Service: ref, Low: 0}
+	id := mtmove.Place{Service: ref, Low: 0}
 	_, err := moves.Want(0, first, 0, b)
 	assert.NilError(t, err)
-	moves.Quiet(0, place)
-	moves.HandedOver(0, place)
+	moves.Quiet(0, id)
+	moves.HandedOver(0, id)
 	assert.Equal(t, len(moves.Wrote(0, first, mtmove.InDoubt)), 0)
 	late := mtclock.Instant(0).Add(10 * mtmove.Patience)
 	assert.Equal(t, len(moves.Tick(late)), 1) // repeats the write
 	assert.Equal(t, len(moves.Wrote(late, first, mtmove.Unavailable)), 0)
-	assert.Assert(t, moves.Moving(place))
+	assert.Assert(t, moves.Moving(id))
 }
 
 // The planner splits a shard while its owner moves it. The handover covered the
@@ -92,14 +92,14 @@
 func TestSplitDuringMoveCancelsIt(t *testing.T) {
 	moves := mtmove.New(a, 4)
 	first := table(t)
-	place := mtmove.Place{Service: ref, Low: 0}
+	id := mtmove.Place{Service: ref, Low: 0}
 	_, err := moves.Want(0, first, 0, b)
 	assert.NilError(t, err)
-	moves.Quiet(0, place)
+	moves.Quiet(0, id)
 	split, err := first.Apply(mtroster.Stamp{}, mtshard.Split{Point: 9})
 	assert.NilError(t, err)
 	moves.See(0, split)
-	got := moves.HandedOver(0, place)
+	got := moves.HandedOver(0, id)
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, got[0].(mtmove.Resume).Cause, mtmove.CauseAltered)
 }
@@ -113,11 +113,11 @@
 	moves := mtmove.New(a, 4)
 	var writes []mtmove.Write
 	for _, shard := range first.Shards {
-		place := mtmove.Place{Service: ref, Low: shard.Low}
+		id := mtmove.Place{Service: ref, Low: shard.Low}
 		_, err := moves.Want(0, first, shard.Low, b)
 		assert.NilError(t, err)
-		moves.Quiet(0, place)
-		for _, effect := range moves.HandedOver(0, place) {
+		moves.Quiet(0, id)
+		for _, effect := range moves.HandedOver(0, id) {
 			writes = append(writes, effect.(mtmove.Write))
 		}
 	}
@@ -204,7 +204,7 @@
 
 func (s *simulation) step() {
 	shard := rapid.SampledFrom(s.stored.Shards).Draw(s.t, "shard")
-	place := mtmove.Place{Service: ref, Low: shard.Low}
+	id := mtmove.Place{Service: ref, Low: shard.Low}
 	switch rapid.IntRange(0, 7).Draw(s.t, "event") {
 	case 0:
 		effects, err := s.moves.Want(s.now, s.stored, shard.Low, b)
@@ -212,11 +212,11 @@
 			s.apply(effects)
 		}
 	case 1:
-		s.apply(s.moves.Quiet(s.now, place))
+		s.apply(s.moves.Quiet(s.now, id))
 	case 2:
-		s.apply(s.moves.HandedOver(s.now, place))
+		s.apply(s.moves.HandedOver(s.now, id))
 	case 3:
-		s.apply(s.moves.HandoverFailed(s.now, place))
+		s.apply(s.moves.HandoverFailed(s.now, id))
 	case 4:
 		if len(s.pending) > 0 {
 			s.finishWrite()
