--- a/cmd/capacity/state.go
+++ b/cmd/capacity/state.go
@@ -102,7 +102,7 @@
 	shards := daemons * shardsPerDaemon
 	chunks := (shards + chunkShards - 1) / chunkShards
 	for c := range chunks {
-		table, err := mtshard.New(w.ref, c, chunks).Apply(mtroster.Stamp{}, mtshard.Create{Shards: shards / chunks, Among: w.near(c, chunks)})
+		table, err := mtshard.New(w.ref, c, chunks).Apply(mtroster.Stamp{}, mtshard.Create{Shards: shards / chunks, Holders: w.near(c, chunks)})
 		must(err)
 		w.tables = append(w.tables, table)
 	}
@@ -232,7 +232,7 @@
 	lost := w.holders[:len(w.holders)/zones]
 	size := 0
 	for i, t := range w.tables {
-		op := mtshard.Failover{Among: t.Survivors(w.holders[len(lost):])}
+		op := mtshard.Failover{Survivors: t.Survivors(w.holders[len(lost):])}
 		for _, owner := range t.Owners() {
 			if slices.Contains(lost, owner) {
 				op.Lost = append(op.Lost, owner)
@@ -241,7 +241,7 @@
 		if len(op.Lost) == 0 {
 			continue
 		}
-		next, err := t.Apply(mtroster.Stamp{Writer: w.holders[len(w.holders)-1]}, t.Short(op))
+		next, err := t.Apply(mtroster.Stamp{Writer: w.holders[len(w.holders)-1]}, t.CompactFailover(op))
 		must(err)
 		w.tables[i] = next
 		size += w.merge(view, next)
--- a/cmd/policies/choice.go
+++ b/cmd/policies/choice.go
@@ -106,20 +106,20 @@
 	{"round robin", func(mtid.Zone, *rand.Rand) mtchoice.Policy { return mtchoice.NewRoundRobin() }},
 	{"random", func(_ mtid.Zone, r *rand.Rand) mtchoice.Policy { return mtchoice.NewRandom(r) }},
 	{"power, no zones", func(_ mtid.Zone, r *rand.Rand) mtchoice.Policy {
-		return mtchoice.NewPower(r, mtchoice.Options{Reports: true}, mtchoice.NewStreak)
+		return mtchoice.NewPowerOfTwo(r, mtchoice.Options{UseQueueTimes: true}, mtchoice.NewStreak)
 	}},
 	{"power, no reports", func(z mtid.Zone, r *rand.Rand) mtchoice.Policy {
-		return mtchoice.NewPower(r, mtchoice.Options{Zone: z}, mtchoice.NewStreak)
+		return mtchoice.NewPowerOfTwo(r, mtchoice.Options{Zone: z}, mtchoice.NewStreak)
 	}},
 	{"power, streak", powerWith(mtchoice.NewStreak)},
 	{"power, last success", powerWith(mtchoice.NewLastSuccess)},
 	{"power, average", powerWith(mtchoice.NewAverage)},
-	{"power, status", powerWith(mtchoice.NewStatus)},
+	{"power, status", powerWith(mtchoice.NewStatusIdentification)},
 }
 
 func powerWith[E mtchoice.Estimator](fresh func() E) func(mtid.Zone, *rand.Rand) mtchoice.Policy {
 	return func(z mtid.Zone, r *rand.Rand) mtchoice.Policy {
-		return mtchoice.NewPower(r, mtchoice.Options{Zone: z, Reports: true}, fresh)
+		return mtchoice.NewPowerOfTwo(r, mtchoice.Options{Zone: z, UseQueueTimes: true}, fresh)
 	}
 }
 
@@ -291,11 +291,11 @@
 // reach lets a request reach its server.
 func (t *choiceTrial) reach(s *choiceServer, end func(mtchoice.Result)) {
 	if t.fails(s) {
-		end(mtchoice.Result{Kind: mtchoice.Bad})
+		end(mtchoice.Result{Kind: mtchoice.Failure})
 		return
 	}
 	if s.busy >= choiceSlots && len(s.queue) >= choiceQueue {
-		end(mtchoice.Result{Kind: mtchoice.Busy, RetryAfter: 50 * time.Millisecond})
+		end(mtchoice.Result{Kind: mtchoice.Overloaded, RetryAfter: 50 * time.Millisecond})
 		return
 	}
 	arrived := t.now
@@ -318,7 +318,7 @@
 	s.served += service
 	t.events.at(t.now.Add(service), func() {
 		s.busy--
-		end(mtchoice.Result{Kind: mtchoice.Good, Queue: waited})
+		end(mtchoice.Result{Kind: mtchoice.Success, QueueTime: waited})
 		if len(s.queue) > 0 {
 			next := s.queue[0]
 			s.queue = s.queue[1:]
@@ -330,10 +330,10 @@
 func (t *choiceTrial) end(c *choiceCaller, holder mtid.Holder, start mtclock.Instant, r mtchoice.Result) {
 	c.policy.Ended(t.now, holder, r)
 	switch r.Kind {
-	case mtchoice.Good:
+	case mtchoice.Success:
 		t.good++
 		_ = t.latency.RecordValue(max(t.now.Sub(start).Microseconds(), 1))
-	case mtchoice.Bad:
+	case mtchoice.Failure:
 		t.bad++
 	}
 }
--- a/cmd/policies/patterns.go
+++ b/cmd/policies/patterns.go
@@ -111,7 +111,7 @@
 	{"last success", func() mtchoice.Estimator { return mtchoice.NewLastSuccess() }},
 	{"streak", func() mtchoice.Estimator { return mtchoice.NewStreak() }},
 	{"average", func() mtchoice.Estimator { return mtchoice.NewAverage() }},
-	{"status", func() mtchoice.Estimator { return mtchoice.NewStatus() }},
+	{"status", func() mtchoice.Estimator { return mtchoice.NewStatusIdentification() }},
 }
 
 // runPatterns returns the successes in each window, with one invocation a step.
--- a/core/mtchoice/estimator.go
+++ b/core/mtchoice/estimator.go
@@ -110,12 +110,12 @@
 	shortTermDown
 )
 
-// Status distinguishes three states of a server: stable up, transient down after
-// a failure, and short-term down after consecutive failures. The availability
-// in a transient period is the weighted average over previous ones. The lengths
-// of the runs that change the state adapt to the runs observed. The method is
-// SIBE, with its rules c0 to c3 and its equations 2 and 3.
-type Status struct {
+// StatusIdentification distinguishes three states of a server: stable up,
+// transient down after a failure, and short-term down after consecutive failures.
+// The availability in a transient period is the weighted average over previous
+// ones. The lengths of the runs that change the state adapt to the runs observed.
+// The method is SIBE, with its rules c0 to c3 and its equations 2 and 3.
+type StatusIdentification struct {
 	status      status
 	run         int // consecutive requests with the same outcome
 	lastSuccess bool
@@ -131,13 +131,13 @@
 // period counts the requests of one transient period.
 type period struct{ all, failed int }
 
-// NewStatus returns the estimator of a server without failures.
-func NewStatus() *Status {
-	return &Status{lastSuccess: true, upRun: initialUpRun, downRun: initialDownRun}
+// NewStatusIdentification returns the estimator of a server without failures.
+func NewStatusIdentification() *StatusIdentification {
+	return &StatusIdentification{lastSuccess: true, upRun: initialUpRun, downRun: initialDownRun}
 }
 
 // Note implements Estimator.
-func (e *Status) Note(success bool) {
+func (e *StatusIdentification) Note(success bool) {
 	if success != e.lastSuccess {
 		e.run = 0
 	}
@@ -160,7 +160,7 @@
 }
 
 // next returns the state after a request with the given outcome.
-func (e *Status) next(success bool) status {
+func (e *StatusIdentification) next(success bool) status {
 	switch {
 	case e.status == stableUp && !success:
 		return transientDown
@@ -175,7 +175,7 @@
 }
 
 // countRun counts that the current run has reached its present length.
-func (e *Status) countRun() {
+func (e *StatusIdentification) countRun() {
 	length := min(e.run, maxRun+2)
 	if e.lastSuccess {
 		e.upRuns[length]++
@@ -185,7 +185,7 @@
 }
 
 // endPeriod stores the availability in the transient period that just ended.
-func (e *Status) endPeriod() {
+func (e *StatusIdentification) endPeriod() {
 	e.past = append(e.past, e.period.availability())
 	if len(e.past) > maxPast {
 		e.past = e.past[1:]
@@ -207,7 +207,7 @@
 }
 
 // Availability implements Estimator.
-func (e *Status) Availability() float64 {
+func (e *StatusIdentification) Availability() float64 {
 	switch e.status {
 	case stableUp:
 		return 1
@@ -226,7 +226,7 @@
 }
 
 // Down implements Estimator.
-func (e *Status) Down() bool { return e.status == shortTermDown }
+func (e *StatusIdentification) Down() bool { return e.status == shortTermDown }
 
 // adjustRun returns the run length, at most one away from the current one, after
 // which another request with the same outcome was most likely. reached[i] is how
--- a/core/mtchoice/least.go
+++ b/core/mtchoice/least.go
@@ -9,14 +9,14 @@
 	"magnoliaturn/core/mtid"
 )
 
-// Report is the load of a server as its daemon reported it.
-type Report struct {
-	Busy    int             // requests that run at the server or wait for it
-	Service time.Duration   // service time of a typical request; only ratios between servers matter
-	At      mtclock.Instant // when the report was received; zero means no report
+// LoadReport is the load of a server as its daemon reported it.
+type LoadReport struct {
+	Requests    int             // requests that run at the server or wait for it
+	ServiceTime time.Duration   // service time of a typical request; only ratios between servers matter
+	ReceivedAt  mtclock.Instant // when the report was received; zero means no report
 }
 
-// Parameters of Least.
+// Parameters of LeastLoaded.
 const (
 	// reportHalfAge is the age at which a report counts half. The queues of servers
 	// that take a few hundred milliseconds per request have changed by then.
@@ -39,16 +39,16 @@
 	fullCostFactor = 1.5
 )
 
-// Least chooses the server with the most spare capacity. The cost of a server
-// combines the requests that run or wait there (its own report and what was sent
-// since) with its relative service time. Both count since the speeds of servers
+// LeastLoaded chooses the server with the most spare capacity. The cost of a
+// server combines the requests that run or wait there (its own report and what was
+// sent since) with its relative service time. Both count since the speeds of servers
 // differ by a factor of two: equal shares overload the slow servers while the
 // fast ones are idle, and the shortest expected response time overloads the fast
 // ones.
 //
 // Servers that fail are avoided for some time, unless all of them fail, and
 // servers that refuse a call because of their load for a shorter time.
-type Least struct {
+type LeastLoaded struct {
 	random        *rand.Rand
 	zone          mtid.Zone
 	crossZoneCost float64
@@ -62,21 +62,21 @@
 	estimate        *Average
 	inFlight        int // requests that this daemon sent and that have not ended
 	sentSinceReport int // of these, sent after the report was received
-	report          Report
+	report          LoadReport
 	avoidUntil      mtclock.Instant // after failures
 	fullUntil       mtclock.Instant // after a refusal because of load
 	failures        int             // in a row
 }
 
-// NewLeast returns a Least without candidates. crossZoneCost is the additional
-// cost of a server in another availability zone; 1 is the cost of a server with
-// all slots in use.
-func NewLeast(random *rand.Rand, zone mtid.Zone, crossZoneCost float64) *Least {
-	return &Least{random: random, zone: zone, crossZoneCost: crossZoneCost, byName: make(map[mtid.Holder]*leastServer)}
+// NewLeastLoaded returns a LeastLoaded without candidates. crossZoneCost is the
+// additional cost of a server in another availability zone; 1 is the cost of a
+// server with all slots in use.
+func NewLeastLoaded(random *rand.Rand, zone mtid.Zone, crossZoneCost float64) *LeastLoaded {
+	return &LeastLoaded{random: random, zone: zone, crossZoneCost: crossZoneCost, byName: make(map[mtid.Holder]*leastServer)}
 }
 
 // Update replaces the candidates. The state of those that remain is retained.
-func (p *Least) Update(candidates []Candidate) {
+func (p *LeastLoaded) Update(candidates []Candidate) {
 	before := p.byName
 	p.byName = make(map[mtid.Holder]*leastServer, len(candidates))
 	p.servers = p.servers[:0]
@@ -97,7 +97,7 @@
 // not empty) is never sent to a full server. The first try may go to a full
 // server in the local zone, at a higher cost: it takes a millisecond and no
 // traffic between zones, and a quarter of these servers have spare capacity again.
-func (p *Least) Pick(now mtclock.Instant, exclude []mtid.Holder) (mtid.Holder, bool) {
+func (p *LeastLoaded) Pick(now mtclock.Instant, exclude []mtid.Holder) (mtid.Holder, bool) {
 	meanService := p.meanServiceTime()
 	var best *leastServer
 	bestRank, bestCost := rankFull, 0.0
@@ -147,12 +147,12 @@
 
 // meanServiceTime returns the mean over the servers that have reported a service
 // time.
-func (p *Least) meanServiceTime() time.Duration {
+func (p *LeastLoaded) meanServiceTime() time.Duration {
 	var sum time.Duration
 	n := 0
 	for _, s := range p.servers {
-		if s.report.Service > 0 {
-			sum += s.report.Service
+		if s.report.ServiceTime > 0 {
+			sum += s.report.ServiceTime
 			n++
 		}
 	}
@@ -169,13 +169,13 @@
 // requests have time enough for a slow server, and with the full weight the slow
 // servers (a third of all) were idle while every fast one had two requests
 // waiting for each slot.
-func (p *Least) cost(now mtclock.Instant, s *leastServer, meanService time.Duration) float64 {
+func (p *LeastLoaded) cost(now mtclock.Instant, s *leastServer, meanService time.Duration) float64 {
 	slowness := 1.0
-	if s.report.Service > 0 {
-		slowness = float64(s.report.Service) / float64(meanService)
+	if s.report.ServiceTime > 0 {
+		slowness = float64(s.report.ServiceTime) / float64(meanService)
 	}
-	reportWeight := 1 / (1 + float64(now.Sub(s.report.At))/float64(reportHalfAge))
-	load := max(float64(s.report.Busy)*reportWeight+float64(s.sentSinceReport), float64(s.inFlight))
+	reportWeight := 1 / (1 + float64(now.Sub(s.report.ReceivedAt))/float64(reportHalfAge))
+	load := max(float64(s.report.Requests)*reportWeight+float64(s.sentSinceReport), float64(s.inFlight))
 	slots := float64(max(s.Slots, 1))
 	excess := max(load+1-slots, 0)
 	cost := math.Sqrt(slowness)*(1+min(load, slots)/slots) + slowness*excess/slots
@@ -187,7 +187,7 @@
 }
 
 // Started records that a request is sent to the server.
-func (p *Least) Started(holder mtid.Holder) {
+func (p *LeastLoaded) Started(holder mtid.Holder) {
 	if s, ok := p.byName[holder]; ok {
 		s.inFlight++
 		s.sentSinceReport++
@@ -196,28 +196,28 @@
 
 // Ended records how a request ended and, if report is newer than the last one,
 // the server's load. The caller makes one call to Ended for each call to Started.
-func (p *Least) Ended(now mtclock.Instant, holder mtid.Holder, kind Kind, report Report) {
+func (p *LeastLoaded) Ended(now mtclock.Instant, holder mtid.Holder, kind ResultKind, report LoadReport) {
 	s, ok := p.byName[holder]
 	if !ok {
 		return
 	}
 	s.inFlight = max(s.inFlight-1, 0)
-	if report.At != 0 && report.At > s.report.At {
+	if report.ReceivedAt != 0 && report.ReceivedAt > s.report.ReceivedAt {
 		s.report, s.sentSinceReport = report, 0
 	}
 	switch kind {
-	case Good:
+	case Success:
 		s.estimate.Note(true)
 		s.failures, s.avoidUntil = 0, 0
-		if s.report.Busy < s.Slots {
+		if s.report.Requests < s.Slots {
 			s.fullUntil = 0
 		}
-	case Bad:
+	case Failure:
 		s.estimate.Note(false)
 		s.avoidUntil = now.Add(min(minBackoff<<min(s.failures, 8), maxBackoff))
 		s.failures++
-	case Busy:
+	case Overloaded:
 		s.fullUntil = now.Add(fullDuration)
-	case Other:
+	case Inconclusive:
 	}
 }
--- a/core/mtchoice/least_test.go
+++ b/core/mtchoice/least_test.go
@@ -12,8 +12,8 @@
 	"magnoliaturn/core/mtid"
 )
 
-func newLeast(candidates ...mtchoice.Candidate) *mtchoice.Least {
-	p := mtchoice.NewLeast(rand.New(rand.NewPCG(1, 2)), "near", 0.1)
+func newLeast(candidates ...mtchoice.Candidate) *mtchoice.LeastLoaded {
+	p := mtchoice.NewLeastLoaded(rand.New(rand.NewPCG(1, 2)), "near", 0.1)
 	p.Update(candidates)
 	return p
 }
@@ -30,7 +30,7 @@
 	now := mtclock.Instant(time.Second)
 	report := func(c mtchoice.Candidate, busy int, service time.Duration) {
 		p.Started(c.Holder)
-		p.Ended(now, c.Holder, mtchoice.Good, mtchoice.Report{Busy: busy, Service: service, At: now})
+		p.Ended(now, c.Holder, mtchoice.Success, mtchoice.LoadReport{Requests: busy, ServiceTime: service, ReceivedAt: now})
 	}
 	report(fast, 0, 100*time.Millisecond)
 	report(slow, 0, 250*time.Millisecond)
@@ -50,7 +50,7 @@
 	p := newLeast(good, bad)
 	now := mtclock.Instant(time.Second)
 	p.Started(bad.Holder)
-	p.Ended(now, bad.Holder, mtchoice.Bad, mtchoice.Report{})
+	p.Ended(now, bad.Holder, mtchoice.Failure, mtchoice.LoadReport{})
 	for range 20 {
 		h, _ := p.Pick(now, nil)
 		assert.Equal(t, h, good.Holder)
@@ -83,7 +83,7 @@
 	now := mtclock.Instant(time.Second)
 	refuse := func(c mtchoice.Candidate) {
 		p.Started(c.Holder)
-		p.Ended(now, c.Holder, mtchoice.Busy, mtchoice.Report{Busy: 30, Service: time.Second, At: now})
+		p.Ended(now, c.Holder, mtchoice.Overloaded, mtchoice.LoadReport{Requests: 30, ServiceTime: time.Second, ReceivedAt: now})
 	}
 	refuse(near)
 	refuse(other)
@@ -116,7 +116,7 @@
 			service = 170 * time.Millisecond
 		}
 		p.Started(c.Holder)
-		p.Ended(now, c.Holder, mtchoice.Good, mtchoice.Report{Busy: 0, Service: service, At: now})
+		p.Ended(now, c.Holder, mtchoice.Success, mtchoice.LoadReport{Requests: 0, ServiceTime: service, ReceivedAt: now})
 	}
 	got := map[mtid.Daemon]int{}
 	for range 24 { // of thirty slots
--- a/core/mtchoice/mtchoice.go
+++ b/core/mtchoice/mtchoice.go
@@ -4,15 +4,16 @@
 //
 // A Policy relies on the requests that this daemon itself sent and on their
 // outcomes, which are neither late nor misleading, as reports of load and health
-// can be. Power is the policy for production; RoundRobin and Random are baselines.
+// can be. PowerOfTwo is the policy for production; RoundRobin and Random are
+// baselines.
 //
 // # Usage
 //
-//	policy := mtchoice.NewPower(random, options, mtchoice.NewAverage)
+//	policy := mtchoice.NewPowerOfTwo(random, options, mtchoice.NewAverage)
 //	policy.Update(candidates) // when the roster or the offers have changed
 //	server, ok := policy.Pick(now)
 //	policy.Started(now, server)
-//	policy.Ended(now, server, mtchoice.Result{Kind: mtchoice.Good, Queue: waited})
+//	policy.Ended(now, server, mtchoice.Result{Kind: mtchoice.Success, QueueTime: waited})
 //
 // The policies aren't safe for concurrent use.
 package mtchoice
@@ -34,23 +35,24 @@
 	Slots  int // requests that it runs concurrently, at least 1
 }
 
-// Kind classifies the outcome of a request by what it implies about the server.
-type Kind uint8
+// ResultKind classifies the outcome of a request by what it implies about the
+// server.
+type ResultKind uint8
 
 // The kinds of results.
 const (
-	Good  Kind = iota // the server answered
-	Bad               // the server failed, hung or was unreachable
-	Busy              // the server is up but refused because of its load
-	Other             // the outcome implies nothing about the server
+	Success      ResultKind = iota // the server answered
+	Failure                        // the server failed, hung or was unreachable
+	Overloaded                     // the server is up but refused because of its load
+	Inconclusive                   // the outcome implies nothing about the server
 )
 
 // Result is the outcome of a request.
 type Result struct {
-	Kind Kind
-	// Queue is how long the request waited at the server's gate.
-	Queue time.Duration
-	// RetryAfter is the time after which a Busy server may be tried again.
+	Kind ResultKind
+	// QueueTime is how long the request waited at the server's gate.
+	QueueTime time.Duration
+	// RetryAfter is the time after which an Overloaded server may be tried again.
 	RetryAfter time.Duration
 }
 
--- a/core/mtchoice/mtchoice_test.go
+++ b/core/mtchoice/mtchoice_test.go
@@ -25,8 +25,8 @@
 	return out
 }
 
-func newPower(zone mtid.Zone, names ...string) *mtchoice.Power[*mtchoice.Streak] {
-	p := mtchoice.NewPower(rand.New(rand.NewPCG(1, 2)), mtchoice.Options{Zone: zone}, mtchoice.NewStreak)
+func newPower(zone mtid.Zone, names ...string) *mtchoice.PowerOfTwo[*mtchoice.Streak] {
+	p := mtchoice.NewPowerOfTwo(rand.New(rand.NewPCG(1, 2)), mtchoice.Options{Zone: zone}, mtchoice.NewStreak)
 	p.Update(candidates(names...))
 	return p
 }
@@ -71,20 +71,20 @@
 // answered.
 func TestEjectionAndProbe(t *testing.T) {
 	p := newPower("", "a1", "b1", "c1", "d1")
-	finish(p, 0, "a1", 2, mtchoice.Result{Kind: mtchoice.Bad})
+	finish(p, 0, "a1", 2, mtchoice.Result{Kind: mtchoice.Failure})
 	assert.Equal(t, p.Ejected(), 0)
-	finish(p, 0, "a1", 1, mtchoice.Result{Kind: mtchoice.Bad})
+	finish(p, 0, "a1", 1, mtchoice.Result{Kind: mtchoice.Failure})
 	assert.Equal(t, p.Ejected(), 1)
 	assert.Equal(t, pickMany(p, 1, 100)["a"], 0)
 
 	probe := mtclock.Instant(500 * time.Millisecond)
 	assert.Equal(t, pickMany(p, probe, 100)["a"], 1)
-	finish(p, probe, "a1", 1, mtchoice.Result{Kind: mtchoice.Bad})
+	finish(p, probe, "a1", 1, mtchoice.Result{Kind: mtchoice.Failure})
 	assert.Equal(t, pickMany(p, probe+mtclock.Instant(999*time.Millisecond), 100)["a"], 0)
 
 	probe += mtclock.Instant(time.Second)
 	assert.Equal(t, pickMany(p, probe, 100)["a"], 1)
-	finish(p, probe, "a1", 1, mtchoice.Result{Kind: mtchoice.Good})
+	finish(p, probe, "a1", 1, mtchoice.Result{Kind: mtchoice.Success})
 	assert.Equal(t, p.Ejected(), 0)
 	assert.Assert(t, pickMany(p, probe, 100)["a"] > 0)
 }
@@ -94,7 +94,7 @@
 func TestEjectionIsLimited(t *testing.T) {
 	p := newPower("", "a1", "b1", "c1", "d1")
 	for _, name := range []string{"a1", "b1", "c1", "d1"} {
-		finish(p, 0, name, 10, mtchoice.Result{Kind: mtchoice.Bad})
+		finish(p, 0, name, 10, mtchoice.Result{Kind: mtchoice.Failure})
 	}
 	assert.Equal(t, p.Ejected(), 2)
 	_, ok := p.Pick(0)
@@ -103,10 +103,10 @@
 
 func TestOverloadedServerIsAvoidedUntilRetryAfter(t *testing.T) {
 	p := newPower("", "a1", "b1")
-	finish(p, 0, "a1", 1, mtchoice.Result{Kind: mtchoice.Busy, RetryAfter: 100 * time.Millisecond})
+	finish(p, 0, "a1", 1, mtchoice.Result{Kind: mtchoice.Overloaded, RetryAfter: 100 * time.Millisecond})
 	assert.Equal(t, pickMany(p, 1, 100)["a"], 0)
 	assert.Assert(t, pickMany(p, mtclock.Instant(100*time.Millisecond), 100)["a"] > 0)
-	finish(p, 0, "b1", 1, mtchoice.Result{Kind: mtchoice.Busy, RetryAfter: time.Hour})
+	finish(p, 0, "b1", 1, mtchoice.Result{Kind: mtchoice.Overloaded, RetryAfter: time.Hour})
 	count := pickMany(p, 1, 100)
 	assert.Equal(t, count["a"]+count["b"], 100, "a server must be picked even if all are to be avoided")
 	assert.Assert(t, pickMany(p, mtclock.Instant(time.Second), 100)["b"] > 0)
@@ -114,7 +114,7 @@
 
 func TestUpdateRetainsState(t *testing.T) {
 	p := newPower("", "a1", "b1", "c1", "d1")
-	finish(p, 0, "a1", 3, mtchoice.Result{Kind: mtchoice.Bad})
+	finish(p, 0, "a1", 3, mtchoice.Result{Kind: mtchoice.Failure})
 	p.Update(candidates("e1", "d1", "a1"))
 	assert.Equal(t, p.Ejected(), 1)
 	count := pickMany(p, 1, 200)
@@ -141,8 +141,8 @@
 					return
 				}
 				r := mtchoice.Result{
-					Kind:       rapid.SampledFrom([]mtchoice.Kind{mtchoice.Good, mtchoice.Bad, mtchoice.Bad, mtchoice.Busy, mtchoice.Other}).Draw(t, "kind"),
-					Queue:      time.Duration(rapid.IntRange(0, 50).Draw(t, "queue")) * time.Millisecond,
+					Kind:       rapid.SampledFrom([]mtchoice.ResultKind{mtchoice.Success, mtchoice.Failure, mtchoice.Failure, mtchoice.Overloaded, mtchoice.Inconclusive}).Draw(t, "kind"),
+					QueueTime:  time.Duration(rapid.IntRange(0, 50).Draw(t, "queue")) * time.Millisecond,
 					RetryAfter: time.Duration(rapid.IntRange(-1, 5000).Draw(t, "after")) * time.Millisecond,
 				}
 				p.Ended(now, inFlight[0], r)
@@ -177,15 +177,15 @@
 		{"streak of three", func() mtchoice.Estimator { return mtchoice.NewStreak() }, "1000", true, 0},
 		{"average", func() mtchoice.Estimator { return mtchoice.NewAverage() }, "00", false, 0.25},
 		{"average, down", func() mtchoice.Estimator { return mtchoice.NewAverage() }, "0000", true, 0.0625},
-		{"status, stable", func() mtchoice.Estimator { return mtchoice.NewStatus() }, "1111", false, 1},
-		{"status, first transient period", func() mtchoice.Estimator { return mtchoice.NewStatus() }, "1101", false, 0.5},
-		{"status, stable again", func() mtchoice.Estimator { return mtchoice.NewStatus() }, "11011111", false, 1},
-		{"status, down", func() mtchoice.Estimator { return mtchoice.NewStatus() }, "11000", true, 0},
-		{"status, recovered from down", func() mtchoice.Estimator { return mtchoice.NewStatus() }, "110001", false, 0},
+		{"status, stable", func() mtchoice.Estimator { return mtchoice.NewStatusIdentification() }, "1111", false, 1},
+		{"status, first transient period", func() mtchoice.Estimator { return mtchoice.NewStatusIdentification() }, "1101", false, 0.5},
+		{"status, stable again", func() mtchoice.Estimator { return mtchoice.NewStatusIdentification() }, "11011111", false, 1},
+		{"status, down", func() mtchoice.Estimator { return mtchoice.NewStatusIdentification() }, "11000", true, 0},
+		{"status, recovered from down", func() mtchoice.Estimator { return mtchoice.NewStatusIdentification() }, "110001", false, 0},
 		// Previous transient periods: 4 of 5 succeeded (the fifth success in a row
 		// ends the period and isn't counted), then 2 of 5, ended by the third
 		// failure in a row.
-		{"status, weighted average", func() mtchoice.Estimator { return mtchoice.NewStatus() }, "1011111" + "0110001", false, (0.8 + 2*0.4) / 3},
+		{"status, weighted average", func() mtchoice.Estimator { return mtchoice.NewStatusIdentification() }, "1011111" + "0110001", false, (0.8 + 2*0.4) / 3},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -204,13 +204,13 @@
 	for i := range 100 {
 		many = append(many, mtchoice.Candidate{Holder: mtid.Holder{Daemon: mtid.Daemon(rune('a' + i)), Incarnation: 1}, Slots: 12})
 	}
-	p := mtchoice.NewPower(rand.New(rand.NewPCG(1, 2)), mtchoice.Options{Reports: true}, mtchoice.NewAverage)
+	p := mtchoice.NewPowerOfTwo(rand.New(rand.NewPCG(1, 2)), mtchoice.Options{UseQueueTimes: true}, mtchoice.NewAverage)
 	p.Update(many)
 	now := mtclock.Instant(0)
 	for b.Loop() {
 		now++
 		h, _ := p.Pick(now)
 		p.Started(now, h)
-		p.Ended(now, h, mtchoice.Result{Kind: mtchoice.Good})
+		p.Ended(now, h, mtchoice.Result{Kind: mtchoice.Success})
 	}
 }
--- a/core/mtchoice/power.go
+++ b/core/mtchoice/power.go
@@ -8,20 +8,20 @@
 	"magnoliaturn/core/mtid"
 )
 
-// Options are the parameters of a Power policy.
+// Options are the parameters of a PowerOfTwo.
 type Options struct {
 	Zone mtid.Zone // of this daemon; if empty, no zone is preferred
-	// Ejected is the largest fraction of the candidates that may be ejected because
-	// of failures. If more of them fail, the cause lies elsewhere, such as in this
-	// daemon's own network, and ejecting more would only overload the others.
-	Ejected float64
-	// Reports adds the queue times that servers report to their cost. They reflect
-	// the load that other daemons put on the same server.
-	Reports bool
+	// MaxEjected is the largest fraction of the candidates that may be ejected
+	// because of failures. If more of them fail, the cause lies elsewhere, such as in
+	// this daemon's own network, and ejecting more would only overload the others.
+	MaxEjected float64
+	// UseQueueTimes adds the queue times that servers report to their cost. They
+	// reflect the load that other daemons put on the same server.
+	UseQueueTimes bool
 }
 
-// DefaultEjected is the Options.Ejected that a zero value stands for.
-const DefaultEjected = 0.5
+// DefaultMaxEjected is the Options.MaxEjected that a zero value stands for.
+const DefaultMaxEjected = 0.5
 
 // The duration of an ejection. It doubles each time the server fails again.
 const (
@@ -49,12 +49,12 @@
 // avoided.
 const maxRetryAfter = time.Second
 
-// Power implements the power of two choices: it draws two servers at random and
-// selects the one with the lower cost. The cost is the number of requests in
+// PowerOfTwo implements the power of two choices: it draws two servers at random
+// and selects the one with the lower cost. The cost is the number of requests in
 // flight per slot, higher for another availability zone and after failures.
 // Servers that are down are ejected, and probed by a single request when the
 // ejection has expired.
-type Power[E Estimator] struct {
+type PowerOfTwo[E Estimator] struct {
 	random       *rand.Rand
 	options      Options
 	newEstimator func() E
@@ -71,24 +71,24 @@
 	inFlight   int
 	queueWait  float64 // moving average of the reported queue times, in units of queueUnit
 	reportedAt mtclock.Instant
-	avoidUntil mtclock.Instant // after a Busy result
+	avoidUntil mtclock.Instant // after an Overloaded result
 	ejected    bool
 	probeAt    mtclock.Instant // when an ejected server is probed
 	ejections  int             // in a row
 	probing    bool
 }
 
-// NewPower returns a Power without candidates. newEstimator returns the initial
-// estimator of a new candidate.
-func NewPower[E Estimator](random *rand.Rand, options Options, newEstimator func() E) *Power[E] {
-	if options.Ejected == 0 {
-		options.Ejected = DefaultEjected
+// NewPowerOfTwo returns a PowerOfTwo without candidates. newEstimator returns the
+// initial estimator of a new candidate.
+func NewPowerOfTwo[E Estimator](random *rand.Rand, options Options, newEstimator func() E) *PowerOfTwo[E] {
+	if options.MaxEjected == 0 {
+		options.MaxEjected = DefaultMaxEjected
 	}
-	return &Power[E]{random: random, options: options, newEstimator: newEstimator, byName: make(map[mtid.Holder]*server[E])}
+	return &PowerOfTwo[E]{random: random, options: options, newEstimator: newEstimator, byName: make(map[mtid.Holder]*server[E])}
 }
 
 // Update implements Policy.
-func (p *Power[E]) Update(candidates []Candidate) {
+func (p *PowerOfTwo[E]) Update(candidates []Candidate) {
 	before := p.byName
 	p.byName = make(map[mtid.Holder]*server[E], len(candidates))
 	p.servers = p.servers[:0]
@@ -104,7 +104,7 @@
 }
 
 // Pick implements Policy.
-func (p *Power[E]) Pick(now mtclock.Instant) (mtid.Holder, bool) {
+func (p *PowerOfTwo[E]) Pick(now mtclock.Instant) (mtid.Holder, bool) {
 	if len(p.servers) == 0 {
 		return mtid.Holder{}, false
 	}
@@ -123,7 +123,7 @@
 }
 
 // dueForProbe returns an ejected server that is due for a probe, or nil.
-func (p *Power[E]) dueForProbe(now mtclock.Instant) *server[E] {
+func (p *PowerOfTwo[E]) dueForProbe(now mtclock.Instant) *server[E] {
 	for _, s := range p.servers {
 		if s.ejected && !now.Before(s.probeAt) {
 			return s
@@ -134,7 +134,7 @@
 
 // partition collects the eligible servers by zone. If Options.Zone is empty, all
 // of them count as remote.
-func (p *Power[E]) partition(now mtclock.Instant) {
+func (p *PowerOfTwo[E]) partition(now mtclock.Instant) {
 	p.local, p.remote = p.local[:0], p.remote[:0]
 	for _, s := range p.servers {
 		switch {
@@ -154,7 +154,7 @@
 
 // pickCheaper returns the cheaper of two servers drawn at random, or nil if
 // there are none.
-func (p *Power[E]) pickCheaper(now mtclock.Instant, from []*server[E]) *server[E] {
+func (p *PowerOfTwo[E]) pickCheaper(now mtclock.Instant, from []*server[E]) *server[E] {
 	if len(from) == 0 {
 		return nil
 	}
@@ -173,9 +173,9 @@
 }
 
 // cost returns the cost of sending the next request to the server.
-func (p *Power[E]) cost(now mtclock.Instant, s *server[E]) float64 {
+func (p *PowerOfTwo[E]) cost(now mtclock.Instant, s *server[E]) float64 {
 	cost := float64(s.inFlight+1) / float64(max(s.Slots, 1))
-	if p.options.Reports {
+	if p.options.UseQueueTimes {
 		cost += s.decayedQueueWait(now)
 	}
 	cost /= max(s.estimate.Availability(), minAvailability)
@@ -194,31 +194,31 @@
 }
 
 // Started implements Policy.
-func (p *Power[E]) Started(_ mtclock.Instant, holder mtid.Holder) {
+func (p *PowerOfTwo[E]) Started(_ mtclock.Instant, holder mtid.Holder) {
 	if s, ok := p.byName[holder]; ok {
 		s.inFlight++
 	}
 }
 
 // Ended implements Policy.
-func (p *Power[E]) Ended(now mtclock.Instant, holder mtid.Holder, r Result) {
+func (p *PowerOfTwo[E]) Ended(now mtclock.Instant, holder mtid.Holder, r Result) {
 	s, ok := p.byName[holder]
 	if !ok {
 		return
 	}
 	s.inFlight = max(s.inFlight-1, 0)
 	switch r.Kind {
-	case Good:
-		s.recordQueueWait(now, r.Queue)
+	case Success:
+		s.recordQueueWait(now, r.QueueTime)
 		s.estimate.Note(true)
 		p.reinstate(s)
-	case Bad:
+	case Failure:
 		s.estimate.Note(false)
 		p.eject(now, s)
-	case Busy:
+	case Overloaded:
 		s.avoidUntil = now.Add(min(max(r.RetryAfter, 0), maxRetryAfter))
 		p.reinstate(s)
-	case Other:
+	case Inconclusive:
 		s.probing = false
 	}
 }
@@ -231,7 +231,7 @@
 }
 
 // reinstate ends an ejection after a reply that proves the server to be up.
-func (p *Power[E]) reinstate(s *server[E]) {
+func (p *PowerOfTwo[E]) reinstate(s *server[E]) {
 	s.ejected, s.probing = false, false
 	if !s.estimate.Down() {
 		s.ejections = 0
@@ -240,7 +240,7 @@
 
 // eject ejects a server that counts as down, unless the limit is reached, and
 // extends the ejection if its probe failed.
-func (p *Power[E]) eject(now mtclock.Instant, s *server[E]) {
+func (p *PowerOfTwo[E]) eject(now mtclock.Instant, s *server[E]) {
 	if !s.ejected && (!s.estimate.Down() || !p.canEject()) {
 		return
 	}
@@ -254,18 +254,18 @@
 }
 
 // canEject reports whether the limit allows for one more ejected server.
-func (p *Power[E]) canEject() bool {
+func (p *PowerOfTwo[E]) canEject() bool {
 	ejected := 0
 	for _, s := range p.servers {
 		if s.ejected {
 			ejected++
 		}
 	}
-	return float64(ejected+1) <= p.options.Ejected*float64(len(p.servers))
+	return float64(ejected+1) <= p.options.MaxEjected*float64(len(p.servers))
 }
 
 // Ejected returns the number of ejected servers, for metrics.
-func (p *Power[E]) Ejected() int {
+func (p *PowerOfTwo[E]) Ejected() int {
 	n := 0
 	for _, s := range p.servers {
 		if s.ejected {
--- a/core/mtload/meter.go
+++ b/core/mtload/meter.go
@@ -129,7 +129,7 @@
 }
 
 // owned returns the rates of the shards that are the daemon's, and their sum.
-func owned(counts []mtsketch.Count[mtid.Point], owns func(low mtid.Point) bool) (map[mtid.Point]float64, float64) {
+func owned(counts []mtsketch.Estimate[mtid.Point], owns func(low mtid.Point) bool) (map[mtid.Point]float64, float64) {
 	rates := make(map[mtid.Point]float64, len(counts))
 	sum := 0.0
 	for _, c := range counts {
--- a/core/mtmove/mtmove.go
+++ b/core/mtmove/mtmove.go
@@ -17,12 +17,12 @@
 // # Usage
 //
 //	moves := mtmove.New(self, limit)
-//	effects := moves.Want(now, table, low, to)
+//	effects := moves.Begin(now, table, low, to)
 //	for _, effect := range effects {
 //		switch e := effect.(type) {
-//		case mtmove.Stop:     // stop the range at the gate; then call Quiet
+//		case mtmove.Stop:     // stop the range at the gate; then call RangeIdle
 //		case mtmove.Handover: // send identifiers to e.To; then call HandedOver or HandoverFailed
-//		case mtmove.Write:    // apply e.Ops and swap; then call Wrote
+//		case mtmove.Write:    // apply e.Ops and swap; then call WriteEnded
 //		case mtmove.Resume:   // the shard was not moved: admit requests again
 //		case mtmove.Release:  // the shard has a new owner: forward the waiting requests
 //		}
@@ -42,16 +42,16 @@
 	"magnoliaturn/core/mtshard"
 )
 
-// Patience is how long a shard may stay in each phase before a write, that is,
+// PhaseTimeout is how long a shard may stay in each phase before a write, that is,
 // while its requests in flight finish and while the identifiers are handed over.
 // If a request runs longer, the move is canceled; the planner may request it again.
-const Patience = 10 * time.Second
+const PhaseTimeout = 10 * time.Second
 
 // DefaultLimit is the usual limit on concurrent moves of a daemon.
 const DefaultLimit = 64
 
-// Place identifies a shard of a service by its first point.
-type Place struct {
+// ShardID identifies a shard of a service by its first point.
+type ShardID struct {
 	Service mtid.Ref
 	Low     mtid.Point
 }
@@ -59,23 +59,23 @@
 // Effect is an action that the caller has to carry out.
 type Effect interface{ effect() }
 
-// Stop requests that new requests for a range be held back, and that Quiet be
+// Stop requests that new requests for a range be held back, and that RangeIdle be
 // called when none is in flight.
 type Stop struct {
-	Place Place
+	Shard ShardID
 	High  mtid.Point
 }
 
 // Handover requests that the recent request identifiers of a range be sent to its
 // new owner.
 type Handover struct {
-	Place Place
+	Shard ShardID
 	High  mtid.Point
 	To    mtid.Holder
 }
 
 // Write requests a compare-and-swap of a chunk from Table to the table with Ops
-// applied. The caller reports the result by exactly one call to Wrote.
+// applied. The caller reports the result by exactly one call to WriteEnded.
 type Write struct {
 	Table *mtshard.Table
 	Ops   []mtshard.Op
@@ -83,14 +83,14 @@
 
 // Resume reports that a move was canceled: the shard remains with this owner.
 type Resume struct {
-	Place Place
+	Shard ShardID
 	High  mtid.Point
 	Cause Cause
 }
 
 // Release reports that the shard has another owner now.
 type Release struct {
-	Place Place
+	Shard ShardID
 	High  mtid.Point
 }
 
@@ -105,36 +105,36 @@
 
 // The causes of a Resume.
 const (
-	CauseSlow    Cause = "slow"    // requests in flight took longer than Patience
+	CauseSlow    Cause = "slow"    // requests in flight took longer than PhaseTimeout
 	CauseRefused Cause = "refused" // the new owner did not accept the identifiers
 	CauseStore   Cause = "store"   // the store did not accept the write
 	CauseOverdue Cause = "overdue" // the handover of the identifiers took too long
 	CauseAltered Cause = "altered" // the bounds of the shard changed during the move
 )
 
-// WantError reports that a move was not begun.
-type WantError struct {
-	Place  Place
+// BeginError reports that a move was not begun.
+type BeginError struct {
+	Shard  ShardID
 	Reason string
 }
 
 // Error implements error.
-func (e *WantError) Error() string {
-	return fmt.Sprintf("move: cannot move shard %[2]x of %[1]s: %[3]s", e.Place.Service, uint64(e.Place.Low), e.Reason)
+func (e *BeginError) Error() string {
+	return fmt.Sprintf("move: cannot move shard %[2]x of %[1]s: %[3]s", e.Shard.Service, uint64(e.Shard.Low), e.Reason)
 }
 
 // phase is the progress of a move.
 type phase int
 
 const (
-	stopping    phase = iota // waits for a call to Quiet
+	stopping    phase = iota // waits for a call to RangeIdle
 	handingOver              // waits for a call to HandedOver or HandoverFailed
 	ready                    // waits for the next write of its chunk
 	writing                  // part of a write in flight
 )
 
 type move struct {
-	id         Place
+	id         ShardID
 	high       mtid.Point
 	to         mtid.Holder
 	phaseSince mtclock.Instant
@@ -150,22 +150,22 @@
 	number  int
 }
 
-// Result is the outcome of a write.
-type Result int
+// WriteResult is the outcome of a write.
+type WriteResult int
 
 // The results of a write.
 const (
-	Landed      Result = iota // the write took effect
-	Refused                   // the version had changed: it did not take effect and never will
-	Unavailable               // the store did not accept the call: it did not take effect and never will
-	InDoubt                   // it may have taken effect, or may still do so
+	Applied        WriteResult = iota // the write took effect
+	Conflicted                        // the version had changed: it did not take effect and never will
+	Unavailable                       // the store did not accept the call: it did not take effect and never will
+	OutcomeUnknown                    // it may have taken effect, or may still do so
 )
 
 // Moves is the state machine of all planned moves of one daemon's shards.
 type Moves struct {
 	self     mtid.Holder
 	limit    int
-	moves    map[Place]*move
+	moves    map[ShardID]*move
 	tables   map[chunkID]*mtshard.Table // the latest known version of each chunk
 	inFlight map[chunkID][]*move        // the moves in the write in flight, by chunk
 	effects  []Effect
@@ -177,7 +177,7 @@
 	return &Moves{
 		self:     self,
 		limit:    limit,
-		moves:    make(map[Place]*move),
+		moves:    make(map[ShardID]*move),
 		tables:   make(map[chunkID]*mtshard.Table),
 		inFlight: make(map[chunkID][]*move),
 	}
@@ -187,24 +187,24 @@
 func (m *Moves) Len() int { return len(m.moves) }
 
 // Moving reports whether a shard is being moved.
-func (m *Moves) Moving(id Place) bool { return m.moves[id] != nil }
+func (m *Moves) Moving(id ShardID) bool { return m.moves[id] != nil }
 
-// Want starts to move the shard that begins at low to another holder. On an error,
-// which is a *WantError, the state does not change.
-func (m *Moves) Want(now mtclock.Instant, table *mtshard.Table, low mtid.Point, to mtid.Holder) ([]Effect, error) {
+// Begin starts to move the shard that begins at low to another holder. On an
+// error, which is a *BeginError, the state does not change.
+func (m *Moves) Begin(now mtclock.Instant, table *mtshard.Table, low mtid.Point, to mtid.Holder) ([]Effect, error) {
 	m.effects = nil
-	id := Place{Service: table.Service, Low: low}
+	id := ShardID{Service: table.Service, Low: low}
 	high, ok := table.High(low)
 	if reason := m.rejectReason(table, id, to, ok); reason != "" {
-		return nil, &WantError{Place: id, Reason: reason}
+		return nil, &BeginError{Shard: id, Reason: reason}
 	}
 	m.observe(table)
 	m.moves[id] = &move{id: id, high: high, to: to, phaseSince: now, phase: stopping}
-	m.emit(Stop{Place: id, High: high})
+	m.emit(Stop{Shard: id, High: high})
 	return m.effects, nil
 }
 
-func (m *Moves) rejectReason(table *mtshard.Table, id Place, to mtid.Holder, begins bool) string {
+func (m *Moves) rejectReason(table *mtshard.Table, id ShardID, to mtid.Holder, begins bool) string {
 	shard, _ := table.Lookup(id.Low)
 	switch {
 	case !begins:
@@ -221,8 +221,8 @@
 	return ""
 }
 
-// Quiet reports that no request is in flight in a stopped range.
-func (m *Moves) Quiet(now mtclock.Instant, id Place) []Effect {
+// RangeIdle reports that no request is in flight in a stopped range.
+func (m *Moves) RangeIdle(now mtclock.Instant, id ShardID) []Effect {
 	m.effects = nil
 	mv := m.moves[id]
 	if mv == nil || mv.phase != stopping {
@@ -230,12 +230,12 @@
 	}
 	mv.phase = handingOver
 	mv.phaseSince = now
-	m.emit(Handover{Place: id, High: mv.high, To: mv.to})
+	m.emit(Handover{Shard: id, High: mv.high, To: mv.to})
 	return m.effects
 }
 
 // HandedOver reports that the new owner has accepted the recent identifiers.
-func (m *Moves) HandedOver(now mtclock.Instant, id Place) []Effect {
+func (m *Moves) HandedOver(now mtclock.Instant, id ShardID) []Effect {
 	m.effects = nil
 	mv := m.moves[id]
 	if mv == nil || mv.phase != handingOver {
@@ -250,7 +250,7 @@
 // HandoverFailed reports that the new owner did not accept the identifiers, or
 // that it is not known whether it did. The move is canceled: if the new owner
 // lacked an identifier, it would run a resent request a second time.
-func (m *Moves) HandoverFailed(_ mtclock.Instant, id Place) []Effect {
+func (m *Moves) HandoverFailed(_ mtclock.Instant, id ShardID) []Effect {
 	m.effects = nil
 	if mv := m.moves[id]; mv != nil && mv.phase == handingOver {
 		m.resume(mv, CauseRefused)
@@ -258,10 +258,10 @@
 	return m.effects
 }
 
-// Wrote reports the result of the write of a chunk. table is the latest version
-// that the caller knows: after Landed the one that was written, after Refused the
-// one read from the store.
-func (m *Moves) Wrote(now mtclock.Instant, table *mtshard.Table, result Result) []Effect {
+// WriteEnded reports the result of the write of a chunk. table is the latest
+// version that the caller knows: after Applied the one that was written, after
+// Conflicted the one read from the store.
+func (m *Moves) WriteEnded(now mtclock.Instant, table *mtshard.Table, result WriteResult) []Effect {
 	m.effects = nil
 	c := chunkID{service: table.Service, number: table.Chunk}
 	finished := m.inFlight[c]
@@ -272,18 +272,18 @@
 	}
 	// After a failure of the store, the write is repeated by Tick only, which limits
 	// the rate of attempts.
-	if result == Landed || result == Refused {
+	if result == Applied || result == Conflicted {
 		m.startWrite(c)
 	}
 	return m.effects
 }
 
 // finishWrite updates a move after a write that included it.
-func (m *Moves) finishWrite(now mtclock.Instant, mv *move, result Result) {
+func (m *Moves) finishWrite(now mtclock.Instant, mv *move, result WriteResult) {
 	switch result {
-	case Landed:
+	case Applied:
 		m.release(mv)
-	case Refused:
+	case Conflicted:
 		// The version has changed, so no previous write can take effect any more
 		// and the table is authoritative.
 		mv.outcomeUnknown = false
@@ -297,15 +297,15 @@
 			return
 		}
 		m.resume(mv, CauseStore)
-	case InDoubt:
+	case OutcomeUnknown:
 		mv.outcomeUnknown = true
 		mv.phase = ready
 	}
 }
 
-// See processes a table of a chunk that was received from a peer or from the
-// store. Moves of shards that have another owner by now are released.
-func (m *Moves) See(_ mtclock.Instant, table *mtshard.Table) []Effect {
+// ObserveTable processes a table of a chunk that was received from a peer or from
+// the store. Moves of shards that have another owner by now are released.
+func (m *Moves) ObserveTable(_ mtclock.Instant, table *mtshard.Table) []Effect {
 	m.effects = nil
 	m.observe(table)
 	for _, mv := range m.ordered() {
@@ -324,7 +324,7 @@
 func (m *Moves) Tick(now mtclock.Instant) []Effect {
 	m.effects = nil
 	for _, mv := range m.ordered() {
-		if now.Sub(mv.phaseSince) < Patience {
+		if now.Sub(mv.phaseSince) < PhaseTimeout {
 			continue
 		}
 		switch mv.phase {
@@ -387,7 +387,7 @@
 	}
 }
 
-func (m *Moves) chunkOf(id Place) chunkID {
+func (m *Moves) chunkOf(id ShardID) chunkID {
 	for c, t := range m.tables {
 		if c.service == id.Service && mtshard.ChunkOf(id.Low, t.Chunks) == c.number {
 			return c
@@ -398,12 +398,12 @@
 
 func (m *Moves) resume(mv *move, cause Cause) {
 	delete(m.moves, mv.id)
-	m.emit(Resume{Place: mv.id, High: mv.high, Cause: cause})
+	m.emit(Resume{Shard: mv.id, High: mv.high, Cause: cause})
 }
 
 func (m *Moves) release(mv *move) {
 	delete(m.moves, mv.id)
-	m.emit(Release{Place: mv.id, High: mv.high})
+	m.emit(Release{Shard: mv.id, High: mv.high})
 }
 
 func (m *Moves) emit(e Effect) { m.effects = append(m.effects, e) }
--- a/core/mtmove/mtmove_test.go
+++ b/core/mtmove/mtmove_test.go
@@ -23,7 +23,7 @@
 )
 
 func table(t assert.TestingT) *mtshard.Table {
-	created, err := mtshard.New(ref, 0, 1).Apply(mtroster.Stamp{}, mtshard.Create{Shards: 2, Among: []mtid.Holder{a}})
+	created, err := mtshard.New(ref, 0, 1).Apply(mtroster.Stamp{}, mtshard.Create{Shards: 2, Holders: []mtid.Holder{a}})
 	assert.NilError(t, err)
 	return created
 }
@@ -32,7 +32,7 @@
 	first := table(t)
 	second := first.Shards[1].Low
 	moves := mtmove.New(a, 1)
-	_, err := moves.Want(0, first, 0, b)
+	_, err := moves.Begin(0, first, 0, b)
 	assert.NilError(t, err)
 	tests := []struct {
 		name string
@@ -47,8 +47,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			_, err := moves.Want(0, first, tt.low, tt.to)
-			var got *mtmove.WantError
+			_, err := moves.Begin(0, first, tt.low, tt.to)
+			var got *mtmove.BeginError
 			assert.Assert(t, errors.As(err, &got), "got %v, want a WantError", err)
 			assert.Equal(t, moves.Len(), 1)
 		})
@@ -60,9 +60,9 @@
 // canceled, so that the owner resumes the shard.
 func TestSlowRequestCancelsMove(t *testing.T) {
 	moves := mtmove.New(a, 4)
-	_, err := moves.Want(0, table(t), 0, b)
+	_, err := moves.Begin(0, table(t), 0, b)
 	assert.NilError(t, err)
-	got := moves.Tick(mtclock.Instant(0).Add(mtmove.Patience))
+	got := moves.Tick(mtclock.Instant(0).Add(mtmove.PhaseTimeout))
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, got[0].(mtmove.Resume).Cause, mtmove.CauseSlow)
 }
@@ -74,15 +74,15 @@
 func TestUnknownWriteOutcomeKeepsShardStopped(t *testing.T) {
 	moves := mtmove.New(a, 4)
 	first := table(t)
-	id := mtmove.Place{Service: ref, Low: 0}
-	_, err := moves.Want(0, first, 0, b)
+	id := mtmove.ShardID{Service: ref, Low: 0}
+	_, err := moves.Begin(0, first, 0, b)
 	assert.NilError(t, err)
-	moves.Quiet(0, id)
+	moves.RangeIdle(0, id)
 	moves.HandedOver(0, id)
-	assert.Equal(t, len(moves.Wrote(0, first, mtmove.InDoubt)), 0)
-	late := mtclock.Instant(0).Add(10 * mtmove.Patience)
+	assert.Equal(t, len(moves.WriteEnded(0, first, mtmove.OutcomeUnknown)), 0)
+	late := mtclock.Instant(0).Add(10 * mtmove.PhaseTimeout)
 	assert.Equal(t, len(moves.Tick(late)), 1) // repeats the write
-	assert.Equal(t, len(moves.Wrote(late, first, mtmove.Unavailable)), 0)
+	assert.Equal(t, len(moves.WriteEnded(late, first, mtmove.Unavailable)), 0)
 	assert.Assert(t, moves.Moving(id))
 }
 
@@ -92,13 +92,13 @@
 func TestSplitDuringMoveCancelsIt(t *testing.T) {
 	moves := mtmove.New(a, 4)
 	first := table(t)
-	id := mtmove.Place{Service: ref, Low: 0}
-	_, err := moves.Want(0, first, 0, b)
+	id := mtmove.ShardID{Service: ref, Low: 0}
+	_, err := moves.Begin(0, first, 0, b)
 	assert.NilError(t, err)
-	moves.Quiet(0, id)
+	moves.RangeIdle(0, id)
 	split, err := first.Apply(mtroster.Stamp{}, mtshard.Split{Point: 9})
 	assert.NilError(t, err)
-	moves.See(0, split)
+	moves.ObserveTable(0, split)
 	got := moves.HandedOver(0, id)
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, got[0].(mtmove.Resume).Cause, mtmove.CauseAltered)
@@ -108,15 +108,15 @@
 // concurrent write would be for the same version, and one of the two would conflict
 // needlessly. Both shards must go into a single write after the first.
 func TestChunkHasOneWriteInFlight(t *testing.T) {
-	first, err := mtshard.New(ref, 0, 1).Apply(mtroster.Stamp{}, mtshard.Create{Shards: 3, Among: []mtid.Holder{a}})
+	first, err := mtshard.New(ref, 0, 1).Apply(mtroster.Stamp{}, mtshard.Create{Shards: 3, Holders: []mtid.Holder{a}})
 	assert.NilError(t, err)
 	moves := mtmove.New(a, 4)
 	var writes []mtmove.Write
 	for _, shard := range first.Shards {
-		id := mtmove.Place{Service: ref, Low: shard.Low}
-		_, err := moves.Want(0, first, shard.Low, b)
+		id := mtmove.ShardID{Service: ref, Low: shard.Low}
+		_, err := moves.Begin(0, first, shard.Low, b)
 		assert.NilError(t, err)
-		moves.Quiet(0, id)
+		moves.RangeIdle(0, id)
 		for _, effect := range moves.HandedOver(0, id) {
 			writes = append(writes, effect.(mtmove.Write))
 		}
@@ -124,7 +124,7 @@
 	assert.Equal(t, len(writes), 1)
 	second, err := first.Apply(mtroster.Stamp{}, writes[0].Ops...)
 	assert.NilError(t, err)
-	effects := moves.Wrote(0, second, mtmove.Landed)
+	effects := moves.WriteEnded(0, second, mtmove.Applied)
 	assert.Equal(t, len(effects), 2) // the release of the first shard, the write for the others
 	assert.Equal(t, len(effects[1].(mtmove.Write).Ops), 2)
 }
@@ -149,11 +149,11 @@
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case mtmove.Stop:
-			s.stopped = append(s.stopped, stoppedRange{low: e.Place.Low, high: e.High})
+			s.stopped = append(s.stopped, stoppedRange{low: e.Shard.Low, high: e.High})
 		case mtmove.Write:
 			s.pending = append(s.pending, e)
 		case mtmove.Resume:
-			s.stopped = slices.DeleteFunc(s.stopped, func(r stoppedRange) bool { return r.low == e.Place.Low })
+			s.stopped = slices.DeleteFunc(s.stopped, func(r stoppedRange) bool { return r.low == e.Shard.Low })
 		}
 	}
 }
@@ -176,18 +176,18 @@
 	switch rapid.IntRange(0, 3).Draw(s.t, "result") {
 	case 0:
 		if s.store(write) {
-			s.apply(s.moves.Wrote(s.now, s.stored, mtmove.Landed))
+			s.apply(s.moves.WriteEnded(s.now, s.stored, mtmove.Applied))
 			return
 		}
-		s.apply(s.moves.Wrote(s.now, s.stored, mtmove.Refused))
+		s.apply(s.moves.WriteEnded(s.now, s.stored, mtmove.Conflicted))
 	case 1:
-		s.apply(s.moves.Wrote(s.now, write.Table, mtmove.Unavailable))
+		s.apply(s.moves.WriteEnded(s.now, write.Table, mtmove.Unavailable))
 	case 2:
 		s.store(write)
-		s.apply(s.moves.Wrote(s.now, write.Table, mtmove.InDoubt))
+		s.apply(s.moves.WriteEnded(s.now, write.Table, mtmove.OutcomeUnknown))
 	case 3:
 		s.delayed = append(s.delayed, write)
-		s.apply(s.moves.Wrote(s.now, write.Table, mtmove.InDoubt))
+		s.apply(s.moves.WriteEnded(s.now, write.Table, mtmove.OutcomeUnknown))
 	}
 }
 
@@ -204,15 +204,15 @@
 
 func (s *simulation) step() {
 	shard := rapid.SampledFrom(s.stored.Shards).Draw(s.t, "shard")
-	id := mtmove.Place{Service: ref, Low: shard.Low}
+	id := mtmove.ShardID{Service: ref, Low: shard.Low}
 	switch rapid.IntRange(0, 7).Draw(s.t, "event") {
 	case 0:
-		effects, err := s.moves.Want(s.now, s.stored, shard.Low, b)
+		effects, err := s.moves.Begin(s.now, s.stored, shard.Low, b)
 		if err == nil {
 			s.apply(effects)
 		}
 	case 1:
-		s.apply(s.moves.Quiet(s.now, id))
+		s.apply(s.moves.RangeIdle(s.now, id))
 	case 2:
 		s.apply(s.moves.HandedOver(s.now, id))
 	case 3:
@@ -222,11 +222,11 @@
 			s.finishWrite()
 		}
 	case 5:
-		s.now = s.now.Add(rapid.SampledFrom([]time.Duration{time.Second, mtmove.Patience}).Draw(s.t, "pass"))
+		s.now = s.now.Add(rapid.SampledFrom([]time.Duration{time.Second, mtmove.PhaseTimeout}).Draw(s.t, "pass"))
 		s.apply(s.moves.Tick(s.now))
 	case 6:
 		s.splitShard()
-		s.apply(s.moves.See(s.now, s.stored))
+		s.apply(s.moves.ObserveTable(s.now, s.stored))
 	case 7:
 		if len(s.delayed) > 0 {
 			s.store(s.delayed[0])
--- a/core/mtplan/create.go
+++ b/core/mtplan/create.go
@@ -87,7 +87,7 @@
 		from := total * float64(chunk) / float64(chunks)
 		to := total * float64(chunk+1) / float64(chunks)
 		among, quota := share(row, from, to, each)
-		create := mtshard.Create{Shards: each, Among: among}
+		create := mtshard.Create{Shards: each, Holders: among}
 		table, err := mtshard.New(mtid.Ref{}, chunk, chunks).Apply(mtroster.Stamp{}, create)
 		if err != nil {
 			return nil
--- a/core/mtplan/planner_test.go
+++ b/core/mtplan/planner_test.go
@@ -330,7 +330,7 @@
 		among = append(among, holder("gone"))
 		var tables []*mtshard.Table
 		for chunk := range chunks {
-			table, err := mtshard.New(mtid.Ref{}, chunk, chunks).Apply(mtroster.Stamp{}, mtshard.Create{Shards: rapid.IntRange(1, 12).Draw(t, "shards"), Among: among})
+			table, err := mtshard.New(mtid.Ref{}, chunk, chunks).Apply(mtroster.Stamp{}, mtshard.Create{Shards: rapid.IntRange(1, 12).Draw(t, "shards"), Holders: among})
 			assert.NilError(t, err)
 			tables = append(tables, table)
 		}
@@ -429,7 +429,7 @@
 		}
 		var owned []mtshard.Shard
 		for _, table := range tables {
-			owned = append(owned, table.Owned(s.Holder)...)
+			owned = append(owned, table.OwnedBy(s.Holder)...)
 		}
 		book.Take(start, &mtload.Report{From: s.Holder, Sequence: 1, Load: load}, owned)
 	}
--- a/core/mtscene/run.go
+++ b/core/mtscene/run.go
@@ -203,7 +203,7 @@
 	}
 	survivors := r.holders(serving)
 	for chunk, table := range r.tables {
-		r.apply(chunk, mtshard.Failover{Lost: dead, Among: table.Survivors(survivors)})
+		r.apply(chunk, mtshard.Failover{Lost: dead, Survivors: table.Survivors(survivors)})
 	}
 }
 
--- a/core/mtshard/codec.go
+++ b/core/mtshard/codec.go
@@ -96,7 +96,7 @@
 func WireSteps(steps []Step) []*mtwire.Step {
 	var out []*mtwire.Step
 	for _, s := range steps {
-		w := &mtwire.Step{Version: uint64(s.Version), Stamp: s.Stamp.Wire()}
+		w := &mtwire.Step{Version: uint64(s.Version), Stamp: s.WriteID.Wire()}
 		for _, op := range s.Ops {
 			w.Ops = append(w.Ops, wireOp(op))
 		}
@@ -110,7 +110,7 @@
 func ReadSteps(w []*mtwire.Step) []Step {
 	var out []Step
 	for _, s := range w {
-		step := Step{Version: mtid.Version(s.GetVersion()), Stamp: mtroster.ReadStamp(s.GetStamp())}
+		step := Step{Version: mtid.Version(s.GetVersion()), WriteID: mtroster.ReadStamp(s.GetStamp())}
 		for _, op := range s.GetOps() {
 			step.Ops = append(step.Ops, readOp(op))
 		}
@@ -129,7 +129,7 @@
 func wireOp(op Op) *mtwire.Op {
 	switch o := op.(type) {
 	case Create:
-		return &mtwire.Op{Kind: &mtwire.Op_Create{Create: &mtwire.Create{Shards: uint32(o.Shards), Among: wireHolders(o.Among)}}}
+		return &mtwire.Op{Kind: &mtwire.Op_Create{Create: &mtwire.Create{Shards: uint32(o.Shards), Among: wireHolders(o.Holders)}}}
 	case Split:
 		return &mtwire.Op{Kind: &mtwire.Op_Split{Split: &mtwire.Split{Point: uint64(o.Point)}}}
 	case Merge:
@@ -137,9 +137,9 @@
 	case Move:
 		return &mtwire.Op{Kind: &mtwire.Op_Move{Move: &mtwire.Move{Low: uint64(o.Low), To: mtroster.WireHolder(o.To)}}}
 	case Failover:
-		return &mtwire.Op{Kind: &mtwire.Op_Failover{Failover: &mtwire.Failover{Lost: wireHolders(o.Lost), Among: wireHolders(o.Among)}}}
+		return &mtwire.Op{Kind: &mtwire.Op_Failover{Failover: &mtwire.Failover{Lost: wireHolders(o.Lost), Among: wireHolders(o.Survivors)}}}
 	case Evict:
-		return &mtwire.Op{Kind: &mtwire.Op_Evict{Evict: &mtwire.Evict{Places: wireIndexes(o.Places)}}}
+		return &mtwire.Op{Kind: &mtwire.Op_Evict{Evict: &mtwire.Evict{Places: wireIndexes(o.OwnerIndexes)}}}
 	}
 	return &mtwire.Op{}
 }
@@ -163,7 +163,7 @@
 func readOp(w *mtwire.Op) Op {
 	switch k := w.GetKind().(type) {
 	case *mtwire.Op_Create:
-		return Create{Shards: int(k.Create.GetShards()), Among: readHolders(k.Create.GetAmong())}
+		return Create{Shards: int(k.Create.GetShards()), Holders: readHolders(k.Create.GetAmong())}
 	case *mtwire.Op_Split:
 		return Split{Point: mtid.Point(k.Split.GetPoint())}
 	case *mtwire.Op_Merge:
@@ -171,9 +171,9 @@
 	case *mtwire.Op_Move:
 		return Move{Low: mtid.Point(k.Move.GetLow()), To: mtroster.ReadHolder(k.Move.GetTo())}
 	case *mtwire.Op_Failover:
-		return Failover{Lost: readHolders(k.Failover.GetLost()), Among: readHolders(k.Failover.GetAmong())}
+		return Failover{Lost: readHolders(k.Failover.GetLost()), Survivors: readHolders(k.Failover.GetAmong())}
 	case *mtwire.Op_Evict:
-		return Evict{Places: readIndexes(k.Evict.GetPlaces())}
+		return Evict{OwnerIndexes: readIndexes(k.Evict.GetPlaces())}
 	}
 	return unknown{}
 }
--- a/core/mtshard/mtshard.go
+++ b/core/mtshard/mtshard.go
@@ -30,10 +30,10 @@
 	"magnoliaturn/core/mtroster"
 )
 
-// KeptSteps is the number of past steps that a stored chunk retains, so that a
+// RetainedSteps is the number of past steps that a stored chunk retains, so that a
 // daemon that watches the store can forward deltas, and a writer can check
 // whether a write with an unknown outcome took effect.
-const KeptSteps = 64
+const RetainedSteps = 64
 
 // Shard is a range of the ring with one owner. It extends from Low to the next
 // shard's Low (exclusive), or to the end of the chunk.
@@ -51,13 +51,13 @@
 	Version   mtid.Version
 	NextEpoch mtid.Epoch
 	Shards    []Shard // ordered by Low; the first begins where the chunk does
-	Steps     []Step  // the latest KeptSteps steps, oldest first
+	Steps     []Step  // the latest RetainedSteps steps, oldest first
 }
 
 // Step is the change that produced one version of a table.
 type Step struct {
 	Version mtid.Version
-	Stamp   mtroster.Stamp
+	WriteID mtroster.Stamp
 	Ops     []Op
 }
 
@@ -69,8 +69,8 @@
 // Create divides an empty chunk into shards of equal width and assigns them to
 // holders by rendezvous rank.
 type Create struct {
-	Shards int
-	Among  []mtid.Holder
+	Shards  int
+	Holders []mtid.Holder
 }
 
 // Split divides the shard that covers Point, so that a new shard begins at Point.
@@ -88,8 +88,8 @@
 
 // Failover assigns all shards of the lost holders to the survivors.
 type Failover struct {
-	Lost  []mtid.Holder
-	Among []mtid.Holder
+	Lost      []mtid.Holder
+	Survivors []mtid.Holder
 }
 
 // Evict assigns all shards of some owners to the other owners of the chunk. It is
@@ -97,7 +97,7 @@
 // of an availability zone then takes two bytes for each lost daemon instead of the
 // names of the whole fleet.
 type Evict struct {
-	Places []int // indexes of the lost owners in Table.Owners
+	OwnerIndexes []int // indexes of the lost owners in Table.Owners
 }
 
 // OpError reports that an op cannot be applied to a table.
@@ -144,9 +144,9 @@
 			return nil, err
 		}
 	}
-	step := Step{Version: next.Version, Stamp: writeID, Ops: ops}
+	step := Step{Version: next.Version, WriteID: writeID, Ops: ops}
 	next.Steps = append(slices.Clone(t.Steps), step)
-	if excess := len(next.Steps) - KeptSteps; excess > 0 {
+	if excess := len(next.Steps) - RetainedSteps; excess > 0 {
 		next.Steps = next.Steps[excess:]
 	}
 	return &next, nil
@@ -164,7 +164,7 @@
 		if s.Version != next.Version+1 {
 			return nil, &GapError{Have: next.Version, Got: s.Version}
 		}
-		after, err := next.Apply(s.Stamp, s.Ops...)
+		after, err := next.Apply(s.WriteID, s.Ops...)
 		if err != nil {
 			return nil, err
 		}
@@ -186,9 +186,9 @@
 	return fmt.Sprintf("shard: steps between version %d of the table and version %d received are missing", e.Have, e.Got)
 }
 
-// Since returns the steps after version. It returns false if some of them are no
-// longer retained.
-func (t *Table) Since(version mtid.Version) ([]Step, bool) {
+// StepsSince returns the steps after version, or false if some of them are no longer
+// retained.
+func (t *Table) StepsSince(version mtid.Version) ([]Step, bool) {
 	if version >= t.Version {
 		return nil, true
 	}
@@ -199,11 +199,11 @@
 	return t.Steps[i:], true
 }
 
-// Wrote returns the step with the given write ID, if it is still retained. A
+// FindStep returns the step with the given write ID, if it is still retained. A
 // writer that received no reply calls it to find out whether its write took
 // effect.
-func (t *Table) Wrote(writeID mtroster.Stamp) (Step, bool) {
-	i := slices.IndexFunc(t.Steps, func(s Step) bool { return s.Stamp == writeID })
+func (t *Table) FindStep(writeID mtroster.Stamp) (Step, bool) {
+	i := slices.IndexFunc(t.Steps, func(s Step) bool { return s.WriteID == writeID })
 	if i < 0 {
 		return Step{}, false
 	}
@@ -232,8 +232,8 @@
 	return t.lastPoint(), true
 }
 
-// Owned returns the shards that holder owns, ordered by Low.
-func (t *Table) Owned(holder mtid.Holder) []Shard {
+// OwnedBy returns the shards that holder owns, ordered by Low.
+func (t *Table) OwnedBy(holder mtid.Holder) []Shard {
 	var owned []Shard
 	for _, s := range t.Shards {
 		if s.Owner == holder {
@@ -255,25 +255,25 @@
 	return owners
 }
 
-// Short returns the shortest op that changes t as f does: an Evict if the
+// CompactFailover returns the shortest op that changes t as f does: an Evict if the
 // survivors are exactly the other owners of the chunk, else f itself.
-func (t *Table) Short(f Failover) Op {
+func (t *Table) CompactFailover(f Failover) Op {
 	var indexes []int
 	remaining := 0
 	for i, owner := range t.Owners() {
 		switch {
 		case slices.Contains(f.Lost, owner):
 			indexes = append(indexes, i)
-		case slices.Contains(f.Among, owner):
+		case slices.Contains(f.Survivors, owner):
 			remaining++
 		default:
 			return f
 		}
 	}
-	if len(indexes) == 0 || remaining != len(f.Among) {
+	if len(indexes) == 0 || remaining != len(f.Survivors) {
 		return f
 	}
-	return Evict{Places: indexes}
+	return Evict{OwnerIndexes: indexes}
 }
 
 // index returns the index of the shard that covers p, or -1.
@@ -340,14 +340,14 @@
 	if len(t.Shards) > 0 {
 		return &OpError{Op: o, Reason: "the chunk already has shards"}
 	}
-	if o.Shards < 1 || len(o.Among) == 0 {
+	if o.Shards < 1 || len(o.Holders) == 0 {
 		return &OpError{Op: o, Reason: "at least one shard and one holder are required"}
 	}
 	low := ChunkLow(t.Chunk, t.Chunks)
 	width := (uint64(t.lastPoint()-low) / uint64(o.Shards)) + 1
 	for i := range o.Shards {
 		at := low + mtid.Point(uint64(i)*width)
-		t.Shards = append(t.Shards, Shard{Low: at, Owner: Choose(at, o.Among), Epoch: t.allocateEpoch()})
+		t.Shards = append(t.Shards, Shard{Low: at, Owner: Choose(at, o.Holders), Epoch: t.allocateEpoch()})
 	}
 	return nil
 }
@@ -402,27 +402,27 @@
 	owners := t.Owners()
 	var f Failover
 	for i, owner := range owners {
-		if slices.Contains(o.Places, i) {
+		if slices.Contains(o.OwnerIndexes, i) {
 			f.Lost = append(f.Lost, owner)
 			continue
 		}
-		f.Among = append(f.Among, owner)
+		f.Survivors = append(f.Survivors, owner)
 	}
-	if len(f.Lost) != len(o.Places) {
+	if len(f.Lost) != len(o.OwnerIndexes) {
 		return &OpError{Op: o, Reason: "an index is repeated or beyond the list of owners"}
 	}
 	return f.apply(t)
 }
 
 func (o Failover) apply(t *Table) error {
-	if len(o.Among) == 0 {
+	if len(o.Survivors) == 0 {
 		return &OpError{Op: o, Reason: "no survivor is named"}
 	}
 	lost := make(map[mtid.Holder]bool, len(o.Lost))
 	for _, h := range o.Lost {
 		lost[h] = true
 	}
-	for _, h := range o.Among {
+	for _, h := range o.Survivors {
 		if lost[h] {
 			return &OpError{Op: o, Reason: "a holder is named both as lost and as survivor"}
 		}
@@ -432,7 +432,7 @@
 		if !lost[s.Owner] {
 			continue
 		}
-		s.Owner = Choose(s.Low, o.Among)
+		s.Owner = Choose(s.Low, o.Survivors)
 		s.Epoch = t.allocateEpoch()
 	}
 	return nil
--- a/core/mtshard/mtshard_test.go
+++ b/core/mtshard/mtshard_test.go
@@ -24,7 +24,7 @@
 
 func created(t *testing.T) *mtshard.Table {
 	t.Helper()
-	table, err := mtshard.New(ref, 0, 1).Apply(noWriteID, mtshard.Create{Shards: 4, Among: []mtid.Holder{a, b, c}})
+	table, err := mtshard.New(ref, 0, 1).Apply(noWriteID, mtshard.Create{Shards: 4, Holders: []mtid.Holder{a, b, c}})
 	assert.NilError(t, err)
 	return table
 }
@@ -35,14 +35,14 @@
 		name string
 		op   mtshard.Op
 	}{
-		{"second create", mtshard.Create{Shards: 1, Among: []mtid.Holder{a}}},
+		{"second create", mtshard.Create{Shards: 1, Holders: []mtid.Holder{a}}},
 		{"split at a boundary", mtshard.Split{Point: table.Shards[1].Low}},
 		{"merge of the first shard", mtshard.Merge{Low: 0}},
 		{"merge where no shard begins", mtshard.Merge{Low: 77}},
 		{"move where no shard begins", mtshard.Move{Low: 77, To: a}},
 		{"move without a new owner", mtshard.Move{Low: 0}},
 		{"failover without survivors", mtshard.Failover{Lost: []mtid.Holder{a}}},
-		{"failover to the lost", mtshard.Failover{Lost: []mtid.Holder{a}, Among: []mtid.Holder{a}}},
+		{"failover to the lost", mtshard.Failover{Lost: []mtid.Holder{a}, Survivors: []mtid.Holder{a}}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -74,8 +74,8 @@
 		mtshard.Split{Point: point},
 		mtshard.Merge{Low: pick.Low},
 		mtshard.Move{Low: pick.Low, To: to},
-		mtshard.Failover{Lost: []mtid.Holder{to}, Among: []mtid.Holder{{Daemon: to.Daemon, Incarnation: to.Incarnation + 1}}},
-		table.Short(mtshard.Failover{Lost: []mtid.Holder{to}, Among: without(table.Owners(), to)}),
+		mtshard.Failover{Lost: []mtid.Holder{to}, Survivors: []mtid.Holder{{Daemon: to.Daemon, Incarnation: to.Incarnation + 1}}},
+		table.CompactFailover(mtshard.Failover{Lost: []mtid.Holder{to}, Survivors: without(table.Owners(), to)}),
 	}).Draw(t, "op")
 }
 
@@ -86,21 +86,21 @@
 // The short form of a failover must assign every shard to the same owner as the
 // long form; otherwise daemons of two releases would route to different owners.
 func TestCompactFailoverIsEquivalent(t *testing.T) {
-	table, err := mtshard.New(ref, 0, 1).Apply(noWriteID, mtshard.Create{Shards: 64, Among: []mtid.Holder{a, b, c}})
+	table, err := mtshard.New(ref, 0, 1).Apply(noWriteID, mtshard.Create{Shards: 64, Holders: []mtid.Holder{a, b, c}})
 	assert.NilError(t, err)
 	tests := []struct {
 		name  string
 		op    mtshard.Failover
 		short bool
 	}{
-		{"all others survive", mtshard.Failover{Lost: []mtid.Holder{b}, Among: []mtid.Holder{c, a}}, true},
-		{"an empty server is among the survivors", mtshard.Failover{Lost: []mtid.Holder{b}, Among: []mtid.Holder{a, c, {Daemon: "d", Incarnation: 1}}}, false},
-		{"an owner that is not lost is no survivor", mtshard.Failover{Lost: []mtid.Holder{b}, Among: []mtid.Holder{a}}, false},
-		{"the lost own nothing", mtshard.Failover{Lost: []mtid.Holder{{Daemon: "d", Incarnation: 1}}, Among: []mtid.Holder{a, b, c}}, false},
+		{"all others survive", mtshard.Failover{Lost: []mtid.Holder{b}, Survivors: []mtid.Holder{c, a}}, true},
+		{"an empty server is among the survivors", mtshard.Failover{Lost: []mtid.Holder{b}, Survivors: []mtid.Holder{a, c, {Daemon: "d", Incarnation: 1}}}, false},
+		{"an owner that is not lost is no survivor", mtshard.Failover{Lost: []mtid.Holder{b}, Survivors: []mtid.Holder{a}}, false},
+		{"the lost own nothing", mtshard.Failover{Lost: []mtid.Holder{{Daemon: "d", Incarnation: 1}}, Survivors: []mtid.Holder{a, b, c}}, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			op := table.Short(tt.op)
+			op := table.CompactFailover(tt.op)
 			_, got := op.(mtshard.Evict)
 			assert.Equal(t, got, tt.short)
 			want, err := table.Apply(noWriteID, tt.op)
@@ -117,7 +117,7 @@
 // never owned its key. The epoch must increase with each change of a point's owner.
 func TestReplayAndCodecYieldSameTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table, err := mtshard.New(ref, 0, 1).Apply(noWriteID, mtshard.Create{Shards: 4, Among: []mtid.Holder{a, b, c}})
+		table, err := mtshard.New(ref, 0, 1).Apply(noWriteID, mtshard.Create{Shards: 4, Holders: []mtid.Holder{a, b, c}})
 		assert.NilError(t, err)
 		follower := table
 		probe := mtid.Point(rapid.Uint64().Draw(t, "probe"))
@@ -135,7 +135,7 @@
 			assert.Assert(t, after.Epoch >= before.Epoch)
 			before = after
 		}
-		steps, complete := table.Since(follower.Version)
+		steps, complete := table.StepsSince(follower.Version)
 		assert.Assert(t, complete)
 		follower, err = follower.Replay(steps)
 		assert.NilError(t, err)
@@ -153,7 +153,7 @@
 // the previous owner processed afterwards could run a second time.
 func TestOriginOfShard(t *testing.T) {
 	by := func(h mtid.Holder) mtroster.Stamp { return mtroster.Stamp{Writer: h} }
-	create := mtshard.Create{Shards: 2, Among: []mtid.Holder{a}}
+	create := mtshard.Create{Shards: 2, Holders: []mtid.Holder{a}}
 	type step struct {
 		by  mtid.Holder
 		ops []mtshard.Op
@@ -167,11 +167,11 @@
 		{"created and moved in one step", []step{{c, []mtshard.Op{create, mtshard.Move{Low: 0, To: b}}}}, true, false},
 		{"moved by its owner", []step{{c, []mtshard.Op{create}}, {a, []mtshard.Op{mtshard.Move{Low: 0, To: b}}}}, false, true},
 		{"moved by another holder", []step{{c, []mtshard.Op{create}}, {c, []mtshard.Op{mtshard.Move{Low: 0, To: b}}}}, false, false},
-		{"lost", []step{{c, []mtshard.Op{create}}, {a, []mtshard.Op{mtshard.Failover{Lost: []mtid.Holder{a}, Among: []mtid.Holder{b}}}}}, false, false},
+		{"lost", []step{{c, []mtshard.Op{create}}, {a, []mtshard.Op{mtshard.Failover{Lost: []mtid.Holder{a}, Survivors: []mtid.Holder{b}}}}}, false, false},
 		{"moved, then the previous owner lost", []step{
 			{c, []mtshard.Op{create}},
 			{a, []mtshard.Op{mtshard.Move{Low: 0, To: b}}},
-			{c, []mtshard.Op{mtshard.Failover{Lost: []mtid.Holder{a}, Among: []mtid.Holder{b}}}},
+			{c, []mtshard.Op{mtshard.Failover{Lost: []mtid.Holder{a}, Survivors: []mtid.Holder{b}}}},
 		}, false, false},
 	}
 	for _, tt := range tests {
@@ -182,8 +182,8 @@
 				assert.NilError(t, err)
 				table = next
 			}
-			assert.Equal(t, table.First(table.Shards[0]), tt.first)
-			assert.Equal(t, table.Handed(0, a, b), tt.handed)
+			assert.Equal(t, table.HasFirstOwner(table.Shards[0]), tt.first)
+			assert.Equal(t, table.MovedByHandover(0, a, b), tt.handed)
 		})
 	}
 }
@@ -201,7 +201,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	table, _ := mtshard.New(ref, 0, 1).Apply(noWriteID, mtshard.Create{Shards: 2, Among: []mtid.Holder{a}})
+	table, _ := mtshard.New(ref, 0, 1).Apply(noWriteID, mtshard.Create{Shards: 2, Holders: []mtid.Holder{a}})
 	value, _ := table.Encode()
 	f.Add(value)
 	f.Fuzz(func(_ *testing.T, value []byte) {
--- a/core/mtsketch/mtsketch.go
+++ b/core/mtsketch/mtsketch.go
@@ -27,8 +27,8 @@
 	"magnoliaturn/core/mtclock"
 )
 
-// Count is the estimated rate of one key.
-type Count[K comparable] struct {
+// Estimate is the estimated rate of one key.
+type Estimate[K comparable] struct {
 	Key K
 	// Rate is the weight per second, averaged over about the last one and a half
 	// half-lives. It is never too low, and too high by at most Error.
@@ -100,20 +100,20 @@
 }
 
 // Top returns the n heaviest keys, heaviest first.
-func (s *Sketch[K]) Top(now mtclock.Instant, n int) []Count[K] {
+func (s *Sketch[K]) Top(now mtclock.Instant, n int) []Estimate[K] {
 	factor := s.unscale(now)
 	sorted := slices.Clone(s.heap)
 	slices.SortFunc(sorted, func(a, b *counter[K]) int { return cmp.Compare(b.weight, a.weight) })
 	sorted = sorted[:min(n, len(sorted))]
-	top := make([]Count[K], 0, len(sorted))
+	top := make([]Estimate[K], 0, len(sorted))
 	for _, c := range sorted {
-		top = append(top, Count[K]{Key: c.key, Rate: c.weight * factor, Error: c.overcount * factor})
+		top = append(top, Estimate[K]{Key: c.key, Rate: c.weight * factor, Error: c.overcount * factor})
 	}
 	return top
 }
 
-// Total returns the total rate of all keys.
-func (s *Sketch[K]) Total(now mtclock.Instant) float64 {
+// TotalRate returns the total rate of all keys.
+func (s *Sketch[K]) TotalRate(now mtclock.Instant) float64 {
 	return s.total * s.unscale(now)
 }
 
--- a/core/mtsketch/mtsketch_test.go
+++ b/core/mtsketch/mtsketch_test.go
@@ -29,8 +29,8 @@
 func TestRatesDecay(t *testing.T) {
 	s := mtsketch.New[int](2, time.Second)
 	s.Add(0, 1, 100)
-	before := s.Total(0)
-	after := s.Total(mtclock.Instant(0).Add(3 * time.Second))
+	before := s.TotalRate(0)
+	after := s.TotalRate(mtclock.Instant(0).Add(3 * time.Second))
 	assert.Assert(t, math.Abs(before/after-8) < 1e-9, "got a factor of %v, want 8", before/after)
 }
 
@@ -62,7 +62,7 @@
 			s.Add(0, k, 1)
 			exact[k]++
 		}
-		unitRate := s.Total(0) / float64(len(keys))
+		unitRate := s.TotalRate(0) / float64(len(keys))
 		found := make(map[int]bool)
 		for _, c := range s.Top(0, size) {
 			found[c.Key] = true
--- a/core/mttakeover/failover.go
+++ b/core/mttakeover/failover.go
@@ -100,10 +100,10 @@
 	for _, record := range roster {
 		_, offers := record.Offer(table.Service)
 		if offers && record.State == mtroster.Serving && roster.live(record.Holder) {
-			op.Among = append(op.Among, record.Holder)
+			op.Survivors = append(op.Survivors, record.Holder)
 		}
 	}
-	op.Among = table.Survivors(op.Among)
+	op.Survivors = table.Survivors(op.Survivors)
 	slices.SortFunc(op.Lost, mtid.Holder.Compare)
-	return op, len(op.Among) > 0
+	return op, len(op.Survivors) > 0
 }
--- a/core/mttakeover/model_test.go
+++ b/core/mttakeover/model_test.go
@@ -270,7 +270,7 @@
 		if p.table == nil {
 			continue
 		}
-		for _, s := range p.table.Owned(h) {
+		for _, s := range p.table.OwnedBy(h) {
 			m.happened["serves a shard"]++
 			if other, ok := owners[s.Low]; ok {
 				m.fail("%v and %v may both serve the shard at %d", other, h, s.Low)
@@ -279,8 +279,8 @@
 		}
 	}
 	for _, a := range m.acked {
-		_, kept := m.table.table.Wrote(a.stampOf)
-		if !kept && m.table.version < a.version+mtshard.KeptSteps {
+		_, kept := m.table.table.FindStep(a.stampOf)
+		if !kept && m.table.version < a.version+mtshard.RetainedSteps {
 			m.fail("the acknowledged write %v is gone", a.stampOf)
 		}
 	}
@@ -607,7 +607,7 @@
 			among = append(among, r.Holder)
 		}
 	}
-	next, err := mtshard.New(modelRef, 0, 1).Apply(stamp, mtshard.Create{Shards: 8, Among: among})
+	next, err := mtshard.New(modelRef, 0, 1).Apply(stamp, mtshard.Create{Shards: 8, Holders: among})
 	if err == nil {
 		m.put(p, stamp, next)
 	}
@@ -620,7 +620,7 @@
 	case err == nil:
 		p.table = next
 		m.acked = append(m.acked, got)
-		m.acked = m.acked[max(0, len(m.acked)-mtshard.KeptSteps):]
+		m.acked = m.acked[max(0, len(m.acked)-mtshard.RetainedSteps):]
 		m.happened["failed over"]++
 	case errors.As(err, &conflict):
 		m.adopt(p, got.table)
--- a/core/mttakeover/mttakeover_test.go
+++ b/core/mttakeover/mttakeover_test.go
@@ -150,7 +150,7 @@
 }
 
 func TestFailoverGivesToLiveOffering(t *testing.T) {
-	table, err := mtshard.New(modelRef, 0, 1).Apply(mtroster.Stamp{}, mtshard.Create{Shards: 8, Among: []mtid.Holder{lost, w1}})
+	table, err := mtshard.New(modelRef, 0, 1).Apply(mtroster.Stamp{}, mtshard.Create{Shards: 8, Holders: []mtid.Holder{lost, w1}})
 	assert.NilError(t, err)
 	offers := []mtroster.Offer{{Service: modelRef}}
 	fenced := lostRecord()
@@ -168,7 +168,7 @@
 	roster["lost"] = fenced
 	op, due := mttakeover.Failover(table, roster)
 	assert.Assert(t, due)
-	assert.DeepEqual(t, op, mtshard.Failover{Lost: []mtid.Holder{lost}, Among: []mtid.Holder{w1}})
+	assert.DeepEqual(t, op, mtshard.Failover{Lost: []mtid.Holder{lost}, Survivors: []mtid.Holder{w1}})
 	gone := lostRecord()
 	gone.State = mtroster.Gone
 	roster["lost"] = gone
--- a/core/mtview/mtview.go
+++ b/core/mtview/mtview.go
@@ -78,7 +78,7 @@
 
 // KeptMarks is how many past revisions of a chunk are remembered, to find the
 // steps that an asker lacks.
-const KeptMarks = mtshard.KeptSteps
+const KeptMarks = mtshard.RetainedSteps
 
 // mark says that a chunk was at version when the view was at revision.
 type mark struct {
@@ -443,7 +443,7 @@
 func (v *value) stepsAfter(after mtid.Revision) ([]mtshard.Step, bool) {
 	for i := len(v.marks) - 1; i >= 0; i-- {
 		if v.marks[i].revision <= after {
-			return v.table.Since(v.marks[i].version)
+			return v.table.StepsSince(v.marks[i].version)
 		}
 	}
 	return nil, false
--- a/core/mtview/mtview_test.go
+++ b/core/mtview/mtview_test.go
@@ -79,7 +79,7 @@
 		views := []*mtview.View{mtview.New(), mtview.New(), mtview.New()}
 		versions := make([]mtid.Version, len(views))
 		holders := []mtid.Holder{{Daemon: "a", Incarnation: 1}, {Daemon: "b", Incarnation: 1}}
-		h.change(mtshard.Create{Shards: 3, Among: holders})
+		h.change(mtshard.Create{Shards: 3, Holders: holders})
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
@@ -121,7 +121,7 @@
 func TestStepsAfterCutDelta(t *testing.T) {
 	h := newHistory()
 	source, follower := mtview.New(), mtview.New()
-	h.change(mtshard.Create{Shards: 1, Among: []mtid.Holder{{Daemon: "a", Incarnation: 1}}})
+	h.change(mtshard.Create{Shards: 1, Holders: []mtid.Holder{{Daemon: "a", Incarnation: 1}}})
 	h.record("a")
 	_, err := source.Merge(h.since(0))
 	assert.NilError(t, err)
@@ -193,7 +193,7 @@
 	h := newHistory()
 	a := mtid.Holder{Daemon: "a", Incarnation: 1}
 	b := mtid.Holder{Daemon: "b", Incarnation: 1}
-	h.change(mtshard.Create{Shards: 1, Among: []mtid.Holder{a}})
+	h.change(mtshard.Create{Shards: 1, Holders: []mtid.Holder{a}})
 	v := mtview.New()
 	_, err := v.Merge(h.since(0))
 	assert.NilError(t, err)
--- a/io/mtadmin/mtadmin_test.go
+++ b/io/mtadmin/mtadmin_test.go
@@ -166,7 +166,7 @@
 			Offers: []mtroster.Offer{{Service: dispatch, Slots: 12, Connections: 130}},
 		})
 	}
-	table, err := mtshard.New(dispatch, 0, 1).Apply(mtroster.Stamp{}, mtshard.Create{Shards: 8, Among: holders})
+	table, err := mtshard.New(dispatch, 0, 1).Apply(mtroster.Stamp{}, mtshard.Create{Shards: 8, Holders: holders})
 	assert.NilError(t, err)
 	f.table = table
 	return f
--- a/io/mtdaemon/mtdaemon_test.go
+++ b/io/mtdaemon/mtdaemon_test.go
@@ -256,7 +256,7 @@
 	sending.Wait()
 	assert.Equal(t, strings.Join(lost, "\n"), "")
 	for _, table := range members[1].view(t).Now().Tables(dispatch) {
-		assert.Equal(t, len(table.Owned(holder)), 0)
+		assert.Equal(t, len(table.OwnedBy(holder)), 0)
 	}
 }
 
--- a/io/mtfleet/run.go
+++ b/io/mtfleet/run.go
@@ -102,7 +102,7 @@
 		return err
 	}
 	for _, table := range view.Now().Tables(ref) {
-		for _, shard := range table.Owned(from) {
+		for _, shard := range table.OwnedBy(from) {
 			return mover.Move(ctx, from, ref, shard.Low, to)
 		}
 	}
--- a/io/mtingress/send.go
+++ b/io/mtingress/send.go
@@ -99,7 +99,7 @@
 
 // choice chooses among the servers of one service.
 type choice struct {
-	policy *mtchoice.Least
+	policy *mtchoice.LeastLoaded
 	known  bool
 	roll   uint64 // of the view whose members it knows
 	at     mtclock.Instant
@@ -351,7 +351,7 @@
 func (s *Sender) choice(view *mtdirectory.View, service mtid.Service) *choice {
 	c, ok := s.choices[service]
 	if !ok {
-		c = &choice{policy: mtchoice.NewLeast(s.Random, s.Zone, farCost)}
+		c = &choice{policy: mtchoice.NewLeastLoaded(s.Random, s.Zone, farCost)}
 		s.choices[service] = c
 	}
 	now := s.Steady()
@@ -411,37 +411,37 @@
 }
 
 // report returns what is known of the member's load.
-func (s *Sender) report(member mtdirectory.Member) mtchoice.Report {
+func (s *Sender) report(member mtdirectory.Member) mtchoice.LoadReport {
 	if member.Daemon == s.Self {
 		load := s.Host.Load()
-		return mtchoice.Report{Busy: load.Running + load.Waiting, Service: load.Service, At: s.Clock.Now()}
+		return mtchoice.LoadReport{Requests: load.Running + load.Waiting, ServiceTime: load.Service, ReceivedAt: s.Clock.Now()}
 	}
 	r, ok := s.Peers.Report(member.Daemon)
 	if !ok {
-		return mtchoice.Report{}
+		return mtchoice.LoadReport{}
 	}
-	return mtchoice.Report{Busy: r.Running + r.Waiting, Service: r.Service, At: r.At}
+	return mtchoice.LoadReport{Requests: r.Running + r.Waiting, ServiceTime: r.Service, ReceivedAt: r.At}
 }
 
 // kind says what an end tells of the server.
-func kind(err error) mtchoice.Kind {
+func kind(err error) mtchoice.ResultKind {
 	var refused *mtreply.RefusedError
 	if err == nil {
-		return mtchoice.Good
+		return mtchoice.Success
 	}
 	if errors.As(err, &refused) {
 		if full(refused.Cause) {
-			return mtchoice.Busy
+			return mtchoice.Overloaded
 		}
 		switch refused.Cause {
 		case mtreply.CauseUnreachable, mtreply.CauseNoServer, mtreply.CauseRefused, mtreply.CauseDraining, mtreply.CauseZoneOut:
-			return mtchoice.Bad
+			return mtchoice.Failure
 		}
-		return mtchoice.Other
+		return mtchoice.Inconclusive
 	}
 	var unknown *mtreply.UnknownError
 	if errors.As(err, &unknown) && unknown.Cause == mtreply.CauseGone {
-		return mtchoice.Other
+		return mtchoice.Inconclusive
 	}
-	return mtchoice.Bad
+	return mtchoice.Failure
 }
--- a/io/mtmember/fleet_test.go
+++ b/io/mtmember/fleet_test.go
@@ -159,7 +159,7 @@
 	for _, r := range s.Roster() {
 		among = append(among, r.Holder)
 	}
-	table, err := mtshard.New(ref, 0, 1).Apply(mtroster.Stamp{}, mtshard.Create{Shards: shards, Among: among})
+	table, err := mtshard.New(ref, 0, 1).Apply(mtroster.Stamp{}, mtshard.Create{Shards: shards, Holders: among})
 	assert.NilError(t, err)
 	value, err := table.Encode()
 	assert.NilError(t, err)
@@ -288,5 +288,5 @@
 
 // owns reports whether the stored tables give any shard to h.
 func (f *fleet) owns(h mtid.Holder) bool {
-	return slices.ContainsFunc(f.store.Tables(), func(t *mtshard.Table) bool { return len(t.Owned(h)) > 0 })
+	return slices.ContainsFunc(f.store.Tables(), func(t *mtshard.Table) bool { return len(t.OwnedBy(h)) > 0 })
 }
--- a/io/mtmember/taker.go
+++ b/io/mtmember/taker.go
@@ -229,7 +229,7 @@
 			return
 		}
 		stamp := m.stamp()
-		next, err := table.Apply(stamp, table.Short(op))
+		next, err := table.Apply(stamp, table.CompactFailover(op))
 		if err != nil {
 			m.config.Log.Error("member: failover does not fit", "service", table.Service, "err", err)
 			return
@@ -273,6 +273,6 @@
 	m.wrote(entry.Name, entry.Version, entry.Value)
 	// A write whose answer was lost shows by its stamp. If the old version
 	// still stands, the write is made again: of the two only one can succeed.
-	_, wrote := current.Wrote(stamp)
+	_, wrote := current.FindStep(stamp)
 	return current, wrote
 }
--- a/io/mtmetric/mtmetric_test.go
+++ b/io/mtmetric/mtmetric_test.go
@@ -146,7 +146,7 @@
 func TestMeter(t *testing.T) {
 	a, b := mtid.Holder{Daemon: "a", Incarnation: 1}, mtid.Holder{Daemon: "b", Incarnation: 1}
 	table := mtshard.New(dispatch, 0, 1)
-	table, err := table.Apply(mtroster.Stamp{}, mtshard.Create{Shards: 4, Among: []mtid.Holder{a}})
+	table, err := table.Apply(mtroster.Stamp{}, mtshard.Create{Shards: 4, Holders: []mtid.Holder{a}})
 	assert.NilError(t, err)
 	table, err = table.Apply(mtroster.Stamp{}, mtshard.Move{Low: table.Shards[3].Low, To: b})
 	assert.NilError(t, err)
@@ -168,7 +168,7 @@
 	live[b] = false
 	m.Observe(at(time.Second), []*mtshard.Table{table}, isLive, load)
 	near(t, m.Figures().Orphaned, 0.25, 1e-9)
-	table, err = table.Apply(mtroster.Stamp{}, mtshard.Failover{Lost: []mtid.Holder{b}, Among: []mtid.Holder{a}})
+	table, err = table.Apply(mtroster.Stamp{}, mtshard.Failover{Lost: []mtid.Holder{b}, Survivors: []mtid.Holder{a}})
 	assert.NilError(t, err)
 	m.Observe(at(3*time.Second), []*mtshard.Table{table}, isLive, load)
 	got = m.Figures()
--- a/io/mtmover/mtmover.go
+++ b/io/mtmover/mtmover.go
@@ -89,9 +89,9 @@
 type Mover struct {
 	Config
 	events *mtring.Ring[func(now mtclock.Instant)]
-	moves  *mtmove.Moves                    // of the duty alone
-	self   mtid.Holder                      // the life that moves belongs to
-	since  map[mtmove.Place]mtclock.Instant // when moving shards were stopped
+	moves  *mtmove.Moves                      // of the duty alone
+	self   mtid.Holder                        // the life that moves belongs to
+	since  map[mtmove.ShardID]mtclock.Instant // when moving shards were stopped
 	work   sync.WaitGroup
 	ctx    context.Context
 	closed chan struct{}
@@ -104,7 +104,7 @@
 		Config: config,
 		events: mtring.New[func(mtclock.Instant)](eventsWaiting),
 		moves:  mtmove.New(mtid.Holder{}, mtmove.DefaultLimit),
-		since:  make(map[mtmove.Place]mtclock.Instant),
+		since:  make(map[mtmove.ShardID]mtclock.Instant),
 		ctx:    ctx,
 		closed: make(chan struct{}),
 	}
@@ -152,7 +152,7 @@
 	for _, ref := range s.Services() {
 		for _, table := range s.Tables(ref) {
 			if table != nil {
-				m.do(m.moves.See(now, table))
+				m.do(m.moves.ObserveTable(now, table))
 			}
 		}
 	}
@@ -186,7 +186,7 @@
 	var out []mtshard.Shard
 	for _, table := range s.Tables(ref) {
 		if table != nil {
-			out = append(out, table.Owned(self)...)
+			out = append(out, table.OwnedBy(self)...)
 		}
 	}
 	return out
@@ -203,7 +203,7 @@
 // Quiet is called by the gate when a stopped range has nothing in flight.
 func (m *Mover) Quiet(ref mtid.Ref, low, _ mtid.Point) {
 	m.post(func(now mtclock.Instant) {
-		m.do(m.moves.Quiet(now, mtmove.Place{Service: ref, Low: low}))
+		m.do(m.moves.RangeIdle(now, mtmove.ShardID{Service: ref, Low: low}))
 	})
 }
 
@@ -235,19 +235,19 @@
 
 func (m *Mover) begin(now mtclock.Instant, ref mtid.Ref, low mtid.Point, to mtid.Holder) error {
 	s := m.View.Now()
-	place := mtmove.Place{Service: ref, Low: low}
+	place := mtmove.ShardID{Service: ref, Low: low}
 	tables := s.Tables(ref)
 	if len(tables) == 0 || tables[mtshard.ChunkOf(low, len(tables))] == nil {
-		return &mtmove.WantError{Place: place, Reason: "no such service"}
+		return &mtmove.BeginError{Shard: place, Reason: "no such service"}
 	}
 	record, _, ok := s.Record(to.Daemon)
 	if !ok || record.Holder != to || !record.Live() || record.State != mtroster.Serving {
-		return &mtmove.WantError{Place: place, Reason: to.String() + " is not serving"}
+		return &mtmove.BeginError{Shard: place, Reason: to.String() + " is not serving"}
 	}
 	if _, ok := record.Offer(ref); !ok {
-		return &mtmove.WantError{Place: place, Reason: to.String() + " has no server of the service"}
+		return &mtmove.BeginError{Shard: place, Reason: to.String() + " has no server of the service"}
 	}
-	effects, err := m.moves.Want(now, tables[mtshard.ChunkOf(low, len(tables))], low, to)
+	effects, err := m.moves.Begin(now, tables[mtshard.ChunkOf(low, len(tables))], low, to)
 	if err != nil {
 		return err
 	}
@@ -262,24 +262,24 @@
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case mtmove.Stop:
-			m.since[e.Place] = m.Clock.Now()
-			m.Gates.Stop(e.Place.Service, e.Place.Low, e.High)
+			m.since[e.Shard] = m.Clock.Now()
+			m.Gates.Stop(e.Shard.Service, e.Shard.Low, e.High)
 		case mtmove.Handover:
 			m.work.Go(func() { m.handover(e) })
 		case mtmove.Write:
 			m.work.Go(func() { m.write(e) })
 		case mtmove.Resume:
-			delete(m.since, e.Place)
+			delete(m.since, e.Shard)
 			m.Count("resumed_" + string(e.Cause))
-			m.Log.Warn("move given up", "service", e.Place.Service.String(), "shard", uint64(e.Place.Low), "cause", e.Cause)
-			m.Gates.Resume(e.Place.Service, e.Place.Low, e.High)
+			m.Log.Warn("move given up", "service", e.Shard.Service.String(), "shard", uint64(e.Shard.Low), "cause", e.Cause)
+			m.Gates.Resume(e.Shard.Service, e.Shard.Low, e.High)
 		case mtmove.Release:
 			m.Count("released")
-			if since, ok := m.since[e.Place]; ok {
+			if since, ok := m.since[e.Shard]; ok {
 				m.Stopped(m.Clock.Now().Sub(since))
-				delete(m.since, e.Place)
+				delete(m.since, e.Shard)
 			}
-			m.Gates.Release(e.Place.Service, e.Place.Low, e.High)
+			m.Gates.Release(e.Shard.Service, e.Shard.Low, e.High)
 		}
 	}
 }
@@ -287,29 +287,29 @@
 func (m *Mover) handover(e mtmove.Handover) {
 	err := m.sendRecent(e)
 	if err != nil {
-		m.Log.Warn("handover failed", "service", e.Place.Service.String(), "to", e.To.String(), "error", err)
+		m.Log.Warn("handover failed", "service", e.Shard.Service.String(), "to", e.To.String(), "error", err)
 	}
 	m.tell(func(now mtclock.Instant) {
 		if err != nil {
-			m.do(m.moves.HandoverFailed(now, e.Place))
+			m.do(m.moves.HandoverFailed(now, e.Shard))
 			return
 		}
-		m.do(m.moves.HandedOver(now, e.Place))
+		m.do(m.moves.HandedOver(now, e.Shard))
 	})
 }
 
 // write swaps a chunk and reports what became of it.
 func (m *Mover) write(e mtmove.Write) {
 	table, result := m.swap(e)
-	if result == mtmove.Landed {
+	if result == mtmove.Applied {
 		m.Count("written")
 		m.grant(table, e.Ops)
 		m.Refresh()
 	}
-	m.tell(func(now mtclock.Instant) { m.do(m.moves.Wrote(now, table, result)) })
+	m.tell(func(now mtclock.Instant) { m.do(m.moves.WriteEnded(now, table, result)) })
 }
 
-func (m *Mover) swap(e mtmove.Write) (*mtshard.Table, mtmove.Result) {
+func (m *Mover) swap(e mtmove.Write) (*mtshard.Table, mtmove.WriteResult) {
 	next, err := e.Table.Apply(m.Stamp(), e.Ops...)
 	if err != nil {
 		m.Log.Error("move does not fit the table it was made for", "error", err)
@@ -326,23 +326,23 @@
 	version, err := m.Store.Swap(ctx, name, e.Table.Version, value, "")
 	if err == nil {
 		m.learn(mtview.Item{Name: name, Version: version, Value: value})
-		return next, mtmove.Landed
+		return next, mtmove.Applied
 	}
 	return m.failed(ctx, e.Table, name, err)
 }
 
 // failed tells a write that never took effect from one that may have.
-func (m *Mover) failed(ctx context.Context, table *mtshard.Table, name string, err error) (*mtshard.Table, mtmove.Result) {
+func (m *Mover) failed(ctx context.Context, table *mtshard.Table, name string, err error) (*mtshard.Table, mtmove.WriteResult) {
 	var conflict *mtstore.ConflictError
 	var unavailable *mtstore.UnavailableError
 	var rejected *mtstore.RejectedError
 	switch {
 	case errors.As(err, &conflict):
-		return m.newest(ctx, table, name), mtmove.Refused
+		return m.newest(ctx, table, name), mtmove.Conflicted
 	case errors.As(err, &unavailable), errors.As(err, &rejected):
 		return table, mtmove.Unavailable
 	}
-	return table, mtmove.InDoubt
+	return table, mtmove.OutcomeUnknown
 }
 
 // newest reads a chunk after a conflict; if that fails too, the next try
--- a/io/mtmover/mtmover_test.go
+++ b/io/mtmover/mtmover_test.go
@@ -100,7 +100,7 @@
 
 func newPair(t *testing.T) *pair {
 	p := &pair{store: iostore.NewMemory(time.Now)}
-	table, err := mtshard.New(ref, 0, 1).Apply(mtroster.Stamp{}, mtshard.Create{Shards: 1, Among: []mtid.Holder{a}})
+	table, err := mtshard.New(ref, 0, 1).Apply(mtroster.Stamp{}, mtshard.Create{Shards: 1, Holders: []mtid.Holder{a}})
 	assert.NilError(t, err)
 	value, err := table.Encode()
 	assert.NilError(t, err)
--- a/io/mtmover/peer.go
+++ b/io/mtmover/peer.go
@@ -75,7 +75,7 @@
 
 // sendRecent gives the new owner the identifiers of a range.
 func (m *Mover) sendRecent(e mtmove.Handover) error {
-	value, err := m.Recents.Export(e.Place.Service, e.Place.Low, e.High)
+	value, err := m.Recents.Export(e.Shard.Service, e.Shard.Low, e.High)
 	if err != nil {
 		return err
 	}
@@ -86,9 +86,9 @@
 	ctx, cancel := context.WithTimeout(m.ctx, sendTimeout)
 	defer cancel()
 	reply, err := client.Handover(ctx, &mtwire.HandoverRequest{
-		Business: string(e.Place.Service.Business),
-		Service:  string(e.Place.Service.Service),
-		Low:      uint64(e.Place.Low),
+		Business: string(e.Shard.Service.Business),
+		Service:  string(e.Shard.Service.Service),
+		Low:      uint64(e.Shard.Low),
 		High:     uint64(e.High),
 		From:     mtroster.WireHolder(m.Self()),
 		To:       mtroster.WireHolder(e.To),
--- a/io/mtowner/fence_test.go
+++ b/io/mtowner/fence_test.go
@@ -51,7 +51,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			b := newBench(t)
 			if !tt.owner.IsZero() {
-				b.apply(mtshard.New(dispatch, 0, 2), mtshard.Create{Shards: 1, Among: []mtid.Holder{tt.owner}})
+				b.apply(mtshard.New(dispatch, 0, 2), mtshard.Create{Shards: 1, Holders: []mtid.Holder{tt.owner}})
 			}
 			if tt.ended {
 				b.lease.end()
@@ -75,7 +75,7 @@
 func TestRunEndsWithTheLease(t *testing.T) {
 	b := newBench(t)
 	b.block = make(chan struct{})
-	b.apply(mtshard.New(dispatch, 0, 2), mtshard.Create{Shards: 1, Among: []mtid.Holder{self}})
+	b.apply(mtshard.New(dispatch, 0, 2), mtshard.Create{Shards: 1, Holders: []mtid.Holder{self}})
 	replies := make(chan *mtrequest.Reply, 1)
 	go func() { replies <- b.Serve(context.Background(), b.status(0, 1)) }()
 	b.begun(1)
@@ -103,7 +103,7 @@
 	const slots = 4 // that the bench announces
 	b := newBench(t)
 	b.block = make(chan struct{})
-	table := b.apply(mtshard.New(dispatch, 0, 2), mtshard.Create{Shards: 1, Among: []mtid.Holder{self}})
+	table := b.apply(mtshard.New(dispatch, 0, 2), mtshard.Create{Shards: 1, Holders: []mtid.Holder{self}})
 	busy := make(chan *mtrequest.Reply, slots)
 	for n := range slots {
 		go func() { busy <- b.Serve(context.Background(), b.status(0, byte(n))) }()
--- a/io/mtowner/recent.go
+++ b/io/mtowner/recent.go
@@ -72,7 +72,7 @@
 	if now == nil {
 		now = make(epochs)
 	}
-	for _, shard := range table.Owned(self) {
+	for _, shard := range table.OwnedBy(self) {
 		if before[shard.Low] == shard.Epoch {
 			continue
 		}
@@ -89,9 +89,9 @@
 	offer, ok := r.imports[shard.Low]
 	delete(r.imports, shard.Low)
 	switch {
-	case ok && table.Handed(shard.Low, offer.from, self) && r.table.Owns(shard.Low):
+	case ok && table.MovedByHandover(shard.Low, offer.from, self) && r.table.Owns(shard.Low):
 		return
-	case table.First(shard):
+	case table.HasFirstOwner(shard):
 		_ = r.table.Grant(shard.Low, high, time.Time{})
 	default:
 		_ = r.table.Grant(shard.Low, high, clock.Wall())
@@ -216,7 +216,7 @@
 	s := o.View.Now()
 	for _, ref := range s.Services() {
 		for _, table := range s.Tables(ref) {
-			if table != nil && len(table.Owned(holder)) > 0 {
+			if table != nil && len(table.OwnedBy(holder)) > 0 {
 				o.recent(ref).adopt(o.Clock, holder, table)
 			}
 		}
--- a/io/mtowner/recent_test.go
+++ b/io/mtowner/recent_test.go
@@ -213,9 +213,9 @@
 // desk sends the order again: it must not run a second time.
 func TestEpochsOfTwoChunksAreNotMixedUp(t *testing.T) {
 	b := newBench(t)
-	first := b.apply(mtshard.New(dispatch, 0, 2), mtshard.Create{Shards: 1, Among: []mtid.Holder{gone}})
-	b.apply(first, mtshard.Failover{Lost: []mtid.Holder{gone}, Among: []mtid.Holder{self}})
-	second := b.apply(mtshard.New(dispatch, 1, 2), mtshard.Create{Shards: 1, Among: []mtid.Holder{other}})
+	first := b.apply(mtshard.New(dispatch, 0, 2), mtshard.Create{Shards: 1, Holders: []mtid.Holder{gone}})
+	b.apply(first, mtshard.Failover{Lost: []mtid.Holder{gone}, Survivors: []mtid.Holder{self}})
+	second := b.apply(mtshard.New(dispatch, 1, 2), mtshard.Create{Shards: 1, Holders: []mtid.Holder{other}})
 	b.clock.pass(time.Second)
 	b.Serve(context.Background(), b.order(0)) // the memory answers for chunk 0
 
@@ -233,7 +233,7 @@
 	assert.Equal(t, verdict.Kind, mtrecent.Run) // at the other owner, lost since
 
 	b.clock.pass(2 * time.Second)
-	b.apply(second, mtshard.Failover{Lost: []mtid.Holder{other}, Among: []mtid.Holder{self}})
+	b.apply(second, mtshard.Failover{Lost: []mtid.Holder{other}, Survivors: []mtid.Holder{self}})
 	reply := b.Serve(context.Background(), order)
 	assert.Equal(t, b.runs[order.ID.String()], 0, "it ran again")
 	assert.Equal(t, reply.Cause, mtreply.CauseTakenOver)
@@ -244,8 +244,8 @@
 // daemon looks, so that both halves are new and share their epoch.
 func TestSplitOfAGainedShardIsNotKnown(t *testing.T) {
 	b := newBench(t)
-	b.apply(mtshard.New(dispatch, 0, 2), mtshard.Create{Shards: 1, Among: []mtid.Holder{self}})
-	table := b.apply(mtshard.New(dispatch, 1, 2), mtshard.Create{Shards: 1, Among: []mtid.Holder{other}})
+	b.apply(mtshard.New(dispatch, 0, 2), mtshard.Create{Shards: 1, Holders: []mtid.Holder{self}})
+	table := b.apply(mtshard.New(dispatch, 1, 2), mtshard.Create{Shards: 1, Holders: []mtid.Holder{other}})
 	order := b.order(1)
 	middle, high := order.Point(), ^mtid.Point(0)
 	memory := mtrecent.New(mtrecent.Limits{})
@@ -256,7 +256,7 @@
 
 	// The other owner runs the order now, and is lost.
 	b.clock.pass(2 * time.Second)
-	b.apply(table, mtshard.Failover{Lost: []mtid.Holder{other}, Among: []mtid.Holder{self}}, mtshard.Split{Point: middle})
+	b.apply(table, mtshard.Failover{Lost: []mtid.Holder{other}, Survivors: []mtid.Holder{self}}, mtshard.Split{Point: middle})
 	reply := b.Serve(context.Background(), order)
 	assert.Equal(t, b.runs[order.ID.String()], 0, "it ran again")
 	assert.Equal(t, reply.Cause, mtreply.CauseTakenOver)
@@ -266,8 +266,8 @@
 // is answered as unknown for it.
 func TestSplitAndMergeKeepTheMemory(t *testing.T) {
 	b := newBench(t)
-	b.apply(mtshard.New(dispatch, 0, 2), mtshard.Create{Shards: 1, Among: []mtid.Holder{self}})
-	table := b.apply(mtshard.New(dispatch, 1, 2), mtshard.Create{Shards: 1, Among: []mtid.Holder{self}})
+	b.apply(mtshard.New(dispatch, 0, 2), mtshard.Create{Shards: 1, Holders: []mtid.Holder{self}})
+	table := b.apply(mtshard.New(dispatch, 1, 2), mtshard.Create{Shards: 1, Holders: []mtid.Holder{self}})
 	order := b.order(1)
 	assert.Equal(t, b.Serve(context.Background(), order).Outcome, mtreply.Answered)
 	table = b.apply(table, mtshard.Split{Point: order.Point()})
@@ -302,9 +302,9 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			b := newBench(t)
-			b.apply(mtshard.New(dispatch, 0, 2), mtshard.Create{Shards: 1, Among: []mtid.Holder{self}})
-			table := b.apply(mtshard.New(dispatch, 1, 2), mtshard.Create{Shards: 1, Among: []mtid.Holder{other}})
-			b.apply(table, mtshard.Failover{Lost: []mtid.Holder{other}, Among: []mtid.Holder{self}})
+			b.apply(mtshard.New(dispatch, 0, 2), mtshard.Create{Shards: 1, Holders: []mtid.Holder{self}})
+			table := b.apply(mtshard.New(dispatch, 1, 2), mtshard.Create{Shards: 1, Holders: []mtid.Holder{other}})
+			b.apply(table, mtshard.Failover{Lost: []mtid.Holder{other}, Survivors: []mtid.Holder{self}})
 			b.Adopt()
 			r := b.order(1)
 			r.ID = mtrequest.Mint(b.clock.Wall().Add(-tt.age), [10]byte{1})
--- a/io/mtplanner/mtplanner_test.go
+++ b/io/mtplanner/mtplanner_test.go
@@ -288,7 +288,7 @@
 		r := &mtload.Report{From: record.Holder, Service: ref, Sequence: sequence}
 		for chunk := range 3 {
 			table, _ := f.Table(ref, chunk)
-			for _, shard := range table.Owned(record.Holder) {
+			for _, shard := range table.OwnedBy(record.Holder) {
 				load := 0.1
 				if covering, _ := table.Lookup(hot); mtshard.ChunkOf(hot, 3) == chunk && covering.Low == shard.Low {
 					load = 4
@@ -409,7 +409,7 @@
 			}
 			if i%20 == 0 {
 				table, _ := f.Table(ref, 0)
-				if owned := table.Owned(self); len(owned) > 0 {
+				if owned := table.OwnedBy(self); len(owned) > 0 {
 					meter.Arrive(at, owned[0].Low, owned[0].Low)
 				}
 			}
--- a/io/mtplanner/round.go
+++ b/io/mtplanner/round.go
@@ -89,7 +89,7 @@
 			break
 		}
 		before := s.tables[i]
-		steps, _ := table.Since(before.Version)
+		steps, _ := table.StepsSince(before.Version)
 		lost := lostIn(steps)
 		if len(lost) == 0 {
 			continue
@@ -158,7 +158,7 @@
 			continue
 		}
 		s.joined[record.Holder] = now
-		if slices.ContainsFunc(tables, func(t *mtshard.Table) bool { return len(t.Owned(record.Holder)) > 0 }) {
+		if slices.ContainsFunc(tables, func(t *mtshard.Table) bool { return len(t.OwnedBy(record.Holder)) > 0 }) {
 			s.joined[record.Holder] = now.Add(-mtplan.WarmTime)
 		}
 	}
@@ -228,7 +228,7 @@
 func (s *serviceState) owned(holder mtid.Holder) []mtshard.Shard {
 	var found []mtshard.Shard
 	for _, table := range s.tables {
-		found = append(found, table.Owned(holder)...)
+		found = append(found, table.OwnedBy(holder)...)
 	}
 	return found
 }
--- a/io/mtplanner/writer.go
+++ b/io/mtplanner/writer.go
@@ -67,6 +67,6 @@
 		w.log.Error("stored chunk can't be read", "name", name, "error", err)
 		return false
 	}
-	_, landed := table.Wrote(stamp)
+	_, landed := table.FindStep(stamp)
 	return landed
 }
--- a/io/mtrouter/keyed_test.go
+++ b/io/mtrouter/keyed_test.go
@@ -61,7 +61,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			r, p := newRouter(t)
-			table, err := mtshard.New(mtid.Ref{Business: "ratins", Service: "dispatch"}, 0, 1).Apply(mtroster.Stamp{}, mtshard.Create{Shards: 1, Among: []mtid.Holder{a}})
+			table, err := mtshard.New(mtid.Ref{Business: "ratins", Service: "dispatch"}, 0, 1).Apply(mtroster.Stamp{}, mtshard.Create{Shards: 1, Holders: []mtid.Holder{a}})
 			assert.NilError(t, err)
 			value, err := table.Encode()
 			assert.NilError(t, err)
--- a/io/mtrouter/spread.go
+++ b/io/mtrouter/spread.go
@@ -23,7 +23,7 @@
 
 // chooser is the choice for one service.
 type chooser struct {
-	policy *mtchoice.Power[*mtchoice.Average]
+	policy *mtchoice.PowerOfTwo[*mtchoice.Average]
 	seen   *mtview.Snapshot // the candidates are those of this one
 }
 
@@ -38,9 +38,9 @@
 	defer s.mu.Unlock()
 	c := s.choosers[service]
 	if c == nil {
-		c = &chooser{policy: mtchoice.NewPower(
+		c = &chooser{policy: mtchoice.NewPowerOfTwo(
 			rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-			mtchoice.Options{Zone: s.zone, Reports: true},
+			mtchoice.Options{Zone: s.zone, UseQueueTimes: true},
 			mtchoice.NewAverage,
 		)}
 		s.choosers[service] = c
@@ -79,16 +79,16 @@
 
 // resultOf returns what a reply says of the server that was asked.
 func resultOf(reply *mtrequest.Reply) mtchoice.Result {
-	r := mtchoice.Result{Kind: mtchoice.Other, Queue: reply.Queued, RetryAfter: reply.RetryAfter}
+	r := mtchoice.Result{Kind: mtchoice.Inconclusive, QueueTime: reply.Queued, RetryAfter: reply.RetryAfter}
 	if reply.Outcome == mtreply.Answered {
-		r.Kind = mtchoice.Good
+		r.Kind = mtchoice.Success
 	}
 	switch reply.Cause {
 	case mtreply.CauseQueueFull, mtreply.CauseShed, mtreply.CauseRefused:
-		r.Kind = mtchoice.Busy
+		r.Kind = mtchoice.Overloaded
 	case mtreply.CauseUnreachable, mtreply.CauseNoServer, mtreply.CauseDraining, mtreply.CauseStopping,
 		mtreply.CauseLost, mtreply.CauseTimeout, mtreply.CauseTruncated:
-		r.Kind = mtchoice.Bad
+		r.Kind = mtchoice.Failure
 	}
 	return r
 }
--- a/io/mtsync/mtsync_test.go
+++ b/io/mtsync/mtsync_test.go
@@ -150,7 +150,7 @@
 func TestGapIsFilledByTheWhole(t *testing.T) {
 	ref := mtid.Ref{Business: "bundesamt", Service: "loan-desk"}
 	store := iostore.NewMemory(time.Now)
-	table, err := mtshard.New(ref, 0, 1).Apply(mtroster.Stamp{}, mtshard.Create{Shards: 2, Among: []mtid.Holder{{Daemon: "a", Incarnation: 1}}})
+	table, err := mtshard.New(ref, 0, 1).Apply(mtroster.Stamp{}, mtshard.Create{Shards: 2, Holders: []mtid.Holder{{Daemon: "a", Incarnation: 1}}})
 	assert.NilError(t, err)
 	put := func(expected mtid.Version) {
 		value, err := table.Encode()
