--- a/core/mttakeover/mttakeover_test.go
+++ b/core/mttakeover/mttakeover_test.go
@@ -153,7 +153,7 @@
 }
 
 func TestFailoverAssignsToLiveDaemonsOfferingTheService(t *testing.T) {
-	table, err := mtshard.New(modelRef, 0, 1).Apply(mtroster.WriteID{}, mtshard.Create{Shards: 8, Among: []mtid.Holder{lost, w1}})
+	table, err := mtshard.New(modelRef, 0, 1).Apply(mtroster.WriteID{}, mtshard.Create{Shards: 8, Holders: []mtid.Holder{lost, w1}})
 	assert.NilError(t, err)
 	offers := []mtroster.Offer{{Service: modelRef}}
 	fenced := lostRecord()
@@ -171,7 +171,7 @@
 	roster["lost"] = fenced
 	op, due := mttakeover.Failover(table, roster)
 	assert.Assert(t, due)
-	assert.DeepEqual(t, op, mtshard.Failover{Lost: []mtid.Holder{lost}, Among: []mtid.Holder{w1}})
+	assert.DeepEqual(t, op, mtshard.Failover{Lost: []mtid.Holder{lost}, Survivors: []mtid.Holder{w1}})
 	gone := lostRecord()
 	gone.State = mtroster.Gone
 	roster["lost"] = gone
--- a/core/mtview/mtview.go
+++ b/core/mtview/mtview.go
@@ -79,7 +79,7 @@
 
 // MaxHistory is the number of past versions of a chunk whose revisions are
 // remembered, to find the steps that a receiver of a delta is missing.
-const MaxHistory = mtshard.KeptSteps
+const MaxHistory = mtshard.RetainedSteps
 
 // historyEntry records the store revision at which a chunk reached a version.
 type historyEntry struct {
@@ -452,7 +452,7 @@
 func (v *value) stepsAfter(after mtid.Revision) ([]mtshard.Step, bool) {
 	for i := len(v.history) - 1; i >= 0; i-- {
 		if v.history[i].revision <= after {
-			return v.table.Since(v.history[i].version)
+			return v.table.StepsSince(v.history[i].version)
 		}
 	}
 	return nil, false
