--- a/core/mtmove/mtmove.go
+++ b/core/mtmove/mtmove.go
@@ -120,7 +120,7 @@
 
 // Error implements error.
 func (e *BeginError) Error() string {
-	return fmt.Sprintf("move: cannot move shard %[2]x of %[1]s: %[3]s", e.Shard.Service, uint64(e.Shard.Low), e.Reason)
+	return fmt.Sprintf("move: %s from %x: %s", e.Shard.Service, uint64(e.Shard.Low), e.Reason)
 }
 
 // phase is the progress of a move.
@@ -208,15 +208,15 @@
 	shard, _ := table.Lookup(id.Low)
 	switch {
 	case !begins:
-		return "no shard begins at this point"
+		return "no shard begins there"
 	case shard.Owner != m.self:
-		return "the shard is owned by " + shard.Owner.String()
+		return "owned by " + shard.Owner.String()
 	case to == m.self || to.IsZero():
-		return "the new owner is missing or is this daemon"
+		return "no other holder named"
 	case m.moves[id] != nil:
-		return "the shard is already being moved"
+		return "on the move already"
 	case len(m.moves) >= m.limit:
-		return "the limit on concurrent moves is reached"
+		return "too many shards on the move"
 	}
 	return ""
 }
