--- a/core/mtspread/mtspread.go
+++ b/core/mtspread/mtspread.go
@@ -89,14 +89,14 @@
 
 // PollSchedule returns the schedule by which a daemon polls the store for the
 // configuration.
-func (t *Tree) PollSchedule(self mtid.Daemon) mtroute.Turn {
+func (t *Tree) PollSchedule(self mtid.Daemon) mtroute.PollSchedule {
 	switch {
 	case t.WatchesStore(self) && t.watchers[0].Daemon == self:
-		return mtroute.Regular
+		return mtroute.PollPrimary
 	case t.WatchesStore(self) || contains(t.distributors, self):
-		return mtroute.Relaying
+		return mtroute.PollRelay
 	}
-	return mtroute.Last
+	return mtroute.PollFallback
 }
 
 // WatchesStore reports whether a daemon watches the store on behalf of others.
--- a/io/mtmesh/mtmesh.go
+++ b/io/mtmesh/mtmesh.go
@@ -94,11 +94,11 @@
 	Drain time.Duration // new work may reach a leaving server for so long
 	Grace time.Duration // from the order to stop until the process is ended
 	// Within is within which time a configuration has to be in force everywhere; zero
-	// stands for mtroute.Within.
+	// stands for mtroute.DefaultPropagationLimit.
 	Within time.Duration
 	Log    *slog.Logger
 	// Close is within which time a zone that is taken out of service gets no new work;
-	// zero stands for mtzone.Within.
+	// zero stands for mtzone.DefaultCloseTime.
 	Close time.Duration
 	// Warmup is by how much the rate of a cold server may be exceeded.
 	Warmup mtbackend.Allowance
@@ -139,10 +139,10 @@
 // clean-up function ends them; Run calls it too.
 func New(config Config) (*Mesh, func(), error) {
 	if config.Within <= 0 {
-		config.Within = mtroute.Within
+		config.Within = mtroute.DefaultPropagationLimit
 	}
 	if config.Close <= 0 {
-		config.Close = mtzone.Within
+		config.Close = mtzone.DefaultCloseTime
 	}
 	m := &Mesh{config: config, kernel: mtkernel.New()}
 	steps := []func() error{
@@ -245,27 +245,27 @@
 	}
 	var grants atomic.Pointer[mtgrant.Grants]
 	host, closeHost := mthost.New(mthost.Config{
-		Daemon:  m.config.Daemon,
-		Zone:    m.config.Zone,
-		Link:    m.config.Link,
-		Service: m.config.Service,
-		Address: m.config.Server,
-		Peer:    m.config.Peers,
-		Drain:   m.config.Drain,
-		Clock:   clock,
-		Client:  client,
-		Log:     m.config.Log,
-		Health:  m.health,
-		Named:   m.named,
-		Keyed:   m.keyed,
-		Publish: directory.Publish,
-		Holds:   func(life mtid.ServerIncarnation, key mtid.KeyNumber) error { return grants.Load().Holds(life, key) },
-		Fenced:  func(key mtid.KeyNumber) { grants.Load().Fenced(key) },
-		Clear: func(ctx context.Context, life mtid.ServerIncarnation, address string) error {
+		Daemon:      m.config.Daemon,
+		Zone:        m.config.Zone,
+		Link:        m.config.Link,
+		Service:     m.config.Service,
+		Address:     m.config.Server,
+		PeerAddress: m.config.Peers,
+		DrainPeriod: m.config.Drain,
+		Clock:       clock,
+		Client:      client,
+		Log:         m.config.Log,
+		Health:      m.health,
+		IsDeclared:  m.named,
+		Keyed:       m.keyed,
+		Publish:     directory.Publish,
+		CheckGrant:  func(life mtid.ServerIncarnation, key mtid.KeyNumber) error { return grants.Load().Holds(life, key) },
+		OnKeyDenied: func(key mtid.KeyNumber) { grants.Load().Fenced(key) },
+		ClearGrants: func(ctx context.Context, life mtid.ServerIncarnation, address string) error {
 			return grants.Load().Clear(ctx, life, address)
 		},
-		Lasts: func() mtclock.Instant { return grants.Load().Lasts() },
-		Changed: func() {
+		CommandExpiry: func() mtclock.Instant { return grants.Load().Lasts() },
+		OnChange: func() {
 			if g := grants.Load(); g != nil {
 				g.Wake()
 			}
@@ -292,7 +292,7 @@
 	m.former.follow(host)
 	m.host.Store(host)
 	for _, member := range directory.Now().Members {
-		host.Heard(member.Record)
+		host.MergeSuspects(member.Record)
 	}
 	directory.OnChange(m.zones)
 	m.zones()
@@ -307,7 +307,7 @@
 // read once it does.
 func (m *Mesh) heard(r mtbackend.Record) {
 	if host := m.host.Load(); host != nil {
-		host.Heard(r)
+		host.MergeSuspects(r)
 	}
 }
 
@@ -327,7 +327,7 @@
 	if configuration == nil {
 		return ""
 	}
-	return configuration.Services[m.config.Service].Health
+	return configuration.Services[m.config.Service].HealthPath
 }
 
 // named reports whether the configuration in force declares a service.
