--- a/io/mtcommit/mtcommit.go
+++ b/io/mtcommit/mtcommit.go
@@ -1,11 +1,12 @@
-// Package mtcommit writes changes of owners into the assignments in the platform's store.
+// Package mtcommit writes changes of owners to the assignments in the platform's store.
 //
-// An assignment is one value that is written under the condition that it has not changed.
-// Where many owners give keys away at once and each writes it itself, nearly every write is
-// beaten by another one and made again, and the keys are unserved meanwhile. So all daemons
-// leave their writes to one that gathers them. Mostly it has made the last change itself, so
-// that its copy is the newest. Who that is need not be agreed: two that write at the same
-// time beat each other, and nothing else happens.
+// An assignment is a single value, written on condition that it has not changed. If many
+// owners moved keys at once and each wrote the assignment itself, nearly every write would
+// conflict with another one and be retried, and the keys would not be served in the
+// meantime. So all daemons delegate their writes to one daemon, which batches them. Usually
+// that daemon also made the last change, so its copy is the newest. The daemons need not
+// agree on which one it is: if two write at the same time, one write conflicts and is
+// retried.
 //
 // # Usage
 //
@@ -35,79 +36,81 @@
 const (
 	// writeTimeout bounds a write of an assignment.
 	writeTimeout = time.Second
-	// gather is how long the first batch of another daemon waits for others. While a
-	// write is under way the next ones gather anyway.
-	gather = 15 * time.Millisecond
-	// tries is how often a write is made over others that were first. What won is told
-	// with the conflict, so that the next try needs no reading.
-	tries = 6
-	// told is how many epochs before a write a daemon may have stopped hearing of
-	// assignments and still be told of the write in passing: a handful of moves.
-	told = 32
+	// batchDelay is how long the first batch of another daemon waits for further batches.
+	// While a write is in progress, the next batches wait for it in any case.
+	batchDelay = 15 * time.Millisecond
+	// maxTries is how often a write is tried while conflicting writes win. A conflict
+	// returns the value that won, so the next try needs no read.
+	maxTries = 6
+	// notifiedEpochs is how many epochs before the write a notification covers, so that a
+	// daemon that has missed a few moves can still apply it.
+	notifiedEpochs = 32
 )
 
-// Config is what a Committer works with.
+// Config holds the dependencies of a Committer.
 type Config struct {
 	Directory *mtdirectory.Directory
 	Store     mtstore.Guarded
 	Log       *slog.Logger
-	// Inform tells a daemon of an assignment that gives it keys, as far as it differs
-	// from the one at an epoch. It must not block, and may be nil.
+	// Inform notifies a daemon of an assignment that gives it keys, by sending what has
+	// changed in the assignment since an epoch. It must not block, and may be nil.
 	Inform func(to mtid.Daemon, a mtdirectory.Assignment, since mtid.Epoch)
 }
 
-// Committer writes for this daemon and for others. See the package comment.
+// Committer writes changes of owners for this daemon and for others. See the package
+// comment.
 type Committer struct {
 	Config
-	stopping context.Context // a write outlives the call that began it
-	mu       sync.Mutex
-	queues   map[mtid.Service]*queue
+	baseCtx context.Context // canceled by the clean-up function; a write outlives the call that started it
+	mu      sync.Mutex
+	queues  map[mtid.Service]*queue
 }
 
-// queue holds what waits to be written for one service.
+// queue holds the transfers of one service that wait to be written.
 type queue struct {
-	writing sync.Mutex // one write at a time
+	writeMu sync.Mutex // one write at a time
 	mu      sync.Mutex
-	waiting []*pending
+	waiting []*pendingTransfer
 }
 
-// pending is a transfer that waits to be written.
-type pending struct {
+// pendingTransfer is a transfer that waits to be written.
+type pendingTransfer struct {
 	mtrange.Transfer
 	condition mtstore.Condition
-	result    chan mtrange.Outcome // of capacity one
+	result    chan mtrange.Outcome // has a buffer of one
 }
 
 // New returns a Committer and its clean-up function.
 func New(config Config) (*Committer, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Committer{Config: config, stopping: ctx, queues: make(map[mtid.Service]*queue)}, cancel
+	return &Committer{Config: config, baseCtx: ctx, queues: make(map[mtid.Service]*queue)}, cancel
 }
 
-// Commit writes a batch, and returns what became of each of its transfers.
+// Commit writes a batch of this daemon and returns the outcome of each transfer.
 func (c *Committer) Commit(ctx context.Context, b mtrange.Batch) []mtrange.Outcome {
 	return c.commit(ctx, b, 0)
 }
 
-// Gather is Commit for another daemon: it waits a moment for others' batches.
+// Gather writes a batch of another daemon, like Commit. It first waits a moment for further
+// batches, to write them in one step.
 func (c *Committer) Gather(ctx context.Context, b mtrange.Batch) []mtrange.Outcome {
-	return c.commit(ctx, b, gather)
+	return c.commit(ctx, b, batchDelay)
 }
 
 func (c *Committer) commit(ctx context.Context, b mtrange.Batch, wait time.Duration) []mtrange.Outcome {
-	batch := make([]*pending, 0, len(b.Transfers))
-	// The write holds only while the daemon's record is the one of this life. If the
-	// daemon dies now, its next life writes the record before it grants anything, and a
-	// write that is still on its way never lands: it would give keys away that the next
-	// life has granted again.
+	batch := make([]*pendingTransfer, 0, len(b.Transfers))
+	// The write is conditional on the record of the daemon's current incarnation. If the
+	// daemon terminates now, its next incarnation writes the record before it grants
+	// anything, so that a write that is still on its way fails. Otherwise it would move
+	// keys that the next incarnation has granted again.
 	condition := mtstore.Condition{Name: mtstore.BackendName(b.Daemon), Version: b.RecordVersion}
 	for _, t := range b.Transfers {
-		batch = append(batch, &pending{Transfer: t, condition: condition, result: make(chan mtrange.Outcome, 1)})
+		batch = append(batch, &pendingTransfer{Transfer: t, condition: condition, result: make(chan mtrange.Outcome, 1)})
 	}
 	q := c.queue(b.Service)
 	if q.add(batch) {
 		go func() {
-			mtduty.Sleep(c.stopping, wait)
+			mtduty.Sleep(c.baseCtx, wait)
 			c.writeAll(b.Service, q)
 		}()
 	}
@@ -135,8 +138,8 @@
 	return q
 }
 
-// add lets transfers wait, and reports whether they are the first.
-func (q *queue) add(batch []*pending) bool {
+// add queues transfers and reports whether the queue was empty.
+func (q *queue) add(batch []*pendingTransfer) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	first := len(q.waiting) == 0
@@ -144,8 +147,8 @@
 	return first && len(batch) > 0
 }
 
-// take takes out as many transfers as one write can hold the conditions of.
-func (q *queue) take() []*pending {
+// nextBatch removes and returns as many transfers as the conditions of one write allow.
+func (q *queue) nextBatch() []*pendingTransfer {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var conditions []mtstore.Condition
@@ -165,26 +168,26 @@
 	return batch
 }
 
-// writeAll writes what waits.
+// writeAll writes all queued transfers.
 func (c *Committer) writeAll(service mtid.Service, q *queue) {
-	q.writing.Lock()
-	defer q.writing.Unlock()
-	for batch := q.take(); len(batch) > 0; batch = q.take() {
+	q.writeMu.Lock()
+	defer q.writeMu.Unlock()
+	for batch := q.nextBatch(); len(batch) > 0; batch = q.nextBatch() {
 		c.writeBatch(service, batch)
 	}
 }
 
-// writeBatch writes transfers in one step, over others' writes if need be.
-func (c *Committer) writeBatch(service mtid.Service, batch []*pending) {
+// writeBatch writes transfers in one step, and retries after conflicting writes.
+func (c *Committer) writeBatch(service mtid.Service, batch []*pendingTransfer) {
 	for try := 1; ; try++ {
 		assignment := c.Directory.Now().Assignments[service]
-		next, ready := c.apply(assignment.Table, batch)
-		if len(ready) == 0 {
+		next, applicable := c.apply(assignment.Table, batch)
+		if len(applicable) == 0 {
 			return
 		}
-		outcome, stale := c.write(c.stopping, conditions(ready), next, assignment.Version, "moves")
+		outcome, stale := c.write(c.baseCtx, conditions(applicable), next, assignment.Version, "moves")
 		if stale != "" {
-			batch = slices.DeleteFunc(ready, func(p *pending) bool {
+			batch = slices.DeleteFunc(applicable, func(p *pendingTransfer) bool {
 				refused := p.condition.Name == stale
 				if refused {
 					p.result <- mtrange.Refused
@@ -193,22 +196,22 @@
 			})
 			continue
 		}
-		if outcome == mtrange.Conflicted && try < tries {
-			batch = ready
+		if outcome == mtrange.Conflicted && try < maxTries {
+			batch = applicable
 			continue
 		}
 		if outcome == mtrange.Written {
-			c.informTakers(service, ready, assignment.Next)
+			c.notifyNewOwners(service, applicable, assignment.Next)
 		}
-		for _, p := range ready {
+		for _, p := range applicable {
 			p.result <- outcome
 		}
 		return
 	}
 }
 
-// conditions returns the conditions of transfers, each once.
-func conditions(batch []*pending) []mtstore.Condition {
+// conditions returns the distinct conditions of the transfers.
+func conditions(batch []*pendingTransfer) []mtstore.Condition {
 	var conditions []mtstore.Condition
 	for _, p := range batch {
 		if !slices.Contains(conditions, p.condition) {
@@ -218,9 +221,9 @@
 	return conditions
 }
 
-// apply makes the transfers in a table, and returns those that fit. The others are
-// told that they were refused: their keys have changed hands in the meantime.
-func (c *Committer) apply(table *mtrange.Table, batch []*pending) (next *mtrange.Table, ready []*pending) {
+// apply makes the transfers in a copy of the table. It returns the ones that could be
+// applied and refuses the others, whose keys have changed hands in the meantime.
+func (c *Committer) apply(table *mtrange.Table, batch []*pendingTransfer) (next *mtrange.Table, applicable []*pendingTransfer) {
 	next = table
 	for _, p := range batch {
 		if table == nil || !table.CanApply(p.Transfer) {
@@ -234,43 +237,43 @@
 			continue
 		}
 		next = moved
-		ready = append(ready, p)
+		applicable = append(applicable, p)
 	}
-	return next, ready
+	return next, applicable
 }
 
-// informTakers tells those that were given keys, before they hear of it by their
-// watches. A watch takes a tenth of a second and two hops; nobody served the keys
-// meanwhile, which is half of the time that a lookup has, and their callers asked for
-// them every few milliseconds.
-func (c *Committer) informTakers(service mtid.Service, ready []*pending, next mtid.Epoch) {
+// notifyNewOwners notifies the daemons that were given keys, before their watches show it.
+// A watch takes a tenth of a second over two hops, which is half of the time that a lookup
+// has. Nobody served the keys in the meantime, and callers retried every few milliseconds.
+func (c *Committer) notifyNewOwners(service mtid.Service, applicable []*pendingTransfer, next mtid.Epoch) {
 	if c.Inform == nil {
 		return
 	}
 	assignment := c.Directory.Now().Assignments[service]
-	done := make(map[mtid.Daemon]bool, len(ready))
-	for _, p := range ready {
+	done := make(map[mtid.Daemon]bool, len(applicable))
+	for _, p := range applicable {
 		if to := p.To.Daemon; !done[to] {
 			done[to] = true
-			c.Inform(to, assignment, next-min(next, told))
+			c.Inform(to, assignment, next-min(next, notifiedEpochs))
 		}
 	}
 }
 
-// Write writes an assignment.
+// Write writes an assignment on condition that the stored one has the expected version and
+// that the other conditions hold.
 func (c *Committer) Write(ctx context.Context, conditions []mtstore.Condition, next *mtrange.Table, expected mtid.Version, why string) mtrange.Outcome {
 	outcome, _ := c.write(ctx, conditions, next, expected, why)
 	return outcome
 }
 
-// write is Write, and names the record that was not as a condition said, if it was not
-// written for one.
+// write implements Write. If a condition on a record does not hold, it also returns the
+// name of that record.
 func (c *Committer) write(ctx context.Context, conditions []mtstore.Condition, next *mtrange.Table, expected mtid.Version, why string) (_ mtrange.Outcome, stale string) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	value, err := next.Encode()
 	if err != nil {
-		c.Log.Error("assignment can't be encoded", "error", err)
+		c.Log.Error("can't encode the assignment", "error", err)
 		return mtrange.Refused, ""
 	}
 	name := mtstore.RangeName(next.Service)
@@ -289,15 +292,15 @@
 	if errors.As(err, &conflict) && conflict.Name != name {
 		return mtrange.Refused, conflict.Name
 	}
-	if conflict != nil && c.adopt(next.Service, conflict.Current) {
+	if conflict != nil && c.applyWinner(next.Service, conflict.Current) {
 		return mtrange.Conflicted, ""
 	}
 	return mtrange.Refused, ""
 }
 
-// adopt takes in the assignment that won over a write, which the conflict tells, and
-// reports whether one did.
-func (c *Committer) adopt(service mtid.Service, current mtstore.Entry) bool {
+// applyWinner adds the assignment that won a conflict to the local copy, and reports
+// whether there was one.
+func (c *Committer) applyWinner(service mtid.Service, current mtstore.Entry) bool {
 	if current.Version == 0 {
 		return false
 	}
--- a/io/mtcommit/mtcommit_test.go
+++ b/io/mtcommit/mtcommit_test.go
@@ -30,31 +30,31 @@
 
 // fleet is a store with the records of many daemons, whose servers own all keys.
 type fleet struct {
-	t         *testing.T
-	store     *mtstandin.Revisions
-	directory *mtdirectory.Directory
-	committer *mtcommit.Committer
-	records   []mtid.Version
-	writes    atomic.Int32
+	t              *testing.T
+	store          *mtstandin.Revisions
+	directory      *mtdirectory.Directory
+	committer      *mtcommit.Committer
+	recordVersions []mtid.Version
+	writes         atomic.Int32
 }
 
-func name(i int) mtid.Daemon { return mtid.Daemon(fmt.Sprintf("vm-%02d", i)) }
+func daemonName(i int) mtid.Daemon { return mtid.Daemon(fmt.Sprintf("vm-%02d", i)) }
 
-func owner(i int) mtrange.Owner {
-	return mtrange.Owner{Daemon: name(i), Incarnation: mtid.Life{Server: mtid.Server(name(i))}}
+func ownerOf(i int) mtrange.Owner {
+	return mtrange.Owner{Daemon: daemonName(i), Incarnation: mtid.Life{Server: mtid.Server(daemonName(i))}}
 }
 
-func (f *fleet) record(i int) mtid.Version {
+func (f *fleet) writeRecord(i int) mtid.Version {
 	value, err := mtbackend.Record{
-		Daemon: name(i), Address: "x:1", Service: service, Incarnation: owner(i).Incarnation, Slots: 10, State: mtbackend.Ready,
+		Daemon: daemonName(i), Address: "x:1", Service: service, Incarnation: ownerOf(i).Incarnation, Slots: 10, State: mtbackend.Ready,
 	}.Encode()
 	assert.NilError(f.t, err)
-	entry, err := f.store.Get(context.Background(), mtstore.BackendName(name(i)))
+	entry, err := f.store.Get(context.Background(), mtstore.BackendName(daemonName(i)))
 	var missing *mtstore.MissingError
 	if !errors.As(err, &missing) {
 		assert.NilError(f.t, err)
 	}
-	version, err := f.store.Swap(context.Background(), mtstore.BackendName(name(i)), entry.Version, value, "")
+	version, err := f.store.Swap(context.Background(), mtstore.BackendName(daemonName(i)), entry.Version, value, "")
 	assert.NilError(f.t, err)
 	return version
 }
@@ -63,8 +63,8 @@
 	f := &fleet{t: t, store: mtstandin.NewRevisions(time.Now)}
 	var all []mtrange.Owner
 	for i := range owners {
-		all = append(all, owner(i))
-		f.records = append(f.records, f.record(i))
+		all = append(all, ownerOf(i))
+		f.recordVersions = append(f.recordVersions, f.writeRecord(i))
 	}
 	table, err := mtrange.Spread(service, all)
 	assert.NilError(t, err)
@@ -80,7 +80,7 @@
 		if directory.Now().Assignments[service].Table != nil {
 			return poll.Success()
 		}
-		return poll.Continue("assignment not read")
+		return poll.Continue("waiting until the assignment is read")
 	})
 	f.store.Fail(func(op, _ string) error {
 		if op == "swap" {
@@ -94,16 +94,16 @@
 	return f
 }
 
-// batch gives the lowest key of a daemon's server to the next one.
+// batch transfers the lowest key of a daemon's server to the next server.
 func (f *fleet) batch(i int) mtrange.Batch {
-	r := f.directory.Now().Assignments[service].Owned(owner(i))[0]
-	return mtrange.Batch{Service: service, Daemon: name(i), RecordVersion: f.records[i], Transfers: []mtrange.Transfer{
-		{From: r.Owner, Epoch: r.Epoch, Low: r.Low, High: r.Low, To: owner((i + 1) % owners)},
+	r := f.directory.Now().Assignments[service].Owned(ownerOf(i))[0]
+	return mtrange.Batch{Service: service, Daemon: daemonName(i), RecordVersion: f.recordVersions[i], Transfers: []mtrange.Transfer{
+		{From: r.Owner, Epoch: r.Epoch, Low: r.Low, High: r.Low, To: ownerOf((i + 1) % owners)},
 	}}
 }
 
-// stored returns what stands in the store.
-func (f *fleet) stored() *mtrange.Table {
+// storedTable returns the assignment in the store.
+func (f *fleet) storedTable() *mtrange.Table {
 	entry, err := f.store.Get(context.Background(), mtstore.RangeName(service))
 	assert.NilError(f.t, err)
 	table, err := mtrange.Decode(entry.Value)
@@ -111,9 +111,9 @@
 	return table
 }
 
-// Forty owners of hot keys give some away at the same moment. Each wrote the assignment
-// itself, and nearly all of the writes were beaten by another one and made again.
-func TestChangesOfManyOwnersAreWrittenTogether(t *testing.T) {
+// Forty owners of hot keys move some of them at the same moment. When each wrote the
+// assignment itself, nearly all writes conflicted with another one and were retried.
+func TestBatchesOfManyOwnersAreWrittenTogether(t *testing.T) {
 	f := newFleet(t)
 	var batches []mtrange.Batch
 	for i := range owners {
@@ -127,7 +127,7 @@
 		})
 	}
 	all.Wait()
-	table := f.stored()
+	table := f.storedTable()
 	for _, b := range batches {
 		got, _ := table.Lookup(b.Transfers[0].Low)
 		assert.Equal(t, got.Owner, b.Transfers[0].To)
@@ -135,13 +135,13 @@
 	assert.Assert(t, f.writes.Load() <= owners/4, "%d writes for %d owners", f.writes.Load(), owners)
 }
 
-// One of those daemons was restarted in between. Its next life has written its record and
-// granted the keys again; were they given away now, two servers would hold them. The
-// others' keys move all the same.
-func TestAChangeOfAFormerLifeIsNotWritten(t *testing.T) {
+// One of several daemons with a batch has restarted. Its new incarnation has written its
+// record and granted the keys again. If they were moved now, two servers would hold them.
+// The keys of the other daemons must still move.
+func TestBatchOfPreviousIncarnationIsRefused(t *testing.T) {
 	f := newFleet(t)
 	batches := []mtrange.Batch{f.batch(0), f.batch(1), f.batch(2)}
-	f.record(1)
+	f.writeRecord(1)
 	outcomes := make([]mtrange.Outcome, len(batches))
 	var all sync.WaitGroup
 	for i, b := range batches {
@@ -149,34 +149,35 @@
 	}
 	all.Wait()
 	assert.DeepEqual(t, outcomes, []mtrange.Outcome{mtrange.Written, mtrange.Refused, mtrange.Written})
-	got, _ := f.stored().Lookup(batches[1].Transfers[0].Low)
-	assert.Equal(t, got.Owner, owner(1))
+	got, _ := f.storedTable().Lookup(batches[1].Transfers[0].Low)
+	assert.Equal(t, got.Owner, ownerOf(1))
 }
 
-// Another daemon writes at the same time, and the copy here is old. The batch is written
-// over that without another reading; what the other one has changed stands.
-func TestAWriteThatIsBeatenIsMadeAgain(t *testing.T) {
+// Another daemon writes at the same time, so that the local copy is stale. The batch must
+// be written on top of that without another read, and the other daemon's change must
+// remain.
+func TestConflictingWriteIsRetried(t *testing.T) {
 	f := newFleet(t)
-	mine, theirs := f.batch(3), f.batch(4).Transfers[0]
+	own, other := f.batch(3), f.batch(4).Transfers[0]
 	entry, err := f.store.Get(context.Background(), mtstore.RangeName(service))
 	assert.NilError(t, err)
-	table, err := f.stored().Move(theirs.Low, theirs.High, theirs.To, "")
+	table, err := f.storedTable().Move(other.Low, other.High, other.To, "")
 	assert.NilError(t, err)
 	value, err := table.Encode()
 	assert.NilError(t, err)
 	_, err = f.store.Swap(context.Background(), mtstore.RangeName(service), entry.Version, value, "")
 	assert.NilError(t, err)
-	assert.DeepEqual(t, f.committer.Commit(context.Background(), mine), []mtrange.Outcome{mtrange.Written})
-	for _, want := range []mtrange.Transfer{mine.Transfers[0], theirs} {
-		got, _ := f.stored().Lookup(want.Low)
+	assert.DeepEqual(t, f.committer.Commit(context.Background(), own), []mtrange.Outcome{mtrange.Written})
+	for _, want := range []mtrange.Transfer{own.Transfers[0], other} {
+		got, _ := f.storedTable().Lookup(want.Low)
 		assert.Equal(t, got.Owner, want.To)
 	}
-	assert.Equal(t, f.committer.Commit(context.Background(), mine)[0], mtrange.Refused, "it has landed before")
+	assert.Equal(t, f.committer.Commit(context.Background(), own)[0], mtrange.Refused, "the transfer has been written before")
 }
 
-// The answer to a write is lost, and the daemon that asked for it has gone away. Nobody is
-// told that it was not written.
-func TestAWriteWithoutAnAnswerIsDoubtful(t *testing.T) {
+// The answer to a write is lost, or the daemon that requested the write has disconnected.
+// The outcome must be reported as unknown, not as refused.
+func TestUnansweredWriteHasUnknownOutcome(t *testing.T) {
 	f := newFleet(t)
 	f.store.Fail(func(op, _ string) error {
 		if op == "swap" {
@@ -185,8 +186,8 @@
 		return nil
 	})
 	assert.DeepEqual(t, f.committer.Commit(context.Background(), f.batch(5)), []mtrange.Outcome{mtrange.OutcomeUnknown})
-	gone, cancel := context.WithCancel(context.Background())
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	outcome := f.committer.Gather(gone, f.batch(6))[0]
+	outcome := f.committer.Gather(canceled, f.batch(6))[0]
 	assert.Assert(t, outcome == mtrange.OutcomeUnknown, "%v", outcome)
 }
--- a/io/mtwatch/mtwatch.go
+++ b/io/mtwatch/mtwatch.go
@@ -1,12 +1,11 @@
-// Package mtwatch follows the platform's store through everything that befalls a
-// watch: outages, cut and silent connections,
-// and a history that was forgotten.
+// Package mtwatch watches the platform's store for changes. It handles outages, connections
+// that are cut or unresponsive, and revisions that the store has compacted.
 //
 // # Usage
 //
 //	watcher, stop := mtwatch.Start(mtwatch.Config{Store: store, Apply: apply, Log: log})
 //	defer stop()
-//	watcher.Resync() // if it is known otherwise that the watch has missed something
+//	watcher.Resync(time.Now()) // if the watch is known to have missed something
 //
 // Apply is called from one goroutine, in order of revision.
 package mtwatch
@@ -25,99 +24,100 @@
 )
 
 const (
-	// Wait is how long one watch waits for changes. Each watch is a call that is
-	// paid for; the longer it waits, the fewer there are.
+	// Wait is how long one watch waits for changes. The store charges for each call, and a
+	// longer wait needs fewer of them.
 	Wait = 20 * time.Second
-	// firstPause and maxPause are between two attempts while the store fails.
-	// The longer one bounds how late a watcher hears that the store is back. Each
-	// attempt is paid for: with 0.4 s, 75 daemons made 2,000 in an outage of eight
-	// seconds.
-	firstPause = 50 * time.Millisecond
-	maxPause   = 900 * time.Millisecond
+	// minBackoff and maxBackoff limit the pause between two attempts while the store fails.
+	// The longer one bounds how late a watcher notices that the store is available again.
+	// The store charges for each attempt: with 0.4 s, 75 daemons made 2,000 in an outage of
+	// eight seconds.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 900 * time.Millisecond
 )
 
-// Update is what a watcher hears.
+// Update is a set of changes that a watch has returned.
 type Update struct {
 	Changes mtstore.Changes
-	// Whole says that Changes holds everything that exists, so that whatever is
-	// not in it was deleted.
+	// Whole reports that Changes contains all existing entries, so that an entry that is
+	// not in it has been deleted.
 	Whole bool
 }
 
-// Source is where changes are heard of: the store, or another daemon that
-// watches it.
+// Source is where a Watcher gets changes from: the store, or another daemon that watches
+// it.
 type Source interface {
-	// Watch is that of mtstore.Store.
+	// Watch has the same contract as mtstore.Store.Watch.
 	Watch(ctx context.Context, prefix string, after mtid.Revision, wait time.Duration) (mtstore.Changes, error)
 }
 
-// Config is what a watcher works with.
+// Config holds the settings and dependencies of a Watcher.
 type Config struct {
 	Store Source
 	Apply func(Update)
-	// Health is told when the store answers a watch again, and when it fails.
-	// It may be nil.
+	// Health is called with true after each watch that succeeds, and with false after each
+	// one that fails for another reason than a compaction. It may be nil.
 	Health func(up bool)
 	Log    *slog.Logger
 }
 
-// Start starts to follow and returns the Watcher and the function that ends it.
+// Start starts to watch and returns the Watcher and a function that stops it.
 func Start(config Config) (*Watcher, func()) {
 	if config.Health == nil {
 		config.Health = func(bool) {}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &Watcher{Config: config}
-	var duty sync.WaitGroup
-	duty.Go(func() {
+	var loop sync.WaitGroup
+	loop.Go(func() {
 		for ctx.Err() == nil {
-			w.attempt(ctx)
+			w.runAttempt(ctx)
 		}
 	})
 	return w, func() {
 		cancel()
-		duty.Wait()
+		loop.Wait()
 	}
 }
 
-// everything is the prefix of all names. Each watch is paid for, so that there is
-// one, not one for each kind of entry.
-const everything = ""
+// allNames is the prefix of all names. The store charges for each watch, so a single one
+// covers all kinds of entries.
+const allNames = ""
 
-// Watcher follows the store.
+// Watcher watches the store and applies the changes in order of revision.
 type Watcher struct {
 	Config
-	after  mtid.Revision // everything up to it was applied
-	failed int           // attempts in a row
-
-	mu      sync.Mutex
-	cancel  context.CancelFunc // of the present attempt
-	pausing bool               // after a failure
-	resync  bool
-	resyncs time.Time // the last one
+	applied  mtid.Revision // all changes up to it were applied
+	failures int           // consecutive failed attempts
+
+	mu         sync.Mutex
+	cancel     context.CancelFunc // cancels the current attempt
+	pausing    bool               // after a failure
+	resync     bool
+	lastResync time.Time // when the last Resync took effect
 }
 
-// resyncPause is the least time between two Resyncs that take effect: each costs
-// the store a reading of everything.
-const resyncPause = 300 * time.Millisecond
+// minResyncInterval is the minimum time between two calls of Resync that take effect, since
+// each makes the store return all entries.
+const minResyncInterval = 300 * time.Millisecond
 
-// Resync makes the watcher read everything again. A watch may hear nothing
-// although changes are made.
+// Resync makes the watcher read all entries again. It is for callers that know of a change
+// that the watch has missed.
 func (w *Watcher) Resync(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if now.Sub(w.resyncs) < resyncPause {
+	if now.Sub(w.lastResync) < minResyncInterval {
 		return
 	}
-	w.resyncs = now
+	w.lastResync = now
 	w.resync = true
 	if w.cancel != nil {
 		w.cancel()
 	}
 }
 
-// Hurry ends the pause after a failure: the store is known to answer again. A daemon
-// whose record was back waited up to 0.9 s for its watch, and granted nothing meanwhile.
+// Hurry ends the pause after a failure, since the store is known to be available again.
+// Without it, a daemon that had restored its record waited up to 0.9 s for its watch, and
+// granted nothing in the meantime.
 func (w *Watcher) Hurry() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -126,63 +126,64 @@
 	}
 }
 
-// attempt makes one step that a Resync can end.
-func (w *Watcher) attempt(ctx context.Context) {
+// runAttempt runs one watch, which Resync can cancel.
+func (w *Watcher) runAttempt(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	w.mu.Lock()
 	w.cancel = cancel
 	if w.resync {
-		w.after, w.resync = 0, false
+		w.applied, w.resync = 0, false
 	}
 	w.mu.Unlock()
-	w.step(ctx)
+	w.watchOnce(ctx)
 }
 
-// step makes one watch and applies what it brings.
-func (w *Watcher) step(ctx context.Context) {
-	whole := w.after == 0
-	changes, err := w.Store.Watch(ctx, everything, w.after, Wait)
+// watchOnce makes one watch call and applies the result.
+func (w *Watcher) watchOnce(ctx context.Context) {
+	snapshot := w.applied == 0
+	changes, err := w.Store.Watch(ctx, allNames, w.applied, Wait)
 	if err != nil {
-		w.fail(ctx, err)
+		w.handleFailure(ctx, err)
 		return
 	}
-	w.recover()
-	if changes.Revision < w.after {
-		// An answer from a replica that is behind: it would take back what was
+	w.noteSuccess()
+	if changes.Revision < w.applied {
+		// The answer came from a replica that lags behind, and would revert what has been
 		// applied.
 		return
 	}
-	w.after = changes.Revision
-	if whole || len(changes.Entries) > 0 {
-		w.Apply(Update{Changes: changes, Whole: whole})
+	w.applied = changes.Revision
+	if snapshot || len(changes.Entries) > 0 {
+		w.Apply(Update{Changes: changes, Whole: snapshot})
 	}
 }
 
-// recover notes that the store answers.
-func (w *Watcher) recover() {
-	if w.failed > 0 {
-		w.Log.Info("watch works again", "failures", w.failed)
+// noteSuccess resets the failures and reports that the store is available.
+func (w *Watcher) noteSuccess() {
+	if w.failures > 0 {
+		w.Log.Info("watch works again", "failures", w.failures)
 	}
-	w.failed = 0
+	w.failures = 0
 	w.Health(true)
 }
 
-// fail notes a failure and waits before the next attempt.
-func (w *Watcher) fail(ctx context.Context, err error) {
+// handleFailure reports a failure and pauses before the next attempt. After a compaction it
+// makes the next attempt read all entries, without a pause.
+func (w *Watcher) handleFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	var compacted *mtstore.CompactedError
 	if errors.As(err, &compacted) {
-		w.Log.Warn("watch has to read everything again", "after", uint64(w.after), "error", err)
-		w.after = 0
+		w.Log.Warn("revisions were compacted: reading everything again", "after", uint64(w.applied), "error", err)
+		w.applied = 0
 		return
 	}
-	w.Log.Warn("watch failed", "after", uint64(w.after), "failures", w.failed+1, "error", err)
+	w.Log.Warn("watch failed", "after", uint64(w.applied), "failures", w.failures+1, "error", err)
 	w.Health(false)
-	pause := min(firstPause<<min(w.failed, 8), maxPause)
-	w.failed++
+	pause := min(minBackoff<<min(w.failures, 8), maxBackoff)
+	w.failures++
 	w.setPausing(true)
 	defer w.setPausing(false)
 	mtduty.Sleep(ctx, pause/2+rand.N(pause/2))
--- a/io/mtwatch/mtwatch_test.go
+++ b/io/mtwatch/mtwatch_test.go
@@ -17,24 +17,24 @@
 	"magnoliaturn/io/mtwatch"
 )
 
-// heard notes what a watcher applies.
-type heard struct {
+// recorder records the updates that a watcher applies.
+type recorder struct {
 	mu      sync.Mutex
 	updates []mtwatch.Update
 }
 
-func (h *heard) apply(u mtwatch.Update) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.updates = append(h.updates, u)
+func (r *recorder) apply(u mtwatch.Update) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.updates = append(r.updates, u)
 }
 
-func (h *heard) last(name string) (mtstore.Entry, bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (r *recorder) last(name string) (mtstore.Entry, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var found mtstore.Entry
 	ok := false
-	for _, u := range h.updates {
+	for _, u := range r.updates {
 		for _, e := range u.Changes.Entries {
 			if e.Name == name {
 				found, ok = e, true
@@ -44,11 +44,11 @@
 	return found, ok
 }
 
-func (h *heard) wholes() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (r *recorder) snapshots() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	n := 0
-	for _, u := range h.updates {
+	for _, u := range r.updates {
 		if u.Whole {
 			n++
 		}
@@ -62,55 +62,56 @@
 		if done() {
 			return poll.Success()
 		}
-		return poll.Continue("%s", what)
+		return poll.Continue("waiting until %s", what)
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(2*time.Millisecond))
 }
 
-func start(t *testing.T, source mtwatch.Source) (*mtwatch.Watcher, *heard) {
+func start(t *testing.T, source mtwatch.Source) (*mtwatch.Watcher, *recorder) {
 	t.Helper()
-	h := &heard{}
-	w, stop := mtwatch.Start(mtwatch.Config{Store: source, Apply: h.apply, Log: slog.New(slog.DiscardHandler)})
+	r := &recorder{}
+	w, stop := mtwatch.Start(mtwatch.Config{Store: source, Apply: r.apply, Log: slog.New(slog.DiscardHandler)})
 	t.Cleanup(stop)
-	return w, h
+	return w, r
 }
 
-// Watches hear nothing for seconds while an operator writes. Whoever learns of
-// it otherwise makes the watcher read anew, more often than not in vain.
-func TestResyncBringsWhatADeafWatchMissed(t *testing.T) {
+// A watch can miss changes for seconds while an operator writes. A caller that learns of a
+// change in another way uses Resync to read everything, more often than necessary, so
+// Resync must be rate-limited.
+func TestResyncReadsMissedChange(t *testing.T) {
 	store := mtstandin.NewRevisions(time.Now)
 	store.Put("op", []byte("1"))
-	w, h := start(t, store)
-	until(t, "the first is heard", func() bool { _, ok := h.last("op"); return ok })
+	w, r := start(t, store)
+	until(t, "the first value is applied", func() bool { _, ok := r.last("op"); return ok })
 	store.Deafen(true)
 	store.Put("op", []byte("2"))
 	w.Resync(time.Now())
-	until(t, "the second is heard", func() bool { e, _ := h.last("op"); return string(e.Value) == "2" })
-	before := h.wholes()
+	until(t, "the second value is applied", func() bool { e, _ := r.last("op"); return string(e.Value) == "2" })
+	before := r.snapshots()
 	w.Resync(time.Now())
 	w.Resync(time.Now())
-	assert.Equal(t, h.wholes(), before, "two in a row cost the store two readings")
+	assert.Equal(t, r.snapshots(), before, "a Resync right after another one read everything again")
 }
 
-func TestAForgottenHistoryIsReadAnew(t *testing.T) {
+func TestCompactionCausesFullRead(t *testing.T) {
 	store := mtstandin.NewRevisions(time.Now)
-	_, h := start(t, store)
-	until(t, "the start is read", func() bool { return h.wholes() == 1 })
+	_, r := start(t, store)
+	until(t, "all entries are read", func() bool { return r.snapshots() == 1 })
 	store.Deafen(true)
 	store.Put("a", nil)
 	store.Compact()
 	store.Deafen(false)
-	until(t, "all is read again", func() bool { return h.wholes() == 2 })
-	_, ok := h.last("a")
+	until(t, "all entries are read again", func() bool { return r.snapshots() == 2 })
+	_, ok := r.last("a")
 	assert.Assert(t, ok)
 }
 
-// behind answers the second watch from a replica that knows less.
-type behind struct {
+// staleReplica answers the second watch from an earlier revision.
+type staleReplica struct {
 	mu    sync.Mutex
 	calls int
 }
 
-func (s *behind) Watch(ctx context.Context, _ string, _ mtid.Revision, _ time.Duration) (mtstore.Changes, error) {
+func (s *staleReplica) Watch(ctx context.Context, _ string, _ mtid.Revision, _ time.Duration) (mtstore.Changes, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
@@ -126,30 +127,31 @@
 	return mtstore.Changes{}, ctx.Err()
 }
 
-func TestAnAnswerFromBehindChangesNothing(t *testing.T) {
-	_, h := start(t, &behind{})
-	until(t, "the third answer is heard", func() bool { _, ok := h.last("b"); return ok })
-	e, _ := h.last("a")
+func TestStaleReplicaAnswerIsIgnored(t *testing.T) {
+	_, r := start(t, &staleReplica{})
+	until(t, "the third answer is applied", func() bool { _, ok := r.last("b"); return ok })
+	e, _ := r.last("a")
 	assert.Equal(t, string(e.Value), "new")
 }
 
-// away is a store that never answers, and counts how often it is asked.
-type away struct{ asked atomic.Int64 }
+// unavailableStore is a store that fails every watch, and counts the calls.
+type unavailableStore struct{ calls atomic.Int64 }
 
 // Watch implements mtwatch.Source.
-func (s *away) Watch(context.Context, string, mtid.Revision, time.Duration) (mtstore.Changes, error) {
-	s.asked.Add(1)
+func (s *unavailableStore) Watch(context.Context, string, mtid.Revision, time.Duration) (mtstore.Changes, error) {
+	s.calls.Add(1)
 	return mtstore.Changes{}, &mtstore.UnavailableError{Op: "watch", Err: context.DeadlineExceeded}
 }
 
-// The store is back, and a daemon knows it by its record. Its watch paused for up to 0.9 s,
-// and it granted nothing by a copy of before the outage.
-func TestHurryEndsThePauseAfterAFailure(t *testing.T) {
-	store := &away{}
+// The store is available again, and the daemon knows it because its record was written.
+// Without Hurry its watch paused for up to 0.9 s, and the daemon granted nothing, since its
+// copy was from before the outage.
+func TestPauseAfterFailureCanBeEnded(t *testing.T) {
+	store := &unavailableStore{}
 	w, _ := start(t, store)
-	const more = 200 // at a pause each they take over a minute
-	until(t, "the store is asked without a pause", func() bool {
+	const calls = 200 // with a pause after each they would take over a minute
+	until(t, "the store is called without pauses", func() bool {
 		w.Hurry()
-		return store.asked.Load() >= more
+		return store.calls.Load() >= calls
 	})
 }
