--- a/io/mtcommit/mtcommit.go
+++ b/io/mtcommit/mtcommit.go
@@ -11,8 +11,8 @@
 // # Usage
 //
 //	committer, cleanUp := mtcommit.New(config)
-//	outcomes := committer.Commit(ctx, batch) // of this daemon
-//	outcomes = committer.Gather(ctx, batch)  // of another one
+//	outcomes := committer.Commit(ctx, batch)       // of this daemon
+//	outcomes = committer.CommitForPeer(ctx, batch) // of another one
 //	outcome := committer.Write(ctx, conditions, table, version, "takeover")
 //
 // A Committer is safe for concurrent use.
@@ -52,9 +52,9 @@
 	Directory *mtdirectory.Directory
 	Store     mtstore.Guarded
 	Log       *slog.Logger
-	// Inform notifies a daemon of an assignment that gives it keys, by sending what has
+	// NotifyOwner notifies a daemon of an assignment that gives it keys, by sending what has
 	// changed in the assignment since an epoch. It must not block, and may be nil.
-	Inform func(to mtid.Daemon, a mtdirectory.Assignment, since mtid.Epoch)
+	NotifyOwner func(to mtid.Daemon, a mtdirectory.Assignment, since mtid.Epoch)
 }
 
 // Committer writes changes of owners for this daemon and for others. See the package
@@ -91,9 +91,9 @@
 	return c.commit(ctx, b, 0)
 }
 
-// Gather writes a batch of another daemon, like Commit. It first waits a moment for further
+// CommitForPeer writes a batch of another daemon, like Commit. It first waits a moment for further
 // batches, to write them in one step.
-func (c *Committer) Gather(ctx context.Context, b mtrange.Batch) []mtrange.Outcome {
+func (c *Committer) CommitForPeer(ctx context.Context, b mtrange.Batch) []mtrange.Outcome {
 	return c.commit(ctx, b, batchDelay)
 }
 
@@ -246,7 +246,7 @@
 // A watch takes a tenth of a second over two hops, which is half of the time that a lookup
 // has. Nobody served the keys in the meantime, and callers retried every few milliseconds.
 func (c *Committer) notifyNewOwners(service mtid.Service, applicable []*pendingTransfer, next mtid.Epoch) {
-	if c.Inform == nil {
+	if c.NotifyOwner == nil {
 		return
 	}
 	assignment := c.Directory.Now().Assignments[service]
@@ -254,7 +254,7 @@
 	for _, p := range applicable {
 		if to := p.To.Daemon; !done[to] {
 			done[to] = true
-			c.Inform(to, assignment, next-min(next, notifiedEpochs))
+			c.NotifyOwner(to, assignment, next-min(next, notifiedEpochs))
 		}
 	}
 }
--- a/io/mtcommit/mtcommit_test.go
+++ b/io/mtcommit/mtcommit_test.go
@@ -123,7 +123,7 @@
 	var all sync.WaitGroup
 	for _, b := range batches {
 		all.Go(func() {
-			assert.DeepEqual(t, f.committer.Gather(context.Background(), b), []mtrange.Outcome{mtrange.Written})
+			assert.DeepEqual(t, f.committer.CommitForPeer(context.Background(), b), []mtrange.Outcome{mtrange.Written})
 		})
 	}
 	all.Wait()
@@ -145,7 +145,7 @@
 	outcomes := make([]mtrange.Outcome, len(batches))
 	var all sync.WaitGroup
 	for i, b := range batches {
-		all.Go(func() { outcomes[i] = f.committer.Gather(context.Background(), b)[0] })
+		all.Go(func() { outcomes[i] = f.committer.CommitForPeer(context.Background(), b)[0] })
 	}
 	all.Wait()
 	assert.DeepEqual(t, outcomes, []mtrange.Outcome{mtrange.Written, mtrange.Refused, mtrange.Written})
@@ -188,6 +188,6 @@
 	assert.DeepEqual(t, f.committer.Commit(context.Background(), f.batch(5)), []mtrange.Outcome{mtrange.OutcomeUnknown})
 	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	outcome := f.committer.Gather(canceled, f.batch(6))[0]
+	outcome := f.committer.CommitForPeer(canceled, f.batch(6))[0]
 	assert.Assert(t, outcome == mtrange.OutcomeUnknown, "%v", outcome)
 }
--- a/io/mtdirectory/member.go
+++ b/io/mtdirectory/member.go
@@ -37,7 +37,7 @@
 // longer there, and records that are gone still. Those may have been back in between.
 // It is called with mu held.
 func (d *Directory) missing(u mtwatch.Update, v *View) []mtstore.Entry {
-	if !u.Whole || u.Changes.Revision <= v.Revision {
+	if !u.Snapshot || u.Changes.Revision <= v.Revision {
 		return nil
 	}
 	present := make(map[string]bool, len(u.Changes.Entries))
--- a/io/mtdirectory/mtdirectory.go
+++ b/io/mtdirectory/mtdirectory.go
@@ -135,7 +135,7 @@
 	d.view.Store(&View{Members: map[mtid.Daemon]Member{}, Assignments: map[mtid.Service]Assignment{}, Foreign: map[mtid.Daemon]bool{}})
 	d.keeper = newKeeper(config)
 	watcher, stopWatch := mtwatch.Start(mtwatch.Config{
-		Store: d.Source, Apply: d.apply, Health: d.health, Log: config.Log,
+		Source: d.Source, Apply: d.apply, Health: d.health, Log: config.Log,
 	})
 	d.watcher.Store(watcher)
 	stopKeeper := d.keeper.start()
@@ -216,7 +216,7 @@
 // stands, so the store answers.
 func (d *Directory) Hurry() {
 	if watcher := d.watcher.Load(); watcher != nil {
-		watcher.Hurry()
+		watcher.RetryNow()
 	}
 }
 
--- a/io/mtgrant/move.go
+++ b/io/mtgrant/move.go
@@ -62,8 +62,8 @@
 
 // spill moves all keys of a server whose zone is out of service to servers in other zones.
 func (g *Grants) spill(ctx context.Context, owner mtrange.Owner, owned []mtrange.Range) {
-	g.Survey(ctx)
-	_, others := g.Standings()
+	g.QueryLoads(ctx)
+	_, others := g.LoadReports()
 	runs := g.Host.Spill(owned, g.spillPosition(owner), others)
 	if len(runs) == 0 {
 		g.Log.Warn("server keeps its keys: no other zone is in service", "ranges", len(owned))
@@ -99,10 +99,10 @@
 	if tooEarly {
 		return
 	}
-	self, others := g.Standings()
+	self, others := g.LoadReports()
 	if self.Overloaded() {
-		g.Survey(ctx)
-		self, others = g.Standings()
+		g.QueryLoads(ctx)
+		self, others = g.LoadReports()
 	}
 	runs := g.Host.Cut(owned, mtrange.PlanOffload(self, others))
 	g.mu.Lock()
@@ -166,7 +166,7 @@
 	g.Host.Stop(low, high)
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	warmupState, err := g.Port.Release(ctx, address, low, high, r.Epoch)
+	warmupState, err := g.Client.Release(ctx, address, low, high, r.Epoch)
 	if err != nil {
 		g.Log.Warn("release failed", "why", why, "low", low, "high", high, "epoch", uint64(r.Epoch), "error", err)
 		g.abortMove(r, low, high)
--- a/io/mtgrant/mtgrant.go
+++ b/io/mtgrant/mtgrant.go
@@ -20,7 +20,7 @@
 // enough.
 //
 //	grants, cleanUp := mtgrant.New(config)
-//	err := grants.Holds(server, key) // for each keyed call
+//	err := grants.CheckGranted(incarnation, key) // for each keyed call
 //
 // A Grants is safe for concurrent use.
 package mtgrant
@@ -43,14 +43,14 @@
 	"magnoliaturn/io/mtduty"
 )
 
-// Port sends commands to a backend server.
-type Port interface {
-	// Grant lets the server run calls for the range for the duration hold, counted from the
+// ServerClient sends commands to a backend server.
+type ServerClient interface {
+	// Grant lets the server run calls for the range for the duration, counted from the
 	// arrival of the command. It fails with a *SupersededError if the server has seen a
-	// higher epoch on one of the keys, and with an *AbsentError if the command was not
+	// higher epoch on one of the keys, and with an *UnreachableError if the command was not
 	// delivered. After any other error the server may still execute the command, possibly
 	// later.
-	Grant(ctx context.Context, address string, r mtrange.Range, hold time.Duration) error
+	Grant(ctx context.Context, address string, r mtrange.Range, duration time.Duration) error
 	// Release revokes keys. It returns once nothing runs on them, with the state that the
 	// next owner needs for a warm start. After an error the server may still execute the
 	// command.
@@ -64,23 +64,23 @@
 // Error implements error.
 func (*SupersededError) Error() string { return "grant: the server has seen a higher epoch" }
 
-// AbsentError reports that nothing listens at a server's address, so that the command was
+// UnreachableError reports that nothing listens at a server's address, so that the command was
 // not delivered.
-type AbsentError struct{ Err error }
+type UnreachableError struct{ Err error }
 
 // Error implements error.
-func (e *AbsentError) Error() string {
+func (e *UnreachableError) Error() string {
 	return "grant: nothing listens at the server's address: " + e.Err.Error()
 }
 
 // Unwrap returns the error of the connection attempt.
-func (e *AbsentError) Unwrap() error { return e.Err }
+func (e *UnreachableError) Unwrap() error { return e.Err }
 
-// UnreadError reports that the assignment has not been read from the store yet.
-type UnreadError struct{}
+// AssignmentNotReadError reports that the assignment has not been read from the store yet.
+type AssignmentNotReadError struct{}
 
 // Error implements error.
-func (*UnreadError) Error() string {
+func (*AssignmentNotReadError) Error() string {
 	return "grant: the assignment has not been read from the store yet"
 }
 
@@ -107,30 +107,30 @@
 
 // Config holds the settings and dependencies of a Grants.
 type Config struct {
-	Self      mtid.Daemon
-	Service   mtid.Service
-	Keyed     func() bool // reports whether the current configuration divides the service by key
-	Hold      time.Duration
-	Directory *mtdirectory.Directory
-	Store     mtstore.Guarded
-	Host      host
-	Port      Port
-	Clock     clock
-	Log       *slog.Logger
-	// Standings returns the known load of this server and of the other servers of its
+	Self          mtid.Daemon
+	Service       mtid.Service
+	Keyed         func() bool // reports whether the current configuration divides the service by key
+	GrantDuration time.Duration
+	Directory     *mtdirectory.Directory
+	Store         mtstore.Guarded
+	Host          host
+	Client        ServerClient
+	Clock         clock
+	Log           *slog.Logger
+	// LoadReports returns the known load of this server and of the other servers of its
 	// service.
-	Standings func() (self mtrange.LoadReport, others []mtrange.LoadReport)
-	// Inform notifies a daemon of an assignment that gives it keys, by sending what has
+	LoadReports func() (self mtrange.LoadReport, others []mtrange.LoadReport)
+	// NotifyOwner notifies a daemon of an assignment that gives it keys, by sending what has
 	// changed in the assignment since an epoch. It must not block, and may be nil.
-	Inform func(to mtid.Daemon, a mtdirectory.Assignment, since mtid.Epoch)
+	NotifyOwner func(to mtid.Daemon, a mtdirectory.Assignment, since mtid.Epoch)
 	// Committer writes the changes that this daemon writes itself. If it is nil, New
 	// creates one.
 	Committer *mtcommit.Committer
 	// Delegate passes ownership changes to the daemon that writes them for all daemons. It
 	// returns false if no other daemon was asked to write them. It may be nil.
 	Delegate func(ctx context.Context, b mtrange.Batch) ([]mtrange.Outcome, bool)
-	// Survey queries the load of other servers of the service.
-	Survey func(ctx context.Context)
+	// QueryLoads queries the load of other servers of the service.
+	QueryLoads func(ctx context.Context)
 }
 
 // grant is the state of one range of keys that is assigned to the server.
@@ -164,7 +164,7 @@
 	staleSince         mtclock.Instant // since when the copy is older than the own record; zero if it is not
 	lastOffload        mtclock.Instant // when the last offload ended, or was last considered without a result
 	offloading         bool
-	movedKeys          int                // keys moved to other servers since the last TakeMoved
+	movedKeys          int                // keys moved to other servers since the last TakeMovedCount
 	writeConflicts     int                // writes of the last offload that lost against conflicting writes
 	emptyPlans         int                // consecutive attempts that found no server to offload to
 	transfers          []*pendingTransfer // waiting to be written
@@ -196,7 +196,7 @@
 	closeCommitter := func() {}
 	if g.Committer == nil {
 		g.Committer, closeCommitter = mtcommit.New(mtcommit.Config{
-			Directory: config.Directory, Store: config.Store, Log: config.Log, Inform: config.Inform,
+			Directory: config.Directory, Store: config.Store, Log: config.Log, NotifyOwner: config.NotifyOwner,
 		})
 	}
 	stopReconcile := mtduty.EveryOr(reconcilePeriod, g.wake, g.reconcile)
@@ -220,9 +220,9 @@
 	}
 }
 
-// Holds returns nil if the key is granted to that incarnation of the server, and a
+// CheckGranted returns nil if the key is granted to that incarnation of the server, and a
 // *mtreply.RefusedError otherwise.
-func (g *Grants) Holds(incarnation mtid.Life, key mtid.Number) error {
+func (g *Grants) CheckGranted(incarnation mtid.Life, key mtid.Number) error {
 	now := g.Clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -230,7 +230,7 @@
 		if !held.Covers(key) || held.incarnation != incarnation {
 			continue
 		}
-		if held.grantedAt == 0 || !now.Before(held.grantedAt.Add(g.Hold)) {
+		if held.grantedAt == 0 || !now.Before(held.grantedAt.Add(g.GrantDuration)) {
 			return g.notGrantedError(now)
 		}
 		return nil
@@ -262,9 +262,9 @@
 	return &mtreply.RefusedError{Cause: mtreply.CauseNoLease, RetryAfter: retry}
 }
 
-// Fenced grants a key again after the server has reported that it does not hold it: a
+// Regrant grants a key again after the server has reported that it does not hold it: a
 // release of the key may have been executed late.
-func (g *Grants) Fenced(key mtid.Number) {
+func (g *Grants) Regrant(key mtid.Number) {
 	g.mu.Lock()
 	for _, held := range g.grants {
 		if held.Covers(key) {
@@ -299,21 +299,21 @@
 	for _, held := range unassigned {
 		g.Log.Warn("grant is no longer assigned here", "server", held.incarnation.String(), "low", held.Low, "high", held.High, "epoch", uint64(held.Epoch))
 		ctx, cancel := context.WithTimeout(ctx, commandTimeout)
-		if _, err := g.Port.Release(ctx, address, held.Low, held.High, held.Epoch); err != nil {
+		if _, err := g.Client.Release(ctx, address, held.Low, held.High, held.Epoch); err != nil {
 			g.Log.Warn("release failed", "low", held.Low, "high", held.High, "error", err)
 		}
 		cancel()
 	}
 }
 
-// Clear revokes all keys from an incarnation of the server that owns none. A command for
+// ReleaseUnowned revokes all keys from an incarnation of the server that owns none. A command for
 // the previous incarnation at the same address may have reached it.
-func (g *Grants) Clear(ctx context.Context, incarnation mtid.Life, address string) error {
+func (g *Grants) ReleaseUnowned(ctx context.Context, incarnation mtid.Life, address string) error {
 	view := g.Directory.Now()
 	if view.Revision == 0 {
 		// The owner of the keys is unknown until the assignment has been read. No other
 		// daemon sees the new incarnation before the store is reachable.
-		return &UnreadError{}
+		return &AssignmentNotReadError{}
 	}
 	assignment, ok := view.Assignments[g.Service]
 	if !g.Keyed() || !ok || len(assignment.Owned(mtrange.Owner{Daemon: g.Self, Incarnation: incarnation})) > 0 {
@@ -324,11 +324,11 @@
 			return ctx.Err()
 		}
 	}
-	_, err := g.Port.Release(ctx, address, 0, mtid.LastNumber, assignment.Next-1)
+	_, err := g.Client.Release(ctx, address, 0, mtid.LastNumber, assignment.Next-1)
 	return err
 }
 
-// inFlightPolls is how many times Clear checks for a pending answer within commandTimeout.
+// inFlightPolls is how many times ReleaseUnowned checks for a pending answer within commandTimeout.
 const inFlightPolls = 100
 
 // grantInFlight reports whether a grant has been sent and not answered yet.
@@ -387,9 +387,9 @@
 	return []*grant{{Range: r, incarnation: incarnation}}
 }
 
-// TakeMoved returns how many keys have moved from this server to others since the last
+// TakeMovedCount returns how many keys have moved from this server to others since the last
 // call.
-func (g *Grants) TakeMoved() int {
+func (g *Grants) TakeMovedCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	moved := g.movedKeys
@@ -397,9 +397,9 @@
 	return moved
 }
 
-// Lasts returns the time until which any command that was sent, answered or not, may be in
+// LastExpiry returns the time until which any command that was sent, answered or not, may be in
 // effect at the server.
-func (g *Grants) Lasts() mtclock.Instant {
+func (g *Grants) LastExpiry() mtclock.Instant {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.lastExpiry
--- a/io/mtgrant/mtgrant_test.go
+++ b/io/mtgrant/mtgrant_test.go
@@ -28,9 +28,9 @@
 )
 
 const (
-	service = mtid.Service("maps")
-	hold    = 8 * time.Second
-	lease   = 3 * time.Second
+	service       = mtid.Service("maps")
+	grantDuration = 8 * time.Second
+	lease         = 3 * time.Second
 )
 
 // clock is a manual clock. Now and Steady return the same instant.
@@ -222,16 +222,16 @@
 	r, _ := f.host.Record()
 	directory.Publish(r)
 	grants, closeGrants := mtgrant.New(mtgrant.Config{
-		Self: "a", Service: service, Keyed: func() bool { return true }, Hold: hold, Directory: directory,
-		Store: f.store, Host: f.host, Port: f.server, Clock: f.clock, Log: slog.New(slog.DiscardHandler),
-		Standings: func() (mtrange.LoadReport, []mtrange.LoadReport) {
+		Self: "a", Service: service, Keyed: func() bool { return true }, GrantDuration: grantDuration, Directory: directory,
+		Store: f.store, Host: f.host, Client: f.server, Clock: f.clock, Log: slog.New(slog.DiscardHandler),
+		LoadReports: func() (mtrange.LoadReport, []mtrange.LoadReport) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			return f.ownLoad, f.otherLoads
 		},
-		Survey:   func(context.Context) { f.surveys.Add(1) },
-		Inform:   f.notify,
-		Delegate: f.delegate,
+		QueryLoads:  func(context.Context) { f.surveys.Add(1) },
+		NotifyOwner: f.notify,
+		Delegate:    f.delegate,
 	})
 	f.grants = grants
 	f.closeGrants = sync.OnceFunc(closeGrants)
@@ -291,7 +291,7 @@
 		}
 	}
 	f.server.mu.Unlock()
-	f.clock.advance(hold / 2) // both are due; the renewal of the first blocks
+	f.clock.advance(grantDuration / 2) // both are due; the renewal of the first blocks
 	f.directory.Publish(record("a", mtbackend.Ready))
 	f.grants.Wake()
 	f.until("a renewal is under way", func() bool { return f.server.count("grant 0-") == 2 })
@@ -349,7 +349,7 @@
 	f.start()
 	f.until("the own range is granted", func() bool { return f.server.count("grant") == 1 })
 	f.expireRecordOfB()
-	f.clock.advance(hold)
+	f.clock.advance(grantDuration)
 	f.directory.Publish(record("a", mtbackend.Ready))
 	f.letLoopsRun()
 	assert.Equal(t, f.owner(mtid.LastNumber), mtid.Daemon("b"), "taken over while a grant may still be in effect")
@@ -369,7 +369,7 @@
 	f.until("the own range is granted", func() bool { return f.server.count("grant") == 1 })
 	f.expireRecordOfB() // just after a renewal of the lease
 	const lastCommand = lease * 98 / 100
-	f.clock.advance(lastCommand + hold)
+	f.clock.advance(lastCommand + grantDuration)
 	f.directory.Publish(record("a", mtbackend.Ready))
 	f.letLoopsRun()
 	assert.Equal(t, f.owner(mtid.LastNumber), mtid.Daemon("b"), "taken over while a grant may still be in effect")
@@ -426,14 +426,14 @@
 	f.store.Put(mtstore.BackendName("b"), []byte(`{"daemon":"b","state":"resting"}`))
 	f.start()
 	f.until("the own range is granted", func() bool { return f.server.count("grant") == 1 })
-	f.clock.advance(hold + lease + time.Minute)
+	f.clock.advance(grantDuration + lease + time.Minute)
 	f.directory.Publish(record("a", mtbackend.Ready))
 	f.letLoopsRun()
 	assert.Equal(t, f.owner(mtid.LastNumber), mtid.Daemon("b"))
 }
 
-// The new owner of moved keys would learn of them through its watch only a tenth of a
-// second later, and nobody would serve them until then. It must be notified at once, with
+// The new owner of moved keys would see them through its watch only after a tenth of a
+// second, and nobody would serve them until then. It must be notified at once, with
 // the changes.
 func TestNewOwnerIsNotified(t *testing.T) {
 	f := newFleet(t, "a", "b")
@@ -537,13 +537,13 @@
 }
 
 // A renewal for the previous incarnation of the server is on its way to an address at which
-// another incarnation answers now. Clear must revoke what the renewal grants, but only
+// another incarnation answers now. ReleaseUnowned must revoke what the renewal grants, but only
 // after it has been answered. An incarnation that owns keys keeps them.
 func TestUnownedKeysAreReleasedAfterPendingGrant(t *testing.T) {
 	f := newFleet(t, "a", "b")
 	f.start()
 	f.until("the own range is granted", func() bool { return f.server.count("grant") == 1 })
-	assert.NilError(t, f.grants.Clear(t.Context(), incarnationOf("a"), "server"))
+	assert.NilError(t, f.grants.ReleaseUnowned(t.Context(), incarnationOf("a"), "server"))
 	assert.Equal(t, f.server.count("release"), 0)
 	gate := make(chan struct{})
 	f.server.mu.Lock()
@@ -553,12 +553,12 @@
 		}
 	}
 	f.server.mu.Unlock()
-	f.clock.advance(hold / 2)
+	f.clock.advance(grantDuration / 2)
 	f.directory.Publish(record("a", mtbackend.Ready))
 	f.grants.Wake()
 	f.until("a renewal is under way", func() bool { return f.server.count("grant") == 2 })
 	cleared := make(chan error)
-	go func() { cleared <- f.grants.Clear(t.Context(), mtid.Life{Server: "next"}, "server") }()
+	go func() { cleared <- f.grants.ReleaseUnowned(t.Context(), mtid.Life{Server: "next"}, "server") }()
 	f.letLoopsRun()
 	assert.Equal(t, f.server.count("release"), 0, "cleared while a grant was not answered yet")
 	close(gate)
--- a/io/mtgrant/order.go
+++ b/io/mtgrant/order.go
@@ -96,7 +96,7 @@
 			held.renewedEarly = false
 		}
 		switch {
-		case held.grantedAt == 0 || age > g.Hold/renewalsPerGrant:
+		case held.grantedAt == 0 || age > g.GrantDuration/renewalsPerGrant:
 		case certain <= lastRenewalWindow && !held.renewedEarly:
 			held.renewedEarly = true
 		default:
@@ -136,8 +136,8 @@
 	first := held.grantedAt == 0
 	held.attempted = true
 	g.mu.Unlock()
-	err := g.Port.Grant(ctx, address, r, g.Hold)
-	var unreachable *AbsentError
+	err := g.Client.Grant(ctx, address, r, g.GrantDuration)
+	var unreachable *UnreachableError
 	if errors.As(err, &unreachable) {
 		g.Host.Suspect(held.incarnation)
 		until = 0 // nothing was delivered
@@ -154,11 +154,11 @@
 	held.grantedAt = sent
 	if first {
 		g.Host.Gain(r.Low, r.High)
-		g.Log.Info("granted", "server", held.incarnation.String(), "low", r.Low, "high", r.High, "epoch", uint64(r.Epoch), "hold", g.Hold, "warm", r.WarmupState != "")
+		g.Log.Info("granted", "server", held.incarnation.String(), "low", r.Low, "high", r.High, "epoch", uint64(r.Epoch), "hold", g.GrantDuration, "warm", r.WarmupState != "")
 	}
 }
 
 // maxGrantDuration returns how long a grant can last, by an accurate clock.
 func (g *Grants) maxGrantDuration() time.Duration {
-	return time.Duration(float64(g.Hold) * (1 + maxClockError))
+	return time.Duration(float64(g.GrantDuration) * (1 + maxClockError))
 }
--- a/io/mtgrant/order_test.go
+++ b/io/mtgrant/order_test.go
@@ -33,7 +33,7 @@
 		}
 		return &mtstore.UnavailableError{Op: op, Err: context.DeadlineExceeded}
 	})
-	f.clock.advance(lease + hold)
+	f.clock.advance(lease + grantDuration)
 	f.store.Expire()
 	table, err := mtrange.Spread(service, []mtrange.Owner{ownerOf("a"), ownerOf("b")})
 	assert.NilError(t, err)
@@ -61,7 +61,7 @@
 	f.start()
 	f.until("the own range is granted", func() bool { return f.server.count("grant") == 1 })
 	f.store.Deafen(true)
-	f.clock.advance(lease + hold)
+	f.clock.advance(lease + grantDuration)
 	f.store.Expire()
 	f.until("the keys are granted again", func() bool {
 		f.clock.advance(10 * time.Millisecond)
@@ -88,9 +88,9 @@
 	f.store.Fail(func(op, _ string) error {
 		return &mtstore.UnavailableError{Op: op, Err: context.DeadlineExceeded}
 	})
-	f.grants.Fenced(0)
-	f.grants.Fenced(mtid.LastNumber / 2)
-	f.grants.Fenced(mtid.LastNumber)
+	f.grants.Regrant(0)
+	f.grants.Regrant(mtid.LastNumber / 2)
+	f.grants.Regrant(mtid.LastNumber)
 	f.until("one range is granted again", func() bool { return f.server.count("grant") >= 4 })
 	f.letLoopsRun()
 	assert.Equal(t, f.server.count("grant"), 4, "granted after the record was no longer certain")
@@ -138,7 +138,7 @@
 	f.start()
 	f.until("the own range is granted", func() bool { return f.server.count("grant") == 1 })
 	f.host.unbound.Store(true)
-	f.clock.advance(hold / 2)
+	f.clock.advance(grantDuration / 2)
 	f.directory.Publish(record("a", mtbackend.Ready))
 	f.until("the record is certain to exist", func() bool { return f.directory.Certain().Sub(f.clock.Now()) > lease/2 })
 	f.grants.Wake()
@@ -161,12 +161,12 @@
 	})
 	f.clock.advance(lease)
 	before := f.server.count("grant")
-	f.clock.advance(hold)
+	f.clock.advance(grantDuration)
 	f.grants.Wake()
 	f.letLoopsRun()
 	assert.Equal(t, f.server.count("grant"), before)
 	var refused *mtreply.RefusedError
-	err := f.grants.Holds(incarnationOf("a"), 0)
+	err := f.grants.CheckGranted(incarnationOf("a"), 0)
 	assert.Assert(t, asRefused(err, &refused))
 	assert.Equal(t, refused.Cause, mtreply.CauseNoLease)
 }
@@ -180,7 +180,7 @@
 	f.host.unbound.Store(true) // this process sends no grants
 	started := f.clock.Now()
 	f.start()
-	assert.Assert(t, f.grants.Lasts().Sub(started) >= hold)
+	assert.Assert(t, f.grants.LastExpiry().Sub(started) >= grantDuration)
 }
 
 // A key is not granted yet. The error must ask callers to retry soon while the daemon's record is
@@ -195,11 +195,11 @@
 	})
 	retry := func() time.Duration {
 		var refused *mtreply.RefusedError
-		assert.Assert(t, asRefused(f.grants.Holds(incarnationOf("a"), 0), &refused))
+		assert.Assert(t, asRefused(f.grants.CheckGranted(incarnationOf("a"), 0), &refused))
 		return refused.RetryAfter
 	}
 	f.host.unbound.Store(true)
-	f.grants.Fenced(0)
+	f.grants.Regrant(0)
 	first := retry()
 	f.clock.advance(lease)
 	assert.Assert(t, first > 0 && retry() > 2*first, "retry after %s, then %s", first, retry())
--- a/io/mtmesh/commit.go
+++ b/io/mtmesh/commit.go
@@ -21,7 +21,7 @@
 
 func (m *Mesh) addCommitter() error {
 	committer, cleanUp := mtcommit.New(mtcommit.Config{
-		Directory: m.directory.Load(), Store: m.config.Store, Log: m.config.Log, Inform: m.inform,
+		Directory: m.directory.Load(), Store: m.config.Store, Log: m.config.Log, NotifyOwner: m.inform,
 	})
 	return mtkernel.Register(m.kernel, NameCommitter, committer, cleanUp)
 }
@@ -55,7 +55,7 @@
 
 // commitFor writes changes of owners on behalf of another daemon.
 func (m *Mesh) commitFor(ctx context.Context, b mtrange.Batch) ([]mtrange.Outcome, mtstore.Entry) {
-	outcomes := mtkernel.MustLookup[*mtcommit.Committer](m.kernel, NameCommitter).Gather(ctx, b)
+	outcomes := mtkernel.MustLookup[*mtcommit.Committer](m.kernel, NameCommitter).CommitForPeer(ctx, b)
 	assignment, ok := m.directory.Load().Now().Assignments[b.Service]
 	if !ok {
 		return outcomes, mtstore.Entry{}
--- a/io/mtmesh/learn.go
+++ b/io/mtmesh/learn.go
@@ -181,7 +181,7 @@
 
 // applied notes that what was read has been taken in: the configuration with it.
 func (l *learner) applied(u mtwatch.Update) {
-	if begun := mtclock.Instant(l.read.Swap(0)); u.Whole && begun != 0 {
+	if begun := mtclock.Instant(l.read.Swap(0)); u.Snapshot && begun != 0 {
 		l.certainty.confirm(begun)
 	}
 }
--- a/io/mtmesh/mtmesh.go
+++ b/io/mtmesh/mtmesh.go
@@ -81,7 +81,7 @@
 	Callers string              // where callers on this VM send requests
 	Peers   string              // where other daemons send calls
 	Store   mtstore.Guarded
-	Port    mtgrant.Port
+	Port    mtgrant.ServerClient
 	Names   mtheader.Names
 	// Slowness reads from an answer of the server how long work takes on its machine; it may
 	// be nil.
@@ -259,12 +259,12 @@
 		Named:   m.named,
 		Keyed:   m.keyed,
 		Publish: directory.Publish,
-		Holds:   func(life mtid.Life, key mtid.Number) error { return grants.Load().Holds(life, key) },
-		Fenced:  func(key mtid.Number) { grants.Load().Fenced(key) },
+		Holds:   func(life mtid.Life, key mtid.Number) error { return grants.Load().CheckGranted(life, key) },
+		Fenced:  func(key mtid.Number) { grants.Load().Regrant(key) },
 		Clear: func(ctx context.Context, life mtid.Life, address string) error {
-			return grants.Load().Clear(ctx, life, address)
+			return grants.Load().ReleaseUnowned(ctx, life, address)
 		},
-		Lasts: func() mtclock.Instant { return grants.Load().Lasts() },
+		Lasts: func() mtclock.Instant { return grants.Load().LastExpiry() },
 		Changed: func() {
 			if g := grants.Load(); g != nil {
 				g.Wake()
@@ -272,21 +272,21 @@
 		},
 	})
 	held, closeGrants := mtgrant.New(mtgrant.Config{
-		Self:      m.config.Daemon,
-		Service:   m.config.Service,
-		Keyed:     m.keyed,
-		Hold:      m.config.Hold,
-		Directory: directory,
-		Store:     m.config.Store,
-		Host:      host,
-		Port:      m.config.Port,
-		Clock:     clock,
-		Log:       m.config.Log,
-		Standings: m.standings,
-		Survey:    m.survey,
-		Inform:    m.inform,
-		Committer: mtkernel.MustLookup[*mtcommit.Committer](m.kernel, NameCommitter),
-		Delegate:  m.delegate,
+		Self:          m.config.Daemon,
+		Service:       m.config.Service,
+		Keyed:         m.keyed,
+		GrantDuration: m.config.Hold,
+		Directory:     directory,
+		Store:         m.config.Store,
+		Host:          host,
+		Client:        m.config.Port,
+		Clock:         clock,
+		Log:           m.config.Log,
+		LoadReports:   m.standings,
+		QueryLoads:    m.survey,
+		NotifyOwner:   m.inform,
+		Committer:     mtkernel.MustLookup[*mtcommit.Committer](m.kernel, NameCommitter),
+		Delegate:      m.delegate,
 	})
 	grants.Store(held)
 	m.former.follow(host)
@@ -377,7 +377,7 @@
 // addSums adds the duty that sums up what became of requests.
 func (m *Mesh) addSums() error {
 	grants := mtkernel.MustLookup[*mtgrant.Grants](m.kernel, NameGrants)
-	stop := mtduty.Every(tallyEvery, func(context.Context) { m.record.sum(m.Host().Load(), grants.TakeMoved(), m.calls()) })
+	stop := mtduty.Every(tallyEvery, func(context.Context) { m.record.sum(m.Host().Load(), grants.TakeMovedCount(), m.calls()) })
 	return mtkernel.Register(m.kernel, NameSums, stop, stop)
 }
 
--- a/io/mtwatch/mtwatch.go
+++ b/io/mtwatch/mtwatch.go
@@ -3,7 +3,7 @@
 //
 // # Usage
 //
-//	watcher, stop := mtwatch.Start(mtwatch.Config{Store: store, Apply: apply, Log: log})
+//	watcher, stop := mtwatch.Start(mtwatch.Config{Source: store, Apply: apply, Log: log})
 //	defer stop()
 //	watcher.Resync(time.Now()) // if the watch is known to have missed something
 //
@@ -24,9 +24,9 @@
 )
 
 const (
-	// Wait is how long one watch waits for changes. The store charges for each call, and a
+	// PollTimeout is how long one watch waits for changes. The store charges for each call, and a
 	// longer wait needs fewer of them.
-	Wait = 20 * time.Second
+	PollTimeout = 20 * time.Second
 	// minBackoff and maxBackoff limit the pause between two attempts while the store fails.
 	// The longer one bounds how late a watcher notices that the store is available again.
 	// The store charges for each attempt: with 0.4 s, 75 daemons made 2,000 in an outage of
@@ -38,9 +38,9 @@
 // Update is a set of changes that a watch has returned.
 type Update struct {
 	Changes mtstore.Changes
-	// Whole reports that Changes contains all existing entries, so that an entry that is
+	// Snapshot reports that Changes contains all existing entries, so that an entry that is
 	// not in it has been deleted.
-	Whole bool
+	Snapshot bool
 }
 
 // Source is where a Watcher gets changes from: the store, or another daemon that watches
@@ -52,8 +52,8 @@
 
 // Config holds the settings and dependencies of a Watcher.
 type Config struct {
-	Store Source
-	Apply func(Update)
+	Source Source
+	Apply  func(Update)
 	// Health is called with true after each watch that succeeds, and with false after each
 	// one that fails for another reason than a compaction. It may be nil.
 	Health func(up bool)
@@ -115,10 +115,10 @@
 	}
 }
 
-// Hurry ends the pause after a failure, since the store is known to be available again.
+// RetryNow ends the pause after a failure, since the store is known to be available again.
 // Without it, a daemon that had restored its record waited up to 0.9 s for its watch, and
 // granted nothing in the meantime.
-func (w *Watcher) Hurry() {
+func (w *Watcher) RetryNow() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.pausing {
@@ -142,7 +142,7 @@
 // watchOnce makes one watch call and applies the result.
 func (w *Watcher) watchOnce(ctx context.Context) {
 	snapshot := w.applied == 0
-	changes, err := w.Store.Watch(ctx, allNames, w.applied, Wait)
+	changes, err := w.Source.Watch(ctx, allNames, w.applied, PollTimeout)
 	if err != nil {
 		w.handleFailure(ctx, err)
 		return
@@ -155,7 +155,7 @@
 	}
 	w.applied = changes.Revision
 	if snapshot || len(changes.Entries) > 0 {
-		w.Apply(Update{Changes: changes, Whole: snapshot})
+		w.Apply(Update{Changes: changes, Snapshot: snapshot})
 	}
 }
 
--- a/io/mtwatch/mtwatch_test.go
+++ b/io/mtwatch/mtwatch_test.go
@@ -49,7 +49,7 @@
 	defer r.mu.Unlock()
 	n := 0
 	for _, u := range r.updates {
-		if u.Whole {
+		if u.Snapshot {
 			n++
 		}
 	}
@@ -69,7 +69,7 @@
 func start(t *testing.T, source mtwatch.Source) (*mtwatch.Watcher, *recorder) {
 	t.Helper()
 	r := &recorder{}
-	w, stop := mtwatch.Start(mtwatch.Config{Store: source, Apply: r.apply, Log: slog.New(slog.DiscardHandler)})
+	w, stop := mtwatch.Start(mtwatch.Config{Source: source, Apply: r.apply, Log: slog.New(slog.DiscardHandler)})
 	t.Cleanup(stop)
 	return w, r
 }
@@ -144,14 +144,14 @@
 }
 
 // The store is available again, and the daemon knows it because its record was written.
-// Without Hurry its watch paused for up to 0.9 s, and the daemon granted nothing, since its
+// Without RetryNow its watch paused for up to 0.9 s, and the daemon granted nothing, since its
 // copy was from before the outage.
 func TestPauseAfterFailureCanBeEnded(t *testing.T) {
 	store := &unavailableStore{}
 	w, _ := start(t, store)
 	const calls = 200 // with a pause after each they would take over a minute
 	until(t, "the store is called without pauses", func() bool {
-		w.Hurry()
+		w.RetryNow()
 		return store.calls.Load() >= calls
 	})
 }
