--- a/io/mtmesh/commit.go
+++ b/io/mtmesh/commit.go
@@ -22,7 +22,7 @@
 
 func (m *Mesh) addCommitter() error {
 	committer, cleanUp := mtcommit.New(mtcommit.Config{
-		Directory: m.directory.Load(), Store: m.config.Store, Log: m.config.Log, Inform: m.sendOwnershipUpdate,
+		Directory: m.directory.Load(), Store: m.config.Store, Log: m.config.Log, NotifyOwner: m.sendOwnershipUpdate,
 	})
 	return mtkernel.Register(m.kernel, NameCommitter, committer, cleanUp)
 }
@@ -58,7 +58,7 @@
 // commitFor writes transfers on behalf of another daemon. It returns the outcomes, and the
 // changes of the assignment since the epoch that the other daemon knows.
 func (m *Mesh) commitFor(ctx context.Context, b mtrange.Batch) ([]mtrange.Outcome, mtstore.Entry) {
-	outcomes := mtkernel.MustLookup[*mtcommit.Committer](m.kernel, NameCommitter).Gather(ctx, b)
+	outcomes := mtkernel.MustLookup[*mtcommit.Committer](m.kernel, NameCommitter).CommitForPeer(ctx, b)
 	assignment, ok := m.directory.Load().Now().Assignments[b.Service]
 	if !ok {
 		return outcomes, mtstore.Entry{}
--- a/io/mtmesh/learn.go
+++ b/io/mtmesh/learn.go
@@ -188,7 +188,7 @@
 // applied confirms the freshness of the configuration once a full read from the store has
 // been applied.
 func (f *changeFeed) applied(u mtwatch.Update) {
-	if started := mtclock.Instant(f.fullReadStarted.Swap(0)); u.Whole && started != 0 {
+	if started := mtclock.Instant(f.fullReadStarted.Swap(0)); u.Snapshot && started != 0 {
 		f.freshness.confirm(started)
 	}
 }
--- a/io/mtmesh/mtmesh.go
+++ b/io/mtmesh/mtmesh.go
@@ -81,7 +81,7 @@
 	CallerAddress string              // address on which to accept requests of callers on this VM
 	PeerAddress   string              // address on which to accept calls of other daemons
 	Store         mtstore.ConditionalStore
-	Port          mtgrant.Port
+	Port          mtgrant.ServerClient
 	Names         mtheader.Names
 	// Slowness returns the slowdown of the server's machine that a response reports, as a
 	// multiple of the usual processing time; zero if none is reported. It may be nil.
@@ -253,7 +253,7 @@
 		Service:     m.config.Service,
 		Address:     m.config.ServerAddress,
 		PeerAddress: m.config.PeerAddress,
-		DrainPeriod: m.config.Drain,
+		DrainPeriod: m.config.DrainPeriod,
 		Clock:       clock,
 		Client:      client,
 		Log:         m.config.Log,
@@ -262,13 +262,17 @@
 		Keyed:       m.keyed,
 		Publish:     directory.Publish,
 		CheckGrant: func(incarnation mtid.ServerIncarnation, key mtid.KeyNumber) error {
-			return grants.Load().Holds(incarnation, key)
+			return grants.Load().CheckGranted(incarnation, key)
+		},
+		Fenced: func(key mtid.KeyNumber) { grants.Load().Regrant(key) },
+		Clear: func(ctx context.Context, incarnation mtid.ServerIncarnation, address string) error {
+			return grants.Load().ReleaseUnowned(ctx, incarnation, address)
 		},
 		OnKeyDenied: func(key mtid.KeyNumber) { grants.Load().Fenced(key) },
 		ClearGrants: func(ctx context.Context, incarnation mtid.ServerIncarnation, address string) error {
 			return grants.Load().Clear(ctx, incarnation, address)
 		},
-		CommandExpiry: func() mtclock.Instant { return grants.Load().Lasts() },
+		CommandExpiry: func() mtclock.Instant { return grants.Load().LastExpiry() },
 		OnChange: func() {
 			if g := grants.Load(); g != nil {
 				g.Wake()
@@ -276,21 +280,21 @@
 		},
 	})
 	created, closeGrants := mtgrant.New(mtgrant.Config{
-		Self:      m.config.Daemon,
-		Service:   m.config.Service,
-		Keyed:     m.keyed,
-		Hold:      m.config.GrantDuration,
-		Directory: directory,
-		Store:     m.config.Store,
-		Host:      host,
-		Port:      m.config.Port,
-		Clock:     clock,
-		Log:       m.config.Log,
-		Standings: m.loadReports,
-		Survey:    m.survey,
-		Inform:    m.sendOwnershipUpdate,
-		Committer: mtkernel.MustLookup[*mtcommit.Committer](m.kernel, NameCommitter),
-		Delegate:  m.delegate,
+		Self:          m.config.Daemon,
+		Service:       m.config.Service,
+		Keyed:         m.keyed,
+		GrantDuration: m.config.GrantDuration,
+		Directory:     directory,
+		Store:         m.config.Store,
+		Host:          host,
+		Client:        m.config.Port,
+		Clock:         clock,
+		Log:           m.config.Log,
+		LoadReports:   m.loadReports,
+		QueryLoads:    m.survey,
+		NotifyOwner:   m.sendOwnershipUpdate,
+		Committer:     mtkernel.MustLookup[*mtcommit.Committer](m.kernel, NameCommitter),
+		Delegate:      m.delegate,
 	})
 	grants.Store(created)
 	m.previous.attach(host)
@@ -381,7 +385,7 @@
 // addSummary adds the task that logs a summary of the requests in each interval.
 func (m *Mesh) addSummary() error {
 	grants := mtkernel.MustLookup[*mtgrant.Grants](m.kernel, NameGrants)
-	stop := mtduty.Every(summaryInterval, func(context.Context) { m.recorder.logSummary(m.Host().Load(), grants.TakeMoved(), m.storeCalls()) })
+	stop := mtduty.Every(summaryInterval, func(context.Context) { m.recorder.logSummary(m.Host().Load(), grants.TakeMovedCount(), m.storeCalls()) })
 	return mtkernel.Register(m.kernel, NameSummary, stop, stop)
 }
 
