--- a/io/mtmesh/mtmesh.go
+++ b/io/mtmesh/mtmesh.go
@@ -253,7 +253,7 @@
 		Service:     m.config.Service,
 		Address:     m.config.ServerAddress,
 		PeerAddress: m.config.PeerAddress,
-		DrainPeriod: m.config.DrainPeriod,
+		DrainPeriod: m.config.Drain,
 		Clock:       clock,
 		Client:      client,
 		Log:         m.config.Log,
@@ -264,13 +264,9 @@
 		CheckGrant: func(incarnation mtid.ServerIncarnation, key mtid.KeyNumber) error {
 			return grants.Load().CheckGranted(incarnation, key)
 		},
-		Fenced: func(key mtid.KeyNumber) { grants.Load().Regrant(key) },
-		Clear: func(ctx context.Context, incarnation mtid.ServerIncarnation, address string) error {
-			return grants.Load().ReleaseUnowned(ctx, incarnation, address)
-		},
-		OnKeyDenied: func(key mtid.KeyNumber) { grants.Load().Fenced(key) },
+		OnKeyDenied: func(key mtid.KeyNumber) { grants.Load().Regrant(key) },
 		ClearGrants: func(ctx context.Context, incarnation mtid.ServerIncarnation, address string) error {
-			return grants.Load().Clear(ctx, incarnation, address)
+			return grants.Load().ReleaseUnowned(ctx, incarnation, address)
 		},
 		CommandExpiry: func() mtclock.Instant { return grants.Load().LastExpiry() },
 		OnChange: func() {
