--- a/io/mtmover/mtmover_test.go
+++ b/io/mtmover/mtmover_test.go
@@ -34,37 +34,37 @@
 	b   = mtid.Holder{Daemon: "b", Incarnation: 1}
 )
 
-var errFull = errors.New("no room")
+var errFull = errors.New("no capacity for recent identifiers")
 
-// member is a mover with a gate and a memory that note what they are told.
+// member is a Mover whose gates and recent identifiers are fakes that record calls.
 type member struct {
 	*mtmover.Mover
 	t       *testing.T
 	view    *mtview.View
 	events  chan string
-	refuses atomic.Bool // imports
+	refuses atomic.Bool // whether Import fails
 }
 
-// Stop implements the gates. Nothing is in flight, so the range is quiet.
+// Stop implements gates. No request is in flight, so the range is idle at once.
 func (m *member) Stop(ref mtid.Ref, low, high mtid.Point) {
 	m.note("stop")
 	m.Quiet(ref, low, high)
 }
 
-// Resume implements the gates.
+// Resume implements gates.
 func (m *member) Resume(mtid.Ref, mtid.Point, mtid.Point) { m.note("resume") }
 
-// Release implements the gates. It notes who owns the shard by this daemon's
-// own copy: a held request that is sent on goes by that.
+// Release implements gates. It records the owner of the shard in this daemon's view,
+// since that determines where the requests that were held back are forwarded.
 func (m *member) Release(ref mtid.Ref, low, _ mtid.Point) {
 	shard, _ := m.view.Snapshot().Lookup(ref, low)
 	m.note("release to " + string(shard.Owner.Daemon))
 }
 
-// Export implements the memory.
+// Export implements recents.
 func (m *member) Export(mtid.Ref, mtid.Point, mtid.Point) ([]byte, error) { return []byte("seen"), nil }
 
-// Import implements the memory.
+// Import implements recents.
 func (m *member) Import(_ mtid.Ref, _, _ mtid.Point, from mtid.Holder, value []byte) error {
 	if m.refuses.Load() {
 		return errFull
@@ -73,7 +73,8 @@
 	return nil
 }
 
-// note keeps an event. What nobody waits for must not hold the duty up.
+// note records an event, or drops it if the channel is full, so that events that no
+// test waits for do not block the mover.
 func (m *member) note(event string) {
 	select {
 	case m.events <- event:
@@ -81,18 +82,18 @@
 	}
 }
 
-// hears waits for the next event, which must be want.
-func (m *member) hears(want string) {
+// expect waits for the next event, which must be want.
+func (m *member) expect(want string) {
 	m.t.Helper()
 	select {
 	case got := <-m.events:
 		assert.Equal(m.t, got, want)
 	case <-time.After(20 * time.Second):
-		m.t.Fatalf("got nothing, want %q", want)
+		m.t.Fatalf("got no event, want %q", want)
 	}
 }
 
-// pair is two daemons that share a store; a owns everything.
+// pair is two daemons that share a store. Daemon a owns the only shard.
 type pair struct {
 	store *iostore.Memory
 	a, b  *member
@@ -152,7 +153,7 @@
 	return m
 }
 
-// owner returns the owner of everything in the store.
+// owner returns the owner of the only shard according to the store.
 func (p *pair) owner(t *testing.T) mtid.Holder {
 	t.Helper()
 	entry, err := p.store.Get(context.Background(), mtstore.ShardName(ref, 0))
@@ -162,57 +163,59 @@
 	return table.Shards[0].Owner
 }
 
-// The planner, on another daemon, asks for a move. The new owner has the memory
-// before it is named, and both copies name it before what was held is sent on.
-func TestMoveByPlan(t *testing.T) {
+// A planner on another daemon requests a move. The new owner must have the recent
+// identifiers before the table names it, and the views of both daemons must name it
+// before the requests that were held back are released.
+func TestMoveRequestedByPeer(t *testing.T) {
 	p := newPair(t)
 	assert.NilError(t, p.b.Move(context.Background(), a, ref, 0, b))
-	p.a.hears("stop")
-	p.b.hears("import seen of a")
-	p.a.hears("release to b")
+	p.a.expect("stop")
+	p.b.expect("import seen of a")
+	p.a.expect("release to b")
 	assert.Equal(t, p.owner(t), b)
 	shard, _ := p.b.view.Snapshot().Lookup(ref, 0)
 	assert.Equal(t, shard.Owner, b)
 }
 
-// The write of a move takes effect and its answer is lost. The old owner must
-// not serve on: the store names another. It writes again, is refused, and learns.
-func TestLostAnswerDoesNotResume(t *testing.T) {
+// The write of a move takes effect but its reply is lost. The previous owner must not
+// resume the shard, since the store has another owner. It repeats the write, which
+// conflicts, and reads the table.
+func TestLostWriteReplyDoesNotResume(t *testing.T) {
 	p := newPair(t)
 	p.store.SetFaults(iostore.Faults{LoseAnswers: true, Times: 1})
 	assert.NilError(t, p.a.Move(context.Background(), a, ref, 0, b))
-	p.a.hears("stop")
-	p.a.hears("release to b")
+	p.a.expect("stop")
+	p.a.expect("release to b")
 	assert.Equal(t, p.owner(t), b)
 }
 
-// The store does not take the write. Nothing was written and nothing will be, so
-// the shard goes on where it is.
-func TestStoreDownResumes(t *testing.T) {
+// The store is unavailable and does not accept the write. As the write can't take
+// effect later either, the shard must be resumed at its owner.
+func TestUnavailableStoreResumes(t *testing.T) {
 	p := newPair(t)
 	p.store.SetFaults(iostore.Faults{Down: true})
 	assert.NilError(t, p.a.Move(context.Background(), a, ref, 0, b))
-	p.a.hears("stop")
-	p.a.hears("resume")
+	p.a.expect("stop")
+	p.a.expect("resume")
 	p.store.SetFaults(iostore.Faults{})
 	assert.Equal(t, p.owner(t), a)
 }
 
-// The new owner has no room for the recent identifiers. Named all the same, it
-// would run a resend a second time.
+// The new owner refuses the recent identifiers for lack of capacity. If it became the
+// owner nevertheless, it would run a resent request a second time.
 func TestRefusedHandoverResumes(t *testing.T) {
 	p := newPair(t)
 	p.b.refuses.Store(true)
 	assert.NilError(t, p.a.Move(context.Background(), a, ref, 0, b))
-	p.a.hears("stop")
-	p.a.hears("resume")
+	p.a.expect("stop")
+	p.a.expect("resume")
 	assert.Equal(t, p.owner(t), a)
 }
 
-// The new owner was replaced while a handover was on its way to it. The new life
-// must refuse what is meant for the former one: it would be named as an owner
-// that does not exist any more.
-func TestHandoverToAnEarlierLifeIsRefused(t *testing.T) {
+// The new owner restarts while a handover to it is in transit. Its new incarnation
+// must refuse the handover, or the table would name the previous incarnation, which
+// no longer exists, as the owner.
+func TestHandoverToPreviousIncarnationIsRefused(t *testing.T) {
 	p := newPair(t)
 	record, _, _ := p.a.view.Snapshot().Record("b")
 	conn, err := grpc.NewClient("passthrough:///"+record.RelayAddress, grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -227,7 +230,9 @@
 	assert.Equal(t, len(p.b.events), 0)
 }
 
-func TestWishesThatDoNotFit(t *testing.T) {
+// A move is requested with outdated or wrong arguments. It must be refused before the
+// shard is stopped.
+func TestInvalidMoveRequestsAreRefused(t *testing.T) {
 	p := newPair(t)
 	tests := []struct {
 		name  string
@@ -235,11 +240,11 @@
 		low   mtid.Point
 		to    mtid.Holder
 	}{
-		{"to a daemon that nobody knows", a, 0, mtid.Holder{Daemon: "x", Incarnation: 1}},
-		{"to an earlier life", a, 0, mtid.Holder{Daemon: "b", Incarnation: 7}},
-		{"of no shard", a, 5, b},
-		{"asked of who is not the owner", b, 0, a},
-		{"asked of another life", mtid.Holder{Daemon: "a", Incarnation: 9}, 0, b},
+		{"new owner is not in the roster", a, 0, mtid.Holder{Daemon: "x", Incarnation: 1}},
+		{"new owner is a previous incarnation", a, 0, mtid.Holder{Daemon: "b", Incarnation: 7}},
+		{"no shard begins at this point", a, 5, b},
+		{"request sent to a daemon that is not the owner", b, 0, a},
+		{"request names another incarnation of the owner", mtid.Holder{Daemon: "a", Incarnation: 9}, 0, b},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -250,9 +255,9 @@
 	}
 }
 
-// A daemon is told to stop. It hands over what it owns; the last of all, with
-// nobody left to take over, must not wait until its time is up.
-func TestLeaving(t *testing.T) {
+// A daemon that shuts down hands over its shards. The last daemon, without another
+// one that could own them, must return at once instead of waiting for its timeout.
+func TestLeaveHandsOverShards(t *testing.T) {
 	p := newPair(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -262,14 +267,14 @@
 		if shard, _ := p.b.view.Snapshot().Lookup(ref, 0); shard.Owner == b {
 			return poll.Success()
 		}
-		return poll.Continue("the new owner does not know yet")
+		return poll.Continue("the view of the new owner does not have the move yet")
 	})
-	gone := mtroster.Record{Holder: a, State: mtroster.Gone}
-	value, err := gone.Encode()
+	removed := mtroster.Record{Holder: a, State: mtroster.Gone}
+	value, err := removed.Encode()
 	assert.NilError(t, err)
 	_, err = p.b.view.ApplyWrite(mtview.Item{Name: mtstore.RosterName("a"), Version: 2, Value: value})
 	assert.NilError(t, err)
-	var left *mtmover.LeaveError
-	assert.Assert(t, errors.As(p.b.Leave(ctx), &left))
-	assert.Equal(t, left.Owned, 1)
+	var leaveErr *mtmover.LeaveError
+	assert.Assert(t, errors.As(p.b.Leave(ctx), &leaveErr))
+	assert.Equal(t, leaveErr.Owned, 1)
 }
--- a/io/mtmover/peer.go
+++ b/io/mtmover/peer.go
@@ -14,25 +14,26 @@
 	"magnoliaturn/core/mtwire"
 )
 
-// PeerError says that another daemon could not be asked or refused.
+// PeerError reports that a request to another daemon failed or was refused.
 type PeerError struct {
 	Peer   mtid.Holder
 	Reason string
-	Err    error // nil if the peer refused
+	Err    error // nil if the request was refused or the peer is not in the roster
 }
 
 // Error implements error.
 func (e *PeerError) Error() string {
 	if e.Err == nil {
-		return "move: " + e.Peer.String() + " refused: " + e.Reason
+		return "move: request to " + e.Peer.String() + " refused: " + e.Reason
 	}
-	return "move: " + e.Peer.String() + " was not reached: " + e.Err.Error()
+	return "move: request to " + e.Peer.String() + " failed: " + e.Err.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of the connection or of the call, or nil.
 func (e *PeerError) Unwrap() error { return e.Err }
 
-// client returns the client of a live peer.
+// client returns a client for a peer if the roster has this incarnation of it. It fails
+// with a *PeerError.
 func (m *Mover) client(peer mtid.Holder) (mtwire.MoverClient, error) {
 	record, _, ok := m.View.Snapshot().Record(peer.Daemon)
 	if !ok || record.Holder != peer {
@@ -45,17 +46,18 @@
 	return mtwire.NewMoverClient(conn), nil
 }
 
-// Move asks a shard's owner to hand it to another holder. It is called by the
-// planner. It returns when the owner has taken the wish or refused it.
+// Move requests that the owner of a shard move it to another holder. The planner
+// calls it. It returns when the owner has accepted or refused the request, not when
+// the move has ended.
 func (m *Mover) Move(ctx context.Context, owner mtid.Holder, service mtid.Ref, low mtid.Point, to mtid.Holder) error {
 	if owner == m.Self() {
-		return m.want(ctx, service, low, to)
+		return m.requestMove(ctx, service, low, to)
 	}
 	client, err := m.client(owner)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	answer, err := client.Ask(ctx, &mtwire.MoveAsk{
 		Business: string(service.Business),
@@ -73,7 +75,7 @@
 	return nil
 }
 
-// sendRecent gives the new owner the identifiers of a range.
+// sendRecent sends the recent identifiers of a range to its new owner.
 func (m *Mover) sendRecent(e mtmove.Handover) error {
 	value, err := m.Recents.Export(e.Shard.Service, e.Shard.Low, e.High)
 	if err != nil {
@@ -83,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(m.ctx, sendTimeout)
+	ctx, cancel := context.WithTimeout(m.ctx, callTimeout)
 	defer cancel()
 	reply, err := client.Handover(ctx, &mtwire.HandoverRequest{
 		Business: string(e.Shard.Service.Business),
@@ -103,60 +105,62 @@
 	return nil
 }
 
-// grant tells the new owners of a written table, so that the requests that are
-// released find them ready. Only the step is sent; whoever lacks the one before
-// it learns from the store.
-func (m *Mover) grant(table *mtshard.Table, ops []mtshard.Op) {
+// notifyOwners notifies the new owners of the shards in a written table, so that they are
+// ready when the released requests arrive. It sends only the last step; a daemon that
+// lacks the previous one gets the table from the store.
+func (m *Mover) notifyOwners(table *mtshard.Table, ops []mtshard.Op) {
 	request := &mtwire.GrantedRequest{
 		Name:    mtstore.ShardName(table.Service, table.Chunk),
 		Version: uint64(table.Version),
 		Step:    mtshard.WireSteps(table.Steps[len(table.Steps)-1:])[0],
 	}
-	told := map[mtid.Holder]bool{}
+	notified := map[mtid.Holder]bool{}
 	for _, op := range ops {
-		if move, ok := op.(mtshard.Move); ok && !told[move.To] {
-			told[move.To] = true
-			m.grantTo(move.To, request)
+		if move, ok := op.(mtshard.Move); ok && !notified[move.To] {
+			notified[move.To] = true
+			m.notifyOwner(move.To, request)
 		}
 	}
 }
 
-func (m *Mover) grantTo(to mtid.Holder, request *mtwire.GrantedRequest) {
+func (m *Mover) notifyOwner(to mtid.Holder, request *mtwire.GrantedRequest) {
 	client, err := m.client(to)
 	if err != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(m.ctx, sendTimeout)
+	ctx, cancel := context.WithTimeout(m.ctx, callTimeout)
 	defer cancel()
 	if _, err := client.Granted(ctx, request); err != nil {
-		m.Log.Debug("new owner was not told", "to", to.String(), "error", err)
+		m.Log.Debug("cannot notify a new owner", "to", to.String(), "error", err)
 	}
 }
 
+// server implements mtwire.MoverServer.
 type server struct {
 	mtwire.UnimplementedMoverServer
 	m *Mover
 }
 
-// Register adds the mover's side to a gRPC server.
+// Register registers the handlers of requests from other daemons with a gRPC server.
 func (m *Mover) Register(r grpc.ServiceRegistrar) { mtwire.RegisterMoverServer(r, server{m: m}) }
 
-// Ask implements mtwire.MoverServer.
+// Ask implements mtwire.MoverServer. It begins a move that another daemon requests.
 func (s server) Ask(ctx context.Context, w *mtwire.MoveAsk) (*mtwire.MoveAnswer, error) {
 	if owner := mtroster.HolderFromWire(w.GetOwner()); owner != s.m.Self() {
 		return &mtwire.MoveAnswer{Reason: "asked as " + owner.String()}, nil
 	}
 	ref := mtid.Ref{Business: mtid.Business(w.GetBusiness()), Service: mtid.Service(w.GetService())}
-	if err := s.m.want(ctx, ref, mtid.Point(w.GetLow()), mtroster.HolderFromWire(w.GetTo())); err != nil {
+	if err := s.m.requestMove(ctx, ref, mtid.Point(w.GetLow()), mtroster.HolderFromWire(w.GetTo())); err != nil {
 		return &mtwire.MoveAnswer{Reason: err.Error()}, nil
 	}
 	return &mtwire.MoveAnswer{Taken: true}, nil
 }
 
-// Handover implements mtwire.MoverServer.
+// Handover implements mtwire.MoverServer. It imports the recent identifiers of a range
+// that is moved here.
 func (s server) Handover(_ context.Context, w *mtwire.HandoverRequest) (*mtwire.HandoverReply, error) {
-	// Identifiers taken in by an earlier life are gone: the sender must learn
-	// that before it names this holder as the owner.
+	// Identifiers that a previous incarnation imported are lost. The request fails
+	// here, before the sender writes that holder into the table as the owner.
 	if to := mtroster.HolderFromWire(w.GetTo()); to != s.m.Self() {
 		return &mtwire.HandoverReply{Reason: "sent to " + to.String()}, nil
 	}
@@ -167,9 +171,10 @@
 	return &mtwire.HandoverReply{Taken: true}, nil
 }
 
-// Granted implements mtwire.MoverServer.
+// Granted implements mtwire.MoverServer. It applies a table step by which this daemon
+// has become an owner.
 func (s server) Granted(_ context.Context, w *mtwire.GrantedRequest) (*mtwire.GrantedReply, error) {
-	s.m.learn(mtview.Item{
+	s.m.applyWritten(mtview.Item{
 		Name:    w.GetName(),
 		Version: mtid.Version(w.GetVersion()),
 		Steps:   mtshard.ReadSteps([]*mtwire.Step{w.GetStep()}),
