--- a/io/mtplanner/mtplanner.go
+++ b/io/mtplanner/mtplanner.go
@@ -1,13 +1,13 @@
-// Package mtplanner is the duty that plans for keyed services: it lays the
-// first table of a new service, writes splits and merges, and asks owners to
-// move shards.
+// Package mtplanner runs the placement of keyed services: it creates the initial
+// assignment of a new service, writes splits and merges of shards, and requests moves
+// of shards from their owners.
 //
-// Every daemon runs one Planner. For each service it acts only while its daemon
-// is the leader by rendezvous rank among the service's live daemons. Two
-// daemons that both take themselves for the leader do no harm: each write is a
-// compare-and-swap on the version that was planned from.
+// Every daemon runs one Planner. For each service it acts only while its daemon is
+// the leader, which is chosen by rendezvous hashing among the live daemons of the
+// service. Two daemons that both consider themselves the leader do no harm, since
+// each write is a compare-and-swap on the version that the plan was based on.
 //
-// A Reporter on every daemon tells the leader the load of the daemon's shards.
+// On every daemon, a reporter sends the load of the daemon's shards to the leader.
 //
 // # Usage
 //
@@ -17,8 +17,8 @@
 //	cleanUp, err = mtplanner.NewReporter(config, view, meters, link, planner)
 //	defer cleanUp()
 //
-// The clean-ups stop the duties and wait for them. All methods are safe for
-// concurrent use.
+// The clean-up functions stop the background goroutines and wait for them. All
+// methods are safe for concurrent use.
 package mtplanner
 
 import (
@@ -40,120 +40,124 @@
 	"magnoliaturn/core/mtwire"
 )
 
-// View is the live state as this daemon knows it. Its methods must be safe for
-// concurrent use, and what they return is not changed by anyone.
+// View is this daemon's copy of the roster, the bundles and the assignments. Its
+// methods must be safe for concurrent use and return immutable values.
 type View interface {
 	// Roster returns the records of all daemons.
 	Roster() []*mtroster.Record
 	// Bundles returns the bundles in force.
 	Bundles() []*mtbundle.Bundle
-	// Table returns a chunk of a service's assignment, if it exists.
+	// Table returns a chunk of a service's assignment, or false if there is none.
 	Table(ref mtid.Ref, chunk int) (*mtshard.Table, bool)
 }
 
-// Mover carries a wish to move a shard to its owner, who executes it.
+// Mover requests moves of shards from their owners, which execute them.
 type Mover interface {
-	// Move asks owner to hand the shard that begins at low to another holder.
-	// It returns when the owner has taken the wish or refused it; the change
-	// itself shows in the table.
+	// Move requests that owner move the shard that begins at low to another
+	// holder. It returns when the owner has accepted or refused the request. The
+	// table shows when the move is done.
 	Move(ctx context.Context, owner mtid.Holder, service mtid.Ref, low mtid.Point, to mtid.Holder) error
 }
 
-// Config is what a Planner is told at its start.
+// Config holds the dependencies of a Planner and of the reporter.
 type Config struct {
-	// Self returns the present life of this daemon; the zero holder while it
-	// is not registered.
+	// Self returns the current incarnation of this daemon, or the zero holder while
+	// it is not registered.
 	Self func() mtid.Holder
-	// Stamp returns a stamp that no other write of this daemon carries.
+	// Stamp returns a write ID that no other write of this daemon has.
 	Stamp func() mtroster.WriteID
-	// Now returns the present time.
+	// Now returns the current time.
 	Now func() mtclock.Instant
 	Log *slog.Logger
-	// Seen is called with what each round of planning was decided from, by the
-	// duty's goroutine, for figures; it must not keep the state. It may be nil.
+	// Seen, if not nil, is called after each planning round with the input of the
+	// policy, for metrics. It is called by the planner's goroutine and must not
+	// retain the state.
 	Seen func(service mtid.Ref, state *mtplan.State)
-	// Tick is the time between two looks at the live state; zero means
-	// DefaultTick.
+	// Tick is the interval at which the view is checked. Zero means DefaultTick for
+	// the planner and one second for the reporter.
 	Tick time.Duration
 }
 
-// DefaultTick is the time between two looks at the live state.
+// DefaultTick is the default interval at which the planner checks the view.
 const DefaultTick = 500 * time.Millisecond
 
-// writeTimeout bounds one call of the store.
+// writeTimeout is the timeout of a write to the store, including the read that follows
+// a lost reply.
 const writeTimeout = 2 * time.Second
 
-// ConfigError says that a required part of a Config is missing.
+// ConfigError reports that a required field of a Config is not set.
 type ConfigError struct{ Field string }
 
 // Error implements error.
-func (e *ConfigError) Error() string { return "planner: " + e.Field + " is missing" }
+func (e *ConfigError) Error() string { return "planner: field " + e.Field + " of Config is not set" }
 
-// Sizes and times of the duty.
+// Intervals, queue sizes and timeouts of the planner.
 const (
-	// RoundTime is the time between two rounds of planning for a service, and
-	// SoonTime the time to the next one after a round that wrote splits, which
-	// usually are to be followed by moves.
+	// RoundTime is the interval between two planning rounds for a service.
+	// SoonTime is the shorter interval after a round that wrote splits or merges,
+	// since splits are usually followed by moves.
 	RoundTime = 5 * time.Second
 	SoonTime  = time.Second
-	// maxReports is how many load reports may wait.
+	// maxReports is the size of the queue of load reports.
 	maxReports = 256
-	// maxWishes is how many moves may wait to be asked for, and askers how
-	// many are asked for at once.
-	maxWishes = 512
-	askers    = 8
-	// askTimeout bounds one call to an owner.
-	askTimeout = 2 * time.Second
+	// maxMoveRequests is the size of the queue of move requests, and moveWorkers
+	// the number of requests that are sent concurrently.
+	maxMoveRequests = 512
+	moveWorkers     = 8
+	// moveTimeout is the timeout of a move request to an owner.
+	moveTimeout = 2 * time.Second
 )
 
-// Planner is the duty. It is the server of mtwire.Planner as well.
+// Planner plans for the services that this daemon leads. It implements
+// mtwire.PlannerServer to receive load reports.
 type Planner struct {
 	mtwire.UnimplementedPlannerServer
 
-	config  Config
-	view    View
-	writer  *writer
-	mover   Mover
-	reports *mtring.Ring[delivery]
-	wishes  *mtring.Ring[wish]
-	refused *mtring.Ring[wish]
+	config       Config
+	view         View
+	writer       *writer
+	mover        Mover
+	reports      *mtring.Ring[queuedReport]
+	moveRequests *mtring.Ring[moveRequest]
+	failedMoves  *mtring.Ring[moveRequest]
 
-	services map[mtid.Ref]*serviceState // of the duty's goroutine alone
+	services map[mtid.Ref]*serviceState // accessed by the planner's goroutine only
 }
 
-// delivery is a report that waits for the duty, and where its answer goes.
-type delivery struct {
+// queuedReport is a queued load report with the channel for its reply.
+type queuedReport struct {
 	report *mtload.Report
-	answer chan *mtwire.LoadReply // of size one, so that the duty never waits
+	reply  chan *mtwire.LoadReply // has a buffer of one, so that the planner never blocks
 }
 
-// wish is a move to be asked for.
-type wish struct {
+// moveRequest is a planned move that is to be requested from the owner of the shard.
+type moveRequest struct {
 	service mtid.Ref
 	move    mtplan.Move
 }
 
-// New starts the duty. It fails with a *ConfigError.
+// New starts a planner and returns it with a function that stops it. It fails with a
+// *ConfigError.
 func New(config Config, view View, store mtstore.Store, mover Mover) (*Planner, func(), error) {
-	if err := check(config); err != nil {
+	if err := checkConfig(config); err != nil {
 		return nil, nil, err
 	}
 	if config.Tick == 0 {
 		config.Tick = DefaultTick
 	}
 	p := &Planner{
-		config:   config,
-		view:     view,
-		writer:   &writer{store: store, stamp: config.Stamp, log: config.Log},
-		mover:    mover,
-		reports:  mtring.New[delivery](maxReports),
-		wishes:   mtring.New[wish](maxWishes),
-		refused:  mtring.New[wish](maxWishes),
-		services: make(map[mtid.Ref]*serviceState),
+		config:       config,
+		view:         view,
+		writer:       &writer{store: store, newWriteID: config.Stamp, log: config.Log},
+		mover:        mover,
+		reports:      mtring.New[queuedReport](maxReports),
+		moveRequests: mtring.New[moveRequest](maxMoveRequests),
+		failedMoves:  mtring.New[moveRequest](maxMoveRequests),
+		services:     make(map[mtid.Ref]*serviceState),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	var duties sync.WaitGroup
-	duties.Go(func() {
+	var goroutines sync.WaitGroup
+	goroutines.Go(func() {
 		ticker := time.NewTicker(config.Tick)
 		defer ticker.Stop()
 		for {
@@ -163,27 +167,28 @@
 			case <-ticker.C:
 				p.tick(ctx)
 			case d := <-p.reports.Items():
-				d.answer <- p.take(d.report)
-			case w := <-p.refused.Items():
-				p.forget(w)
+				d.reply <- p.addReport(d.report)
+			case request := <-p.failedMoves.Items():
+				p.moveFailed(request)
 			}
 		}
 	})
-	for range askers {
-		duties.Go(func() {
+	for range moveWorkers {
+		goroutines.Go(func() {
 			for {
-				w, ok := p.wishes.Take(ctx.Done())
+				request, ok := p.moveRequests.Take(ctx.Done())
 				if !ok {
 					return
 				}
-				p.ask(ctx, w)
+				p.requestMove(ctx, request)
 			}
 		})
 	}
-	return p, func() { cancel(); duties.Wait() }, nil
+	return p, func() { cancel(); goroutines.Wait() }, nil
 }
 
-func check(config Config) error {
+// checkConfig returns a *ConfigError if a required field is not set.
+func checkConfig(config Config) error {
 	switch {
 	case config.Self == nil:
 		return &ConfigError{Field: "Self"}
@@ -197,7 +202,7 @@
 	return nil
 }
 
-// tick looks at every keyed service once.
+// tick checks every keyed service.
 func (p *Planner) tick(ctx context.Context) {
 	self := p.config.Self()
 	if self.IsZero() {
@@ -211,14 +216,15 @@
 				continue
 			}
 			ref := mtid.Ref{Business: bundle.Business, Service: service.Name}
-			p.serve(ctx, self, ref, service, members(roster, ref))
+			p.planService(ctx, self, ref, service, liveMembers(roster, ref))
 		}
 	}
 }
 
-// serve does what one service needs, if this daemon leads it.
-func (p *Planner) serve(ctx context.Context, self mtid.Holder, ref mtid.Ref, service *mtbundle.Service, servers []*mtroster.Record) {
-	if mtplan.Leader(ref, leaders(servers)) != self {
+// planService creates missing chunks of a service and runs a planning round if one is due. If
+// this daemon does not lead the service, it discards the state of the service.
+func (p *Planner) planService(ctx context.Context, self mtid.Holder, ref mtid.Ref, service *mtbundle.Service, servers []*mtroster.Record) {
+	if mtplan.Leader(ref, leaderCandidates(servers)) != self {
 		delete(p.services, ref)
 		return
 	}
@@ -227,37 +233,37 @@
 		state = newServiceState()
 		p.services[ref] = state
 	}
-	p.create(ctx, state, ref, service, serving(servers))
-	if now := p.config.Now(); !now.Before(state.next) {
+	p.createChunks(ctx, state, ref, service, serving(servers))
+	if now := p.config.Now(); !now.Before(state.nextRound) {
 		p.round(ctx, now, state, ref, service, servers)
 	}
 }
 
-// create lays the chunks that don't exist yet. The first chunk comes alone, and
-// the others follow once it is seen: it fixes the number of chunks, and two
-// planners that read different bundles would otherwise lay chunks of
-// differently divided rings.
-func (p *Planner) create(ctx context.Context, state *serviceState, ref mtid.Ref, service *mtbundle.Service, serving []*mtroster.Record) {
+// createChunks writes the chunks that don't exist yet. It writes the first chunk alone, and
+// the others only when the view has the first, which determines the number of chunks.
+// Otherwise two planners with different bundles might write chunks of different
+// partitions of the ring.
+func (p *Planner) createChunks(ctx context.Context, state *serviceState, ref mtid.Ref, service *mtbundle.Service, serving []*mtroster.Record) {
 	first, ok := p.view.Table(ref, 0)
 	if !ok {
 		if state.creation.Ready(p.config.Now(), holders(serving)) {
-			laid := mtplan.InitialLayout(service.Shards, max(1, service.Chunks), layout(serving, ref))
-			p.writer.write(ctx, mtshard.New(ref, 0, len(laid)), laid[0]...)
+			ops := mtplan.InitialLayout(service.Shards, max(1, service.Chunks), layoutMembers(serving, ref))
+			p.writer.write(ctx, mtshard.New(ref, 0, len(ops)), ops[0]...)
 		}
 		return
 	}
-	missing := p.missing(ref, first.Chunks)
+	missing := p.missingChunks(ref, first.Chunks)
 	if len(missing) == 0 || len(serving) == 0 {
 		return
 	}
-	laid := mtplan.InitialLayout(service.Shards, first.Chunks, layout(serving, ref))
+	ops := mtplan.InitialLayout(service.Shards, first.Chunks, layoutMembers(serving, ref))
 	for _, chunk := range missing {
-		p.writer.write(ctx, mtshard.New(ref, chunk, len(laid)), laid[chunk]...)
+		p.writer.write(ctx, mtshard.New(ref, chunk, len(ops)), ops[chunk]...)
 	}
 }
 
-// missing returns the chunks that don't exist yet.
-func (p *Planner) missing(ref mtid.Ref, chunks int) []int {
+// missingChunks returns the numbers of the chunks that are not in the view.
+func (p *Planner) missingChunks(ref mtid.Ref, chunks int) []int {
 	var found []int
 	for chunk := range chunks {
 		if _, ok := p.view.Table(ref, chunk); !ok {
@@ -267,8 +273,8 @@
 	return found
 }
 
-// members returns the live records that offer a service.
-func members(roster []*mtroster.Record, ref mtid.Ref) []*mtroster.Record {
+// liveMembers returns the records of the live daemons that offer a service.
+func liveMembers(roster []*mtroster.Record, ref mtid.Ref) []*mtroster.Record {
 	var found []*mtroster.Record
 	for _, record := range roster {
 		if !record.MayHoldLease() {
@@ -281,7 +287,7 @@
 	return found
 }
 
-// serving returns the records of the servers that stay.
+// serving returns the records whose state is Serving, without those that are leaving.
 func serving(records []*mtroster.Record) []*mtroster.Record {
 	return slices.DeleteFunc(slices.Clone(records), func(r *mtroster.Record) bool { return r.State != mtroster.Serving })
 }
@@ -294,8 +300,8 @@
 	return found
 }
 
-// layout returns what a new table is laid over.
-func layout(records []*mtroster.Record, ref mtid.Ref) []mtplan.Member {
+// layoutMembers returns the members among which the shards of a new table are distributed.
+func layoutMembers(records []*mtroster.Record, ref mtid.Ref) []mtplan.Member {
 	var found []mtplan.Member
 	for _, record := range records {
 		offer, _ := record.Offer(ref)
@@ -304,11 +310,11 @@
 	return found
 }
 
-// leaders returns the holders among which the planner is chosen: the serving
-// ones, or the leaving ones if no other is left.
-func leaders(records []*mtroster.Record) []mtid.Holder {
-	if staying := serving(records); len(staying) > 0 {
-		return holders(staying)
+// leaderCandidates returns the holders from which the leader is chosen: the serving ones, or
+// all of them if none is serving.
+func leaderCandidates(records []*mtroster.Record) []mtid.Holder {
+	if active := serving(records); len(active) > 0 {
+		return holders(active)
 	}
 	return holders(records)
 }
--- a/io/mtplanner/mtplanner_test.go
+++ b/io/mtplanner/mtplanner_test.go
@@ -26,18 +26,19 @@
 
 var ref = mtid.Ref{Business: "ratins", Service: "mapsvc"}
 
-// fakeStore is a store of chunks with planned faults, and the view of it.
+// fakeStore is a store of chunks that injects faults. It implements View by reading
+// itself, and Mover by writing moves at once.
 type fakeStore struct {
 	mtstore.Store
-	mu      sync.Mutex
-	roster  []*mtroster.Record
-	bundles []*mtbundle.Bundle
-	entries map[string]mtstore.Entry
-	lose    int // answers to lose after the write took effect
-	swaps   int
-	asked   int
-	refuse  bool
-	left    mtid.Daemon
+	mu           sync.Mutex
+	roster       []*mtroster.Record
+	bundles      []*mtbundle.Bundle
+	entries      map[string]mtstore.Entry
+	loseReplies  int // number of next writes that take effect but whose replies are lost
+	swaps        int
+	moveRequests int
+	refuseMoves  bool
+	leaving      mtid.Daemon
 }
 
 func (f *fakeStore) Swap(_ context.Context, name string, expected mtid.Version, value []byte, _ mtstore.LeaseID) (mtid.Version, error) {
@@ -49,8 +50,8 @@
 		return 0, &mtstore.ConflictError{Name: name, Expected: expected, Current: current}
 	}
 	f.entries[name] = mtstore.Entry{Name: name, Value: value, Version: expected + 1}
-	if f.lose > 0 {
-		f.lose--
+	if f.loseReplies > 0 {
+		f.loseReplies--
 		return 0, &mtstore.UnknownError{Op: "swap", Name: name, Err: context.DeadlineExceeded}
 	}
 	return expected + 1, nil
@@ -72,8 +73,8 @@
 	return slices.Clone(f.roster)
 }
 
-// leave lets the first daemon but the leader leave.
-func (f *fakeStore) leave(leader mtid.Daemon) {
+// setLeaving sets the state of the first daemon other than the leader to Leaving.
+func (f *fakeStore) setLeaving(leader mtid.Daemon) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i, r := range f.roster {
@@ -83,7 +84,7 @@
 		next := *r
 		next.State = mtroster.Leaving
 		f.roster[i] = &next
-		f.left = r.Holder.Daemon
+		f.leaving = r.Holder.Daemon
 		return
 	}
 }
@@ -118,7 +119,7 @@
 	return f
 }
 
-// clock goes on by a second with each look at it.
+// clock advances by a second each time it is read.
 type clock struct {
 	mu  sync.Mutex
 	now mtclock.Instant
@@ -131,7 +132,8 @@
 	return c.now
 }
 
-func start(t *testing.T, f *fakeStore, name mtid.Daemon) *mtplanner.Planner {
+// startPlanner starts the planner of a daemon.
+func startPlanner(t *testing.T, f *fakeStore, name mtid.Daemon) *mtplanner.Planner {
 	t.Helper()
 	self := mtid.Holder{Daemon: name, Incarnation: 1}
 	var sequence uint64
@@ -150,6 +152,7 @@
 	return p
 }
 
+// waitForTables polls until all chunks exist.
 func waitForTables(t *testing.T, f *fakeStore, chunks int) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -162,13 +165,12 @@
 	}, poll.WithDelay(time.Millisecond))
 }
 
-// A new keyed service is useless until its shards have owners. All daemons of
-// the service look at the same live state; whoever leads lays every chunk, and
-// each is written once however many daemons try.
-func TestFirstTableIsLaidOnce(t *testing.T) {
+// All daemons of a new keyed service start at the same time. The leader must write
+// every chunk of the initial assignment, and each chunk must be written only once.
+func TestInitialChunksAreWrittenOnce(t *testing.T) {
 	f := newStore("a", "b", "c")
 	for _, name := range []mtid.Daemon{"a", "b", "c"} {
-		start(t, f, name)
+		startPlanner(t, f, name)
 	}
 	waitForTables(t, f, 3)
 	for chunk := range 3 {
@@ -178,16 +180,15 @@
 		assert.Equal(t, len(table.Shards), 20)
 	}
 	_, ok := f.Table(mtid.Ref{Business: "ratins", Service: "dispatch"}, 0)
-	assert.Assert(t, !ok, "a spread service has no table")
+	assert.Assert(t, !ok, "a spread service must not have a table")
 }
 
-// The store writes the chunk, and the answer is lost. The planner must find its
-// own write, and must not lay the chunk a second time over owners that have
-// begun to serve.
-func TestLostAnswerLaysNoSecondTable(t *testing.T) {
+// The write of a chunk takes effect but its reply is lost. The planner must find its
+// own write and must not write the chunk again, since its owners may already serve.
+func TestLostWriteReplyDoesNotRepeatWrite(t *testing.T) {
 	f := newStore("a")
-	f.lose = 2
-	start(t, f, "a")
+	f.loseReplies = 2
+	startPlanner(t, f, "a")
 	waitForTables(t, f, 3)
 	for chunk := range 3 {
 		table, _ := f.Table(ref, chunk)
@@ -198,18 +199,19 @@
 	assert.Equal(t, f.swaps, 3)
 }
 
-func TestNewNamesWhatIsMissing(t *testing.T) {
+// A required field of the Config is not set. The error must name it.
+func TestNewReportsMissingField(t *testing.T) {
 	_, _, err := mtplanner.New(mtplanner.Config{}, nil, nil, nil)
 	got, ok := err.(*mtplanner.ConfigError)
 	assert.Assert(t, ok, "got %v, want a ConfigError", err)
 	assert.Equal(t, got.Field, "Self")
 }
 
-// Move carries out a wish at once, as an owner would.
+// Move implements Mover. It executes the move at once unless refuseMoves is set.
 func (f *fakeStore) Move(_ context.Context, owner mtid.Holder, service mtid.Ref, low mtid.Point, to mtid.Holder) error {
 	f.mu.Lock()
-	f.asked++
-	refuse := f.refuse
+	f.moveRequests++
+	refuse := f.refuseMoves
 	f.mu.Unlock()
 	if refuse {
 		return &mtreply.RefusedError{Cause: mtreply.CauseStopping}
@@ -236,7 +238,7 @@
 	}
 }
 
-// owned returns how many shards each daemon owns.
+// owned returns the number of shards that each daemon owns.
 func (f *fakeStore) owned() map[mtid.Daemon]int {
 	counts := make(map[mtid.Daemon]int)
 	for chunk := range 3 {
@@ -251,7 +253,7 @@
 	return counts
 }
 
-// shardOf returns the shard of a key.
+// shardOf returns the shard that contains a point, and its last point.
 func (f *fakeStore) shardOf(p mtid.Point) (shard mtshard.Shard, high mtid.Point) {
 	table, ok := f.Table(ref, mtshard.ChunkOf(p, 3))
 	if !ok {
@@ -262,6 +264,7 @@
 	return shard, high
 }
 
+// leaderOf returns the daemon that leads the service.
 func leaderOf(f *fakeStore) mtid.Daemon {
 	var live []mtid.Holder
 	for _, r := range f.Roster() {
@@ -270,6 +273,7 @@
 	return mtplan.Leader(ref, live).Daemon
 }
 
+// waitFor polls until done returns true. what describes the state until then.
 func waitFor(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -280,8 +284,8 @@
 	}, poll.WithDelay(time.Millisecond))
 }
 
-// report tells the planner the load of every daemon as the table stands: equal
-// on all shards, but for one hot key.
+// reportAll sends a load report of every daemon to the planner, according to the
+// current assignment. The load is equal on all shards except that of one hot key.
 func reportAll(t *testing.T, f *fakeStore, p *mtplanner.Planner, sequence uint64, hot mtid.Point) {
 	t.Helper()
 	for _, record := range f.Roster() {
@@ -304,16 +308,15 @@
 	}
 }
 
-// A hotel wing orders breakfast, and its key outweighs all else on its server.
-// The key must get a shard to itself, and the neighbours that shared its server
-// must be moved off it through their owner.
-func TestHotKeyIsIsolatedAndRelieved(t *testing.T) {
+// One key has more load than all others on its server together. It must get a shard
+// of its own, and other shards of the server must be moved away through their owner.
+func TestHotKeyIsIsolatedAndItsServerOffloaded(t *testing.T) {
 	f := newStore("a", "b", "c", "d")
-	p := start(t, f, leaderOf(f))
+	p := startPlanner(t, f, leaderOf(f))
 	waitForTables(t, f, 3)
 	hot := ref.Point("hotel-7/wing-2")
 	sequence := uint64(0)
-	waitFor(t, "the hot key's server keeps other shards", func() bool {
+	waitFor(t, "the hot key has no shard of its own or its server still owns 10 shards or more", func() bool {
 		sequence++
 		reportAll(t, f, p, sequence, hot)
 		shard, high := f.shardOf(hot)
@@ -321,79 +324,80 @@
 	})
 }
 
-// A server leaves. Every shard that it owns must be asked away, whatever its
-// load and though nobody has ever reported any.
+// A server is leaving. All of its shards must be moved away although no load was ever
+// reported.
 func TestLeavingServerIsEmptied(t *testing.T) {
 	f := newStore("a", "b", "c", "d")
 	leader := leaderOf(f)
-	start(t, f, leader)
+	startPlanner(t, f, leader)
 	waitForTables(t, f, 3)
-	f.leave(leader)
-	waitFor(t, "the leaving server owns shards", func() bool {
+	f.setLeaving(leader)
+	waitFor(t, "the leaving server still owns shards", func() bool {
 		counts := f.owned()
-		return counts[f.left] == 0 && counts["a"]+counts["b"]+counts["c"]+counts["d"] == 60
+		return counts[f.leaving] == 0 && counts["a"]+counts["b"]+counts["c"]+counts["d"] == 60
 	})
 }
 
-// Owners refuse, since they are about to stop. The planner must ask again later
-// rather than take the shards for moved.
-func TestRefusedMovesAreAskedAgain(t *testing.T) {
+// Owners refuse moves because they are shutting down. The planner must request the
+// moves again later and must not count the shards as moved.
+func TestRefusedMovesAreRequestedAgain(t *testing.T) {
 	f := newStore("a", "b", "c", "d")
 	leader := leaderOf(f)
-	start(t, f, leader)
+	startPlanner(t, f, leader)
 	waitForTables(t, f, 3)
 	f.mu.Lock()
-	f.refuse = true
+	f.refuseMoves = true
 	f.mu.Unlock()
-	f.leave(leader)
-	waitFor(t, "no refused move is asked for again", func() bool {
+	f.setLeaving(leader)
+	waitFor(t, "refused moves are not requested again", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return f.asked > 60
+		return f.moveRequests > 60
 	})
 }
 
-// A daemon has an old view and reports to one that does not lead. The answer
-// must say so, or the report counts as heard and the leader never gets it.
-func TestOnlyTheLeaderTakesReports(t *testing.T) {
+// A daemon with an outdated view sends its load report to a daemon that does not lead
+// the service. The reply must say so. Otherwise the sender considers the report
+// delivered, and the leader never receives it.
+func TestOnlyLeaderAcceptsReports(t *testing.T) {
 	f := newStore("a", "b")
 	leader := leaderOf(f)
 	other := mtid.Daemon("a")
 	if leader == "a" {
 		other = "b"
 	}
-	first, second := start(t, f, leader), start(t, f, other)
+	first, second := startPlanner(t, f, leader), startPlanner(t, f, other)
 	waitForTables(t, f, 3)
 	r := &mtload.Report{From: mtid.Holder{Daemon: "a", Incarnation: 1}, Service: ref, Sequence: 1}
 	got, err := second.Report(t.Context(), r.Wire())
 	assert.NilError(t, err)
 	assert.Assert(t, !got.GetLeader())
-	waitFor(t, "the leader takes no reports", func() bool {
+	waitFor(t, "the leader does not accept the report", func() bool {
 		got, err := first.Report(t.Context(), r.Wire())
 		return err == nil && got.GetLeader()
 	})
 }
 
-// meters has one meter, for the service of the tests.
+// meters implements Meters with a single meter.
 type meters struct{ meter *mtload.Meter }
 
 func (m meters) Meter(mtid.Ref) *mtload.Meter { return m.meter }
 
-// link hands reports to planners in the same process.
+// link implements Link for planners in the same process.
 type link map[mtid.Daemon]*mtplanner.Planner
 
 func (l link) Report(ctx context.Context, to mtid.Holder, report *mtwire.LoadReport) (*mtwire.LoadReply, error) {
 	return l[to.Daemon].Report(ctx, report)
 }
 
-// Gates count, reporters report, and the leader splits: the whole way of a hot
-// key from its first requests to a shard of its own.
-func TestReporterTellsTheLeader(t *testing.T) {
+// Requests for a hot key are counted by the meter of its owner. The reporter must send
+// the load to the leader, and the leader must split off a shard for that key alone.
+func TestReportedHotKeyIsSplitOff(t *testing.T) {
 	f := newStore("a", "b", "c")
 	hot := ref.Point("hotel-7/wing-2")
 	planners := make(link)
 	for _, record := range f.Roster() {
-		planners[record.Holder.Daemon] = start(t, f, record.Holder.Daemon)
+		planners[record.Holder.Daemon] = startPlanner(t, f, record.Holder.Daemon)
 	}
 	waitForTables(t, f, 3)
 	shard, _ := f.shardOf(hot)
@@ -424,7 +428,7 @@
 		assert.NilError(t, err)
 		t.Cleanup(cleanUp)
 	}
-	waitFor(t, "the hot key has no shard to itself", func() bool {
+	waitFor(t, "the hot key has no shard of its own", func() bool {
 		s, high := f.shardOf(hot)
 		return s.Low == hot && high == hot
 	})
--- a/io/mtplanner/reporter.go
+++ b/io/mtplanner/reporter.go
@@ -14,51 +14,52 @@
 	"magnoliaturn/io/mtduty"
 )
 
-// Meters are the gates' counters on this daemon.
+// Meters returns the load meters of this daemon, to which the gates add each request.
 type Meters interface {
-	// Meter returns the meter of a service, or nil if the daemon has none.
+	// Meter returns the meter of a service, or nil if there is none.
 	Meter(ref mtid.Ref) *mtload.Meter
 }
 
-// Link carries a report to another daemon.
+// Link sends load reports to other daemons.
 type Link interface {
+	// Report sends a report and returns the reply.
 	Report(ctx context.Context, to mtid.Holder, report *mtwire.LoadReport) (*mtwire.LoadReply, error)
 }
 
-// Times of reporting.
+// The interval and timeout of reports.
 const (
-	// measureTime is how often the load is looked at.
-	measureTime = time.Second
-	// reportTimeout bounds one report.
+	// measureInterval is the default interval at which the load is checked.
+	measureInterval = time.Second
+	// reportTimeout is the timeout of a report.
 	reportTimeout = 2 * time.Second
 )
 
-// reporter is the duty that reports the load of this daemon's shards.
+// reporter sends the load of this daemon's shards to the leader of each service.
 type reporter struct {
-	config Config
-	view   View
-	meters Meters
-	link   Link
-	local  *Planner
-	paces  map[mtid.Ref]*mtload.ReportScheduler
+	config     Config
+	view       View
+	meters     Meters
+	link       Link
+	local      *Planner
+	schedulers map[mtid.Ref]*mtload.ReportScheduler
 }
 
-// NewReporter starts the duty that reports the load of this daemon's shards to
-// the leader of each service: over link, or to local if the daemon leads
-// itself. It fails with a *ConfigError.
+// NewReporter starts to report the load of this daemon's shards to the leader of each
+// service, through link or, if this daemon is the leader, directly to local. It
+// returns a function that stops this. It fails with a *ConfigError.
 func NewReporter(config Config, view View, meters Meters, link Link, local *Planner) (func(), error) {
-	if err := check(config); err != nil {
+	if err := checkConfig(config); err != nil {
 		return nil, err
 	}
-	r := &reporter{config: config, view: view, meters: meters, link: link, local: local, paces: make(map[mtid.Ref]*mtload.ReportScheduler)}
+	r := &reporter{config: config, view: view, meters: meters, link: link, local: local, schedulers: make(map[mtid.Ref]*mtload.ReportScheduler)}
 	tick := config.Tick
 	if tick == 0 {
-		tick = measureTime
+		tick = measureInterval
 	}
 	return mtduty.Every(tick, r.tick), nil
 }
 
-// tick looks at every keyed service that this daemon serves.
+// tick checks every keyed service.
 func (r *reporter) tick(ctx context.Context) {
 	self := r.config.Self()
 	if self.IsZero() {
@@ -71,39 +72,40 @@
 				continue
 			}
 			ref := mtid.Ref{Business: bundle.Business, Service: bundle.Services[i].Name}
-			r.measure(ctx, self, ref, members(roster, ref))
+			r.reportService(ctx, self, ref, liveMembers(roster, ref))
 		}
 	}
 }
 
-// measure reports the load of one service if that is due.
-func (r *reporter) measure(ctx context.Context, self mtid.Holder, ref mtid.Ref, servers []*mtroster.Record) {
+// reportService computes the load of this daemon's shards of a service and sends a report if
+// one is due.
+func (r *reporter) reportService(ctx context.Context, self mtid.Holder, ref mtid.Ref, servers []*mtroster.Record) {
 	meter := r.meters.Meter(ref)
 	slots, ok := slotsOf(self, ref, servers)
 	if meter == nil || !ok {
-		delete(r.paces, ref)
+		delete(r.schedulers, ref)
 		return
 	}
-	pace, ok := r.paces[ref]
+	scheduler, ok := r.schedulers[ref]
 	if !ok {
-		pace = &mtload.ReportScheduler{}
-		r.paces[ref] = pace
+		scheduler = &mtload.ReportScheduler{}
+		r.schedulers[ref] = scheduler
 	}
 	now := r.config.Now()
 	report := meter.Report(now, self, ref, func(low mtid.Point) bool { return r.owns(self, ref, low) })
-	leader := mtplan.Leader(ref, leaders(servers))
+	leader := mtplan.Leader(ref, leaderCandidates(servers))
 	load := report.Load / slots
-	pace.SetShards(r.mark(self, ref))
-	if !pace.Due(now, self, leader, load, mtload.SpreadTime(len(servers))) {
+	scheduler.SetShards(r.shardsFingerprint(self, ref))
+	if !scheduler.Due(now, self, leader, load, mtload.SpreadTime(len(servers))) {
 		return
 	}
-	pace.Sent(now, load)
-	r.send(ctx, pace, leader, self, report)
+	scheduler.Sent(now, load)
+	r.send(ctx, scheduler, leader, self, report)
 }
 
-// send sends a report and notes the answer. Without one, or with one from a
-// daemon that does not lead, the pace has it sent again.
-func (r *reporter) send(ctx context.Context, pace *mtload.ReportScheduler, leader, self mtid.Holder, report *mtload.Report) {
+// send sends a report and passes the reply to the scheduler. If there is no reply, or
+// the receiver is not the leader, the scheduler lets the report be sent again.
+func (r *reporter) send(ctx context.Context, scheduler *mtload.ReportScheduler, leader, self mtid.Holder, report *mtload.Report) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	var reply *mtwire.LoadReply
@@ -114,15 +116,15 @@
 		reply, err = r.link.Report(ctx, leader, report.Wire())
 	}
 	if err != nil {
-		r.config.Log.Debug("load not reported", "service", report.Service, "leader", leader, "error", err)
+		r.config.Log.Debug("load report failed", "service", report.Service, "leader", leader, "error", err)
 		return
 	}
-	if heard, ok := mtload.ReadReply(reply); ok {
-		pace.ReplyReceived(heard.Mean, heard.Pause, heard.Again)
+	if parsed, ok := mtload.ReadReply(reply); ok {
+		scheduler.ReplyReceived(parsed.Mean, parsed.Pause, parsed.Again)
 	}
 }
 
-// owns reports whether a shard of this daemon begins at low.
+// owns reports whether a shard that this daemon owns begins at low.
 func (r *reporter) owns(self mtid.Holder, ref mtid.Ref, low mtid.Point) bool {
 	first, ok := r.view.Table(ref, 0)
 	if !ok {
@@ -136,23 +138,24 @@
 	return ok && shard.Low == low && shard.Owner == self
 }
 
-// mark returns a number that differs when this daemon's shards do.
-func (r *reporter) mark(self mtid.Holder, ref mtid.Ref) uint64 {
-	var lows uint64
+// shardsFingerprint returns a fingerprint of the set of shards that this daemon owns.
+func (r *reporter) shardsFingerprint(self mtid.Holder, ref mtid.Ref) uint64 {
+	var fingerprint uint64
 	for chunk := 0; ; chunk++ {
 		table, ok := r.view.Table(ref, chunk)
 		if !ok {
-			return lows
+			return fingerprint
 		}
 		for i := range table.Shards {
 			if table.Shards[i].Owner == self {
-				lows ^= uint64(table.Shards[i].Low)
+				fingerprint ^= uint64(table.Shards[i].Low)
 			}
 		}
 	}
 }
 
-// slotsOf returns the slots of this daemon's server.
+// slotsOf returns the number of slots of this daemon's server, at least 1, or false if
+// the daemon does not offer the service.
 func slotsOf(self mtid.Holder, ref mtid.Ref, servers []*mtroster.Record) (float64, bool) {
 	for _, record := range servers {
 		if record.Holder == self {
--- a/io/mtplanner/writer.go
+++ b/io/mtplanner/writer.go
@@ -10,32 +10,33 @@
 	"magnoliaturn/core/mtstore"
 )
 
-// writer applies ops to chunks in the store.
+// writer applies operations to chunks in the store.
 //
-// A write whose answer is lost may still land later. Nothing that the planner
-// does next depends on whether it did: create, split and merge change no owner.
-// Hence no wait is needed; the next write of the chunk goes out on the version
-// that is then seen. It succeeds and moves the version on, after which the lost
-// one can't land any more, or it conflicts, which shows the version that won.
+// A write whose reply is lost may still take effect later. The planner does not have
+// to wait for the outcome, since create, split and merge change no owner and nothing
+// that it does next depends on them. The next write of the chunk is based on the
+// version that the view then has. If it succeeds, the version has changed and the lost
+// write can't take effect any more. If it conflicts, the conflict shows the current
+// version.
 type writer struct {
-	store mtstore.Store
-	stamp func() mtroster.WriteID
-	log   *slog.Logger
+	store      mtstore.Store
+	newWriteID func() mtroster.WriteID
+	log        *slog.Logger
 }
 
-// write swaps the chunk for the one after ops and reports whether that is known
-// to have taken effect. Every failure is logged; the next round plans anew from
-// what is then in the store.
+// write writes the chunk with ops applied and reports whether the write is known to
+// have taken effect. A failure is only logged, since the next round makes a new plan
+// from the current table.
 func (w *writer) write(ctx context.Context, table *mtshard.Table, ops ...mtshard.Op) bool {
-	stamp := w.stamp()
-	next, err := table.Apply(stamp, ops...)
+	writeID := w.newWriteID()
+	next, err := table.Apply(writeID, ops...)
 	if err != nil {
-		w.log.Warn("planned ops don't fit the table", "service", table.Service, "chunk", table.Chunk, "error", err)
+		w.log.Warn("cannot apply planned operations to the table", "service", table.Service, "chunk", table.Chunk, "error", err)
 		return false
 	}
 	value, err := next.Encode()
 	if err != nil {
-		w.log.Error("chunk can't be encoded", "service", table.Service, "chunk", table.Chunk, "error", err)
+		w.log.Error("cannot encode a chunk", "service", table.Service, "chunk", table.Chunk, "error", err)
 		return false
 	}
 	name := mtstore.ShardName(table.Service, table.Chunk)
@@ -48,25 +49,26 @@
 	}
 	var unknown *mtstore.UnknownError
 	if errors.As(err, &unknown) {
-		return w.settle(ctx, name, stamp)
+		return w.tookEffect(ctx, name, writeID)
 	}
 	w.log.Warn("chunk not written", "service", table.Service, "chunk", table.Chunk, "error", err)
 	return false
 }
 
-// settle looks whether a write with a lost answer has landed. A value without
-// the stamp proves nothing, and counts as not written.
-func (w *writer) settle(ctx context.Context, name string, stamp mtroster.WriteID) bool {
+// tookEffect reads the chunk after a write whose reply was lost and reports whether it
+// contains the write ID. If it does not, the write may still take effect later; it
+// counts as not written.
+func (w *writer) tookEffect(ctx context.Context, name string, writeID mtroster.WriteID) bool {
 	entry, err := w.store.Get(ctx, name)
 	if err != nil {
-		w.log.Warn("write in doubt can't be settled yet", "name", name, "error", err)
+		w.log.Warn("cannot determine the outcome of a write", "name", name, "error", err)
 		return false
 	}
 	table, err := mtshard.Decode(entry.Value)
 	if err != nil {
-		w.log.Error("stored chunk can't be read", "name", name, "error", err)
+		w.log.Error("cannot decode a stored chunk", "name", name, "error", err)
 		return false
 	}
-	_, landed := table.FindStep(stamp)
-	return landed
+	_, found := table.FindStep(writeID)
+	return found
 }
