--- a/io/mtmover/mtmover.go
+++ b/io/mtmover/mtmover.go
@@ -270,8 +270,8 @@
 	return nil
 }
 
-// execute carries out effects. Those that wait for the network run in goroutines of their
-// own, which report their results to the event loop as events.
+// execute carries out effects. Those that wait for the network run in goroutines of
+// their own, which report their results to the event loop as events.
 func (m *Mover) execute(effects []mtmove.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
@@ -348,8 +348,8 @@
 	return m.classifyFailure(ctx, e.Table, name, err)
 }
 
-// classifyFailure returns the result of a write that failed: whether it certainly had no
-// effect or may still take effect.
+// classifyFailure returns the result of a write that failed: whether it certainly had
+// no effect or may still take effect.
 func (m *Mover) classifyFailure(ctx context.Context, table *mtshard.Table, name string, err error) (*mtshard.Table, mtmove.WriteResult) {
 	var conflict *mtstore.ConflictError
 	var unavailable *mtstore.UnavailableError
@@ -363,8 +363,8 @@
 	return table, mtmove.OutcomeUnknown
 }
 
-// readCurrent reads a chunk after a conflict. If this fails as well, it returns table, so
-// that the next write conflicts again and the chunk is read again.
+// readCurrent reads a chunk after a conflict. If this fails as well, it returns
+// table, so that the next write conflicts again and the chunk is read again.
 func (m *Mover) readCurrent(ctx context.Context, table *mtshard.Table, name string) *mtshard.Table {
 	entry, err := m.Store.Get(ctx, name)
 	if err != nil {
@@ -379,9 +379,9 @@
 	return read
 }
 
-// applyWritten applies a written table to this daemon's view. This precedes the release of
-// the shard, since the requests that were held back are forwarded to the owner in
-// the view and must not find the previous one there.
+// applyWritten applies a written table to this daemon's view. This precedes the
+// release of the shard, since the requests that were held back are forwarded to the
+// owner in the view and must not find the previous one there.
 func (m *Mover) applyWritten(item mtview.Item) {
 	if _, err := m.View.ApplyWrite(item); err != nil {
 		m.Log.Debug("cannot apply a written table to the view", "error", err)
--- a/io/mtmover/peer.go
+++ b/io/mtmover/peer.go
@@ -32,8 +32,8 @@
 // Unwrap returns the error of the connection or of the call, or nil.
 func (e *PeerError) Unwrap() error { return e.Err }
 
-// client returns a client for a peer if the roster has this incarnation of it. It fails
-// with a *PeerError.
+// client returns a client for a peer if the roster has this incarnation of it. It
+// fails with a *PeerError.
 func (m *Mover) client(peer mtid.Holder) (mtwire.MoverClient, error) {
 	record, _, ok := m.View.Snapshot().Record(peer.Daemon)
 	if !ok || record.Holder != peer {
@@ -105,9 +105,9 @@
 	return nil
 }
 
-// notifyOwners notifies the new owners of the shards in a written table, so that they are
-// ready when the released requests arrive. It sends only the last step; a daemon that
-// lacks the previous one gets the table from the store.
+// notifyOwners notifies the new owners of the shards in a written table, so that they
+// are ready when the released requests arrive. It sends only the last step; a daemon
+// that lacks the previous one gets the table from the store.
 func (m *Mover) notifyOwners(table *mtshard.Table, ops []mtshard.Op) {
 	request := &mtwire.GrantedRequest{
 		Name:    mtstore.ShardName(table.Service, table.Chunk),
--- a/io/mtplanner/mtplanner.go
+++ b/io/mtplanner/mtplanner.go
@@ -221,8 +221,9 @@
 	}
 }
 
-// planService creates missing chunks of a service and runs a planning round if one is due. If
-// this daemon does not lead the service, it discards the state of the service.
+// planService creates missing chunks of a service and runs a planning round if one is
+// due. If this daemon does not lead the service, it discards the state of the
+// service.
 func (p *Planner) planService(ctx context.Context, self mtid.Holder, ref mtid.Ref, service *mtbundle.Service, servers []*mtroster.Record) {
 	if mtplan.Leader(ref, leaderCandidates(servers)) != self {
 		delete(p.services, ref)
@@ -239,10 +240,10 @@
 	}
 }
 
-// createChunks writes the chunks that don't exist yet. It writes the first chunk alone, and
-// the others only when the view has the first, which determines the number of chunks.
-// Otherwise two planners with different bundles might write chunks of different
-// partitions of the ring.
+// createChunks writes the chunks that don't exist yet. It writes the first chunk
+// alone, and the others only when the view has the first, which determines the number
+// of chunks. Otherwise two planners with different bundles might write chunks of
+// different partitions of the ring.
 func (p *Planner) createChunks(ctx context.Context, state *serviceState, ref mtid.Ref, service *mtbundle.Service, serving []*mtroster.Record) {
 	first, ok := p.view.Table(ref, 0)
 	if !ok {
@@ -300,7 +301,8 @@
 	return found
 }
 
-// layoutMembers returns the members among which the shards of a new table are distributed.
+// layoutMembers returns the members among which the shards of a new table are
+// distributed.
 func layoutMembers(records []*mtroster.Record, ref mtid.Ref) []mtplan.Member {
 	var found []mtplan.Member
 	for _, record := range records {
@@ -310,8 +312,8 @@
 	return found
 }
 
-// leaderCandidates returns the holders from which the leader is chosen: the serving ones, or
-// all of them if none is serving.
+// leaderCandidates returns the holders from which the leader is chosen: the serving
+// ones, or all of them if none is serving.
 func leaderCandidates(records []*mtroster.Record) []mtid.Holder {
 	if active := serving(records); len(active) > 0 {
 		return holders(active)
--- a/io/mtplanner/reporter.go
+++ b/io/mtplanner/reporter.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// reportService computes the load of this daemon's shards of a service and sends a report if
-// one is due.
+// reportService computes the load of this daemon's shards of a service and sends a
+// report if one is due.
 func (r *reporter) reportService(ctx context.Context, self mtid.Holder, ref mtid.Ref, servers []*mtroster.Record) {
 	meter := r.meters.Meter(ref)
 	slots, ok := slotsOf(self, ref, servers)
--- a/io/mtplanner/round.go
+++ b/io/mtplanner/round.go
@@ -82,8 +82,8 @@
 	return tables, true
 }
 
-// recordLosses records the shards whose owners were lost since the last round, that is,
-// those that a failover has reassigned.
+// recordLosses records the shards whose owners were lost since the last round, that
+// is, those that a failover has reassigned.
 func (s *serviceState) recordLosses(now mtclock.Instant, tables []*mtshard.Table) {
 	for i, table := range tables {
 		if i >= len(s.tables) {
@@ -213,8 +213,8 @@
 	}
 }
 
-// addReport records a load report and returns the reply. The reply says that this daemon is
-// not the leader if it has not planned for the service yet.
+// addReport records a load report and returns the reply. The reply says that this
+// daemon is not the leader if it has not planned for the service yet.
 func (p *Planner) addReport(report *mtload.Report) *mtwire.LoadReply {
 	state, ok := p.services[report.Service]
 	if !ok || len(state.tables) == 0 {
--- a/io/mtpoison/mtpoison_test.go
+++ b/io/mtpoison/mtpoison_test.go
@@ -23,7 +23,7 @@
 
 var dispatch = mtid.Ref{Business: "ratins", Service: "dispatch"}
 
-// clock moves on by a nanosecond each time that it is read.
+// clock advances by a nanosecond each time it is read.
 type clock struct{ now atomic.Int64 }
 
 func (c *clock) Now() mtclock.Instant { return mtclock.Instant(c.now.Add(1)) }
@@ -34,7 +34,7 @@
 	return grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()))
 }
 
-// daemon is a Watch with its gRPC side.
+// daemon is a Watch with its own view and gRPC server.
 type daemon struct {
 	*iopoison.Watch
 	name    string
@@ -46,7 +46,7 @@
 	return mtid.Holder{Daemon: mtid.Daemon(name), Incarnation: 1}
 }
 
-// fleet starts daemons that know each other and offer the service.
+// fleet starts daemons that offer the service and have each other's roster records.
 func fleet(t *testing.T, names ...string) []*daemon {
 	t.Helper()
 	var daemons []*daemon
@@ -90,9 +90,8 @@
 	return &mtrequest.Request{Service: dispatch, Key: key, Class: "status"}
 }
 
-// dead returns an address at which nobody listens, live one at which somebody
-// does.
-func dead(t *testing.T) string {
+// closedAddress returns an address that refuses connections.
+func closedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -100,7 +99,8 @@
 	return listener.Addr().String()
 }
 
-func live(t *testing.T) string {
+// listeningAddress returns an address that accepts connections.
+func listeningAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -109,30 +109,32 @@
 }
 
 var (
-	broken  = &mtreply.UnknownError{Cause: mtreply.CauseLost}
-	refused = &mtreply.RefusedError{Cause: mtreply.CauseUnreachable}
-	late    = &mtreply.UnknownError{Cause: mtreply.CauseTimeout}
+	broken   = &mtreply.UnknownError{Cause: mtreply.CauseLost}
+	refused  = &mtreply.RefusedError{Cause: mtreply.CauseUnreachable}
+	timedOut = &mtreply.UnknownError{Cause: mtreply.CauseTimeout}
 )
 
-func TestWhatMakesASuspect(t *testing.T) {
+// A request must become a suspect only if its connection broke and its server does not
+// accept connections any more.
+func TestRequestBecomesSuspectOnlyIfServerCrashed(t *testing.T) {
 	tests := []struct {
-		name string
-		err  error
-		up   bool
-		want mtpoison.Verdict
+		name     string
+		err      error
+		serverUp bool
+		want     mtpoison.Verdict
 	}{
 		{"answered", nil, true, mtpoison.Clear},
-		{"answered by a server that is gone since", nil, false, mtpoison.Clear},
-		{"connection broke, server is up", broken, true, mtpoison.Clear},
-		{"connection broke, server is gone", broken, false, mtpoison.Suspect},
+		{"answered, server terminated afterwards", nil, false, mtpoison.Clear},
+		{"connection broke, server accepts connections", broken, true, mtpoison.Clear},
+		{"connection broke, server terminated", broken, false, mtpoison.Suspect},
 		{"never reached the server", refused, false, mtpoison.Clear},
-		{"too slow", late, false, mtpoison.Clear},
+		{"timed out", timedOut, false, mtpoison.Clear},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			address := dead(t)
-			if tt.up {
-				address = live(t)
+			address := closedAddress(t)
+			if tt.serverUp {
+				address = listeningAddress(t)
 			}
 			d := fleet(t, "a")[0]
 			r := request("room-1")
@@ -143,22 +145,23 @@
 	}
 }
 
-// A server crashes with a request in flight. By the time that its caller is
-// answered, the other daemons of the service suspect the request.
-func TestOthersKnowBeforeTheCaller(t *testing.T) {
+// A server crashes with a request in flight. The other daemons of the service must
+// have the request as a suspect before its caller is answered, since the caller may
+// send it again through any of them.
+func TestEvidenceReachesPeersBeforeCallerIsAnswered(t *testing.T) {
 	daemons := fleet(t, "a", "b", "c")
-	daemons[0].Start(request("room-1"), dead(t))(broken)
+	daemons[0].Start(request("room-1"), closedAddress(t))(broken)
 	for _, d := range daemons {
 		assert.Equal(t, d.Judge(request("room-1")), mtpoison.Suspect, "at %s", d.name)
 		assert.Equal(t, d.Judge(request("room-2")), mtpoison.Clear, "at %s", d.name)
 	}
 }
 
-// Many requests are in flight when their server crashes. That is one crash, and
-// not one for each broken connection.
-func TestOneCrashCountsOnce(t *testing.T) {
+// Several requests are in flight when their server crashes. This must count as one
+// crash, not as one per broken connection.
+func TestCrashWithSeveralRequestsCountsOnce(t *testing.T) {
 	d := fleet(t, "a")[0]
-	address := dead(t)
+	address := closedAddress(t)
 	first, second := d.Start(request("room-1"), address), d.Start(request("room-2"), address)
 	first(broken)
 	second(broken)
@@ -166,10 +169,10 @@
 	assert.Equal(t, d.Counts().Suspects, 2)
 }
 
-// A whole VM is lost while a suspect runs there, alone. The daemons that the
-// ingress told refuse the request as soon as they know that the VM is gone, and
-// not before: the connection alone may have broken.
-func TestLostMachineConfirmsTheQuarantine(t *testing.T) {
+// A whole VM is lost while a suspect runs there alone. The daemons that have the
+// evidence of the ingress must quarantine the request when the roster shows the loss,
+// and not earlier, since a broken connection alone does not prove it.
+func TestLossOfVMConfirmsQuarantine(t *testing.T) {
 	daemons := fleet(t, "ingress", "b", "c")
 	ingress, other := daemons[0], daemons[1]
 	relayed := ingress.Relay(request("room-1"), holder("c"))
--- /dev/null
+++ b/io/mtpoison/refusals.go
@@ -0,0 +1,67 @@
+package mtpoison
+
+import (
+	"cmp"
+	"slices"
+
+	"magnoliaturn/core/mtclock"
+	"magnoliaturn/core/mtid"
+	"magnoliaturn/core/mtpoison"
+)
+
+// maxRefusals is the maximum number of fingerprints that are listed for operators.
+const maxRefusals = mtpoison.DefaultQuarantined
+
+// Refused is a quarantined request that this daemon refused at least once. Quarantined
+// fingerprints that were not requested here are not listed, since the service of a
+// request can't be determined from its fingerprint.
+type Refused struct {
+	Service mtid.Ref
+	Print   mtpoison.Fingerprint
+	Times   int
+	Last    mtclock.Instant
+	// Until is when the quarantine ends unless the request is sent again.
+	Until mtclock.Instant
+}
+
+// refusals holds the refused requests by fingerprint. Watch.mu guards it.
+type refusals map[mtpoison.Fingerprint]Refused
+
+// add counts a refusal. If the list is full of unexpired entries, a new fingerprint is
+// not listed.
+func (r refusals) add(now mtclock.Instant, service mtid.Ref, p mtpoison.Fingerprint) {
+	refused, ok := r[p]
+	if !ok && len(r) >= maxRefusals {
+		r.expire(now)
+	}
+	if !ok && len(r) >= maxRefusals {
+		return
+	}
+	refused.Service, refused.Print, refused.Last = service, p, now
+	refused.Times++
+	refused.Until = now.Add(mtpoison.DefaultQuarantine)
+	r[p] = refused
+}
+
+// expire removes the requests whose quarantine has ended.
+func (r refusals) expire(now mtclock.Instant) {
+	for p, refused := range r {
+		if !now.Before(refused.Until) {
+			delete(r, p)
+		}
+	}
+}
+
+// Refused returns the requests that this daemon refused and that are still in
+// quarantine, sorted by fingerprint.
+func (w *Watch) Refused() []Refused {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.refusals.expire(w.Clock.Now())
+	out := make([]Refused, 0, len(w.refusals))
+	for _, refused := range w.refusals {
+		out = append(out, refused)
+	}
+	slices.SortFunc(out, func(a, b Refused) int { return cmp.Compare(a.Print, b.Print) })
+	return out
+}
