--- a/io/mtdaemon/admin.go
+++ b/io/mtdaemon/admin.go
@@ -106,9 +106,9 @@
 	clock := mtkernel.MustLookup[*mttime.Clock](s.daemon.kernel, NameClock)
 	now, wall := clock.Now(), clock.Wall()
 	var out []mtadmin.Suspect
-	for _, refused := range mtkernel.MustLookup[*mtpoison.Watch](s.daemon.kernel, NamePoison).Refused() {
+	for _, refused := range mtkernel.MustLookup[*mtpoison.Detector](s.daemon.kernel, NamePoison).Refusals() {
 		out = append(out, mtadmin.Suspect{
-			Service: refused.Service, Fingerprint: uint64(refused.Print), Refused: refused.Times,
+			Service: refused.Service, Fingerprint: uint64(refused.Fingerprint), Refused: refused.Count,
 			Until: wall.Add(refused.Until.Sub(now)),
 		})
 	}
--- a/io/mtdaemon/figures.go
+++ b/io/mtdaemon/figures.go
@@ -43,7 +43,7 @@
 
 // seenLife is how long such loads are shown: a few rounds of planning. After
 // it another daemon plans for the service.
-const seenLife = 4 * mtplanner.RoundTime
+const seenLife = 4 * mtplanner.RoundInterval
 
 // planned takes in what a round of planning was decided from.
 func (f *figures) planned(now mtclock.Instant, ref mtid.Ref, state *mtplan.State) {
--- a/io/mtdaemon/listen.go
+++ b/io/mtdaemon/listen.go
@@ -180,7 +180,7 @@
 	relay := mtrelay.NewServer(mtkernel.MustLookup[*mtowner.Owner](d.kernel, NameOwner), view, mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock), hint)
 	relay.Register(server)
 	mtkernel.MustLookup[*mtmover.Mover](d.kernel, NameMover).Register(server)
-	mtkernel.MustLookup[*mtpoison.Watch](d.kernel, NamePoison).Register(server)
+	mtkernel.MustLookup[*mtpoison.Detector](d.kernel, NamePoison).Register(server)
 	mtkernel.MustLookup[*mtrenew.Duty](d.kernel, NameRenew).ServeOn(server)
 	mtwire.RegisterPlannerServer(server, mtkernel.MustLookup[*mtplanner.Planner](d.kernel, NamePlanner))
 	mtwire.RegisterInformServer(server, mtkernel.MustLookup[*mtadmin.Server](d.kernel, NameAdmin).Informer())
--- a/io/mtdaemon/member.go
+++ b/io/mtdaemon/member.go
@@ -215,11 +215,11 @@
 func (d *Daemon) addPlanner() error {
 	clock := mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock)
 	config := mtplanner.Config{
-		Self:  d.Self,
-		Stamp: d.Stamp,
-		Now:   clock.Now,
-		Log:   d.config.Log,
-		Seen: func(ref mtid.Ref, state *mtplan.State) {
+		Self:       d.Self,
+		NewWriteID: d.Stamp,
+		Now:        clock.Now,
+		Log:        d.config.Log,
+		ObserveRound: func(ref mtid.Ref, state *mtplan.State) {
 			mtkernel.MustLookup[*figures](d.kernel, NameFigures).planned(clock.Now(), ref, state)
 		},
 	}
@@ -246,7 +246,7 @@
 	relay *mtrelay.Client
 }
 
-// Report implements mtplanner.Link.
+// Report implements mtplanner.ReportSender.
 func (l loadLink) Report(ctx context.Context, to mtid.Holder, report *mtwire.LoadReport) (*mtwire.LoadReply, error) {
 	record, _, ok := l.view.Record(to.Daemon)
 	if !ok || record.Holder != to {
--- a/io/mtdaemon/mtdaemon.go
+++ b/io/mtdaemon/mtdaemon.go
@@ -228,7 +228,7 @@
 		Servers: mtkernel.MustLookup[*mtserver.Pool](d.kernel, NameServers),
 		Clock:   mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
 		Log:     d.config.Log,
-		Poison:  mtkernel.MustLookup[*mtpoison.Watch](d.kernel, NamePoison),
+		Poison:  mtkernel.MustLookup[*mtpoison.Detector](d.kernel, NamePoison),
 		Quiet:   d.quiet,
 	})
 	mtkernel.MustLookup[*mtsync.Sync](d.kernel, NameSync).OnChange(func(names []string) {
@@ -241,24 +241,24 @@
 
 // quiet passes on that a stopped range has nothing in flight.
 func (d *Daemon) quiet(service mtid.Ref, low, high mtid.Point) {
-	mtkernel.MustLookup[*mtmover.Mover](d.kernel, NameMover).Quiet(service, low, high)
+	mtkernel.MustLookup[*mtmover.Mover](d.kernel, NameMover).RangeIdle(service, low, high)
 }
 
 func (d *Daemon) addMover() error {
 	mover, cleanUp := mtmover.New(mtmover.Config{
-		Self:    d.Self,
-		Stamp:   d.Stamp,
-		View:    mtkernel.MustLookup[*mtview.View](d.kernel, NameView),
-		Store:   mtkernel.MustLookup[mtstore.Store](d.kernel, NameStore),
-		Gates:   mtkernel.MustLookup[*mtowner.Owner](d.kernel, NameOwner),
-		Recents: mtkernel.MustLookup[*mtowner.Owner](d.kernel, NameOwner),
-		Conns:   mtkernel.MustLookup[*mtrelay.Client](d.kernel, NameRelay),
-		Offers:  mtkernel.MustLookup[*mtserver.Pool](d.kernel, NameServers).Offers,
-		Clock:   mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
-		Log:     d.config.Log,
-		Count:   d.counter("move"),
-		Stopped: d.stopped.Record,
-		Refresh: mtkernel.MustLookup[*mtsync.Sync](d.kernel, NameSync).Refresh,
+		Self:           d.Self,
+		NewWriteID:     d.Stamp,
+		View:           mtkernel.MustLookup[*mtview.View](d.kernel, NameView),
+		Store:          mtkernel.MustLookup[mtstore.Store](d.kernel, NameStore),
+		Gates:          mtkernel.MustLookup[*mtowner.Owner](d.kernel, NameOwner),
+		RecentIDs:      mtkernel.MustLookup[*mtowner.Owner](d.kernel, NameOwner),
+		Conns:          mtkernel.MustLookup[*mtrelay.Client](d.kernel, NameRelay),
+		Offers:         mtkernel.MustLookup[*mtserver.Pool](d.kernel, NameServers).Offers,
+		Clock:          mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
+		Log:            d.config.Log,
+		Count:          d.counter("move"),
+		RecordStopTime: d.stopped.Record,
+		Refresh:        mtkernel.MustLookup[*mtsync.Sync](d.kernel, NameSync).Refresh,
 	})
 	return mtkernel.Register(d.kernel, NameMover, mover, cleanUp)
 }
@@ -272,7 +272,7 @@
 		Peers:  mtkernel.MustLookup[*mtrelay.Client](d.kernel, NameRelay),
 		Clock:  mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
 		Retry:  mtretry.NewBudgeted(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		Poison: mtkernel.MustLookup[*mtpoison.Watch](d.kernel, NamePoison),
+		Poison: mtkernel.MustLookup[*mtpoison.Detector](d.kernel, NamePoison),
 		Hint:   mtkernel.MustLookup[*mtsync.Sync](d.kernel, NameSync).Hint,
 		Count:  d.counter("route"),
 		Done:   d.observer(),
--- a/io/mtmover/mtmover.go
+++ b/io/mtmover/mtmover.go
@@ -70,21 +70,22 @@
 	// Self returns the current incarnation of this daemon, or the zero holder while
 	// it is not registered.
 	Self func() mtid.Holder
-	// Stamp returns a write ID that no other write of this daemon has.
-	Stamp   func() mtroster.WriteID
-	View    *mtview.View
-	Store   mtstore.Store
-	Gates   gates
-	Recents recents
-	Conns   conns
+	// NewWriteID returns a write ID that no other write of this daemon has.
+	NewWriteID func() mtroster.WriteID
+	View       *mtview.View
+	Store      mtstore.Store
+	Gates      gates
+	RecentIDs  recents
+	Conns      conns
 	// Offers returns the offers of the backend servers on this VM that accept work.
 	Offers func() []mtroster.Offer
 	Clock  clock
 	Log    *slog.Logger
 	// Count increments the named counter of the mover.
 	Count func(name string)
-	// Stopped records how long a shard that was handed over admitted no requests here.
-	Stopped func(d time.Duration)
+	// RecordStopTime records how long a shard that was handed over admitted no
+	// requests here.
+	RecordStopTime func(d time.Duration)
 	// Refresh is called after a write to fetch the resulting revision from the store.
 	Refresh func()
 }
@@ -179,7 +180,7 @@
 		if slices.ContainsFunc(offers, func(o mtroster.Offer) bool { return o.Service == ref }) {
 			continue
 		}
-		others := Others(s, ref, m.self)
+		others := EligibleOwners(s, ref, m.self)
 		for _, shard := range ownedShards(s, ref, m.self) {
 			// A move that cannot begin now (already in progress, too many at once,
 			// no eligible new owner) is tried again at the next tick.
@@ -201,7 +202,7 @@
 
 // post enqueues an event for the event loop, or drops it and returns false if the
 // queue is full. This is harmless: the planner repeats its requests, and a move
-// whose Quiet event was lost is canceled and its shard resumed after
+// whose RangeIdle event was lost is canceled and its shard resumed after
 // mtmove.PhaseTimeout.
 func (m *Mover) post(event func(now mtclock.Instant)) bool { return m.events.Put(event) }
 
@@ -210,8 +211,9 @@
 // written again.
 func (m *Mover) postResult(event func(now mtclock.Instant)) { m.events.PutWait(event, m.ctx.Done()) }
 
-// Quiet reports that no request of a stopped range is in flight. The gate calls it.
-func (m *Mover) Quiet(ref mtid.Ref, low, _ mtid.Point) {
+// RangeIdle reports that no request of a stopped range is in flight. The gate calls
+// it.
+func (m *Mover) RangeIdle(ref mtid.Ref, low, _ mtid.Point) {
 	m.post(func(now mtclock.Instant) {
 		m.execute(m.moves.RangeIdle(now, mtmove.ShardID{Service: ref, Low: low}))
 	})
@@ -290,7 +292,7 @@
 		case mtmove.Release:
 			m.Count("released")
 			if stoppedAt, ok := m.stoppedAt[e.Shard]; ok {
-				m.Stopped(m.Clock.Now().Sub(stoppedAt))
+				m.RecordStopTime(m.Clock.Now().Sub(stoppedAt))
 				delete(m.stoppedAt, e.Shard)
 			}
 			m.Gates.Release(e.Shard.Service, e.Shard.Low, e.High)
@@ -327,7 +329,7 @@
 // swap replaces a chunk in the store if its version has not changed. It returns the
 // latest table that is known afterwards.
 func (m *Mover) swap(e mtmove.Write) (*mtshard.Table, mtmove.WriteResult) {
-	next, err := e.Table.Apply(m.Stamp(), e.Ops...)
+	next, err := e.Table.Apply(m.NewWriteID(), e.Ops...)
 	if err != nil {
 		m.Log.Error("cannot apply a move to its table", "error", err)
 		return e.Table, mtmove.Unavailable
@@ -434,7 +436,7 @@
 	s := m.View.Snapshot()
 	var rest remaining
 	for _, ref := range s.Services() {
-		others := Others(s, ref, self)
+		others := EligibleOwners(s, ref, self)
 		shards := ownedShards(s, ref, self)
 		rest.owned += len(shards)
 		if len(others) == 0 {
@@ -449,9 +451,9 @@
 	return rest
 }
 
-// Others returns the holders other than self to which shards of a service may be
-// moved.
-func Others(s *mtview.Snapshot, ref mtid.Ref, self mtid.Holder) []mtid.Holder {
+// EligibleOwners returns the holders other than self to which shards of a service may
+// be moved.
+func EligibleOwners(s *mtview.Snapshot, ref mtid.Ref, self mtid.Holder) []mtid.Holder {
 	var out []mtid.Holder
 	for _, r := range s.Roster() {
 		if _, ok := r.Offer(ref); ok && r.MayHoldLease() && r.State == mtroster.Serving && r.Holder != self {
--- a/io/mtmover/mtmover_test.go
+++ b/io/mtmover/mtmover_test.go
@@ -48,7 +48,7 @@
 // Stop implements gates. No request is in flight, so the range is idle at once.
 func (m *member) Stop(ref mtid.Ref, low, high mtid.Point) {
 	m.note("stop")
-	m.Quiet(ref, low, high)
+	m.RangeIdle(ref, low, high)
 }
 
 // Resume implements gates.
@@ -131,12 +131,12 @@
 	offers := []mtroster.Offer{{Service: ref, Slots: 4, Connections: 4}}
 	mover, cleanUp := mtmover.New(mtmover.Config{
 		Self: func() mtid.Holder { return self },
-		Stamp: func() mtroster.WriteID {
+		NewWriteID: func() mtroster.WriteID {
 			return mtroster.WriteID{Writer: self, Sequence: sequence.Add(1)}
 		},
-		View: m.view, Store: p.store, Gates: m, Recents: m, Conns: client, Clock: mttime.New(),
+		View: m.view, Store: p.store, Gates: m, RecentIDs: m, Conns: client, Clock: mttime.New(),
 		Offers: func() []mtroster.Offer { return offers }, Log: slog.New(slog.DiscardHandler),
-		Count: func(string) {}, Stopped: func(time.Duration) {}, Refresh: func() {},
+		Count: func(string) {}, RecordStopTime: func(time.Duration) {}, Refresh: func() {},
 	})
 	t.Cleanup(sync.OnceFunc(cleanUp))
 	m.Mover = mover
--- a/io/mtmover/peer.go
+++ b/io/mtmover/peer.go
@@ -77,7 +77,7 @@
 
 // sendRecent sends the recent identifiers of a range to its new owner.
 func (m *Mover) sendRecent(e mtmove.Handover) error {
-	value, err := m.Recents.Export(e.Shard.Service, e.Shard.Low, e.High)
+	value, err := m.RecentIDs.Export(e.Shard.Service, e.Shard.Low, e.High)
 	if err != nil {
 		return err
 	}
@@ -165,7 +165,7 @@
 		return &mtwire.HandoverReply{Reason: "sent to " + to.String()}, nil
 	}
 	ref := mtid.Ref{Business: mtid.Business(w.GetBusiness()), Service: mtid.Service(w.GetService())}
-	if err := s.m.Recents.Import(ref, mtid.Point(w.GetLow()), mtid.Point(w.GetHigh()), mtroster.HolderFromWire(w.GetFrom()), w.GetRecent()); err != nil {
+	if err := s.m.RecentIDs.Import(ref, mtid.Point(w.GetLow()), mtid.Point(w.GetHigh()), mtroster.HolderFromWire(w.GetFrom()), w.GetRecent()); err != nil {
 		return &mtwire.HandoverReply{Reason: err.Error()}, nil
 	}
 	return &mtwire.HandoverReply{Taken: true}, nil
--- a/io/mtowner/mtowner.go
+++ b/io/mtowner/mtowner.go
@@ -73,7 +73,7 @@
 	Clock   clock
 	Log     *slog.Logger
 	// Poison knows the requests that crash backend servers.
-	Poison *iopoison.Watch
+	Poison *iopoison.Detector
 	// Quiet is called, from whichever goroutine ended the last request, when a
 	// stopped range has nothing in flight.
 	Quiet func(service mtid.Ref, low, high mtid.Point)
@@ -305,7 +305,7 @@
 		defer o.track(&run{holder: f.holder, cancel: cancel})()
 	}
 	boot := o.Clock.Boot()
-	ended := o.Poison.Start(r, server.Announced().Address)
+	ended := o.Poison.TrackRun(r, server.Announced().Address)
 	reply, err := server.Do(ctx, mtserver.Call{
 		Request:  r,
 		Epoch:    f.epoch,
--- a/io/mtplanner/mtplanner.go
+++ b/io/mtplanner/mtplanner.go
@@ -64,22 +64,22 @@
 	// Self returns the current incarnation of this daemon, or the zero holder while
 	// it is not registered.
 	Self func() mtid.Holder
-	// Stamp returns a write ID that no other write of this daemon has.
-	Stamp func() mtroster.WriteID
+	// NewWriteID returns a write ID that no other write of this daemon has.
+	NewWriteID func() mtroster.WriteID
 	// Now returns the current time.
 	Now func() mtclock.Instant
 	Log *slog.Logger
-	// Seen, if not nil, is called after each planning round with the input of the
-	// policy, for metrics. It is called by the planner's goroutine and must not
+	// ObserveRound, if not nil, is called after each planning round with the input of
+	// the policy, for metrics. It is called by the planner's goroutine and must not
 	// retain the state.
-	Seen func(service mtid.Ref, state *mtplan.State)
-	// Tick is the interval at which the view is checked. Zero means DefaultTick for
-	// the planner and one second for the reporter.
-	Tick time.Duration
+	ObserveRound func(service mtid.Ref, state *mtplan.State)
+	// TickInterval is the interval at which the view is checked. Zero means
+	// DefaultTickInterval for the planner and one second for the reporter.
+	TickInterval time.Duration
 }
 
-// DefaultTick is the default interval at which the planner checks the view.
-const DefaultTick = 500 * time.Millisecond
+// DefaultTickInterval is the default interval at which the planner checks the view.
+const DefaultTickInterval = 500 * time.Millisecond
 
 // writeTimeout is the timeout of a write to the store, including the read that follows
 // a lost reply.
@@ -93,11 +93,11 @@
 
 // Intervals, queue sizes and timeouts of the planner.
 const (
-	// RoundTime is the interval between two planning rounds for a service.
-	// SoonTime is the shorter interval after a round that wrote splits or merges,
-	// since splits are usually followed by moves.
-	RoundTime = 5 * time.Second
-	SoonTime  = time.Second
+	// RoundInterval is the interval between two planning rounds for a service.
+	// FollowUpInterval is the shorter interval after a round that wrote splits or
+	// merges, since splits are usually followed by moves.
+	RoundInterval    = 5 * time.Second
+	FollowUpInterval = time.Second
 	// maxReports is the size of the queue of load reports.
 	maxReports = 256
 	// maxMoveRequests is the size of the queue of move requests, and moveWorkers
@@ -142,13 +142,13 @@
 	if err := checkConfig(config); err != nil {
 		return nil, nil, err
 	}
-	if config.Tick == 0 {
-		config.Tick = DefaultTick
+	if config.TickInterval == 0 {
+		config.TickInterval = DefaultTickInterval
 	}
 	p := &Planner{
 		config:       config,
 		view:         view,
-		writer:       &writer{store: store, newWriteID: config.Stamp, log: config.Log},
+		writer:       &writer{store: store, newWriteID: config.NewWriteID, log: config.Log},
 		mover:        mover,
 		reports:      mtring.New[queuedReport](maxReports),
 		moveRequests: mtring.New[moveRequest](maxMoveRequests),
@@ -158,7 +158,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var goroutines sync.WaitGroup
 	goroutines.Go(func() {
-		ticker := time.NewTicker(config.Tick)
+		ticker := time.NewTicker(config.TickInterval)
 		defer ticker.Stop()
 		for {
 			select {
@@ -192,8 +192,8 @@
 	switch {
 	case config.Self == nil:
 		return &ConfigError{Field: "Self"}
-	case config.Stamp == nil:
-		return &ConfigError{Field: "Stamp"}
+	case config.NewWriteID == nil:
+		return &ConfigError{Field: "NewWriteID"}
 	case config.Now == nil:
 		return &ConfigError{Field: "Now"}
 	case config.Log == nil:
--- a/io/mtplanner/mtplanner_test.go
+++ b/io/mtplanner/mtplanner_test.go
@@ -139,13 +139,13 @@
 	var sequence uint64
 	p, cleanUp, err := mtplanner.New(mtplanner.Config{
 		Self: func() mtid.Holder { return self },
-		Stamp: func() mtroster.WriteID {
+		NewWriteID: func() mtroster.WriteID {
 			sequence++
 			return mtroster.WriteID{Writer: self, Sequence: sequence}
 		},
-		Now:  (&clock{}).Now,
-		Log:  slog.New(slog.DiscardHandler),
-		Tick: time.Millisecond,
+		Now:          (&clock{}).Now,
+		Log:          slog.New(slog.DiscardHandler),
+		TickInterval: time.Millisecond,
 	}, f, f, f)
 	assert.NilError(t, err)
 	t.Cleanup(cleanUp)
@@ -383,7 +383,7 @@
 
 func (m meters) Meter(mtid.Ref) *mtload.Meter { return m.meter }
 
-// link implements Link for planners in the same process.
+// link implements ReportSender for planners in the same process.
 type link map[mtid.Daemon]*mtplanner.Planner
 
 func (l link) Report(ctx context.Context, to mtid.Holder, report *mtwire.LoadReport) (*mtwire.LoadReply, error) {
@@ -419,11 +419,11 @@
 			}
 		}
 		cleanUp, err := mtplanner.NewReporter(mtplanner.Config{
-			Self:  func() mtid.Holder { return self },
-			Stamp: func() mtroster.WriteID { return mtroster.WriteID{} },
-			Now:   c.Now,
-			Log:   slog.New(slog.DiscardHandler),
-			Tick:  time.Millisecond,
+			Self:         func() mtid.Holder { return self },
+			NewWriteID:   func() mtroster.WriteID { return mtroster.WriteID{} },
+			Now:          c.Now,
+			Log:          slog.New(slog.DiscardHandler),
+			TickInterval: time.Millisecond,
 		}, f, meters{meter}, planners, planners[self.Daemon])
 		assert.NilError(t, err)
 		t.Cleanup(cleanUp)
--- a/io/mtplanner/reporter.go
+++ b/io/mtplanner/reporter.go
@@ -20,8 +20,8 @@
 	Meter(ref mtid.Ref) *mtload.Meter
 }
 
-// Link sends load reports to other daemons.
-type Link interface {
+// ReportSender sends load reports to other daemons.
+type ReportSender interface {
 	// Report sends a report and returns the reply.
 	Report(ctx context.Context, to mtid.Holder, report *mtwire.LoadReport) (*mtwire.LoadReply, error)
 }
@@ -39,20 +39,20 @@
 	config     Config
 	view       View
 	meters     Meters
-	link       Link
+	sender     ReportSender
 	local      *Planner
 	schedulers map[mtid.Ref]*mtload.ReportScheduler
 }
 
 // NewReporter starts to report the load of this daemon's shards to the leader of each
-// service, through link or, if this daemon is the leader, directly to local. It
+// service, through sender or, if this daemon is the leader, directly to local. It
 // returns a function that stops this. It fails with a *ConfigError.
-func NewReporter(config Config, view View, meters Meters, link Link, local *Planner) (func(), error) {
+func NewReporter(config Config, view View, meters Meters, sender ReportSender, local *Planner) (func(), error) {
 	if err := checkConfig(config); err != nil {
 		return nil, err
 	}
-	r := &reporter{config: config, view: view, meters: meters, link: link, local: local, schedulers: make(map[mtid.Ref]*mtload.ReportScheduler)}
-	tick := config.Tick
+	r := &reporter{config: config, view: view, meters: meters, sender: sender, local: local, schedulers: make(map[mtid.Ref]*mtload.ReportScheduler)}
+	tick := config.TickInterval
 	if tick == 0 {
 		tick = measureInterval
 	}
@@ -113,7 +113,7 @@
 	if leader == self {
 		reply, err = r.local.Report(ctx, report.Wire())
 	} else {
-		reply, err = r.link.Report(ctx, leader, report.Wire())
+		reply, err = r.sender.Report(ctx, leader, report.Wire())
 	}
 	if err != nil {
 		r.config.Log.Debug("load report failed", "service", report.Service, "leader", leader, "error", err)
--- a/io/mtplanner/round.go
+++ b/io/mtplanner/round.go
@@ -44,18 +44,18 @@
 	if !ok {
 		return
 	}
-	state.nextRound = now.Add(RoundTime)
+	state.nextRound = now.Add(RoundInterval)
 	state.recordLosses(now, tables)
 	input := state.policyInput(now, ref, service, servers, tables)
 	plan := state.policy.Plan(now, input)
 	state.mean = input.Mean()
-	if p.config.Seen != nil {
-		p.config.Seen(ref, input)
+	if p.config.ObserveRound != nil {
+		p.config.ObserveRound(ref, input)
 	}
 	for _, table := range tables {
 		if ops := plan.Ops[table.Chunk]; len(ops) > 0 {
 			p.writer.write(ctx, table, ops...)
-			state.nextRound = now.Add(SoonTime)
+			state.nextRound = now.Add(FollowUpInterval)
 		}
 	}
 	for _, move := range plan.Moves {
--- a/io/mtpoison/losses.go
+++ b/io/mtpoison/losses.go
@@ -105,13 +105,13 @@
 // over from one of them. A daemon that relayed a request to the lost one may detect
 // the loss later than the new owner does, so the evidence that it sends by itself may
 // be late.
-func (w *Watch) awaitEvidence() {
-	w.checkRoster(w.View.Snapshot().Roster())
-	holders, round := w.losses.begin(w.Clock.Now())
+func (d *Detector) awaitEvidence() {
+	d.checkRoster(d.View.Snapshot().Roster())
+	holders, round := d.losses.begin(d.Clock.Now())
 	if len(holders) > 0 {
 		go func() {
-			defer w.losses.finish()
-			w.queryPeers(holders)
+			defer d.losses.finish()
+			d.queryPeers(holders)
 		}()
 	}
 	if round == nil {
@@ -126,7 +126,7 @@
 }
 
 // queryPeers queries all peers for the requests that were in flight at lost daemons.
-func (w *Watch) queryPeers(holders []mtid.Holder) {
+func (d *Detector) queryPeers(holders []mtid.Holder) {
 	ctx, cancel := context.WithTimeout(context.Background(), queryTimeout)
 	defer cancel()
 	lost := &mtwire.Lost{}
@@ -134,39 +134,39 @@
 		lost.Holders = append(lost.Holders, mtroster.HolderToWire(holder))
 	}
 	var queries sync.WaitGroup
-	for _, address := range w.peerAddresses(func(*mtroster.Record) bool { return true }) {
-		queries.Go(func() { w.queryPeer(ctx, address, lost) })
+	for _, address := range d.peerAddresses(func(*mtroster.Record) bool { return true }) {
+		queries.Go(func() { d.queryPeer(ctx, address, lost) })
 	}
 	queries.Wait()
 }
 
 // queryPeer queries one peer and merges its evidence.
-func (w *Watch) queryPeer(ctx context.Context, address string, lost *mtwire.Lost) {
-	conn, err := w.Conns.Conn(address)
+func (d *Detector) queryPeer(ctx context.Context, address string, lost *mtwire.Lost) {
+	conn, err := d.Conns.Conn(address)
 	if err != nil {
 		return
 	}
 	evidence, err := mtwire.NewSuspicionClient(conn).Ask(ctx, lost)
 	if err == nil {
-		err = w.merge(evidence)
+		err = d.merge(evidence)
 	}
 	if err != nil {
-		w.Count("ask.failed")
+		d.Count("ask.failed")
 	}
 }
 
 // merge adds evidence from another daemon to the table. It fails with a
 // *mtpoison.DecodeError.
-func (w *Watch) merge(evidence *mtwire.Evidence) error {
-	now := w.Clock.Now()
+func (d *Detector) merge(evidence *mtwire.Evidence) error {
+	now := d.Clock.Now()
 	digest, err := mtpoison.Read(now, evidence)
 	if err != nil {
 		return err
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.table.SetSelf(w.Self())
-	w.table.Merge(now, digest)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.table.SetSelf(d.Self())
+	d.table.Merge(now, digest)
 	return nil
 }
 
@@ -174,11 +174,11 @@
 // losses in the request are recorded first, since the roster in this daemon's view may
 // not show them yet.
 func (s server) Ask(_ context.Context, lost *mtwire.Lost) (*mtwire.Evidence, error) {
-	s.w.mu.Lock()
-	defer s.w.mu.Unlock()
-	now := s.w.Clock.Now()
+	s.d.mu.Lock()
+	defer s.d.mu.Unlock()
+	now := s.d.Clock.Now()
 	for _, holder := range lost.GetHolders() {
-		s.w.table.HolderLost(now, mtroster.HolderFromWire(holder))
+		s.d.table.HolderLost(now, mtroster.HolderFromWire(holder))
 	}
-	return mtpoison.Wire(now, s.w.table.Digest(now, digestLimit)), nil
+	return mtpoison.Wire(now, s.d.table.Digest(now, digestLimit)), nil
 }
--- a/io/mtpoison/mtpoison.go
+++ b/io/mtpoison/mtpoison.go
@@ -9,15 +9,15 @@
 //
 // # Usage
 //
-//	watch, cleanUp := mtpoison.New(config)
-//	watch.Register(grpcServer)
-//	verdict := watch.Judge(request)          // ingress and owner
-//	end := watch.Start(request, address)     // owner, before the request runs
+//	detector, cleanUp := mtpoison.New(config)
+//	detector.Register(grpcServer)
+//	verdict := detector.Judge(request)              // ingress and owner
+//	end := detector.TrackRun(request, address)      // owner, before the request runs
 //	defer func() { end(err) }()
-//	relayed := watch.Relay(request, holder)  // ingress, before the request is relayed
+//	relayed := detector.TrackRelay(request, holder) // ingress, before the request is relayed
 //	defer func() { relayed.End(err, answered) }()
 //
-// A Watch is safe for concurrent use.
+// A Detector is safe for concurrent use.
 package mtpoison
 
 import (
@@ -48,7 +48,7 @@
 	Conn(address string) (*grpc.ClientConn, error)
 }
 
-// Config holds the dependencies of a Watch.
+// Config holds the dependencies of a Detector.
 type Config struct {
 	// Self returns the current incarnation of this daemon.
 	Self  func() mtid.Holder
@@ -76,8 +76,8 @@
 	digestLimit = 200
 )
 
-// Watch detects requests that crash backend servers. See the package comment.
-type Watch struct {
+// Detector detects requests that crash backend servers. See the package comment.
+type Detector struct {
 	Config
 	mu       sync.Mutex // guards table, next, refusals
 	table    *mtpoison.Table[mtpoison.Narrow]
@@ -89,10 +89,10 @@
 	observer observerStream
 }
 
-// New starts to check for lost daemons and to gossip, and returns the Watch with a
+// New starts to check for lost daemons and to gossip, and returns the Detector with a
 // function that stops this.
-func New(config Config) (*Watch, func()) {
-	w := &Watch{
+func New(config Config) (*Detector, func()) {
+	d := &Detector{
 		Config:   config,
 		table:    mtpoison.New(mtpoison.Narrow{}, mtid.Holder{}, mtpoison.Limits{}),
 		refusals: make(refusals),
@@ -100,16 +100,16 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var loop sync.WaitGroup
-	loop.Go(func() { w.run(ctx) })
-	return w, func() {
+	loop.Go(func() { d.run(ctx) })
+	return d, func() {
 		cancel()
-		w.observer.close()
+		d.observer.close()
 		loop.Wait()
 	}
 }
 
 // run checks the roster and gossips until ctx is done.
-func (w *Watch) run(ctx context.Context) {
+func (d *Detector) run(ctx context.Context) {
 	roster := time.NewTicker(rosterInterval)
 	defer roster.Stop()
 	gossip := time.NewTicker(gossipInterval)
@@ -120,91 +120,91 @@
 		case <-ctx.Done():
 			return
 		case <-roster.C:
-			if now := w.View.Snapshot(); now != last {
-				w.checkRoster(now.Roster())
+			if now := d.View.Snapshot(); now != last {
+				d.checkRoster(now.Roster())
 				last = now
 			}
 		case <-gossip.C:
-			w.gossip()
+			d.gossip()
 		}
 	}
 }
 
 // checkRoster records the incarnations of daemons that have ended since the last call.
-func (w *Watch) checkRoster(roster []*mtroster.Record) {
-	for _, holder := range w.losses.detect(w.Clock.Now(), roster) {
-		w.holderLost(holder)
+func (d *Detector) checkRoster(roster []*mtroster.Record) {
+	for _, holder := range d.losses.detect(d.Clock.Now(), roster) {
+		d.holderLost(holder)
 	}
 }
 
 // holderLost records the loss of a daemon's incarnation. If this confirms a
 // quarantine, it is sent to all peers.
-func (w *Watch) holderLost(holder mtid.Holder) {
-	w.mu.Lock()
-	before := w.table.Counts().Quarantined
-	w.table.HolderLost(w.Clock.Now(), holder)
-	quarantined := w.table.Counts().Quarantined > before
-	w.mu.Unlock()
+func (d *Detector) holderLost(holder mtid.Holder) {
+	d.mu.Lock()
+	before := d.table.Counts().Quarantined
+	d.table.HolderLost(d.Clock.Now(), holder)
+	quarantined := d.table.Counts().Quarantined > before
+	d.mu.Unlock()
 	if quarantined {
-		w.Count("quarantined")
-		w.Log.Error("request quarantined: it ran alone when its owner was lost", "holder", holder.String())
-		w.sendEvidence(w.peerAddresses(func(*mtroster.Record) bool { return true }))
+		d.Count("quarantined")
+		d.Log.Error("request quarantined: it ran alone when its owner was lost", "holder", holder.String())
+		d.sendEvidence(d.peerAddresses(func(*mtroster.Record) bool { return true }))
 	}
 }
 
 // Judge returns the verdict on a request. It is called at the ingress and again at the
 // owner. If the key was recently taken over from a lost daemon, it first queries the
 // peers, for at most queryTimeout.
-func (w *Watch) Judge(r *mtrequest.Request) mtpoison.Verdict {
+func (d *Detector) Judge(r *mtrequest.Request) mtpoison.Verdict {
 	if r.RecentTakeover {
-		w.awaitEvidence()
+		d.awaitEvidence()
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, holder := range w.table.PendingHolders() {
-		if !w.isLive(holder) {
-			w.table.HolderLost(w.Clock.Now(), holder)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, holder := range d.table.PendingHolders() {
+		if !d.isLive(holder) {
+			d.table.HolderLost(d.Clock.Now(), holder)
 		}
 	}
-	verdict := w.table.Judge(w.Clock.Now(), mtpoison.Fingerprint(r.Fingerprint()), r.Suspect)
+	verdict := d.table.Judge(d.Clock.Now(), mtpoison.Fingerprint(r.Fingerprint()), r.Suspect)
 	if verdict == mtpoison.Quarantined {
-		w.refusals.add(w.Clock.Now(), r.Service, mtpoison.Fingerprint(r.Fingerprint()))
+		d.refusals.add(d.Clock.Now(), r.Service, mtpoison.Fingerprint(r.Fingerprint()))
 	}
 	return verdict
 }
 
 // isLive reports whether a holder is in the roster and may hold a lease.
-func (w *Watch) isLive(holder mtid.Holder) bool {
-	record, _, ok := w.View.Snapshot().Record(holder.Daemon)
+func (d *Detector) isLive(holder mtid.Holder) bool {
+	record, _, ok := d.View.Snapshot().Record(holder.Daemon)
 	return ok && record.Holder == holder && record.MayHoldLease()
 }
 
-// Start records that a request is sent to the backend server at that address. The
+// TrackRun records that a request is sent to the backend server at that address. The
 // caller must call the returned function with the result before it answers the
 // request.
 //
 // If a request arrived at its owner directly, no other daemon would have evidence of
 // it if the whole VM were lost. If it is a suspect or its key was recently taken
 // over, it is therefore reported to an observer first.
-func (w *Watch) Start(r *mtrequest.Request, address string) func(error) {
+func (d *Detector) TrackRun(r *mtrequest.Request, address string) func(error) {
 	ended := func(error) {}
-	if r.Ingress == w.Self() && (r.RecentTakeover || r.Suspect) {
-		ended = w.observe(r)
+	if r.Ingress == d.Self() && (r.RecentTakeover || r.Suspect) {
+		ended = d.observe(r)
 	}
-	id := w.started(r)
+	id := d.started(r)
 	return func(err error) {
 		ended(err)
-		w.ended(id, r.Service, address, err)
+		d.ended(id, r.Service, address, err)
 	}
 }
 
 // started records that the request is sent, and notifies the ingress if it is a
 // suspect.
-func (w *Watch) started(r *mtrequest.Request) mtpoison.FlightID {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	id := w.nextID()
-	w.table.Started(id, mtpoison.Fingerprint(r.Fingerprint()), r.Suspect)
+func (d *Detector) started(r *mtrequest.Request) mtpoison.FlightID {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	id := d.nextID()
+	d.table.Started(id, mtpoison.Fingerprint(r.Fingerprint()), r.Suspect)
 	if r.Suspect && r.OnBegun != nil {
 		r.OnBegun()
 	}
@@ -212,37 +212,37 @@
 }
 
 // nextID returns a new identifier of a request in flight. The caller must hold mu.
-func (w *Watch) nextID() mtpoison.FlightID {
-	w.next++
-	return w.next
+func (d *Detector) nextID() mtpoison.FlightID {
+	d.next++
+	return d.next
 }
 
 // ended records how a run ended. If its connection broke, the server may have crashed.
 // It counts as crashed if it does not accept a new connection either.
-func (w *Watch) ended(id mtpoison.FlightID, service mtid.Ref, address string, err error) {
-	w.mu.Lock()
-	crashPossible := w.table.Ended(w.Clock.Now(), id, classifyResult(err))
-	w.mu.Unlock()
+func (d *Detector) ended(id mtpoison.FlightID, service mtid.Ref, address string, err error) {
+	d.mu.Lock()
+	crashPossible := d.table.Ended(d.Clock.Now(), id, classifyResult(err))
+	d.mu.Unlock()
 	if !crashPossible || acceptsConnection(address) {
 		return
 	}
-	w.mu.Lock()
-	if !w.table.Unattributed(id) {
-		w.mu.Unlock()
+	d.mu.Lock()
+	if !d.table.Unattributed(id) {
+		d.mu.Unlock()
 		return
 	}
-	w.table.SetSelf(w.Self())
-	before := w.table.Counts().Quarantined
-	w.table.ServerLost(w.Clock.Now())
-	quarantined := w.table.Counts().Quarantined > before
-	w.mu.Unlock()
-	w.Count("crashes")
-	w.Log.Error("backend server crashed", "service", service.String(), "address", address)
+	d.table.SetSelf(d.Self())
+	before := d.table.Counts().Quarantined
+	d.table.ServerLost(d.Clock.Now())
+	quarantined := d.table.Counts().Quarantined > before
+	d.mu.Unlock()
+	d.Count("crashes")
+	d.Log.Error("backend server crashed", "service", service.String(), "address", address)
 	if quarantined {
-		w.Count("quarantined")
-		w.Log.Error("request quarantined: it ran alone when its server crashed", "service", service.String())
+		d.Count("quarantined")
+		d.Log.Error("request quarantined: it ran alone when its server crashed", "service", service.String())
 	}
-	w.sendEvidence(w.serviceAddresses(service))
+	d.sendEvidence(d.serviceAddresses(service))
 }
 
 // acceptsConnection reports whether a backend server accepts a connection.
@@ -271,59 +271,59 @@
 	return mtpoison.Abandoned
 }
 
-// Relayed tracks a request that was relayed to another daemon.
-type Relayed struct {
-	watch   *Watch
-	id      mtpoison.FlightID
-	service mtid.Ref
+// RelayTracker tracks a request that was relayed to another daemon.
+type RelayTracker struct {
+	detector *Detector
+	id       mtpoison.FlightID
+	service  mtid.Ref
 }
 
-// Relay records that a request is sent to the daemon of its owner.
-func (w *Watch) Relay(r *mtrequest.Request, to mtid.Holder) *Relayed {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	id := w.nextID()
-	w.table.Relayed(id, to, mtpoison.Fingerprint(r.Fingerprint()))
-	return &Relayed{watch: w, id: id, service: r.Service}
+// TrackRelay records that a request is sent to the daemon of its owner.
+func (d *Detector) TrackRelay(r *mtrequest.Request, to mtid.Holder) *RelayTracker {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	id := d.nextID()
+	d.table.Relayed(id, to, mtpoison.Fingerprint(r.Fingerprint()))
+	return &RelayTracker{detector: d, id: id, service: r.Service}
 }
 
-// Begun records that the owner has started to run the request alone.
-func (r *Relayed) Begun() {
-	r.watch.mu.Lock()
-	defer r.watch.mu.Unlock()
-	r.watch.table.StartedAlone(r.id)
+// StartedAlone records that the owner has started to run the request alone.
+func (r *RelayTracker) StartedAlone() {
+	r.detector.mu.Lock()
+	defer r.detector.mu.Unlock()
+	r.detector.table.StartedAlone(r.id)
 }
 
 // End records how the relay ended. err is nil if the owner's daemon replied, and
 // answered is set if the reply is the backend server's answer. End must be called
 // before the caller gets its answer. If the connection broke, End returns after
 // evidence has been sent to the daemons of the service or sendTimeout has passed.
-func (r *Relayed) End(err error, answered bool) {
-	w := r.watch
-	now := w.Clock.Now()
-	w.mu.Lock()
+func (r *RelayTracker) End(err error, answered bool) {
+	d := r.detector
+	now := d.Clock.Now()
+	d.mu.Lock()
 	lost := false
 	switch classifyResult(err) {
 	case mtpoison.Answered:
-		w.table.Returned(now, r.id, answered)
+		d.table.Returned(now, r.id, answered)
 	case mtpoison.NotRun:
-		w.table.Returned(now, r.id, false)
+		d.table.Returned(now, r.id, false)
 	case mtpoison.Broken:
-		w.table.RelayLost(now, r.id)
+		d.table.RelayLost(now, r.id)
 		lost = true
 	default:
-		w.table.GivenUp(now, r.id)
+		d.table.GivenUp(now, r.id)
 	}
-	w.mu.Unlock()
+	d.mu.Unlock()
 	if lost {
-		w.Count("relays.lost")
-		w.sendEvidence(w.serviceAddresses(r.service))
+		d.Count("relays.lost")
+		d.sendEvidence(d.serviceAddresses(r.service))
 	}
 }
 
 // serviceAddresses returns the relay addresses of the live peers that offer a service.
-func (w *Watch) serviceAddresses(service mtid.Ref) []string {
-	return w.peerAddresses(func(record *mtroster.Record) bool {
+func (d *Detector) serviceAddresses(service mtid.Ref) []string {
+	return d.peerAddresses(func(record *mtroster.Record) bool {
 		_, ok := record.Offer(service)
 		return ok
 	})
@@ -331,10 +331,10 @@
 
 // peerAddresses returns the relay addresses of the other live daemons for which
 // include is true.
-func (w *Watch) peerAddresses(include func(*mtroster.Record) bool) []string {
-	self := w.Self()
+func (d *Detector) peerAddresses(include func(*mtroster.Record) bool) []string {
+	self := d.Self()
 	var out []string
-	for _, record := range w.View.Snapshot().Roster() {
+	for _, record := range d.View.Snapshot().Roster() {
 		if record.MayHoldLease() && record.Holder != self && include(record) {
 			out = append(out, record.RelayAddress)
 		}
@@ -344,11 +344,11 @@
 
 // sendEvidence sends a digest of the evidence to daemons, and returns when all have
 // received it or sendTimeout has passed.
-func (w *Watch) sendEvidence(addresses []string) {
-	w.mu.Lock()
-	now := w.Clock.Now()
-	evidence := mtpoison.Wire(now, w.table.Digest(now, digestLimit))
-	w.mu.Unlock()
+func (d *Detector) sendEvidence(addresses []string) {
+	d.mu.Lock()
+	now := d.Clock.Now()
+	evidence := mtpoison.Wire(now, d.table.Digest(now, digestLimit))
+	d.mu.Unlock()
 	if len(evidence.GetCrashes())+len(evidence.GetQuarantines()) == 0 {
 		return
 	}
@@ -356,59 +356,59 @@
 	defer cancel()
 	var sends sync.WaitGroup
 	for _, address := range addresses {
-		sends.Go(func() { w.sendEvidenceTo(ctx, address, evidence) })
+		sends.Go(func() { d.sendEvidenceTo(ctx, address, evidence) })
 	}
 	sends.Wait()
 }
 
 // sendEvidenceTo sends evidence to one daemon.
-func (w *Watch) sendEvidenceTo(ctx context.Context, address string, evidence *mtwire.Evidence) {
-	conn, err := w.Conns.Conn(address)
+func (d *Detector) sendEvidenceTo(ctx context.Context, address string, evidence *mtwire.Evidence) {
+	conn, err := d.Conns.Conn(address)
 	if err == nil {
 		_, err = mtwire.NewSuspicionClient(conn).Tell(ctx, evidence)
 	}
 	if err != nil {
 		// Gossip repeats it; a daemon that was lost does not need it.
-		w.Count("tell.failed")
-		w.Log.Debug("cannot send evidence", "address", address, "error", err)
+		d.Count("tell.failed")
+		d.Log.Debug("cannot send evidence", "address", address, "error", err)
 	}
 }
 
 // gossip removes expired evidence and sends the rest to a random peer.
-func (w *Watch) gossip() {
-	w.mu.Lock()
-	w.table.Expire(w.Clock.Now())
-	w.mu.Unlock()
-	peers := w.peerAddresses(func(*mtroster.Record) bool { return true })
+func (d *Detector) gossip() {
+	d.mu.Lock()
+	d.table.Expire(d.Clock.Now())
+	d.mu.Unlock()
+	peers := d.peerAddresses(func(*mtroster.Record) bool { return true })
 	if len(peers) > 0 {
-		w.sendEvidence([]string{peers[rand.IntN(len(peers))]})
+		d.sendEvidence([]string{peers[rand.IntN(len(peers))]})
 	}
 }
 
 // server implements mtwire.SuspicionServer.
 type server struct {
 	mtwire.UnimplementedSuspicionServer
-	w *Watch
+	d *Detector
 }
 
 // Register registers the handlers of evidence and queries from other daemons with a
 // gRPC server.
-func (w *Watch) Register(r grpc.ServiceRegistrar) {
-	mtwire.RegisterSuspicionServer(r, server{w: w})
+func (d *Detector) Register(r grpc.ServiceRegistrar) {
+	mtwire.RegisterSuspicionServer(r, server{d: d})
 }
 
 // Tell implements mtwire.SuspicionServer. It merges evidence that another daemon
 // sends.
 func (s server) Tell(_ context.Context, evidence *mtwire.Evidence) (*mtwire.Told, error) {
-	if err := s.w.merge(evidence); err != nil {
+	if err := s.d.merge(evidence); err != nil {
 		return nil, err
 	}
 	return &mtwire.Told{}, nil
 }
 
 // Counts returns the numbers of entries in the evidence table, for metrics.
-func (w *Watch) Counts() mtpoison.Counts {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.table.Counts()
+func (d *Detector) Counts() mtpoison.Counts {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.table.Counts()
 }
--- a/io/mtpoison/mtpoison_test.go
+++ b/io/mtpoison/mtpoison_test.go
@@ -34,9 +34,9 @@
 	return grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()))
 }
 
-// daemon is a Watch with its own view and gRPC server.
+// daemon is a Detector with its own view and gRPC server.
 type daemon struct {
-	*iopoison.Watch
+	*iopoison.Detector
 	name    string
 	address string
 	view    *mtview.View
@@ -52,12 +52,12 @@
 	var daemons []*daemon
 	for _, name := range names {
 		d := &daemon{name: name, view: mtview.New()}
-		watch, cleanUp := iopoison.New(iopoison.Config{
+		detector, cleanUp := iopoison.New(iopoison.Config{
 			Self: func() mtid.Holder { return holder(name) }, View: d.view, Conns: conns{},
 			Clock: &clock{}, Log: slog.New(slog.DiscardHandler), Count: func(string) {},
 		})
 		t.Cleanup(cleanUp)
-		d.Watch = watch
+		d.Detector = detector
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
 		d.address = listener.Addr().String()
@@ -138,7 +138,7 @@
 			}
 			d := fleet(t, "a")[0]
 			r := request("room-1")
-			d.Start(r, address)(tt.err)
+			d.TrackRun(r, address)(tt.err)
 			got := d.Judge(r)
 			assert.Equal(t, got, tt.want, "got %s, want %s", got, tt.want)
 		})
@@ -150,7 +150,7 @@
 // send it again through any of them.
 func TestEvidenceReachesPeersBeforeCallerIsAnswered(t *testing.T) {
 	daemons := fleet(t, "a", "b", "c")
-	daemons[0].Start(request("room-1"), closedAddress(t))(broken)
+	daemons[0].TrackRun(request("room-1"), closedAddress(t))(broken)
 	for _, d := range daemons {
 		assert.Equal(t, d.Judge(request("room-1")), mtpoison.Suspect, "at %s", d.name)
 		assert.Equal(t, d.Judge(request("room-2")), mtpoison.Clear, "at %s", d.name)
@@ -162,7 +162,7 @@
 func TestCrashWithSeveralRequestsCountsOnce(t *testing.T) {
 	d := fleet(t, "a")[0]
 	address := closedAddress(t)
-	first, second := d.Start(request("room-1"), address), d.Start(request("room-2"), address)
+	first, second := d.TrackRun(request("room-1"), address), d.TrackRun(request("room-2"), address)
 	first(broken)
 	second(broken)
 	assert.Equal(t, d.Counts().Crashes, 1)
@@ -175,8 +175,8 @@
 func TestLossOfVMConfirmsQuarantine(t *testing.T) {
 	daemons := fleet(t, "ingress", "b", "c")
 	ingress, other := daemons[0], daemons[1]
-	relayed := ingress.Relay(request("room-1"), holder("c"))
-	relayed.Begun()
+	relayed := ingress.TrackRelay(request("room-1"), holder("c"))
+	relayed.StartedAlone()
 	relayed.End(broken, false)
 	assert.Equal(t, other.Judge(request("room-1")), mtpoison.Suspect)
 	other.put(t, 2, 9, &mtroster.Record{Holder: holder("c"), RelayAddress: daemons[2].address, RevokedBelow: 2})
--- a/io/mtpoison/observer.go
+++ b/io/mtpoison/observer.go
@@ -32,21 +32,21 @@
 
 // observe reports the start of a request to the observer, waits for its confirmation,
 // and returns a function that reports the end of the request.
-func (w *Watch) observe(r *mtrequest.Request) func(error) {
-	address := w.observerAddress()
+func (d *Detector) observe(r *mtrequest.Request) func(error) {
+	address := d.observerAddress()
 	if address == "" {
 		return func(error) {}
 	}
 	flight := &mtwire.Flight{
-		Holder:   mtroster.HolderToWire(w.Self()),
+		Holder:   mtroster.HolderToWire(d.Self()),
 		Print:    r.Fingerprint(),
 		Business: string(r.Service.Business),
 		Service:  string(r.Service.Service),
 		Alone:    r.Suspect,
 	}
-	confirmed, ok := w.observer.begin(w.Conns, address, flight)
+	confirmed, ok := d.observer.begin(d.Conns, address, flight)
 	if !ok {
-		w.Count("attend.failed")
+		d.Count("attend.failed")
 		return func(error) {}
 	}
 	timer := time.NewTimer(observeTimeout)
@@ -54,19 +54,19 @@
 	select {
 	case <-confirmed:
 	case <-timer.C:
-		w.Count("attend.failed")
+		d.Count("attend.failed")
 	}
-	return func(err error) { w.observer.end(flight.GetNumber(), classifyResult(err)) }
+	return func(err error) { d.observer.end(flight.GetNumber(), classifyResult(err)) }
 }
 
 // observerAddress returns the relay address of the observer, or "" if there is no
 // peer. It is chosen by rendezvous hashing, so that it changes only if it is lost or
 // a new daemon ranks higher.
-func (w *Watch) observerAddress() string {
-	self := w.Self()
+func (d *Detector) observerAddress() string {
+	self := d.Self()
 	var best *mtroster.Record
 	var bestRank uint64
-	for _, record := range w.View.Snapshot().Roster() {
+	for _, record := range d.View.Snapshot().Roster() {
 		if !record.MayHoldLease() || record.Holder.Daemon == self.Daemon {
 			continue
 		}
@@ -175,7 +175,7 @@
 	o.address, o.stream, o.cancel, o.confirmed = "", nil, nil, nil
 }
 
-// close closes the stream when the Watch is stopped.
+// close closes the stream when the Detector is stopped.
 func (o *observerStream) close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -187,13 +187,13 @@
 const maxObserved = 4096
 
 // observedRuns holds the requests in flight that were reported on a stream, by number.
-type observedRuns map[uint64]*Relayed
+type observedRuns map[uint64]*RelayTracker
 
 // Attend implements mtwire.SuspicionServer. It makes this daemon the observer of the
 // sender.
 func (s server) Attend(stream grpc.BidiStreamingServer[mtwire.Flight, mtwire.Attended]) error {
 	open := make(observedRuns)
-	defer func() { s.w.streamLost(open) }()
+	defer func() { s.d.streamLost(open) }()
 	for {
 		flight, err := stream.Recv()
 		if err != nil {
@@ -207,7 +207,7 @@
 			continue
 		}
 		if len(open) < maxObserved {
-			open[flight.GetNumber()] = s.w.recordStart(flight)
+			open[flight.GetNumber()] = s.d.recordStart(flight)
 		}
 		if err := stream.Send(&mtwire.Attended{Number: flight.GetNumber()}); err != nil {
 			return err
@@ -216,46 +216,46 @@
 }
 
 // recordStart records a request that is about to run at another daemon.
-func (w *Watch) recordStart(flight *mtwire.Flight) *Relayed {
+func (d *Detector) recordStart(flight *mtwire.Flight) *RelayTracker {
 	ref := mtid.Ref{Business: mtid.Business(flight.GetBusiness()), Service: mtid.Service(flight.GetService())}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	id := w.nextID()
-	w.table.Relayed(id, mtroster.HolderFromWire(flight.GetHolder()), mtpoison.Fingerprint(flight.GetPrint()))
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	id := d.nextID()
+	d.table.Relayed(id, mtroster.HolderFromWire(flight.GetHolder()), mtpoison.Fingerprint(flight.GetPrint()))
 	if flight.GetAlone() {
-		w.table.StartedAlone(id)
+		d.table.StartedAlone(id)
 	}
-	return &Relayed{watch: w, id: id, service: ref}
+	return &RelayTracker{detector: d, id: id, service: ref}
 }
 
 // recordEnd records how a request ended at its owner.
-func (r *Relayed) recordEnd(flight *mtwire.Flight) {
-	now := r.watch.Clock.Now()
-	r.watch.mu.Lock()
-	defer r.watch.mu.Unlock()
+func (r *RelayTracker) recordEnd(flight *mtwire.Flight) {
+	now := r.detector.Clock.Now()
+	r.detector.mu.Lock()
+	defer r.detector.mu.Unlock()
 	if flight.GetLeft() {
-		r.watch.table.GivenUp(now, r.id)
+		r.detector.table.GivenUp(now, r.id)
 		return
 	}
-	r.watch.table.Returned(now, r.id, flight.GetWhole())
+	r.detector.table.Returned(now, r.id, flight.GetWhole())
 }
 
 // streamLost records the end of a stream. The requests that were reported on it and
 // have not ended are treated like relays whose connection broke, and evidence of them
 // is sent to the daemons of their services.
-func (w *Watch) streamLost(open observedRuns) {
+func (d *Detector) streamLost(open observedRuns) {
 	if len(open) == 0 {
 		return
 	}
 	services := make(map[mtid.Ref]bool)
-	w.mu.Lock()
+	d.mu.Lock()
 	for _, relayed := range open {
-		w.table.RelayLost(w.Clock.Now(), relayed.id)
+		d.table.RelayLost(d.Clock.Now(), relayed.id)
 		services[relayed.service] = true
 	}
-	w.mu.Unlock()
-	w.Count("relays.lost")
+	d.mu.Unlock()
+	d.Count("relays.lost")
 	for service := range services {
-		w.sendEvidence(w.serviceAddresses(service))
+		d.sendEvidence(d.serviceAddresses(service))
 	}
 }
--- a/io/mtpoison/refusals.go
+++ b/io/mtpoison/refusals.go
@@ -12,20 +12,20 @@
 // maxRefusals is the maximum number of fingerprints that are listed for operators.
 const maxRefusals = mtpoison.DefaultQuarantined
 
-// Refused is a quarantined request that this daemon refused at least once. Quarantined
+// Refusal is a quarantined request that this daemon refused at least once. Quarantined
 // fingerprints that were not requested here are not listed, since the service of a
 // request can't be determined from its fingerprint.
-type Refused struct {
-	Service mtid.Ref
-	Print   mtpoison.Fingerprint
-	Times   int
-	Last    mtclock.Instant
+type Refusal struct {
+	Service       mtid.Ref
+	Fingerprint   mtpoison.Fingerprint
+	Count         int
+	LastRefusedAt mtclock.Instant
 	// Until is when the quarantine ends unless the request is sent again.
 	Until mtclock.Instant
 }
 
-// refusals holds the refused requests by fingerprint. Watch.mu guards it.
-type refusals map[mtpoison.Fingerprint]Refused
+// refusals holds the refused requests by fingerprint. Detector.mu guards it.
+type refusals map[mtpoison.Fingerprint]Refusal
 
 // add counts a refusal. If the list is full of unexpired entries, a new fingerprint is
 // not listed.
@@ -37,8 +37,8 @@
 	if !ok && len(r) >= maxRefusals {
 		return
 	}
-	refused.Service, refused.Print, refused.Last = service, p, now
-	refused.Times++
+	refused.Service, refused.Fingerprint, refused.LastRefusedAt = service, p, now
+	refused.Count++
 	refused.Until = now.Add(mtpoison.DefaultQuarantine)
 	r[p] = refused
 }
@@ -52,16 +52,16 @@
 	}
 }
 
-// Refused returns the requests that this daemon refused and that are still in
+// Refusals returns the requests that this daemon refused and that are still in
 // quarantine, sorted by fingerprint.
-func (w *Watch) Refused() []Refused {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.refusals.expire(w.Clock.Now())
-	out := make([]Refused, 0, len(w.refusals))
-	for _, refused := range w.refusals {
+func (d *Detector) Refusals() []Refusal {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.refusals.expire(d.Clock.Now())
+	out := make([]Refusal, 0, len(d.refusals))
+	for _, refused := range d.refusals {
 		out = append(out, refused)
 	}
-	slices.SortFunc(out, func(a, b Refused) int { return cmp.Compare(a.Print, b.Print) })
+	slices.SortFunc(out, func(a, b Refusal) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
 	return out
 }
--- a/io/mtrouter/mtrouter.go
+++ b/io/mtrouter/mtrouter.go
@@ -54,7 +54,7 @@
 	Clock clock
 	Retry mtretry.Policy // used under the router's lock
 	// Poison knows the requests that crash backend servers.
-	Poison *iopoison.Watch
+	Poison *iopoison.Detector
 	// Hint is told of peers that know more of the live state.
 	Hint func(address string, frontier mtid.Revision)
 	// Count adds one to a counter of the router.
@@ -254,8 +254,8 @@
 	if left <= 0 {
 		return &mtrequest.Reply{Outcome: mtreply.NotRun, Cause: mtreply.CauseExpired, RetryAfter: -1}
 	}
-	relayed := r.Poison.Relay(q, target)
-	q.OnBegun = relayed.Begun
+	relayed := r.Poison.TrackRelay(q, target)
+	q.OnBegun = relayed.StartedAlone
 	reply, err := r.Peers.Relay(ctx, record.RelayAddress, q, r.View.Snapshot().Frontier(), left)
 	relayed.End(err, err == nil && reply.Outcome == mtreply.Answered)
 	if err != nil {
