--- a/io/mtdirectory/foreign_test.go
+++ b/io/mtdirectory/foreign_test.go
@@ -14,8 +14,8 @@
 	"magnoliaturn/io/mtstandin"
 )
 
-// foreignRecords are what no daemon writes under its own name.
-func foreignRecords(t *testing.T) map[string]string {
+// invalidRecords returns values that no daemon writes under its own name.
+func invalidRecords(t *testing.T) map[string]string {
 	t.Helper()
 	value, err := record("b").Encode()
 	assert.NilError(t, err)
@@ -29,51 +29,51 @@
 		return string(text)
 	}
 	return map[string]string{
-		"no bytes":                 "",
-		"bytes that can't be read": "\x00\xff{",
-		"no object":                `["b"]`,
-		"nothing":                  `{}`,
-		"no daemon":                without("daemon"),
-		"no address":               without("address"),
-		"no service":               without("service"),
-		"no server":                without("server"),
-		"no state":                 without("state"),
-		"no slots":                 without("slots"),
-		"unknown state":            strings.Replace(good, `"ready"`, `"resting"`, 1),
-		"state of another type":    strings.Replace(good, `"ready"`, `7`, 1),
-		"another daemon's":         strings.Replace(good, `"daemon":"b"`, `"daemon":"c"`, 1),
-		"a megabyte of nonsense":   strings.Repeat("x", 1<<20),
+		"empty value":            "",
+		"undecodable bytes":      "\x00\xff{",
+		"not an object":          `["b"]`,
+		"nothing":                `{}`,
+		"no daemon":              without("daemon"),
+		"no address":             without("address"),
+		"no service":             without("service"),
+		"no server":              without("server"),
+		"no state":               without("state"),
+		"no slots":               without("slots"),
+		"unknown state":          strings.Replace(good, `"ready"`, `"resting"`, 1),
+		"state of another type":  strings.Replace(good, `"ready"`, `7`, 1),
+		"name of another daemon": strings.Replace(good, `"daemon":"b"`, `"daemon":"c"`, 1),
+		"megabyte of garbage":    strings.Repeat("x", 1<<20),
 	}
 }
 
-// Somebody writes over the record of a daemon that lives. The others go by what they
-// knew, and the daemon writes its record again.
-func TestAForeignRecordChangesNothing(t *testing.T) {
-	for name, text := range foreignRecords(t) {
+// Another program overwrites the record of a running daemon. Other daemons must keep
+// using the last valid record, and the daemon must write its record again.
+func TestInvalidRecordIsIgnored(t *testing.T) {
+	for name, text := range invalidRecords(t) {
 		t.Run(name, func(t *testing.T) {
 			store := mtstandin.NewRevisions(time.Now)
 			a, b := start(t, store, "a"), start(t, store, "b")
 			b.Publish(record("b"))
-			until(t, "a knows b", func() bool { return seen(a, "b", false) })
+			waitFor(t, "a knows the record of b", func() bool { return knowsRecord(a, "b", false) })
 			before := a.Now().Members["b"]
 			store.Put(mtstore.BackendName("b"), []byte(text))
-			until(t, "b's record stands again", func() bool { return a.Now().Members["b"].Version > before.Version })
+			waitFor(t, "b's record is valid again", func() bool { return a.Now().Members["b"].Version > before.Version })
 			assert.DeepEqual(t, a.Now().Members["b"].Record, before.Record)
 		})
 	}
 }
 
-// The same while the daemon can't be reached, seen by one that has just started:
-// it knows no server there, and takes nothing for ended.
-func TestAForeignRecordNamesNoServer(t *testing.T) {
-	for name, text := range foreignRecords(t) {
+// The entry of a daemon that is not running is invalid. A daemon that has just started
+// must know no server of that daemon, and must not consider any server terminated.
+func TestInvalidRecordIdentifiesNoServer(t *testing.T) {
+	for name, text := range invalidRecords(t) {
 		t.Run(name, func(t *testing.T) {
 			store := mtstandin.NewRevisions(time.Now)
 			store.Put(mtstore.BackendName("b"), []byte(text))
 			store.Put(mtstore.BackendPrefix, []byte("no name at all"))
 			store.Put(mtstore.RangePrefix+"maps", []byte("no assignment"))
 			a := start(t, store, "a")
-			until(t, "a has read all", func() bool { return a.Now().Revision != 0 })
+			waitFor(t, "a has read everything", func() bool { return a.Now().Revision != 0 })
 			view := a.Now()
 			assert.Equal(t, len(view.Members), 0)
 			assert.Equal(t, len(view.Assignments), 0)
--- a/io/mtdirectory/member.go
+++ b/io/mtdirectory/member.go
@@ -12,31 +12,32 @@
 	"magnoliaturn/io/mtwatch"
 )
 
-// Member is a record with what is known of its lease.
+// Member is the record of a daemon and the state of its lease.
 type Member struct {
 	mtbackend.Record
 	Version mtid.Version
-	// Lapsed says that the record is gone from the store, since when by the
-	// steady clock of this daemon at the latest.
+	// Lapsed reports that the record is no longer in the store. Since is the latest
+	// time at which it can have disappeared, by the steady clock of this daemon.
 	Lapsed bool
 	Since  mtclock.Instant
-	// gone is the store's revision at which the record was last known to be gone.
-	gone mtid.Revision
+	// deletedAt is the store revision at which the record was last known to be absent.
+	deletedAt mtid.Revision
 }
 
-// lapse returns the member with its record gone at a revision, heard of now. One that was
-// known as gone at an earlier revision has been back: its daemon may have ordered grants
-// until just now. Counted from its first end, its keys were taken while the last of
-// those was in force.
-func (m Member) lapse(now mtclock.Instant, revision mtid.Revision) Member {
-	m.Lapsed, m.Since, m.gone = true, now, revision
+// markExpired returns the member with its record deleted at a revision, reported now.
+// If the record was already known to be absent at an earlier revision, it has been
+// present in between, and its daemon may have ordered grants until just now. When the
+// time was counted from the first deletion, keys were taken over while the last of
+// those grants was in force.
+func (m Member) markExpired(now mtclock.Instant, revision mtid.Revision) Member {
+	m.Lapsed, m.Since, m.deletedAt = true, now, revision
 	return m
 }
 
-// missing returns the deletions that a whole reading shows: what was known and is no
-// longer there, and records that are gone still. Those may have been back in between.
-// It is called with mu held.
-func (d *Directory) missing(u mtwatch.Update, v *View) []mtstore.Entry {
+// deletedEntries returns the deletions that a full read reveals: known entries that no
+// longer exist, and records that are still absent, because those may have been present
+// in between. It is called with mu held.
+func (d *Directory) deletedEntries(u mtwatch.Update, v *View) []mtstore.Entry {
 	if !u.Whole || u.Changes.Revision <= v.Revision {
 		return nil
 	}
@@ -44,68 +45,69 @@
 	for _, e := range u.Changes.Entries {
 		present[e.Name] = true
 	}
-	var gone []mtstore.Entry
+	var deleted []mtstore.Entry
 	for name, e := range d.entries {
 		if e.Revision > u.Changes.Revision {
-			continue // heard of since the reading began
+			continue // received after the read began
 		}
 		if present[name] || e.Version == 0 && !strings.HasPrefix(name, mtstore.BackendPrefix) {
 			continue
 		}
 		e = mtstore.Entry{Name: name, Revision: u.Changes.Revision}
 		d.entries[name] = e
-		gone = append(gone, e)
+		deleted = append(deleted, e)
 	}
-	return gone
+	return deleted
 }
 
-// rolled makes Members, Foreign and Out those of a view that is being made, before the first
-// change of them: until then they are shared with the view before.
-func (d *Directory) rolled(v *View) {
+// copyMembersOnce prepares a new view for the first change of Members, Foreign or Out.
+// It copies the maps, which the view shares with its predecessor until then, and
+// increments Roll.
+func (d *Directory) copyMembersOnce(v *View) {
 	if old := d.view.Load(); v.Roll == old.Roll {
 		v.Members, v.Foreign = maps.Clone(old.Members), maps.Clone(old.Foreign)
 		v.Roll++
 	}
 }
 
-// takeMember takes in the record of a daemon, or its end.
-func (d *Directory) takeMember(v *View, now mtclock.Instant, e mtstore.Entry) {
-	d.rolled(v)
+// applyRecordEntry applies a written or deleted record of a daemon.
+func (d *Directory) applyRecordEntry(v *View, now mtclock.Instant, e mtstore.Entry) {
+	d.copyMembersOnce(v)
 	name := mtid.Daemon(strings.TrimPrefix(e.Name, mtstore.BackendPrefix))
 	delete(v.Foreign, name)
 	if e.Version == 0 {
-		// One that was never seen is noted too. It may have stood between a reading of
-		// everything and now, while this daemon heard nothing: its daemon ordered
-		// grants until then, and whoever counts from the reading takes the keys while
-		// the last one is in force.
+		// A deletion is also stored for an unknown record. The record may have been
+		// present between the last full read and now, while this daemon received no
+		// changes. Its daemon ordered grants until then, so a new owner that counts
+		// from that read takes the keys over while the last grant is in force.
 		m, ok := v.Members[name]
 		if !ok {
 			m.Daemon = name
 		}
 		if name == d.Self {
-			d.keeper.removed(e.Revision)
+			d.publisher.onDeleted(e.Revision)
 		}
-		if m.Lapsed && e.Revision <= m.gone {
+		if m.Lapsed && e.Revision <= m.deletedAt {
 			return
 		}
-		v.Members[name] = m.lapse(now, e.Revision)
+		v.Members[name] = m.markExpired(now, e.Revision)
 		d.Log.Info("record of backend server gone", "peer", name, "server", m.Incarnation.String(), "known", ok, "revision", uint64(e.Revision))
 		return
 	}
 	old, known := v.Members[name]
 	record, err := mtbackend.Decode(e.Value)
 	if err == nil && record.Daemon != name {
-		err = &mtbackend.DecodeError{Err: &nameError{name: name, daemon: record.Daemon}}
+		err = &mtbackend.DecodeError{Err: &nameMismatchError{name: name, daemon: record.Daemon}}
 	}
 	if err != nil {
-		// What was known holds on. A takeover is conditional on its version, so
-		// that it fails while this entry stands.
+		// The last valid record remains in effect. A takeover is conditional on its
+		// version, so it fails while this entry exists.
 		d.Log.Error("record of backend server passed over", "name", e.Name, "version", uint64(e.Version), "error", err)
 		if !known {
 			v.Foreign[name] = true
 		}
 		if name == d.Self {
-			d.keeper.overwritten(e.Version)
+			d.publisher.onOverwritten(e.Version)
 		}
 		return
 	}
@@ -119,10 +121,10 @@
 	}
 }
 
-// nameError says that a record stands under another daemon's name.
-type nameError struct{ name, daemon mtid.Daemon }
+// nameMismatchError reports that a record is stored under the name of another daemon.
+type nameMismatchError struct{ name, daemon mtid.Daemon }
 
 // Error implements error.
-func (e *nameError) Error() string {
-	return fmt.Sprintf("record of %q stands under the name of %q", e.daemon, e.name)
+func (e *nameMismatchError) Error() string {
+	return fmt.Sprintf("record of daemon %q is stored under the name of daemon %q", e.daemon, e.name)
 }
--- a/io/mtdirectory/mtdirectory.go
+++ b/io/mtdirectory/mtdirectory.go
@@ -1,10 +1,11 @@
-// Package mtdirectory keeps one daemon's copy of what all share in the
-// platform's store: the records of the backend servers and the assignments of
-// keys. It also keeps this daemon's own record alive there, under a lease.
+// Package mtdirectory maintains a daemon's copy of the shared state in the platform's
+// store: the records of the backend servers and the assignments of keys. It also
+// writes this daemon's own record to the store, under a lease that it renews.
 //
-// A record that has lapsed is kept for a while and marked: while the store is
-// away leases may run out, although the servers live. Whoever routes may go on
-// to use it; whoever takes keys over needs it gone for long enough.
+// An expired record stays in the copy for a while and is marked as expired: while the
+// store is unavailable, leases may expire although the servers are running. Routing
+// may continue to use such a record; a takeover of keys requires that the record has
+// been absent for long enough.
 //
 // # Usage
 //
@@ -35,33 +36,37 @@
 	"magnoliaturn/io/mtwatch"
 )
 
-// clock has a steady instant, which never runs ahead: whoever waits for a lease
-// to be over must not be led by a clock that steps forward.
+// clock provides a steady instant that never runs ahead: a daemon that waits for a
+// lease to expire must not follow a clock that may step forward.
 type clock interface {
 	Now() mtclock.Instant
 	Steady() mtclock.Instant
 }
 
-// Config is what a Directory works with.
+// Config holds the settings and dependencies of a Directory.
 type Config struct {
 	Self  mtid.Daemon
 	Store mtstore.ConditionalStore
 	Clock clock
 	Log   *slog.Logger
-	// Lease is how long the own record outlives this daemon.
+	// Lease is the duration of the own record's lease: the record expires this long
+	// after the last renewal.
 	Lease time.Duration
-	// Source is where changes are heard of; nil is the store.
+	// Source is the source of changes; nil means the store.
 	Source mtwatch.Source
-	// Other is told of every entry that is no record and no assignment. It may
-	// be nil.
+	// Other is called with every entry that is neither a record, an assignment nor an
+	// order about a zone. It may be nil.
 	Other func(mtstore.Entry)
-	// Former is told of a record under the own name that this life does not know to have
-	// written, before it is written over: that of a former life, or one of its own whose
-	// answer was lost. It may be nil.
+	// Former is called with a record under this daemon's name before it is
+	// overwritten, if this incarnation does not know that it wrote the record. Either
+	// a previous incarnation wrote it, or this one did and the response was lost. It
+	// may be nil.
 	Former func(mtbackend.Record)
-	// Heard is told of each record of another daemon. It may be nil, and must not block.
+	// Heard is called with each record of another daemon. It may be nil, and must not
+	// block.
 	Heard func(mtbackend.Record)
-	// Applied is told of each update that has been taken in. It may be nil, and must not block.
+	// Applied is called with each update after it has been applied. It may be nil, and
+	// must not block.
 	Applied func(mtwatch.Update)
 }
 
@@ -71,7 +76,7 @@
 	Version mtid.Version
 }
 
-// Epoch returns the next epoch of the table, or 0 if there is none.
+// Epoch returns the next epoch of the table, or 0 if there is no table.
 func (a Assignment) Epoch() mtid.Epoch {
 	if a.Table == nil {
 		return 0
@@ -79,28 +84,28 @@
 	return a.Next
 }
 
-// View is one state of the copy.
+// View is an immutable snapshot of the copy.
 type View struct {
 	Members     map[mtid.Daemon]Member
 	Assignments map[mtid.Service]Assignment
-	// Foreign are the daemons under whose names something stands that no daemon
-	// wrote, while nothing else is known of them. It names no server to use, and it
-	// proves no end either.
+	// Foreign contains the daemons under whose names there is an entry that no daemon
+	// wrote, if no valid record of them is known. Such an entry identifies no usable
+	// server, and it does not prove that a server has terminated.
 	Foreign map[mtid.Daemon]bool
-	// Out are the availability zones that the operators have taken out of service. It is
-	// known up to the revision at least.
+	// Out contains the availability zones that the operators have taken out of
+	// service. It is complete up to Revision, and may be newer.
 	Out mtzone.OutOfService
-	// Revision is that of the store up to which the copy is complete; zero if
-	// nothing was read yet.
+	// Revision is the store revision up to which the copy is complete; zero if nothing
+	// has been read yet.
 	Revision mtid.Revision
-	// Roll counts the changes of Members, Foreign and Out. What is derived from these alone
-	// need not be derived again after each move of a key.
-	Roll   uint64
-	newest mtid.Version // of all of these
+	// Roll counts the changes of Members, Foreign and Out. Values that are derived
+	// only from these need not be recomputed after each move of a key.
+	Roll          uint64
+	newestVersion mtid.Version // of all members and assignments
 }
 
-// Serving returns the members whose servers take new work for a service, in zones that
-// are in service.
+// Serving returns the members whose servers accept new work for a service, in zones
+// that are in service.
 func (v *View) Serving(service mtid.Service) []Member {
 	var serving []Member
 	for _, m := range v.Members {
@@ -111,128 +116,130 @@
 	return serving
 }
 
-// Directory keeps the copy. See the package comment.
+// Directory maintains the copy. See the package comment.
 type Directory struct {
 	Config
-	view    atomic.Pointer[View]
-	mu      sync.Mutex // guards what follows and the making of views
-	changed []func()
-	entries map[string]mtstore.Entry // all that was heard of, deletions included
-	next    chan struct{}            // closed at the next change
-	keeper  *keeper
-	watcher atomic.Pointer[mtwatch.Watcher]
-	upSince atomic.Int64 // steady instant since when the store answers; 0 if it doesn't
+	view         atomic.Pointer[View]
+	mu           sync.Mutex // guards listeners, entries, nextChange and the creation of views
+	listeners    []func()
+	entries      map[string]mtstore.Entry // all entries that were received, including deletions
+	nextChange   chan struct{}            // closed at the next change
+	publisher    *publisher
+	watcher      atomic.Pointer[mtwatch.Watcher]
+	storeUpSince atomic.Int64 // steady instant since when the store has responded; 0 if it fails
 }
 
-// New starts to follow the store and returns the Directory and its clean-up
-// function, which ends the lease, so that others learn at once that this daemon
-// is gone.
+// New starts to follow the store and returns the Directory and its clean-up function.
+// The clean-up function ends the lease, so that other daemons are notified immediately
+// that this one has terminated.
 func New(config Config) (*Directory, func()) {
-	d := &Directory{Config: config, entries: make(map[string]mtstore.Entry), next: make(chan struct{})}
+	d := &Directory{Config: config, entries: make(map[string]mtstore.Entry), nextChange: make(chan struct{})}
 	if d.Source == nil {
 		d.Source = config.Store
 	}
 	d.view.Store(&View{Members: map[mtid.Daemon]Member{}, Assignments: map[mtid.Service]Assignment{}, Foreign: map[mtid.Daemon]bool{}})
-	d.keeper = newKeeper(config)
+	d.publisher = newPublisher(config)
 	watcher, stopWatch := mtwatch.Start(mtwatch.Config{
-		Store: d.Source, Apply: d.apply, Health: d.health, Log: config.Log,
+		Store: d.Source, Apply: d.apply, Health: d.onStoreHealth, Log: config.Log,
 	})
 	d.watcher.Store(watcher)
-	stopKeeper := d.keeper.start()
+	stopKeeper := d.publisher.start()
 	return d, func() {
 		stopWatch()
 		stopKeeper()
 	}
 }
 
-// Now returns the present copy. It is called for each request.
+// Now returns the current view. It is called for each request.
 func (d *Directory) Now() *View { return d.view.Load() }
 
-// Changed returns what is closed at the next change of the copy.
+// Changed returns a channel that is closed at the next change of the copy.
 func (d *Directory) Changed() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.next
+	return d.nextChange
 }
 
-// OnChange adds a function that is called after each change of the copy. It
-// must not block.
+// OnChange registers a function that is called after each change of the copy. The
+// function must not block.
 func (d *Directory) OnChange(f func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.changed = append(d.changed, f)
+	d.listeners = append(d.listeners, f)
 }
 
-// Publish sets the own record. The duty writes it, and writes it again whenever
-// it has lapsed.
-func (d *Directory) Publish(r mtbackend.Record) { d.keeper.publish(r) }
+// Publish sets the own record. It is written in the background, and written again
+// whenever it has expired.
+func (d *Directory) Publish(r mtbackend.Record) { d.publisher.publish(r) }
 
-// Certain returns until when the own record certainly stands in the store, by
-// the clock that never runs slow. Zero means that it does not stand yet.
-func (d *Directory) Certain() mtclock.Instant { return d.keeper.until() }
+// Certain returns the time until which the own record is certainly present in the
+// store, by the clock that never runs slow. Zero means that the record is not present
+// yet.
+func (d *Directory) Certain() mtclock.Instant { return d.publisher.recordValidUntil() }
 
-// Current reports whether the copy holds all that was written before the own record
-// began to stand. Whoever takes over keys of this daemon's server writes that while the
-// record is gone. So a daemon whose record is back has heard of each takeover only once
-// its copy is as new as that record; by an older one it granted keys that had another
-// owner already.
+// Current reports whether the copy contains everything that was written before the own
+// record became valid. A claimant of the keys of this daemon's server writes the
+// takeover while the record is absent. So a daemon whose record has returned has
+// received every takeover only when its copy is at least as new as that record. With
+// an older copy, it granted keys that already had another owner.
 func (d *Directory) Current() bool {
-	stands := d.keeper.stands()
-	return stands != 0 && uint64(d.Now().Revision) >= uint64(stands)
+	validSince := d.publisher.recordValidSince()
+	return validSince != 0 && uint64(d.Now().Revision) >= uint64(validSince)
 }
 
-// Own returns the version of the own record that this life wrote last, or zero.
-func (d *Directory) Own() mtid.Version { return d.keeper.seen() }
+// Own returns the version of the own record that this incarnation wrote last, or zero.
+func (d *Directory) Own() mtid.Version { return d.publisher.lastWritten() }
 
-// Up returns since when the store answers without a failure, by the steady
-// clock, or false if it does not answer now.
+// Up returns the instant since when the store has responded without a failure, by the
+// steady clock. It returns false if the store does not respond.
 func (d *Directory) Up() (mtclock.Instant, bool) {
-	since := mtclock.Instant(d.upSince.Load())
+	since := mtclock.Instant(d.storeUpSince.Load())
 	return since, since != 0
 }
 
-// Answers reports whether the store has answered lately, the watch as well as the keeping
-// of the own record. What needs a write had better not be begun while it does not.
+// Answers reports whether the last calls to the store succeeded, both of the watch and
+// of the publisher of the own record. Operations that need a write should not be
+// started while it returns false.
 func (d *Directory) Answers() bool {
 	_, up := d.Up()
-	return up && !d.keeper.away.Load()
+	return up && !d.publisher.unavailable.Load()
 }
 
-// Seen returns the newest version that this daemon knows of anything, its own
-// writes included.
-func (d *Directory) Seen() mtid.Version { return max(d.keeper.seen(), d.Now().newest) }
+// Seen returns the newest version of any entry that this daemon knows, including its
+// own writes.
+func (d *Directory) Seen() mtid.Version { return max(d.publisher.lastWritten(), d.Now().newestVersion) }
 
-// Resync reads everything again: another daemon has seen a version that the
-// watch has not brought.
+// Resync reads everything again. It is called when another daemon has seen a version
+// that the watch has not delivered.
 func (d *Directory) Resync() {
-	// What the first reading brings may be unreadable before New has returned. Another
-	// reading would bring the same.
+	// The first read may contain an unusable patch before New has returned. Another
+	// read would return the same.
 	if watcher := d.watcher.Load(); watcher != nil {
 		watcher.Resync(time.Now())
 	}
 }
 
-// Hurry makes a watch that pauses after a failure try again at once: the own record
-// stands, so the store answers.
+// Hurry makes a watch that waits after a failure retry immediately. It is called when
+// the own record is present, which shows that the store responds.
 func (d *Directory) Hurry() {
 	if watcher := d.watcher.Load(); watcher != nil {
 		watcher.Hurry()
 	}
 }
 
-// health notes whether the store answers.
-func (d *Directory) health(up bool) {
+// onStoreHealth records whether the store responds to the watch.
+func (d *Directory) onStoreHealth(up bool) {
 	if !up {
-		d.upSince.Store(0)
+		d.storeUpSince.Store(0)
 		return
 	}
-	d.upSince.CompareAndSwap(0, int64(d.Clock.Steady()))
+	d.storeUpSince.CompareAndSwap(0, int64(d.Clock.Steady()))
 }
 
-// Learn takes in an assignment that was written or read outside the watch, so
-// that this daemon goes by its own write at once.
+// Learn applies an assignment that was written or read outside the watch, so that this
+// daemon uses its own writes immediately.
 func (d *Directory) Learn(a Assignment) {
-	d.change(func(v *View) bool {
+	d.update(func(v *View) bool {
 		if old, ok := v.Assignments[a.Service]; ok && old.Version >= a.Version {
 			return false
 		}
@@ -241,59 +248,59 @@
 	})
 }
 
-// Inform takes in a write of an assignment that another daemon tells of. What does not
-// fit is heard of by the watch.
+// Inform applies an assignment that another daemon has written and pushed. If it does
+// not fit the known one, it is ignored; the watch will deliver the change.
 func (d *Directory) Inform(e mtstore.Entry) {
-	told, err := d.Now().told(e)
-	service, assignment := assigned(e)
-	if err == nil && told == nil && assignment && e.Version != 0 {
-		// All of it is told of one that has not changed often.
+	pushed, err := d.Now().applyPatch(e)
+	service, isAssignment := assignmentService(e)
+	if err == nil && pushed == nil && isAssignment && e.Version != 0 {
+		// An assignment that has not changed often is sent as a whole.
 		var table *mtrange.Table
 		if table, err = mtrange.Decode(e.Value); err == nil && table.Service == service {
-			told = &Assignment{Table: table, Version: e.Version}
+			pushed = &Assignment{Table: table, Version: e.Version}
 		}
 	}
 	if err != nil {
-		d.Log.Info("word of an assignment passed over", "name", e.Name, "error", err)
+		d.Log.Info("pushed assignment ignored", "name", e.Name, "error", err)
 		return
 	}
-	if told != nil {
-		d.Learn(*told)
+	if pushed != nil {
+		d.Learn(*pushed)
 	}
 }
 
-// apply takes in what the watch brings.
+// apply applies an update that the watch delivered.
 func (d *Directory) apply(u mtwatch.Update) {
 	now := d.Clock.Steady()
 	var others []mtstore.Entry
-	unfit := false
-	d.change(func(v *View) bool {
-		for _, e := range d.missing(u, v) {
-			d.take(v, now, e)
+	patchFailed := false
+	d.update(func(v *View) bool {
+		for _, e := range d.deletedEntries(u, v) {
+			d.applyEntry(v, now, e)
 		}
 		for _, e := range u.Changes.Entries {
-			if d.known(e) {
+			if d.zoneKnown(e) {
 				continue
 			}
-			told, err := v.told(e)
+			patched, err := v.applyPatch(e)
 			if err != nil {
-				d.Log.Warn("patch of an assignment passed over", "name", e.Name, "error", err)
-				unfit = true
+				d.Log.Warn("patch of an assignment can't be applied", "name", e.Name, "error", err)
+				patchFailed = true
 				continue
 			}
-			if told != nil {
-				d.patch(v, e, *told)
+			if patched != nil {
+				d.setPatched(v, e, *patched)
 				continue
 			}
 			d.entries[e.Name] = e
-			if !d.take(v, now, e) {
+			if !d.applyEntry(v, now, e) {
 				others = append(others, e)
 			}
 		}
 		v.Revision = u.Changes.Revision
 		return true
 	})
-	if unfit {
+	if patchFailed {
 		d.Resync()
 	}
 	if d.Other != nil {
@@ -306,21 +313,22 @@
 	}
 }
 
-// patch takes in an assignment of which only the changes were told. Its entry is kept
-// without a value, which is made when another daemon asks for all of it, and not for each
-// move.
-func (d *Directory) patch(v *View, e mtstore.Entry, told Assignment) {
-	e.Version, e.Value = told.Version, nil
+// setPatched stores an assignment that was received as a patch. Its entry is stored
+// without a value. The value is encoded when another daemon requests the whole
+// assignment, not for each move.
+func (d *Directory) setPatched(v *View, e mtstore.Entry, assignment Assignment) {
+	e.Version, e.Value = assignment.Version, nil
 	d.entries[e.Name] = e
-	v.Assignments[told.Service] = told
+	v.Assignments[assignment.Service] = assignment
 }
 
-// told returns the assignment that a patch in an entry leads to, or the one that is known
-// already if it is as new. It is nil if the entry holds no patch, and fails with a
-// *mtrange.PatchError if what is known does not fit.
-func (v *View) told(e mtstore.Entry) (*Assignment, error) {
-	service, assignment := assigned(e)
-	if !assignment || e.Version == 0 {
+// applyPatch returns the assignment that results from the patch in an entry, or the
+// known assignment if that is not older. It returns nil if the entry contains no
+// patch, and fails with a *mtrange.PatchError if the patch cannot be applied to the
+// known assignment.
+func (v *View) applyPatch(e mtstore.Entry) (*Assignment, error) {
+	service, isAssignment := assignmentService(e)
+	if !isAssignment || e.Version == 0 {
 		return nil, nil
 	}
 	patch, err := mtrange.DecodePatch(e.Value)
@@ -341,53 +349,56 @@
 	return &Assignment{Table: table, Version: e.Version}, nil
 }
 
-// assigned returns the service whose assignment an entry is, or false.
-func assigned(e mtstore.Entry) (mtid.Service, bool) {
+// assignmentService returns the service of an assignment entry, or false for other
+// entries.
+func assignmentService(e mtstore.Entry) (mtid.Service, bool) {
 	service, ok := strings.CutPrefix(e.Name, mtstore.RangePrefix)
 	return mtid.Service(service), ok
 }
 
-// take takes in one entry, and reports whether it is of the product's own kinds.
-func (d *Directory) take(v *View, now mtclock.Instant, e mtstore.Entry) bool {
+// applyEntry applies an entry, and reports whether it is a record, an assignment or an
+// order about a zone.
+func (d *Directory) applyEntry(v *View, now mtclock.Instant, e mtstore.Entry) bool {
 	switch {
 	case strings.HasPrefix(e.Name, mtstore.BackendPrefix):
-		d.takeMember(v, now, e)
+		d.applyRecordEntry(v, now, e)
 	case strings.HasPrefix(e.Name, mtstore.RangePrefix):
-		d.takeAssignment(v, e)
+		d.applyAssignmentEntry(v, e)
 	case strings.HasPrefix(e.Name, mtstore.ZonePrefix):
-		d.takeZone(v, e)
+		d.applyZoneEntry(v, e)
 	default:
 		return false
 	}
 	return true
 }
 
-// Since returns what was heard after a revision, as a watch of the store would, and what
-// is closed at the next change. Another daemon asks for it, so that not all have to watch.
-// Of an assignment that it knows up to an epoch it gets a patch. With nothing new the
-// revision is not below the one asked for.
+// Since returns the changes after a revision, like a watch of the store, and a channel
+// that is closed at the next change. Other daemons call it, so that not all of them
+// have to watch the store. An assignment that the caller knows up to an epoch is
+// returned as a patch. If there are no changes, the returned revision is not lower
+// than the requested one.
 func (d *Directory) Since(after mtid.Revision, epochs Epochs) (mtstore.Changes, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	changes := mtstore.Changes{Revision: d.Now().Revision}
 	if changes.Revision <= after {
 		changes.Revision = after
-		return changes, d.next
+		return changes, d.nextChange
 	}
 	for _, e := range d.entries {
 		if e.Revision > after {
-			changes.Entries = append(changes.Entries, d.patched(e, epochs))
+			changes.Entries = append(changes.Entries, d.encodeFor(e, epochs))
 		}
 	}
 	slices.SortFunc(changes.Entries, func(a, b mtstore.Entry) int { return cmp.Compare(a.Revision, b.Revision) })
-	return changes, d.next
+	return changes, d.nextChange
 }
 
-// Epochs are the next epochs of the assignments that a daemon knows, by name of
-// the entry.
+// Epochs maps the entry names of the assignments that a daemon knows to their next
+// epochs.
 type Epochs map[string]mtid.Epoch
 
-// Epochs returns those of this copy.
+// Epochs returns the next epochs of the assignments in this view.
 func (v *View) Epochs() Epochs {
 	epochs := make(Epochs, len(v.Assignments))
 	for service, a := range v.Assignments {
@@ -396,16 +407,17 @@
 	return epochs
 }
 
-// patched returns the entry of an assignment as another daemon needs it: a patch, if it
-// knows the assignment up to an epoch, or else all of it.
-func (d *Directory) patched(e mtstore.Entry, epochs Epochs) mtstore.Entry {
-	service, assignment := assigned(e)
-	if !assignment || e.Version == 0 {
+// encodeFor returns the entry of an assignment in the form that another daemon needs:
+// a patch, if that daemon knows the assignment up to an epoch, or the whole assignment
+// otherwise.
+func (d *Directory) encodeFor(e mtstore.Entry, epochs Epochs) mtstore.Entry {
+	service, isAssignment := assignmentService(e)
+	if !isAssignment || e.Version == 0 {
 		return e
 	}
 	a, ok := d.Now().Assignments[service]
 	if !ok || a.Version < e.Version {
-		return e // it can't be read, and others see for themselves
+		return e // undecodable; the other daemons detect that themselves
 	}
 	encode := a.Encode
 	if epoch, known := epochs[e.Name]; known && epoch <= a.Next {
@@ -420,10 +432,10 @@
 	return e
 }
 
-func (d *Directory) takeAssignment(v *View, e mtstore.Entry) {
-	service, _ := assigned(e)
+func (d *Directory) applyAssignmentEntry(v *View, e mtstore.Entry) {
+	service, _ := assignmentService(e)
 	if e.Version == 0 {
-		d.Log.Error("assignment deleted", "service", service)
+		d.Log.Error("assignment was deleted from the store", "service", service)
 		return
 	}
 	table, err := mtrange.Decode(e.Value)
@@ -438,8 +450,8 @@
 	v.Assignments[service] = Assignment{Table: table, Version: e.Version}
 }
 
-// change makes a new view and tells the listeners, if f says that it differs.
-func (d *Directory) change(f func(v *View) bool) {
+// update creates a new view and calls the listeners if f reports a difference.
+func (d *Directory) update(f func(v *View) bool) {
 	d.mu.Lock()
 	old := d.view.Load()
 	next := &View{
@@ -452,12 +464,12 @@
 	}
 	differs := f(next)
 	if differs {
-		next.newest = newest(next)
+		next.newestVersion = newestVersion(next)
 		d.view.Store(next)
-		close(d.next)
-		d.next = make(chan struct{})
+		close(d.nextChange)
+		d.nextChange = make(chan struct{})
 	}
-	listeners := d.changed
+	listeners := d.listeners
 	d.mu.Unlock()
 	if !differs {
 		return
@@ -467,8 +479,8 @@
 	}
 }
 
-// newest returns the highest version of anything in a view.
-func newest(v *View) mtid.Version {
+// newestVersion returns the highest version of all members and assignments in a view.
+func newestVersion(v *View) mtid.Version {
 	var newest mtid.Version
 	for _, m := range v.Members {
 		newest = max(newest, m.Version)
--- /dev/null
+++ b/io/mtdirectory/publisher.go
@@ -0,0 +1,317 @@
+package mtdirectory
+
+import (
+	"context"
+	"errors"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"magnoliaturn/core/mtbackend"
+	"magnoliaturn/core/mtclock"
+	"magnoliaturn/core/mtid"
+	"magnoliaturn/core/mtstore"
+)
+
+const (
+	// renewalsPerLease is the number of renewals within the duration of a lease. One
+	// of them may fail, since it is retried once.
+	renewalsPerLease = 2
+	// maxClockDrift is the fraction of a lease that is not relied on, since the
+	// store's clock may run faster than the clock of this VM.
+	maxClockDrift = 0.02
+	// callTimeout limits a call to the store. Responses take some milliseconds, or
+	// 0.4 s if the store is slow; during an outage a call may hang forever. After a
+	// renewal that hangs, there is time for a second one before a lease of 2 s expires.
+	callTimeout = 600 * time.Millisecond
+	// retryInterval is the interval between attempts to write the record while the
+	// store fails. Records have to be present again within two seconds after the store
+	// has recovered, and each attempt is billed.
+	retryInterval = 600 * time.Millisecond
+	// endLeaseTimeout limits the call that ends the lease during a shutdown.
+	endLeaseTimeout = 300 * time.Millisecond
+)
+
+// publisher writes this daemon's own record to the store and keeps it there.
+type publisher struct {
+	Config
+	trigger chan struct{}
+
+	mu        sync.Mutex
+	wanted    mtbackend.Record
+	published bool // Publish was called
+
+	// State of the background goroutine.
+	lease     mtstore.LeaseID
+	version   mtid.Version
+	written   mtbackend.Record
+	renewedAt mtclock.Instant
+	failing   bool
+
+	validUntil     atomic.Int64
+	lastVersion    atomic.Uint64 // version of the last write
+	validSince     atomic.Uint64 // version since which the record has been present without a gap
+	foreignVersion atomic.Uint64 // version that another writer stored under this daemon's name
+	deletedAt      atomic.Uint64 // revision at which the record was reported as deleted
+	unavailable    atomic.Bool   // the last attempt to maintain the record failed
+}
+
+func newPublisher(config Config) *publisher {
+	return &publisher{Config: config, trigger: make(chan struct{}, 1)}
+}
+
+// publish sets the record to write.
+func (p *publisher) publish(r mtbackend.Record) {
+	p.mu.Lock()
+	same := p.published && p.wanted == r
+	p.wanted, p.published = r, true
+	p.mu.Unlock()
+	if same {
+		return
+	}
+	p.runNow()
+}
+
+// onOverwritten is called when an entry that no daemon wrote was found under this
+// daemon's name. The record is written again, because other daemons ignore the invalid
+// entry and would keep using the previous record. A record of another incarnation of
+// this daemon is not reported here and stays: that incarnation has replaced this one.
+func (p *publisher) onOverwritten(version mtid.Version) {
+	p.foreignVersion.Store(uint64(version))
+	p.runNow()
+}
+
+// onDeleted is called when the own record was reported as deleted. If it is the one
+// that this incarnation wrote last, its lease may still be active: another writer
+// deleted the record, or the store deletes keys without ending their leases. Renewals
+// would keep succeeding, so this daemon would consider the record valid forever, while
+// all other daemons count down to taking over the keys.
+func (p *publisher) onDeleted(revision mtid.Revision) {
+	if uint64(revision) <= p.lastVersion.Load() {
+		return // the deletion precedes the last write
+	}
+	p.deletedAt.Store(uint64(revision))
+	p.validUntil.Store(0)
+	p.runNow()
+}
+
+// runNow makes the background goroutine run its next step immediately.
+func (p *publisher) runNow() {
+	select {
+	case p.trigger <- struct{}{}:
+	default:
+	}
+}
+
+// recordValidUntil returns the time until which the record is certainly present in the
+// store.
+func (p *publisher) recordValidUntil() mtclock.Instant { return mtclock.Instant(p.validUntil.Load()) }
+
+// recordValidSince returns the version since which the record has been present without
+// a gap, as far as this incarnation knows. Zero means that it is not present.
+func (p *publisher) recordValidSince() mtid.Version {
+	if p.recordValidUntil() == 0 {
+		return 0
+	}
+	return mtid.Version(p.validSince.Load())
+}
+
+// lastWritten returns the version of the last write of the record.
+func (p *publisher) lastWritten() mtid.Version { return mtid.Version(p.lastVersion.Load()) }
+
+// start starts the background goroutine and returns the function that stops it and
+// ends the lease.
+func (p *publisher) start() func() {
+	ctx, cancel := context.WithCancel(context.Background())
+	var running sync.WaitGroup
+	running.Go(func() {
+		for ctx.Err() == nil {
+			p.wait(ctx, p.step(ctx))
+		}
+	})
+	return func() {
+		cancel()
+		running.Wait()
+		p.endLease()
+	}
+}
+
+// wait waits for the next step, or until a step is requested by runNow.
+func (p *publisher) wait(ctx context.Context, d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+	case <-timer.C:
+	case <-p.trigger:
+	}
+}
+
+// step renews the lease and writes the record if necessary. It returns the delay until
+// the next step.
+func (p *publisher) step(ctx context.Context) time.Duration {
+	p.mu.Lock()
+	wanted, published := p.wanted, p.published
+	p.mu.Unlock()
+	if !published {
+		return p.Lease
+	}
+	started := p.Clock.Now()
+	err := p.maintain(ctx, wanted)
+	p.unavailable.Store(err != nil)
+	if err != nil {
+		if ctx.Err() == nil {
+			p.Log.Warn("own record can't be kept", "error", err, "certain", p.recordValidUntil().Sub(p.Clock.Now()))
+		}
+		return p.retryDelay(p.Clock.Now().Sub(started))
+	}
+	if p.failing {
+		p.Log.Info("own record stands again")
+		p.failing = false
+	}
+	return p.Lease / renewalsPerLease
+}
+
+// retryDelay returns the delay after a failed attempt that took the given time. The
+// first failed renewal may only be a lost response, so the next attempt starts while
+// the lease is still active.
+func (p *publisher) retryDelay(elapsed time.Duration) time.Duration {
+	first := !p.failing
+	p.failing = true
+	if first {
+		return max(retryInterval-elapsed, 0)
+	}
+	return retryInterval
+}
+
+// maintain renews the lease and brings the record up to date. The store counts the
+// lease from the arrival of the call, which is later than the time of sending from
+// which this daemon counts it.
+func (p *publisher) maintain(ctx context.Context, wanted mtbackend.Record) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	sent := p.Clock.Now()
+	if err := p.ensureLease(ctx, sent); err != nil {
+		return err
+	}
+	if foreign := mtid.Version(p.foreignVersion.Swap(0)); p.version != 0 && foreign > p.version {
+		p.Log.Warn("own record was written over", "own", uint64(p.version), "by", uint64(foreign))
+		p.version, p.written = foreign, mtbackend.Record{}
+	}
+	if deleted := p.deletedAt.Swap(0); p.version != 0 && deleted > uint64(p.version) {
+		p.Log.Warn("own record was deleted", "own", uint64(p.version), "revision", deleted)
+		p.version = 0
+	}
+	if p.version == 0 || p.written != wanted {
+		if err := p.writeRecord(ctx, wanted); err != nil {
+			return err
+		}
+	}
+	p.extendValidity()
+	return nil
+}
+
+// extendValidity records that the record is valid for one lease duration after the
+// last renewal.
+func (p *publisher) extendValidity() {
+	p.validUntil.Store(int64(p.renewedAt.Add(time.Duration(float64(p.Lease) * (1 - maxClockDrift)))))
+}
+
+// ensureLease requests a lease or renews the current one.
+func (p *publisher) ensureLease(ctx context.Context, sent mtclock.Instant) error {
+	if p.lease != "" {
+		if p.renewedAt != 0 && sent.Sub(p.renewedAt) < p.Lease/renewalsPerLease/2 {
+			return nil // a record is published shortly after a renewal
+		}
+		err := p.Store.Renew(ctx, p.lease)
+		var expired *mtstore.LeaseExpiredError
+		if !errors.As(err, &expired) {
+			if err == nil {
+				p.renewedAt = sent
+			}
+			return err
+		}
+		p.Log.Warn("own lease has expired", "lease", p.lease)
+		p.lease, p.version = "", 0
+		p.validUntil.Store(0)
+	}
+	lease, err := p.Store.Grant(ctx, p.Lease)
+	if err != nil {
+		return err
+	}
+	p.lease, p.renewedAt = lease, sent
+	return nil
+}
+
+// writeRecord writes the record. A previous incarnation of this daemon may have left a
+// record whose lease is still active, or an earlier write whose response was lost may
+// have been applied. Both show as a conflict that contains the current entry.
+func (p *publisher) writeRecord(ctx context.Context, wanted mtbackend.Record) error {
+	value, err := wanted.Encode()
+	if err != nil {
+		return err
+	}
+	name := mtstore.BackendName(p.Self)
+	interrupted := p.version == 0
+	for range maxWriteAttempts {
+		version, err := p.Store.Swap(ctx, name, p.version, value, p.lease)
+		var conflict *mtstore.ConflictError
+		var expired *mtstore.LeaseExpiredError
+		switch {
+		case err == nil:
+			p.version, p.written = version, wanted
+			if interrupted {
+				p.validSince.Store(uint64(version))
+			}
+			p.lastVersion.Store(uint64(version))
+			p.Log.Info("own record written", "state", wanted.State, "server", wanted.Incarnation.String(), "leaving", wanted.Leaving, "version", uint64(version))
+			return nil
+		case errors.As(err, &conflict):
+			// This daemon did not know the current entry, or that there is none: the
+			// record may have been absent in between.
+			interrupted = true
+			p.version = conflict.Current.Version
+			p.reportPrevious(conflict.Current)
+		case errors.As(err, &expired):
+			p.lease, p.version = "", 0
+			return err
+		default:
+			return err
+		}
+	}
+	return &mtstore.ConflictError{Name: name, Expected: p.version}
+}
+
+// reportPrevious passes on the record that a previous incarnation of this daemon left.
+// Otherwise, what that incarnation knew about its server would be lost, such as that
+// it is leaving, which a server may report only once.
+func (p *publisher) reportPrevious(e mtstore.Entry) {
+	if p.Former == nil || e.Version == 0 {
+		return
+	}
+	record, err := mtbackend.Decode(e.Value)
+	if err != nil {
+		p.Log.Warn("record of a previous incarnation of this daemon can't be decoded", "version", uint64(e.Version), "error", err)
+		return
+	}
+	p.Former(record)
+}
+
+// maxWriteAttempts is the number of attempts to write the record over conflicting
+// entries.
+const maxWriteAttempts = 3
+
+// endLease ends the lease, so that other daemons need not wait until it expires. The
+// record of a draining server is left to expire: the daemon may be restarted before
+// that, and finds in the record that the server has no time for new work.
+func (p *publisher) endLease() {
+	p.validUntil.Store(0)
+	if p.lease == "" || p.written.State == mtbackend.Draining {
+		return
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), endLeaseTimeout)
+	defer cancel()
+	if err := p.Store.End(ctx, p.lease); err != nil {
+		p.Log.Warn("own lease could not be ended and remains until it expires", "error", err)
+	}
+}
--- a/io/mtdirectory/zone_test.go
+++ b/io/mtdirectory/zone_test.go
@@ -16,30 +16,31 @@
 	"magnoliaturn/io/mttime"
 )
 
-// An operator takes a zone out of service and back: every daemon hears of both, and its
-// servers are none to be chosen meanwhile.
-func TestAZoneGoesOutOfServiceAndBack(t *testing.T) {
+// An operator takes a zone out of service and back. All daemons must receive both
+// changes, and must not choose servers of that zone in between.
+func TestZoneGoesOutOfServiceAndBack(t *testing.T) {
 	store := mtstandin.NewRevisions(time.Now)
 	a, b := start(t, store, "a"), start(t, store, "b")
 	r := record("b")
 	r.Zone = "riga-b"
 	b.Publish(r)
 	serving := func() int { return len(a.Now().Serving(r.Service)) }
-	until(t, "a knows b", func() bool { return serving() == 1 })
+	waitFor(t, "a knows the record of b", func() bool { return serving() == 1 })
 	store.Put(mtstore.ZoneName("riga-b"), []byte("{}"))
-	until(t, "the zone is out", func() bool { return serving() == 0 && a.Now().Out.Has("riga-b") })
+	waitFor(t, "the zone is out of service", func() bool { return serving() == 0 && a.Now().Out.Has("riga-b") })
 	store.Delete(mtstore.ZoneName("riga-b"))
-	until(t, "the zone is back", func() bool { return serving() == 1 })
+	waitFor(t, "the zone is in service again", func() bool { return serving() == 1 })
 }
 
-// Watches hear nothing while zones are taken out of service and back, again and again; a
-// daemon rechecks by its own readings, which overlap with what its watch brings late. It
-// never goes back to what was before, and a reading always leaves it as it is in the store.
-func TestRecheckedZonesNeverGoBack(t *testing.T) {
+// Watches deliver nothing while zones are repeatedly taken out of service and back. A
+// daemon reads the entries itself, and the reads overlap with late changes of its
+// watch. It must never return to an older state, and after a read its state must equal
+// that of the store.
+func TestZoneStateNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		store := mtstandin.NewRevisions(time.Now)
 		a := start(t, store, "a")
-		until(t, "the store is read", func() bool { return a.Now().Revision != 0 })
+		waitFor(t, "the store has been read", func() bool { return a.Now().Revision != 0 })
 		zones := []mtid.Zone{"riga-a", "riga-b"}
 		seen := make(map[mtid.Zone]mtid.Revision)
 		for range rapid.IntRange(1, 12).Draw(rt, "events") {
@@ -52,20 +53,21 @@
 			case 3:
 				store.Deafen(rapid.Bool().Draw(rt, "deaf"))
 			case 4:
-				recheck(t, store, a, zones)
+				reconcileAndCompare(t, store, a, zones)
 			}
 			for _, z := range zones {
 				changed := a.Now().Out.ChangedAt(z)
-				assert.Assert(t, changed >= seen[z], "%s goes back from %d to %d", z, seen[z], changed)
+				assert.Assert(t, changed >= seen[z], "zone %s goes back from revision %d to %d", z, seen[z], changed)
 				seen[z] = changed
 			}
 		}
-		recheck(t, store, a, zones)
+		reconcileAndCompare(t, store, a, zones)
 	})
 }
 
-// recheck reads all that operators have written and compares the copy with it.
-func recheck(t *testing.T, store *mtstandin.Revisions, d *mtdirectory.Directory, zones []mtid.Zone) {
+// reconcileAndCompare reads all entries of the operators, applies them and compares
+// the copy with the store.
+func reconcileAndCompare(t *testing.T, store *mtstandin.Revisions, d *mtdirectory.Directory, zones []mtid.Zone) {
 	t.Helper()
 	read, err := store.Watch(context.Background(), mtstore.ZonePrefix, 0, 0)
 	assert.NilError(t, err)
@@ -79,10 +81,10 @@
 	}
 }
 
-// scripted is a source of changes that a test makes up.
-type scripted struct{ changes chan mtstore.Changes }
+// scriptedSource is a source of changes that the test provides.
+type scriptedSource struct{ changes chan mtstore.Changes }
 
-func (s *scripted) Watch(ctx context.Context, _ string, after mtid.Revision, _ time.Duration) (mtstore.Changes, error) {
+func (s *scriptedSource) Watch(ctx context.Context, _ string, after mtid.Revision, _ time.Duration) (mtstore.Changes, error) {
 	select {
 	case c := <-s.changes:
 		return c, nil
@@ -91,19 +93,19 @@
 	}
 }
 
-// A daemon has read that a zone is out of service, and its teacher, which is behind, tells of
-// the end of the order before. The zone stays out.
-func TestALateLessonDoesNotPutAZoneBack(t *testing.T) {
-	source := &scripted{changes: make(chan mtstore.Changes)}
+// A daemon has read that a zone is out of service. Its upstream, which is behind, then
+// reports that the previous order was withdrawn. The zone must stay out of service.
+func TestLateUpdateDoesNotRestoreZone(t *testing.T) {
+	source := &scriptedSource{changes: make(chan mtstore.Changes)}
 	directory, closeDirectory := mtdirectory.New(mtdirectory.Config{
 		Self: "a", Store: mtstandin.NewRevisions(time.Now), Source: source, Clock: mttime.New(), Lease: time.Second, Log: slog.New(slog.DiscardHandler),
 	})
 	defer closeDirectory()
 	source.changes <- mtstore.Changes{Revision: 10}
 	name := mtstore.ZoneName("riga-a")
-	until(t, "the source is read", func() bool { return directory.Now().Revision == 10 })
+	waitFor(t, "the source has been read", func() bool { return directory.Now().Revision == 10 })
 	assert.Assert(t, directory.Recheck(mtstore.Changes{Revision: 20, Entries: []mtstore.Entry{{Name: name, Version: 18, Revision: 18}}}))
 	source.changes <- mtstore.Changes{Revision: 14, Entries: []mtstore.Entry{{Name: name, Revision: 14}}}
-	until(t, "the lesson is taken in", func() bool { return directory.Now().Revision == 14 })
+	waitFor(t, "the late update has been applied", func() bool { return directory.Now().Revision == 14 })
 	assert.Assert(t, directory.Now().Out.Has("riga-a"))
 }
