--- a/io/mtstore/client.go
+++ b/io/mtstore/client.go
@@ -15,15 +15,15 @@
 	"magnoliaturn/core/mtstore"
 )
 
-// Connections that a client keeps open while they are idle. A daemon has a
-// watch or two and few other calls.
+// Limits of the idle connections that a client keeps open. A daemon has one or two
+// watches and few other calls.
 const (
 	idleConnections = 4
 	idleTimeout     = 90 * time.Second
 )
 
-// Client reaches the platform's store over HTTP. It implements the Store of
-// core/mtstore and is safe for concurrent use. It never repeats a call.
+// Client accesses the platform's store over HTTP. It implements the Store interface of
+// core/mtstore and is safe for concurrent use. It never retries a call.
 type Client struct {
 	base    string
 	timeout time.Duration
@@ -31,9 +31,9 @@
 	counts  counts
 }
 
-// NewClient returns a client of the store at base, "http://host:port". A call
-// that is not answered within timeout fails; a watch has its wait on top. The
-// clean-up closes idle connections. It fails with a *SettingError.
+// NewClient returns a client of the store at base, "http://host:port". A call fails if
+// it is not answered within timeout; for a watch, its wait is added to the timeout.
+// The clean-up function closes idle connections. NewClient fails with a *SettingError.
 func NewClient(base string, timeout time.Duration) (*Client, func(), error) {
 	parsed, err := url.Parse(base)
 	if err != nil || (parsed.Scheme != "http" && parsed.Scheme != "https") || parsed.Host == "" {
@@ -56,21 +56,21 @@
 	return c, transport.CloseIdleConnections, nil
 }
 
-// Vars returns the counters: calls by kind, failures by kind, and "watching",
-// the number of watches that wait now.
+// Vars returns the counters: calls by kind, failures by kind, and "watching", the
+// number of watches that are currently waiting.
 func (c *Client) Vars() *expvar.Map { return c.counts.vars }
 
-// Get implements the Store of core/mtstore.
+// Get implements the Store interface of core/mtstore.
 func (c *Client) Get(ctx context.Context, name string) (mtstore.Entry, error) {
 	if err := checkName(opGet, name); err != nil {
 		return mtstore.Entry{}, err
 	}
 	var entry mtstore.Entry
-	err := c.call(ctx, call{Call: Call{Op: opGet, Name: name, Read: true}, path: pathGet}, getAsk{Name: name}, &entry)
+	err := c.call(ctx, call{Call: Call{Op: opGet, Name: name, Read: true}, path: pathGet}, getRequest{Name: name}, &entry)
 	return entry, err
 }
 
-// Swap implements the Store of core/mtstore.
+// Swap implements the Store interface of core/mtstore.
 func (c *Client) Swap(ctx context.Context, name string, expected mtid.Version, value []byte, lease mtstore.LeaseID) (mtid.Version, error) {
 	if err := checkName(opSwap, name); err != nil {
 		return 0, err
@@ -78,48 +78,48 @@
 	if err := checkValue(opSwap, value); err != nil {
 		return 0, err
 	}
-	ask := swapAsk{Name: name, Expected: expected, Value: value, Lease: lease}
-	var answer swapAnswer
-	made := call{Call: Call{Op: opSwap, Name: name}, path: pathSwap, expected: expected}
-	if err := c.call(ctx, made, ask, &answer); err != nil {
+	request := swapRequest{Name: name, Expected: expected, Value: value, Lease: lease}
+	var response swapResponse
+	description := call{Call: Call{Op: opSwap, Name: name}, path: pathSwap, expected: expected}
+	if err := c.call(ctx, description, request, &response); err != nil {
 		return 0, err
 	}
-	if answer.Version == 0 {
+	if response.Version == 0 {
 		return 0, &mtstore.UnknownError{Op: opSwap, Name: name, Err: &AnswerError{Reason: "no version"}}
 	}
-	return answer.Version, nil
+	return response.Version, nil
 }
 
-// Watch implements the Store of core/mtstore.
+// Watch implements the Store interface of core/mtstore.
 func (c *Client) Watch(ctx context.Context, prefix string, after mtid.Revision, wait time.Duration) (mtstore.Changes, error) {
 	if err := checkWait(wait); err != nil {
 		return mtstore.Changes{}, err
 	}
-	c.counts.waiting.Add(1)
-	defer c.counts.waiting.Add(-1)
+	c.counts.watching.Add(1)
+	defer c.counts.watching.Add(-1)
 	var changes mtstore.Changes
-	made := call{Call: Call{Op: opWatch, Name: prefix, Read: true}, path: pathWatch, wait: wait}
-	err := c.call(ctx, made, watchAsk{Prefix: prefix, After: after, Wait: wait}, &changes)
+	description := call{Call: Call{Op: opWatch, Name: prefix, Read: true}, path: pathWatch, wait: wait}
+	err := c.call(ctx, description, watchRequest{Prefix: prefix, After: after, Wait: wait}, &changes)
 	return changes, err
 }
 
-// Grant implements the Store of core/mtstore.
+// Grant implements the Store interface of core/mtstore.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (mtstore.LeaseID, error) {
 	if err := checkTTL(ttl); err != nil {
 		return "", err
 	}
-	var answer leaseBody
-	err := c.call(ctx, call{Call: Call{Op: opGrant}, path: pathGrant}, grantAsk{TTL: ttl}, &answer)
-	return answer.Lease, err
+	var response leaseBody
+	err := c.call(ctx, call{Call: Call{Op: opGrant}, path: pathGrant}, grantRequest{TTL: ttl}, &response)
+	return response.Lease, err
 }
 
-// Renew implements the Store of core/mtstore.
+// Renew implements the Store interface of core/mtstore.
 func (c *Client) Renew(ctx context.Context, lease mtstore.LeaseID) error {
-	var answer leaseBody
-	return c.call(ctx, call{Call: Call{Op: opRenew, Name: string(lease)}, path: pathRenew}, leaseBody{Lease: lease}, &answer)
+	var response leaseBody
+	return c.call(ctx, call{Call: Call{Op: opRenew, Name: string(lease)}, path: pathRenew}, leaseBody{Lease: lease}, &response)
 }
 
-// call describes one call, for its errors.
+// call describes a call of a Client, for sending it and for its errors.
 type call struct {
 	Call
 	path     string
@@ -127,45 +127,46 @@
 	wait     time.Duration
 }
 
-// call makes one call and counts it.
-func (c *Client) call(ctx context.Context, made call, ask, answer any) error {
-	c.counts.call(made.Op)
-	err := c.exchange(ctx, made, ask, answer)
+// call makes a call and counts it.
+func (c *Client) call(ctx context.Context, description call, in, out any) error {
+	c.counts.call(description.Op)
+	err := c.exchange(ctx, description, in, out)
 	if err != nil {
 		c.counts.fail(err)
 	}
 	return err
 }
 
-// exchange sends ask and reads answer.
-func (c *Client) exchange(ctx context.Context, made call, ask, answer any) error {
-	ctx, cancel := context.WithTimeout(ctx, c.timeout+made.wait)
+// exchange sends the request body in and decodes the response into out.
+func (c *Client) exchange(ctx context.Context, description call, in, out any) error {
+	ctx, cancel := context.WithTimeout(ctx, c.timeout+description.wait)
 	defer cancel()
-	encoded, err := json.Marshal(ask)
+	encoded, err := json.Marshal(in)
 	if err != nil {
-		return &mtstore.RejectedError{Op: made.Op, Reason: err.Error()}
+		return &mtstore.RejectedError{Op: description.Op, Reason: err.Error()}
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+made.path, bytes.NewReader(encoded))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+description.path, bytes.NewReader(encoded))
 	if err != nil {
-		return &mtstore.RejectedError{Op: made.Op, Reason: err.Error()}
+		return &mtstore.RejectedError{Op: description.Op, Reason: err.Error()}
 	}
 	request.Header.Set("Content-Type", "application/json")
-	status, body, err := made.Exchange(c.http, request, maxBody)
+	status, body, err := description.Exchange(c.http, request, maxBody)
 	if err != nil {
 		return err
 	}
 	if status != http.StatusOK {
-		return made.refused(status, body)
+		return description.rejectionError(status, body)
 	}
-	if err := json.Unmarshal(body, answer); err != nil {
-		return made.Lost(err)
+	if err := json.Unmarshal(body, out); err != nil {
+		return description.Lost(err)
 	}
 	return nil
 }
 
-// refused returns the error for an answer other than success. A status without
-// the store's own refusal, such as that of a proxy in between, proves nothing.
-func (c call) refused(status int, body []byte) error {
+// rejectionError returns the error for a response other than success. A status without
+// a matching refusal of the store, such as the response of a proxy, does not prove
+// that the call had no effect.
+func (c call) rejectionError(status int, body []byte) error {
 	var r refusal
 	if err := json.Unmarshal(body, &r); err != nil || r.Kind.status() != status {
 		return c.Lost(&AnswerError{Status: status, Reason: "not the store's"})
@@ -175,7 +176,7 @@
 		return &mtstore.NotFoundError{Name: c.Name}
 	case kindConflict:
 		return &mtstore.ConflictError{Name: c.Name, Expected: c.expected, Current: r.Current}
-	case kindLapsed:
+	case kindExpired:
 		return &mtstore.LeaseExpiredError{Lease: r.Lease}
 	case kindRejected:
 		return &mtstore.RejectedError{Op: c.Op, Reason: r.Reason}
@@ -185,9 +186,10 @@
 	return c.Lost(&AnswerError{Status: status, Reason: "unknown kind " + string(r.Kind)})
 }
 
-// AnswerError says what was wrong with an answer of the store.
+// AnswerError reports that a response of the store is invalid, or contains the reason
+// of a refusal.
 type AnswerError struct {
-	Status int // of HTTP; zero if the fault lies in the body of a success
+	Status int // HTTP status; zero if the body of a successful response is invalid
 	Reason string
 }
 
--- a/io/mtstore/client_test.go
+++ b/io/mtstore/client_test.go
@@ -17,9 +17,9 @@
 	"magnoliaturn/io/mtstore"
 )
 
-// Something between client and store answers in its place, or the answer is
-// cut. A write that may have gone through must not be called refused.
-func TestClientTrustsOnlyTheStoresOwnWords(t *testing.T) {
+// A proxy responds in place of the store, or the response is truncated. A write that
+// may have been applied must not be reported as rejected.
+func TestClientTrustsOnlyStoreRefusals(t *testing.T) {
 	tests := []struct {
 		name   string
 		status int
@@ -29,13 +29,13 @@
 	}{
 		{"bad gateway", 502, "<html>", &core.UnknownError{}, &core.UnavailableError{}},
 		{"refusal of a proxy", 503, "busy", &core.UnknownError{}, &core.UnavailableError{}},
-		{"conflict without a word", 409, "", &core.UnknownError{}, &core.UnavailableError{}},
-		{"kind that does not fit", 500, `{"kind":"conflict"}`, &core.UnknownError{}, &core.UnavailableError{}},
+		{"conflict without a body", 409, "", &core.UnknownError{}, &core.UnavailableError{}},
+		{"kind does not match status", 500, `{"kind":"conflict"}`, &core.UnknownError{}, &core.UnavailableError{}},
 		{"unknown kind", 503, `{"kind":"tired"}`, &core.UnknownError{}, &core.UnavailableError{}},
-		{"half an answer", 200, `{"vers`, &core.UnknownError{}, &core.UnavailableError{}},
+		{"truncated response", 200, `{"vers`, &core.UnknownError{}, &core.UnavailableError{}},
 		{"redirect", 307, "", &core.UnknownError{}, &core.UnavailableError{}},
 		{"no version", 200, `{}`, &core.UnknownError{}, nil},
-		{"the store's refusal", 503, `{"kind":"unavailable"}`, &core.UnavailableError{}, &core.UnavailableError{}},
+		{"refusal of the store", 503, `{"kind":"unavailable"}`, &core.UnavailableError{}, &core.UnavailableError{}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 				_, _ = io.WriteString(w, tt.body)
 			}))
 			defer server.Close()
-			client, cleanUp, err := mtstore.NewClient(server.URL, plenty)
+			client, cleanUp, err := mtstore.NewClient(server.URL, longTimeout)
 			assert.NilError(t, err)
 			defer cleanUp()
 			_, err = client.Swap(t.Context(), "a", 0, nil, "")
@@ -56,13 +56,14 @@
 	}
 }
 
-// Nobody listens: no byte of the write has left, so it was not done.
-func TestClientThatCannotConnect(t *testing.T) {
+// Nothing listens at the address. No byte of the write was sent, so it was not
+// applied.
+func TestClientReportsUnavailableWithoutConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := listener.Addr().String()
 	assert.NilError(t, listener.Close())
-	client, cleanUp, err := mtstore.NewClient("http://"+address, plenty)
+	client, cleanUp, err := mtstore.NewClient("http://"+address, longTimeout)
 	assert.NilError(t, err)
 	defer cleanUp()
 	_, err = client.Swap(t.Context(), "a", 0, nil, "")
@@ -70,9 +71,9 @@
 	assert.Equal(t, client.Vars().Get("unavailable").String(), "1")
 }
 
-// The store dies with a connection open and idle. The next write finds the
-// connection dead, and whether it was read before is not known.
-func TestClientOnAConnectionThatDies(t *testing.T) {
+// The store terminates while a connection is open and idle. The next write fails on that
+// connection, and it is unknown whether the store has read it.
+func TestClientReportsUnknownOnClosedConnection(t *testing.T) {
 	var calls atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -82,7 +83,7 @@
 		_, _ = io.WriteString(w, `{"version":1}`)
 	}))
 	defer server.Close()
-	client, cleanUp, err := mtstore.NewClient(server.URL, plenty)
+	client, cleanUp, err := mtstore.NewClient(server.URL, longTimeout)
 	assert.NilError(t, err)
 	defer cleanUp()
 	_, err = client.Swap(t.Context(), "a", 0, nil, "")
@@ -92,7 +93,7 @@
 	assert.Equal(t, calls.Load(), int32(2), "a write must never be sent twice")
 }
 
-func TestNewClientRefusesSettings(t *testing.T) {
+func TestNewClientRejectsInvalidSettings(t *testing.T) {
 	for _, base := range []string{"", "127.0.0.1:7000", "ftp://127.0.0.1", "http://"} {
 		_, _, err := mtstore.NewClient(base, time.Second)
 		assertType(t, err, &mtstore.SettingError{})
@@ -101,7 +102,7 @@
 	assertType(t, err, &mtstore.SettingError{})
 }
 
-func TestFaultsAreSwitchedByAForm(t *testing.T) {
+func TestFaultsAreControlledByForm(t *testing.T) {
 	memory := mtstore.NewMemory(time.Now)
 	server := httptest.NewServer(mtstore.NewHandler(memory))
 	defer server.Close()
--- a/io/mtstore/exchange.go
+++ b/io/mtstore/exchange.go
@@ -13,10 +13,10 @@
 type Call struct {
 	Op   string
 	Name string
-	Read bool // has no effect, so a lost answer leaves nothing in doubt
+	Read bool // the call has no effect, so its outcome is certain even if the response is lost
 }
 
-// Lost returns the error for a call that was, or may have been, sent.
+// Lost returns the error for a call that was sent, or may have been sent.
 func (c Call) Lost(err error) error {
 	if c.Read {
 		return &mtstore.UnavailableError{Op: c.Op, Err: err}
@@ -24,10 +24,10 @@
 	return &mtstore.UnknownError{Op: c.Op, Name: c.Name, Err: err}
 }
 
-// Exchange sends the request of a call, once, and reads its answer of at most
-// limit bytes. Whether a failed call may have taken effect depends on one thing
-// only: whether it ever had a connection. Before that no byte of it can have left;
-// from then on nothing but an answer of the store proves that it had no effect.
+// Exchange sends the request of a call once and reads a response of at most limit
+// bytes. Whether a failed call may have taken effect depends only on whether it ever
+// had a connection. Without a connection, no byte of it can have been sent. With one,
+// only a response of the store proves that the call had no effect.
 func (c Call) Exchange(client *http.Client, request *http.Request, limit int64) (status int, body []byte, err error) {
 	var connected atomic.Bool
 	ctx := httptrace.WithClientTrace(request.Context(), &httptrace.ClientTrace{
@@ -51,6 +51,6 @@
 	return response.StatusCode, body, nil
 }
 
-// NeverRedirect keeps a client from sending a write a second time to another
-// address, which a redirect with status 307 would make it do.
+// NeverRedirect prevents a client from following redirects. A redirect with status 307
+// would make it send a write a second time, to another address.
 func NeverRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
--- a/io/mtstore/fault.go
+++ b/io/mtstore/fault.go
@@ -7,49 +7,49 @@
 	"time"
 )
 
-// Faults say how a Memory misbehaves. The zero value is a store in order.
+// Faults are the faults that a Memory simulates. The zero value simulates none.
 type Faults struct {
-	// Down refuses every call as unavailable and cuts the watches that wait.
+	// Down rejects every call as unavailable and ends the watches that are waiting.
 	Down bool
-	// Hang never answers: a call ends with its context, a write has no effect.
+	// Hang never responds: a call ends with its context, and a write has no effect.
 	Hang bool
-	// Slow delays each call before it takes effect. A write whose caller has
-	// given up meanwhile still lands at its time.
+	// Slow delays each call before it takes effect. A write whose caller has given up
+	// in the meantime is still applied after the delay.
 	Slow time.Duration
-	// LoseAnswers lets writes take effect and loses their answers.
+	// LoseAnswers applies writes but loses their responses.
 	LoseAnswers bool
-	// LateWrites answers writes with an unknown outcome and attempts them this
-	// much later.
+	// LateWrites reports an unknown outcome for writes and attempts to apply them
+	// after this delay.
 	LateWrites time.Duration
-	// DropWrites answers writes with an unknown outcome and never attempts them.
+	// DropWrites reports an unknown outcome for writes and never applies them.
 	DropWrites bool
-	// CutWatches ends watches at once as unavailable.
+	// CutWatches ends watches immediately as unavailable.
 	CutWatches bool
-	// LateWatches delays what a watch reports.
+	// LateWatches delays the results of watches.
 	LateWatches time.Duration
-	// WriteRate and ReadRate limit calls a second; those above are refused as
-	// unavailable. A watch counts as a read. Zero is no limit.
+	// WriteRate and ReadRate limit the calls per second; excess calls are rejected as
+	// unavailable. A watch counts as a read. Zero means no limit.
 	WriteRate float64
 	ReadRate  float64
-	// Prefix confines the faults of writes to names that begin with it.
+	// Prefix restricts the faults of writes to names with this prefix.
 	Prefix string
-	// Times confines the faults of writes to that many writes, after which
-	// LoseAnswers, LateWrites and DropWrites are switched off. Zero is no limit.
+	// Times restricts the faults of writes to this number of writes. After that,
+	// LoseAnswers, LateWrites and DropWrites are switched off. Zero means no limit.
 	Times int
 }
 
-// writeFault reports whether any fault of writes is switched on.
-func (f *Faults) writeFault() bool {
+// hasWriteFault reports whether any fault of writes is switched on.
+func (f *Faults) hasWriteFault() bool {
 	return f.LoseAnswers || f.DropWrites || f.LateWrites > 0
 }
 
-// strikes reports whether a write of name meets a fault of writes.
-func (f *Faults) strikes(name string) bool {
-	return f.writeFault() && strings.HasPrefix(name, f.Prefix)
+// affectsWrite reports whether a fault applies to a write of the name.
+func (f *Faults) affectsWrite(name string) bool {
+	return f.hasWriteFault() && strings.HasPrefix(name, f.Prefix)
 }
 
-// spend uses up one of the limited Times.
-func (f *Faults) spend() {
+// countWrite counts an affected write against Times.
+func (f *Faults) countWrite() {
 	if f.Times == 0 {
 		return
 	}
@@ -59,7 +59,7 @@
 	}
 }
 
-// The fields of the form that ParseFaults reads.
+// Fields of the form that ParseFaults reads.
 const (
 	fieldDown        = "down"
 	fieldHang        = "hang"
@@ -75,16 +75,16 @@
 	fieldTimes       = "times"
 )
 
-// maxRate bounds the rates of a form; it is far above any store's.
+// maxRate is the maximum rate in a form, far above the rate of any store.
 const maxRate = 1e9
 
-// maxTimes bounds the count of struck writes of a form.
+// maxTimes is the maximum number of affected writes in a form.
 const maxTimes = 1 << 30
 
-// ParseFaults reads faults from a form: down, hang, lose-answers, drop-writes
-// and cut-watches are true or false; slow, late-writes and late-watches are Go
-// durations; write-rate and read-rate are calls a second; prefix is text; times
-// is a count. Absent fields are off. It fails with a *SettingError.
+// ParseFaults reads faults from a form: down, hang, lose-answers, drop-writes and
+// cut-watches are true or false; slow, late-writes and late-watches are Go durations;
+// write-rate and read-rate are calls per second; prefix is a string; times is a count.
+// Missing fields are off. It fails with a *SettingError.
 func ParseFaults(form url.Values) (Faults, error) {
 	var f Faults
 	flags := map[string]*bool{
@@ -119,7 +119,7 @@
 	return f, nil
 }
 
-// Form returns f as the form that ParseFaults reads.
+// Form returns f as a form that ParseFaults can read.
 func (f *Faults) Form() url.Values {
 	return url.Values{
 		fieldDown:        {strconv.FormatBool(f.Down)},
--- a/io/mtstore/handler.go
+++ b/io/mtstore/handler.go
@@ -12,31 +12,31 @@
 	"magnoliaturn/core/mtstore"
 )
 
-// NewHandler returns a handler that serves m by the protocol of this package,
-// with the paths that switch its faults. It is meant for loopback in tests and
-// stand-ins: it asks nobody who they are.
+// NewHandler returns a handler that serves m with the protocol of this package,
+// including the paths that control its faults. It does not authenticate callers, so it
+// should only be used on loopback, in tests and stand-ins.
 func NewHandler(m *Memory) http.Handler {
 	e := echo.New()
-	e.POST(pathGet, serve(func(ctx context.Context, ask getAsk) (mtstore.Entry, error) {
-		return m.Get(ctx, ask.Name)
+	e.POST(pathGet, serve(func(ctx context.Context, request getRequest) (mtstore.Entry, error) {
+		return m.Get(ctx, request.Name)
 	}))
-	e.POST(pathSwap, serve(func(ctx context.Context, ask swapAsk) (swapAnswer, error) {
-		version, err := m.Swap(ctx, ask.Name, ask.Expected, ask.Value, ask.Lease)
-		return swapAnswer{Version: version}, err
+	e.POST(pathSwap, serve(func(ctx context.Context, request swapRequest) (swapResponse, error) {
+		version, err := m.Swap(ctx, request.Name, request.Expected, request.Value, request.Lease)
+		return swapResponse{Version: version}, err
 	}))
-	e.POST(pathWatch, serve(func(ctx context.Context, ask watchAsk) (mtstore.Changes, error) {
-		return m.Watch(ctx, ask.Prefix, ask.After, ask.Wait)
+	e.POST(pathWatch, serve(func(ctx context.Context, request watchRequest) (mtstore.Changes, error) {
+		return m.Watch(ctx, request.Prefix, request.After, request.Wait)
 	}))
-	e.POST(pathGrant, serve(func(ctx context.Context, ask grantAsk) (leaseBody, error) {
-		id, err := m.Grant(ctx, ask.TTL)
+	e.POST(pathGrant, serve(func(ctx context.Context, request grantRequest) (leaseBody, error) {
+		id, err := m.Grant(ctx, request.TTL)
 		return leaseBody{Lease: id}, err
 	}))
-	e.POST(pathRenew, serve(func(ctx context.Context, ask leaseBody) (leaseBody, error) {
-		return ask, m.Renew(ctx, ask.Lease)
+	e.POST(pathRenew, serve(func(ctx context.Context, request leaseBody) (leaseBody, error) {
+		return request, m.Renew(ctx, request.Lease)
 	}))
 	e.GET(pathFaults, func(c echo.Context) error { return reportFaults(c, m) })
 	e.POST(pathFaults, func(c echo.Context) error { return switchFaults(c, m) })
-	e.POST(pathLapse, func(c echo.Context) error {
+	e.POST(pathExpire, func(c echo.Context) error {
 		m.Lapse()
 		return c.NoContent(http.StatusNoContent)
 	})
@@ -46,49 +46,49 @@
 	return e
 }
 
-// serve answers one kind of call.
-func serve[Ask, Answer any](call func(context.Context, Ask) (Answer, error)) echo.HandlerFunc {
+// serve returns a handler for one kind of call.
+func serve[Request, Response any](call func(context.Context, Request) (Response, error)) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		var ask Ask
+		var request Request
 		body := http.MaxBytesReader(c.Response(), c.Request().Body, maxBody)
-		if err := json.NewDecoder(body).Decode(&ask); err != nil {
-			return refuse(c, refusal{Kind: kindRejected, Reason: "body can't be read: " + err.Error()})
+		if err := json.NewDecoder(body).Decode(&request); err != nil {
+			return sendRefusal(c, refusal{Kind: kindRejected, Reason: "body can't be read: " + err.Error()})
 		}
-		answer, err := call(c.Request().Context(), ask)
+		response, err := call(c.Request().Context(), request)
 		if err != nil {
-			return refuseFor(c, err)
+			return sendError(c, err)
 		}
-		return c.JSON(http.StatusOK, answer)
+		return c.JSON(http.StatusOK, response)
 	}
 }
 
-// refuseFor sends the refusal that err stands for. An unknown outcome has
-// none: the connection is cut, as by a store that dies before it answers, so
-// that the client has to find out by itself.
-func refuseFor(c echo.Context, err error) error {
+// sendError sends the refusal that corresponds to err. There is none for an unknown
+// outcome: the connection is closed, as by a store that crashes before it responds, so
+// the client has to determine the outcome itself.
+func sendError(c echo.Context, err error) error {
 	var (
-		missing     *mtstore.NotFoundError
+		notFound    *mtstore.NotFoundError
 		conflict    *mtstore.ConflictError
-		lapsed      *mtstore.LeaseExpiredError
+		expired     *mtstore.LeaseExpiredError
 		rejected    *mtstore.RejectedError
 		unavailable *mtstore.UnavailableError
 	)
 	switch {
-	case errors.As(err, &missing):
-		return refuse(c, refusal{Kind: kindMissing})
+	case errors.As(err, &notFound):
+		return sendRefusal(c, refusal{Kind: kindMissing})
 	case errors.As(err, &conflict):
-		return refuse(c, refusal{Kind: kindConflict, Current: conflict.Current})
-	case errors.As(err, &lapsed):
-		return refuse(c, refusal{Kind: kindLapsed, Lease: lapsed.Lease})
+		return sendRefusal(c, refusal{Kind: kindConflict, Current: conflict.Current})
+	case errors.As(err, &expired):
+		return sendRefusal(c, refusal{Kind: kindExpired, Lease: expired.Lease})
 	case errors.As(err, &rejected):
-		return refuse(c, refusal{Kind: kindRejected, Reason: rejected.Reason})
+		return sendRefusal(c, refusal{Kind: kindRejected, Reason: rejected.Reason})
 	case errors.As(err, &unavailable):
-		return refuse(c, refusal{Kind: kindUnavailable, Reason: unavailable.Err.Error()})
+		return sendRefusal(c, refusal{Kind: kindUnavailable, Reason: unavailable.Err.Error()})
 	}
 	panic(http.ErrAbortHandler)
 }
 
-func refuse(c echo.Context, r refusal) error {
+func sendRefusal(c echo.Context, r refusal) error {
 	return c.JSON(r.Kind.status(), r)
 }
 
--- a/io/mtstore/memory.go
+++ b/io/mtstore/memory.go
@@ -18,15 +18,15 @@
 	"magnoliaturn/io/mtduty"
 )
 
-// firstRevision is the revision of an empty store. It is not zero, since a
-// watch from revision zero answers at once: a watcher of an empty store would
-// never wait.
+// firstRevision is the revision of an empty store. It is not zero, because a watch
+// after revision zero returns immediately, so a watcher of an empty store would never
+// wait.
 const firstRevision = 1
 
-// Memory is a store in the memory of one process, with switchable faults. It
-// implements the Store of core/mtstore and is safe for concurrent use. Lapsed
-// leases and late writes take effect when their time has come by the clock and
-// the next call, or a watch that waits, looks.
+// Memory is an in-memory store with faults that can be switched on. It implements the
+// Store interface of core/mtstore and is safe for concurrent use. Expired leases and
+// late writes take effect at the first call after they are due by the clock, or when
+// they are due if a watch is waiting.
 type Memory struct {
 	clock  func() time.Time
 	counts counts
@@ -35,27 +35,27 @@
 	items    map[string]*item
 	revision mtid.Revision
 	leases   map[mtstore.LeaseID]*lease
-	granted  uint64
+	grants   uint64
 	late     []lateWrite
 	faults   Faults
 	writes   *rate.Limiter
 	reads    *rate.Limiter
-	changed  chan struct{} // closed and replaced with each change
+	changed  chan struct{} // closed and replaced at each change
 }
 
-// item is a name that has, or had, a value.
+// item is the state of a name that has, or had, a value.
 type item struct {
 	entry mtstore.Entry
-	// count outlives a deletion, so that no two lives of a name share a
-	// version: a late write that expects a version of the former life would
-	// else succeed on the next.
-	count mtid.Version
-	lease mtstore.LeaseID
+	// lastVersion is retained after a deletion, so that versions are unique across
+	// deletions and re-creations of a name. Otherwise a late write that expects a
+	// version from before a deletion could succeed afterwards.
+	lastVersion mtid.Version
+	lease       mtstore.LeaseID
 }
 
 type lease struct {
-	ttl   time.Duration
-	until time.Time
+	ttl     time.Duration
+	expires time.Time
 }
 
 type write struct {
@@ -70,17 +70,17 @@
 	due   time.Time
 }
 
-// fate is what the faults hold for one call.
-type fate struct {
-	slow time.Duration
-	hang bool
-	lose bool
-	drop bool
-	late time.Duration
+// callFaults are the faults that apply to one call.
+type callFaults struct {
+	slow       time.Duration
+	hang       bool
+	loseAnswer bool
+	dropped    bool
+	late       time.Duration
 }
 
-// NewMemory returns an empty store whose leases, late writes and rates go by
-// the clock. Delays and the waits of watches take real time.
+// NewMemory returns an empty store whose leases, late writes and rates use the given
+// clock. Delays and the waits of watches use real time.
 func NewMemory(clock func() time.Time) *Memory {
 	return &Memory{
 		clock:    clock,
@@ -92,8 +92,8 @@
 	}
 }
 
-// Vars returns the counters: calls by kind, failures by kind, and "watching",
-// the number of watches that wait now.
+// Vars returns the counters: calls by kind, failures by kind, and "watching", the
+// number of watches that are currently waiting.
 func (m *Memory) Vars() *expvar.Map { return m.counts.vars }
 
 // Faults returns the faults that are switched on.
@@ -103,28 +103,28 @@
 	return m.faults
 }
 
-// SetFaults replaces the faults. Watches that wait notice at once; other calls
-// that are under way keep the fate that they met.
+// SetFaults replaces the faults. They apply immediately to waiting watches; other
+// calls in progress keep the faults that applied when they started.
 func (m *Memory) SetFaults(f Faults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.faults = f
 	m.writes = limiter(f.WriteRate)
 	m.reads = limiter(f.ReadRate)
-	m.wake()
+	m.notifyWatches()
 }
 
-// Lapse ends every lease now, as though its time had run out.
+// Lapse expires all leases immediately.
 func (m *Memory) Lapse() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for id := range m.leases {
-		m.end(id)
+		m.endLease(id)
 	}
 }
 
-// Settle attempts the late writes that are under way now, in the order of
-// their time, and returns how many there were.
+// Settle attempts to apply the pending late writes, in the order of their due times,
+// and returns their number.
 func (m *Memory) Settle() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -136,7 +136,7 @@
 	return len(due)
 }
 
-// Get implements the Store of core/mtstore.
+// Get implements the Store interface of core/mtstore.
 func (m *Memory) Get(ctx context.Context, name string) (mtstore.Entry, error) {
 	m.counts.call(opGet)
 	entry, err := m.get(ctx, name)
@@ -150,20 +150,20 @@
 	if err := checkName(opGet, name); err != nil {
 		return mtstore.Entry{}, err
 	}
-	if err := m.read(ctx, opGet); err != nil {
+	if err := m.admitRead(ctx, opGet); err != nil {
 		return mtstore.Entry{}, err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.sweep(m.clock())
-	entry, ok := m.present(name)
+	m.applyDue(m.clock())
+	entry, ok := m.lookup(name)
 	if !ok {
 		return mtstore.Entry{}, &mtstore.NotFoundError{Name: name}
 	}
 	return entry, nil
 }
 
-// Swap implements the Store of core/mtstore.
+// Swap implements the Store interface of core/mtstore.
 func (m *Memory) Swap(ctx context.Context, name string, expected mtid.Version, value []byte, lease mtstore.LeaseID) (mtid.Version, error) {
 	m.counts.call(opSwap)
 	version, err := m.swap(ctx, write{name: name, expected: expected, value: bytes.Clone(value), lease: lease})
@@ -181,40 +181,40 @@
 		return 0, err
 	}
 	now := m.clock()
-	met, err := m.enter(ctx, opSwap, w.name, now)
+	faults, err := m.admit(ctx, opSwap, w.name, now)
 	if err != nil {
 		return 0, err
 	}
 	unknown := func(err error) error { return &mtstore.UnknownError{Op: opSwap, Name: w.name, Err: err} }
 	switch {
-	case met.drop:
+	case faults.dropped:
 		return 0, unknown(&FaultError{Fault: fieldDropWrites})
-	case met.late > 0:
-		m.postpone(w, now.Add(met.late))
+	case faults.late > 0:
+		m.scheduleWrite(w, now.Add(faults.late))
 		return 0, unknown(&FaultError{Fault: fieldLateWrites})
-	case met.hang:
+	case faults.hang:
 		<-ctx.Done()
 		return 0, unknown(ctx.Err())
 	}
-	if err := pause(ctx, met.slow); err != nil {
-		m.postpone(w, now.Add(met.slow))
+	if err := pause(ctx, faults.slow); err != nil {
+		m.scheduleWrite(w, now.Add(faults.slow))
 		return 0, unknown(err)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.sweep(m.clock())
+	m.applyDue(m.clock())
 	version, err := m.apply(w)
-	if met.lose {
+	if faults.loseAnswer {
 		return 0, unknown(&FaultError{Fault: fieldLoseAnswers})
 	}
 	return version, err
 }
 
-// Watch implements the Store of core/mtstore.
+// Watch implements the Store interface of core/mtstore.
 func (m *Memory) Watch(ctx context.Context, prefix string, after mtid.Revision, wait time.Duration) (mtstore.Changes, error) {
 	m.counts.call(opWatch)
-	m.counts.waiting.Add(1)
-	defer m.counts.waiting.Add(-1)
+	m.counts.watching.Add(1)
+	defer m.counts.watching.Add(-1)
 	changes, err := m.watch(ctx, prefix, after, wait)
 	if err != nil {
 		m.counts.fail(err)
@@ -226,22 +226,22 @@
 	if err := checkWait(wait); err != nil {
 		return mtstore.Changes{}, err
 	}
-	if err := m.read(ctx, opWatch); err != nil {
+	if err := m.admitRead(ctx, opWatch); err != nil {
 		return mtstore.Changes{}, err
 	}
 	end := time.NewTimer(wait)
 	defer end.Stop()
 	for last := false; ; {
-		seen, err := m.look(prefix, after)
+		snap, err := m.snapshot(prefix, after)
 		if err != nil {
 			return mtstore.Changes{}, err
 		}
-		if last || after == 0 || len(seen.changes.Entries) > 0 {
-			return m.report(ctx, seen)
+		if last || after == 0 || len(snap.changes.Entries) > 0 {
+			return m.report(ctx, snap)
 		}
-		due := time.NewTimer(seen.due)
+		due := time.NewTimer(snap.due)
 		select {
-		case <-seen.changed:
+		case <-snap.changed:
 		case <-due.C:
 		case <-end.C:
 			last = true
@@ -253,65 +253,65 @@
 	}
 }
 
-// sight is what a watch sees when it looks.
-type sight struct {
+// watchSnapshot is the state that a watch has read.
+type watchSnapshot struct {
 	changes mtstore.Changes
 	changed <-chan struct{}
-	due     time.Duration // until a lease lapses or a late write lands
-	late    time.Duration
+	due     time.Duration // until a lease expires or a late write is applied
+	delay   time.Duration
 }
 
-func (m *Memory) look(prefix string, after mtid.Revision) (sight, error) {
+func (m *Memory) snapshot(prefix string, after mtid.Revision) (watchSnapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock()
-	m.sweep(now)
+	m.applyDue(now)
 	if m.faults.Down {
-		return sight{}, &mtstore.UnavailableError{Op: opWatch, Err: &FaultError{Fault: fieldDown}}
+		return watchSnapshot{}, &mtstore.UnavailableError{Op: opWatch, Err: &FaultError{Fault: fieldDown}}
 	}
 	if m.faults.CutWatches {
-		return sight{}, &mtstore.UnavailableError{Op: opWatch, Err: &FaultError{Fault: fieldCutWatches}}
+		return watchSnapshot{}, &mtstore.UnavailableError{Op: opWatch, Err: &FaultError{Fault: fieldCutWatches}}
 	}
-	return sight{
-		changes: m.collect(prefix, after),
+	return watchSnapshot{
+		changes: m.changesAfter(prefix, after),
 		changed: m.changed,
 		due:     m.nextDue(now),
-		late:    m.faults.LateWatches,
+		delay:   m.faults.LateWatches,
 	}, nil
 }
 
-// report returns what a watch saw, held back if reports are late.
-func (m *Memory) report(ctx context.Context, seen sight) (mtstore.Changes, error) {
-	if err := pause(ctx, seen.late); err != nil {
+// report returns the result of a watch, after the delay of LateWatches.
+func (m *Memory) report(ctx context.Context, snap watchSnapshot) (mtstore.Changes, error) {
+	if err := pause(ctx, snap.delay); err != nil {
 		return mtstore.Changes{}, &mtstore.UnavailableError{Op: opWatch, Err: err}
 	}
-	return seen.changes, nil
+	return snap.changes, nil
 }
 
-// Grant implements the Store of core/mtstore.
+// Grant implements the Store interface of core/mtstore.
 func (m *Memory) Grant(ctx context.Context, ttl time.Duration) (mtstore.LeaseID, error) {
 	m.counts.call(opGrant)
 	if err := checkTTL(ttl); err != nil {
 		return "", err
 	}
-	lose, err := m.leaseCall(ctx, opGrant, "")
+	loseAnswer, err := m.admitLeaseCall(ctx, opGrant, "")
 	if err != nil {
 		m.counts.fail(err)
 		return "", err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.granted++
-	id := mtstore.LeaseID(fmt.Sprintf("lease-%d", m.granted))
-	m.leases[id] = &lease{ttl: ttl, until: m.clock().Add(ttl)}
-	m.wake()
-	return id, m.answer(opGrant, string(id), lose)
+	m.grants++
+	id := mtstore.LeaseID(fmt.Sprintf("lease-%d", m.grants))
+	m.leases[id] = &lease{ttl: ttl, expires: m.clock().Add(ttl)}
+	m.notifyWatches()
+	return id, m.leaseResult(opGrant, string(id), loseAnswer)
 }
 
-// Renew implements the Store of core/mtstore.
+// Renew implements the Store interface of core/mtstore.
 func (m *Memory) Renew(ctx context.Context, id mtstore.LeaseID) error {
 	m.counts.call(opRenew)
-	lose, err := m.leaseCall(ctx, opRenew, string(id))
+	loseAnswer, err := m.admitLeaseCall(ctx, opRenew, string(id))
 	if err != nil {
 		m.counts.fail(err)
 		return err
@@ -319,38 +319,38 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock()
-	m.sweep(now)
-	held, ok := m.leases[id]
+	m.applyDue(now)
+	l, ok := m.leases[id]
 	if !ok {
 		return &mtstore.LeaseExpiredError{Lease: id}
 	}
-	held.until = now.Add(held.ttl)
-	return m.answer(opRenew, string(id), lose)
+	l.expires = now.Add(l.ttl)
+	return m.leaseResult(opRenew, string(id), loseAnswer)
 }
 
-// leaseCall lets a call for a lease meet the faults, and says whether its
-// answer is to be lost. Late and dropped calls have no effect.
-func (m *Memory) leaseCall(ctx context.Context, op, name string) (bool, error) {
-	met, err := m.enter(ctx, op, name, m.clock())
+// admitLeaseCall applies the faults to a lease call and reports whether its response
+// must be lost. Late and dropped calls have no effect.
+func (m *Memory) admitLeaseCall(ctx context.Context, op, name string) (bool, error) {
+	faults, err := m.admit(ctx, op, name, m.clock())
 	if err != nil {
 		return false, err
 	}
-	if met.drop || met.late > 0 {
+	if faults.dropped || faults.late > 0 {
 		return false, &mtstore.UnknownError{Op: op, Name: name, Err: &FaultError{Fault: fieldDropWrites}}
 	}
-	if met.hang {
+	if faults.hang {
 		<-ctx.Done()
 		return false, &mtstore.UnknownError{Op: op, Name: name, Err: ctx.Err()}
 	}
-	if err := pause(ctx, met.slow); err != nil {
+	if err := pause(ctx, faults.slow); err != nil {
 		return false, &mtstore.UnknownError{Op: op, Name: name, Err: err}
 	}
-	return met.lose, nil
+	return faults.loseAnswer, nil
 }
 
-// answer returns nil, or the error of an answer that is lost.
-func (m *Memory) answer(op, name string, lose bool) error {
-	if !lose {
+// leaseResult returns nil, or the error for a lost response.
+func (m *Memory) leaseResult(op, name string, loseAnswer bool) error {
+	if !loseAnswer {
 		return nil
 	}
 	err := &mtstore.UnknownError{Op: op, Name: name, Err: &FaultError{Fault: fieldLoseAnswers}}
@@ -358,34 +358,34 @@
 	return err
 }
 
-// read lets a call without effect meet the faults. It fails with an
-// *UnavailableError only, since nothing was done.
-func (m *Memory) read(ctx context.Context, op string) error {
-	met, err := m.enter(ctx, op, "", m.clock())
+// admitRead applies the faults to a call without effect. It fails only with an
+// *UnavailableError, since nothing was written.
+func (m *Memory) admitRead(ctx context.Context, op string) error {
+	faults, err := m.admit(ctx, op, "", m.clock())
 	if err != nil {
 		return err
 	}
-	if met.hang {
+	if faults.hang {
 		<-ctx.Done()
 		return &mtstore.UnavailableError{Op: op, Err: ctx.Err()}
 	}
-	if err := pause(ctx, met.slow); err != nil {
+	if err := pause(ctx, faults.slow); err != nil {
 		return &mtstore.UnavailableError{Op: op, Err: err}
 	}
 	return nil
 }
 
-// enter decides the fate of one call at now. It fails with an
-// *UnavailableError, and then the call has had no effect and never will.
-func (m *Memory) enter(ctx context.Context, op, name string, now time.Time) (fate, error) {
-	refuse := func(err error) (fate, error) { return fate{}, &mtstore.UnavailableError{Op: op, Err: err} }
+// admit determines the faults that apply to a call at now. If it rejects the call, it
+// fails with an *UnavailableError, and the call never has an effect.
+func (m *Memory) admit(ctx context.Context, op, name string, now time.Time) (callFaults, error) {
+	reject := func(err error) (callFaults, error) { return callFaults{}, &mtstore.UnavailableError{Op: op, Err: err} }
 	if err := ctx.Err(); err != nil {
-		return refuse(err)
+		return reject(err)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.faults.Down {
-		return refuse(&FaultError{Fault: fieldDown})
+		return reject(&FaultError{Fault: fieldDown})
 	}
 	isRead := op == opGet || op == opWatch
 	limit, field := m.writes, fieldWriteRate
@@ -393,18 +393,18 @@
 		limit, field = m.reads, fieldReadRate
 	}
 	if limit != nil && !limit.AllowN(now, 1) {
-		return refuse(&FaultError{Fault: field})
+		return reject(&FaultError{Fault: field})
 	}
-	met := fate{slow: m.faults.Slow, hang: m.faults.Hang}
-	if !isRead && m.faults.strikes(name) {
-		met.lose, met.drop, met.late = m.faults.LoseAnswers, m.faults.DropWrites, m.faults.LateWrites
-		m.faults.spend()
+	faults := callFaults{slow: m.faults.Slow, hang: m.faults.Hang}
+	if !isRead && m.faults.affectsWrite(name) {
+		faults.loseAnswer, faults.dropped, faults.late = m.faults.LoseAnswers, m.faults.DropWrites, m.faults.LateWrites
+		m.faults.countWrite()
 	}
-	return met, nil
+	return faults, nil
 }
 
-// postpone keeps a write that lands later.
-func (m *Memory) postpone(w write, due time.Time) {
+// scheduleWrite stores a write that is applied later.
+func (m *Memory) scheduleWrite(w write, due time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	at, _ := slices.BinarySearchFunc(m.late, due, func(l lateWrite, due time.Time) int {
@@ -414,14 +414,14 @@
 		return -1
 	})
 	m.late = slices.Insert(m.late, at, lateWrite{write: w, due: due})
-	m.wake()
+	m.notifyWatches()
 }
 
-// sweep lets everything happen whose time has come.
-func (m *Memory) sweep(now time.Time) {
-	for id, held := range m.leases {
-		if !held.until.After(now) {
-			m.end(id)
+// applyDue expires leases and applies late writes that are due.
+func (m *Memory) applyDue(now time.Time) {
+	for id, l := range m.leases {
+		if !l.expires.After(now) {
+			m.endLease(id)
 		}
 	}
 	for len(m.late) > 0 && !m.late[0].due.After(now) {
@@ -431,11 +431,11 @@
 	}
 }
 
-// nextDue returns the time until sweep has something to do.
+// nextDue returns the time until applyDue has something to do.
 func (m *Memory) nextDue(now time.Time) time.Duration {
 	next := MaxWait
-	for _, held := range m.leases {
-		next = min(next, held.until.Sub(now))
+	for _, l := range m.leases {
+		next = min(next, l.expires.Sub(now))
 	}
 	if len(m.late) > 0 {
 		next = min(next, m.late[0].due.Sub(now))
@@ -443,9 +443,9 @@
 	return max(next, time.Millisecond)
 }
 
-// apply attempts a write. It fails with a *ConflictError or a *LapsedError.
+// apply attempts a write. It fails with a *ConflictError or a *LeaseExpiredError.
 func (m *Memory) apply(w write) (mtid.Version, error) {
-	current, _ := m.present(w.name)
+	current, _ := m.lookup(w.name)
 	if current.Version != w.expected {
 		return 0, &mtstore.ConflictError{Name: w.name, Expected: w.expected, Current: current}
 	}
@@ -457,16 +457,16 @@
 		it = &item{}
 		m.items[w.name] = it
 	}
-	it.count++
+	it.lastVersion++
 	it.lease = w.lease
 	m.revision++
-	it.entry = mtstore.Entry{Name: w.name, Value: w.value, Version: it.count, Revision: m.revision}
-	m.wake()
-	return it.count, nil
+	it.entry = mtstore.Entry{Name: w.name, Value: w.value, Version: it.lastVersion, Revision: m.revision}
+	m.notifyWatches()
+	return it.lastVersion, nil
 }
 
-// end removes a lease with everything that was written under it.
-func (m *Memory) end(id mtstore.LeaseID) {
+// endLease removes a lease and deletes everything that was written under it.
+func (m *Memory) endLease(id mtstore.LeaseID) {
 	delete(m.leases, id)
 	for name, it := range m.items {
 		if it.lease != id {
@@ -476,11 +476,11 @@
 		it.lease = ""
 		it.entry = mtstore.Entry{Name: name, Revision: m.revision}
 	}
-	m.wake()
+	m.notifyWatches()
 }
 
-// present returns a copy of the entry, and whether it exists.
-func (m *Memory) present(name string) (mtstore.Entry, bool) {
+// lookup returns a copy of the entry, and whether it exists.
+func (m *Memory) lookup(name string) (mtstore.Entry, bool) {
 	it := m.items[name]
 	if it == nil || it.entry.Version == 0 {
 		return mtstore.Entry{}, false
@@ -490,12 +490,12 @@
 	return entry, true
 }
 
-// collect returns the changes after a revision, cut at the size limit.
-func (m *Memory) collect(prefix string, after mtid.Revision) mtstore.Changes {
+// changesAfter returns the changes after a revision, truncated at the size limit.
+func (m *Memory) changesAfter(prefix string, after mtid.Revision) mtstore.Changes {
 	var entries []mtstore.Entry
 	for name, it := range m.items {
-		gone := it.entry.Version == 0
-		if it.entry.Revision <= after || !strings.HasPrefix(name, prefix) || (gone && after == 0) {
+		deleted := it.entry.Version == 0
+		if it.entry.Revision <= after || !strings.HasPrefix(name, prefix) || (deleted && after == 0) {
 			continue
 		}
 		entry := it.entry
@@ -513,19 +513,20 @@
 	return mtstore.Changes{Entries: entries, Revision: max(m.revision, after)}
 }
 
-// wake lets the watches that wait look again.
-func (m *Memory) wake() {
+// notifyWatches makes waiting watches read the state again.
+func (m *Memory) notifyWatches() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// FaultError says that a fault which was switched on struck a call.
+// FaultError reports that a call failed because of a fault that was switched on.
 type FaultError struct{ Fault string }
 
 // Error implements error.
 func (e *FaultError) Error() string { return "fault: " + e.Fault }
 
-// limiter returns nil for no limit. The burst is a tenth of a second's worth.
+// limiter returns a rate limiter, or nil for no limit. The burst is a tenth of the
+// calls per second.
 func limiter(perSecond float64) *rate.Limiter {
 	const burstPart = 10
 	if perSecond == 0 {
@@ -534,7 +535,7 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond/burstPart)))
 }
 
-// pause waits for d, or returns the context's error.
+// pause waits for d, or returns the error of the context.
 func pause(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return nil
--- a/io/mtstore/protocol.go
+++ b/io/mtstore/protocol.go
@@ -8,7 +8,7 @@
 	"magnoliaturn/core/mtstore"
 )
 
-// paths of the protocol.
+// Paths of the protocol.
 const (
 	pathGet    = "/v1/get"
 	pathSwap   = "/v1/swap"
@@ -16,35 +16,35 @@
 	pathGrant  = "/v1/grant"
 	pathRenew  = "/v1/renew"
 	pathFaults = "/admin/faults"
-	pathLapse  = "/admin/lapse"
+	pathExpire = "/admin/lapse"
 	pathSettle = "/admin/settle"
 )
 
-// maxBody bounds the bodies of the protocol: a value in base64 and its names.
+// maxBody limits the bodies of the protocol: a base64-encoded value and its names.
 const maxBody = 4 * mtstore.MaxValue
 
-type getAsk struct {
+type getRequest struct {
 	Name string `json:"name"`
 }
 
-type swapAsk struct {
+type swapRequest struct {
 	Name     string          `json:"name"`
 	Expected mtid.Version    `json:"expected"`
 	Value    []byte          `json:"value"`
 	Lease    mtstore.LeaseID `json:"lease,omitempty"`
 }
 
-type swapAnswer struct {
+type swapResponse struct {
 	Version mtid.Version `json:"version"`
 }
 
-type watchAsk struct {
+type watchRequest struct {
 	Prefix string        `json:"prefix"`
 	After  mtid.Revision `json:"after"`
 	Wait   time.Duration `json:"wait"`
 }
 
-type grantAsk struct {
+type grantRequest struct {
 	TTL time.Duration `json:"ttl"`
 }
 
@@ -52,18 +52,18 @@
 	Lease mtstore.LeaseID `json:"lease"`
 }
 
-// kind is the way in which the store refuses a call.
+// kind is the reason for which the store refuses a call.
 type kind string
 
 const (
 	kindMissing     kind = "missing"
 	kindConflict    kind = "conflict"
-	kindLapsed      kind = "lapsed"
+	kindExpired     kind = "lapsed"
 	kindRejected    kind = "rejected"
 	kindUnavailable kind = "unavailable"
 )
 
-// refusal is the body of an answer that proves that nothing was done.
+// refusal is the body of a response that proves that the call had no effect.
 type refusal struct {
 	Kind    kind            `json:"kind"`
 	Reason  string          `json:"reason,omitempty"`
@@ -78,7 +78,7 @@
 		return http.StatusNotFound
 	case kindConflict:
 		return http.StatusConflict
-	case kindLapsed:
+	case kindExpired:
 		return http.StatusGone
 	case kindRejected:
 		return http.StatusBadRequest
