--- a/io/mtcommit/mtcommit.go
+++ b/io/mtcommit/mtcommit.go
@@ -177,7 +177,7 @@
 // writeBatch writes transfers in one step, over others' writes if need be.
 func (c *Committer) writeBatch(service mtid.Service, batch []*pending) {
 	for try := 1; ; try++ {
-		assignment := c.Directory.Now().Assignments[service]
+		assignment := c.Directory.View().Assignments[service]
 		next, ready := c.apply(assignment.Table, batch)
 		if len(ready) == 0 {
 			return
@@ -247,7 +247,7 @@
 	if c.Inform == nil {
 		return
 	}
-	assignment := c.Directory.Now().Assignments[service]
+	assignment := c.Directory.View().Assignments[service]
 	done := make(map[mtid.Daemon]bool, len(ready))
 	for _, p := range ready {
 		if to := p.To.Daemon; !done[to] {
@@ -277,7 +277,7 @@
 	version, err := c.Store.SwapIf(ctx, conditions, name, expected, value, "")
 	if err == nil {
 		c.Log.Info("assignment written", "why", why, "service", next.Service, "version", uint64(version), "epoch", uint64(next.Next), "conditions", len(conditions))
-		c.Directory.Learn(mtdirectory.Assignment{Table: next, Version: version})
+		c.Directory.ApplyAssignment(mtdirectory.Assignment{Table: next, Version: version})
 		return mtrange.Written, ""
 	}
 	c.Log.Warn("assignment not written", "why", why, "expected", uint64(expected), "error", err)
@@ -306,6 +306,6 @@
 		c.Log.Error("assignment passed over", "service", service, "error", err)
 		return false
 	}
-	c.Directory.Learn(mtdirectory.Assignment{Table: table, Version: current.Version})
+	c.Directory.ApplyAssignment(mtdirectory.Assignment{Table: table, Version: current.Version})
 	return true
 }
--- a/io/mtcommit/mtcommit_test.go
+++ b/io/mtcommit/mtcommit_test.go
@@ -77,7 +77,7 @@
 	t.Cleanup(stop)
 	f.directory = directory
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if directory.Now().Assignments[service].Table != nil {
+		if directory.View().Assignments[service].Table != nil {
 			return poll.Success()
 		}
 		return poll.Continue("assignment not read")
@@ -96,7 +96,7 @@
 
 // batch gives the lowest key of a daemon's server to the next one.
 func (f *fleet) batch(i int) mtrange.Batch {
-	r := f.directory.Now().Assignments[service].Owned(owner(i))[0]
+	r := f.directory.View().Assignments[service].Owned(owner(i))[0]
 	return mtrange.Batch{Service: service, Daemon: name(i), RecordVersion: f.records[i], Transfers: []mtrange.Transfer{
 		{From: r.Owner, Epoch: r.Epoch, Low: r.Low, High: r.Low, To: owner((i + 1) % owners)},
 	}}
--- a/io/mtdirectory/foreign_test.go
+++ b/io/mtdirectory/foreign_test.go
@@ -55,10 +55,10 @@
 			a, b := start(t, store, "a"), start(t, store, "b")
 			b.Publish(record("b"))
 			waitFor(t, "a knows the record of b", func() bool { return knowsRecord(a, "b", false) })
-			before := a.Now().Members["b"]
+			before := a.View().Members["b"]
 			store.Put(mtstore.BackendName("b"), []byte(text))
-			waitFor(t, "b's record is valid again", func() bool { return a.Now().Members["b"].Version > before.Version })
-			assert.DeepEqual(t, a.Now().Members["b"].Record, before.Record)
+			waitFor(t, "b's record is valid again", func() bool { return a.View().Members["b"].Version > before.Version })
+			assert.DeepEqual(t, a.View().Members["b"].Record, before.Record)
 		})
 	}
 }
@@ -73,11 +73,11 @@
 			store.Put(mtstore.BackendPrefix, []byte("no name at all"))
 			store.Put(mtstore.RangePrefix+"maps", []byte("no assignment"))
 			a := start(t, store, "a")
-			waitFor(t, "a has read everything", func() bool { return a.Now().Revision != 0 })
-			view := a.Now()
+			waitFor(t, "a has read everything", func() bool { return a.View().Revision != 0 })
+			view := a.View()
 			assert.Equal(t, len(view.Members), 0)
 			assert.Equal(t, len(view.Assignments), 0)
-			assert.Assert(t, view.Foreign["b"])
+			assert.Assert(t, view.InvalidRecords["b"])
 		})
 	}
 }
--- a/io/mtdirectory/member.go
+++ b/io/mtdirectory/member.go
@@ -16,10 +16,10 @@
 type Member struct {
 	mtbackend.Record
 	Version mtid.Version
-	// Lapsed reports that the record is no longer in the store. Since is the latest
-	// time at which it can have disappeared, by the steady clock of this daemon.
-	Lapsed bool
-	Since  mtclock.Instant
+	// Expired reports that the record is no longer in the store. ExpiredSince is the
+	// latest time at which it can have disappeared, by the steady clock of this daemon.
+	Expired      bool
+	ExpiredSince mtclock.Instant
 	// deletedAt is the store revision at which the record was last known to be absent.
 	deletedAt mtid.Revision
 }
@@ -30,7 +30,7 @@
 // time was counted from the first deletion, keys were taken over while the last of
 // those grants was in force.
 func (m Member) markExpired(now mtclock.Instant, revision mtid.Revision) Member {
-	m.Lapsed, m.Since, m.deletedAt = true, now, revision
+	m.Expired, m.ExpiredSince, m.deletedAt = true, now, revision
 	return m
 }
 
@@ -60,13 +60,13 @@
 	return deleted
 }
 
-// copyMembersOnce prepares a new view for the first change of Members, Foreign or Out.
-// It copies the maps, which the view shares with its predecessor until then, and
-// increments Roll.
+// copyMembersOnce prepares a new view for the first change of Members, InvalidRecords
+// or OutOfService. It copies the maps, which the view shares with its predecessor
+// until then, and increments MembershipVersion.
 func (d *Directory) copyMembersOnce(v *View) {
-	if old := d.view.Load(); v.Roll == old.Roll {
-		v.Members, v.Foreign = maps.Clone(old.Members), maps.Clone(old.Foreign)
-		v.Roll++
+	if old := d.view.Load(); v.MembershipVersion == old.MembershipVersion {
+		v.Members, v.InvalidRecords = maps.Clone(old.Members), maps.Clone(old.InvalidRecords)
+		v.MembershipVersion++
 	}
 }
 
@@ -74,7 +74,7 @@
 func (d *Directory) applyRecordEntry(v *View, now mtclock.Instant, e mtstore.Entry) {
 	d.copyMembersOnce(v)
 	name := mtid.Daemon(strings.TrimPrefix(e.Name, mtstore.BackendPrefix))
-	delete(v.Foreign, name)
+	delete(v.InvalidRecords, name)
 	if e.Version == 0 {
 		// A deletion is also stored for an unknown record. The record may have been
 		// present between the last full read and now, while this daemon received no
@@ -87,7 +87,7 @@
 		if name == d.Self {
 			d.publisher.onDeleted(e.Revision)
 		}
-		if m.Lapsed && e.Revision <= m.deletedAt {
+		if m.Expired && e.Revision <= m.deletedAt {
 			return
 		}
 		v.Members[name] = m.markExpired(now, e.Revision)
@@ -104,20 +104,20 @@
 		// version, so it fails while this entry exists.
 		d.Log.Error("record of backend server passed over", "name", e.Name, "version", uint64(e.Version), "error", err)
 		if !known {
-			v.Foreign[name] = true
+			v.InvalidRecords[name] = true
 		}
 		if name == d.Self {
 			d.publisher.onOverwritten(e.Version)
 		}
 		return
 	}
-	if !known || old.Record != record || old.Lapsed {
+	if !known || old.Record != record || old.Expired {
 		d.Log.Info("backend server", "peer", name, "server", record.Incarnation.String(), "service", record.Service,
 			"state", record.State, "leaving", record.Leaving, "version", uint64(e.Version))
 	}
 	v.Members[name] = Member{Record: record, Version: e.Version}
-	if d.Heard != nil && name != d.Self {
-		d.Heard(record)
+	if d.OnRecord != nil && name != d.Self {
+		d.OnRecord(record)
 	}
 }
 
--- a/io/mtdirectory/mtdirectory.go
+++ b/io/mtdirectory/mtdirectory.go
@@ -12,7 +12,7 @@
 //	directory, cleanUp := mtdirectory.New(config)
 //	defer cleanUp()
 //	directory.Publish(record)
-//	view := directory.Now()
+//	view := directory.View()
 //
 // A Directory is safe for concurrent use; a View is immutable.
 package mtdirectory
@@ -54,20 +54,20 @@
 	Lease time.Duration
 	// Source is the source of changes; nil means the store.
 	Source mtwatch.Source
-	// Other is called with every entry that is neither a record, an assignment nor an
-	// order about a zone. It may be nil.
-	Other func(mtstore.Entry)
-	// Former is called with a record under this daemon's name before it is
+	// OnOtherEntry is called with every entry that is neither a record, an assignment
+	// nor an order about a zone. It may be nil.
+	OnOtherEntry func(mtstore.Entry)
+	// OnPreviousRecord is called with a record under this daemon's name before it is
 	// overwritten, if this incarnation does not know that it wrote the record. Either
 	// a previous incarnation wrote it, or this one did and the response was lost. It
 	// may be nil.
-	Former func(mtbackend.Record)
-	// Heard is called with each record of another daemon. It may be nil, and must not
-	// block.
-	Heard func(mtbackend.Record)
-	// Applied is called with each update after it has been applied. It may be nil, and
+	OnPreviousRecord func(mtbackend.Record)
+	// OnRecord is called with each record of another daemon. It may be nil, and must
+	// not block.
+	OnRecord func(mtbackend.Record)
+	// OnUpdate is called with each update after it has been applied. It may be nil, and
 	// must not block.
-	Applied func(mtwatch.Update)
+	OnUpdate func(mtwatch.Update)
 }
 
 // Assignment is a table with its version in the store.
@@ -76,8 +76,8 @@
 	Version mtid.Version
 }
 
-// Epoch returns the next epoch of the table, or 0 if there is no table.
-func (a Assignment) Epoch() mtid.Epoch {
+// NextEpoch returns the next epoch of the table, or 0 if there is no table.
+func (a Assignment) NextEpoch() mtid.Epoch {
 	if a.Table == nil {
 		return 0
 	}
@@ -88,20 +88,21 @@
 type View struct {
 	Members     map[mtid.Daemon]Member
 	Assignments map[mtid.Service]Assignment
-	// Foreign contains the daemons under whose names there is an entry that no daemon
-	// wrote, if no valid record of them is known. Such an entry identifies no usable
-	// server, and it does not prove that a server has terminated.
-	Foreign map[mtid.Daemon]bool
-	// Out contains the availability zones that the operators have taken out of
+	// InvalidRecords contains the daemons under whose names there is an entry that no
+	// daemon wrote, if no valid record of them is known. Such an entry identifies no
+	// usable server, and it does not prove that a server has terminated.
+	InvalidRecords map[mtid.Daemon]bool
+	// OutOfService contains the availability zones that the operators have taken out of
 	// service. It is complete up to Revision, and may be newer.
-	Out mtzone.OutOfService
+	OutOfService mtzone.OutOfService
 	// Revision is the store revision up to which the copy is complete; zero if nothing
 	// has been read yet.
 	Revision mtid.Revision
-	// Roll counts the changes of Members, Foreign and Out. Values that are derived
-	// only from these need not be recomputed after each move of a key.
-	Roll          uint64
-	newestVersion mtid.Version // of all members and assignments
+	// MembershipVersion counts the changes of Members, InvalidRecords and
+	// OutOfService. Values that are derived only from these need not be recomputed
+	// after each move of a key.
+	MembershipVersion uint64
+	newestVersion     mtid.Version // of all members and assignments
 }
 
 // Serving returns the members whose servers accept new work for a service, in zones
@@ -109,7 +110,7 @@
 func (v *View) Serving(service mtid.Service) []Member {
 	var serving []Member
 	for _, m := range v.Members {
-		if m.Service == service && m.AcceptsWork() && !m.Lapsed && !v.Out.Has(m.Zone) {
+		if m.Service == service && m.AcceptsWork() && !m.Expired && !v.OutOfService.Has(m.Zone) {
 			serving = append(serving, m)
 		}
 	}
@@ -137,7 +138,7 @@
 	if d.Source == nil {
 		d.Source = config.Store
 	}
-	d.view.Store(&View{Members: map[mtid.Daemon]Member{}, Assignments: map[mtid.Service]Assignment{}, Foreign: map[mtid.Daemon]bool{}})
+	d.view.Store(&View{Members: map[mtid.Daemon]Member{}, Assignments: map[mtid.Service]Assignment{}, InvalidRecords: map[mtid.Daemon]bool{}})
 	d.publisher = newPublisher(config)
 	watcher, stopWatch := mtwatch.Start(mtwatch.Config{
 		Store: d.Source, Apply: d.apply, Health: d.onStoreHealth, Log: config.Log,
@@ -150,8 +151,8 @@
 	}
 }
 
-// Now returns the current view. It is called for each request.
-func (d *Directory) Now() *View { return d.view.Load() }
+// View returns the current view. It is called for each request.
+func (d *Directory) View() *View { return d.view.Load() }
 
 // Changed returns a channel that is closed at the next change of the copy.
 func (d *Directory) Changed() <-chan struct{} {
@@ -172,10 +173,10 @@
 // whenever it has expired.
 func (d *Directory) Publish(r mtbackend.Record) { d.publisher.publish(r) }
 
-// Certain returns the time until which the own record is certainly present in the
-// store, by the clock that never runs slow. Zero means that the record is not present
-// yet.
-func (d *Directory) Certain() mtclock.Instant { return d.publisher.recordValidUntil() }
+// RecordValidUntil returns the time until which the own record is certainly present in
+// the store, by the clock that never runs slow. Zero means that the record is not
+// present yet.
+func (d *Directory) RecordValidUntil() mtclock.Instant { return d.publisher.recordValidUntil() }
 
 // Current reports whether the copy contains everything that was written before the own
 // record became valid. A claimant of the keys of this daemon's server writes the
@@ -184,30 +185,33 @@
 // an older copy, it granted keys that already had another owner.
 func (d *Directory) Current() bool {
 	validSince := d.publisher.recordValidSince()
-	return validSince != 0 && uint64(d.Now().Revision) >= uint64(validSince)
+	return validSince != 0 && uint64(d.View().Revision) >= uint64(validSince)
 }
 
-// Own returns the version of the own record that this incarnation wrote last, or zero.
-func (d *Directory) Own() mtid.Version { return d.publisher.lastWritten() }
+// RecordVersion returns the version of the own record that this incarnation wrote
+// last, or zero.
+func (d *Directory) RecordVersion() mtid.Version { return d.publisher.lastWritten() }
 
-// Up returns the instant since when the store has responded without a failure, by the
-// steady clock. It returns false if the store does not respond.
-func (d *Directory) Up() (mtclock.Instant, bool) {
+// StoreUpSince returns the instant since when the store has responded without a
+// failure, by the steady clock. It returns false if the store does not respond.
+func (d *Directory) StoreUpSince() (mtclock.Instant, bool) {
 	since := mtclock.Instant(d.storeUpSince.Load())
 	return since, since != 0
 }
 
-// Answers reports whether the last calls to the store succeeded, both of the watch and
-// of the publisher of the own record. Operations that need a write should not be
-// started while it returns false.
-func (d *Directory) Answers() bool {
-	_, up := d.Up()
+// StoreAvailable reports whether the last calls to the store succeeded, both of the
+// watch and of the publisher of the own record. Operations that need a write should
+// not be started while it returns false.
+func (d *Directory) StoreAvailable() bool {
+	_, up := d.StoreUpSince()
 	return up && !d.publisher.unavailable.Load()
 }
 
-// Seen returns the newest version of any entry that this daemon knows, including its
-// own writes.
-func (d *Directory) Seen() mtid.Version { return max(d.publisher.lastWritten(), d.Now().newestVersion) }
+// NewestVersion returns the newest version of any entry that this daemon knows,
+// including its own writes.
+func (d *Directory) NewestVersion() mtid.Version {
+	return max(d.publisher.lastWritten(), d.View().newestVersion)
+}
 
 // Resync reads everything again. It is called when another daemon has seen a version
 // that the watch has not delivered.
@@ -219,9 +223,9 @@
 	}
 }
 
-// Hurry makes a watch that waits after a failure retry immediately. It is called when
-// the own record is present, which shows that the store responds.
-func (d *Directory) Hurry() {
+// RetryWatch makes a watch that waits after a failure retry immediately. It is called
+// when the own record is present, which shows that the store responds.
+func (d *Directory) RetryWatch() {
 	if watcher := d.watcher.Load(); watcher != nil {
 		watcher.Hurry()
 	}
@@ -236,9 +240,9 @@
 	d.storeUpSince.CompareAndSwap(0, int64(d.Clock.Steady()))
 }
 
-// Learn applies an assignment that was written or read outside the watch, so that this
-// daemon uses its own writes immediately.
-func (d *Directory) Learn(a Assignment) {
+// ApplyAssignment applies an assignment that was written or read outside the watch, so
+// that this daemon uses its own writes immediately.
+func (d *Directory) ApplyAssignment(a Assignment) {
 	d.update(func(v *View) bool {
 		if old, ok := v.Assignments[a.Service]; ok && old.Version >= a.Version {
 			return false
@@ -248,10 +252,11 @@
 	})
 }
 
-// Inform applies an assignment that another daemon has written and pushed. If it does
-// not fit the known one, it is ignored; the watch will deliver the change.
-func (d *Directory) Inform(e mtstore.Entry) {
-	pushed, err := d.Now().applyPatch(e)
+// ApplyPushedAssignment applies an assignment that another daemon has written and
+// pushed. If it does not fit the known one, it is ignored; the watch will deliver the
+// change.
+func (d *Directory) ApplyPushedAssignment(e mtstore.Entry) {
+	pushed, err := d.View().applyPatch(e)
 	service, isAssignment := assignmentService(e)
 	if err == nil && pushed == nil && isAssignment && e.Version != 0 {
 		// An assignment that has not changed often is sent as a whole.
@@ -265,7 +270,7 @@
 		return
 	}
 	if pushed != nil {
-		d.Learn(*pushed)
+		d.ApplyAssignment(*pushed)
 	}
 }
 
@@ -303,13 +308,13 @@
 	if patchFailed {
 		d.Resync()
 	}
-	if d.Other != nil {
+	if d.OnOtherEntry != nil {
 		for _, e := range others {
-			d.Other(e)
+			d.OnOtherEntry(e)
 		}
 	}
-	if d.Applied != nil {
-		d.Applied(u)
+	if d.OnUpdate != nil {
+		d.OnUpdate(u)
 	}
 }
 
@@ -372,15 +377,15 @@
 	return true
 }
 
-// Since returns the changes after a revision, like a watch of the store, and a channel
-// that is closed at the next change. Other daemons call it, so that not all of them
-// have to watch the store. An assignment that the caller knows up to an epoch is
+// ChangesSince returns the changes after a revision, like a watch of the store, and a
+// channel that is closed at the next change. Other daemons call it, so that not all of
+// them have to watch the store. An assignment that the caller knows up to an epoch is
 // returned as a patch. If there are no changes, the returned revision is not lower
 // than the requested one.
-func (d *Directory) Since(after mtid.Revision, epochs Epochs) (mtstore.Changes, <-chan struct{}) {
+func (d *Directory) ChangesSince(after mtid.Revision, epochs Epochs) (mtstore.Changes, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	changes := mtstore.Changes{Revision: d.Now().Revision}
+	changes := mtstore.Changes{Revision: d.View().Revision}
 	if changes.Revision <= after {
 		changes.Revision = after
 		return changes, d.nextChange
@@ -415,7 +420,7 @@
 	if !isAssignment || e.Version == 0 {
 		return e
 	}
-	a, ok := d.Now().Assignments[service]
+	a, ok := d.View().Assignments[service]
 	if !ok || a.Version < e.Version {
 		return e // undecodable; the other daemons detect that themselves
 	}
@@ -455,12 +460,12 @@
 	d.mu.Lock()
 	old := d.view.Load()
 	next := &View{
-		Members:     old.Members,
-		Assignments: maps.Clone(old.Assignments),
-		Foreign:     old.Foreign,
-		Out:         old.Out,
-		Revision:    old.Revision,
-		Roll:        old.Roll,
+		Members:           old.Members,
+		Assignments:       maps.Clone(old.Assignments),
+		InvalidRecords:    old.InvalidRecords,
+		OutOfService:      old.OutOfService,
+		Revision:          old.Revision,
+		MembershipVersion: old.MembershipVersion,
 	}
 	differs := f(next)
 	if differs {
--- a/io/mtdirectory/mtdirectory_test.go
+++ b/io/mtdirectory/mtdirectory_test.go
@@ -48,8 +48,8 @@
 // knowsRecord reports whether d knows the record of a daemon in the given state,
 // expired or not.
 func knowsRecord(d *mtdirectory.Directory, daemon mtid.Daemon, expired bool) bool {
-	m, ok := d.Now().Members[daemon]
-	return ok && m.Lapsed == expired
+	m, ok := d.View().Members[daemon]
+	return ok && m.Expired == expired
 }
 
 // waitForChanges waits for the changes that a directory receives after a revision, as
@@ -58,7 +58,7 @@
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	for {
-		changes, next := d.Since(after, epochs)
+		changes, next := d.ChangesSince(after, epochs)
 		if len(changes.Entries) > 0 {
 			return changes
 		}
@@ -107,10 +107,10 @@
 	})
 	store.Lapse()
 	waitFor(t, "b sees the record of a as expired", func() bool { return knowsRecord(b, "a", true) })
-	waitFor(t, "a's record is no longer certainly valid", func() bool { return a.Certain() == 0 || a.Certain().Before(mttime.New().Now()) })
+	waitFor(t, "a's record is no longer certainly valid", func() bool { return a.RecordValidUntil() == 0 || a.RecordValidUntil().Before(mttime.New().Now()) })
 	down.Store(false)
 	waitFor(t, "a's record is present again", func() bool { return knowsRecord(b, "a", false) })
-	waitFor(t, "a's record is certainly valid", func() bool { return a.Certain() != 0 })
+	waitFor(t, "a's record is certainly valid", func() bool { return a.RecordValidUntil() != 0 })
 }
 
 // A daemon is restarted while the record of its previous incarnation exists under a
@@ -128,7 +128,7 @@
 	next := record("a")
 	next.Incarnation.Server = "next"
 	a.Publish(next)
-	waitFor(t, "the record of the new incarnation is present", func() bool { return a.Now().Members["a"].Incarnation.Server == "next" })
+	waitFor(t, "the record of the new incarnation is present", func() bool { return a.View().Members["a"].Incarnation.Server == "next" })
 	time.Sleep(400 * time.Millisecond)
 	store.Expire()
 	entry, err := store.Get(context.Background(), mtstore.BackendName("a"))
@@ -149,12 +149,12 @@
 		Self: "a", Store: store, Clock: mttime.New(), Lease: time.Minute, Log: slog.New(slog.DiscardHandler),
 	})
 	previous.Publish(draining)
-	waitFor(t, "the record is present", func() bool { return previous.Own() != 0 })
+	waitFor(t, "the record is present", func() bool { return previous.RecordVersion() != 0 })
 	end()
 	received := make(chan mtbackend.Record, 1)
 	next, cleanUp := mtdirectory.New(mtdirectory.Config{
 		Self: "a", Store: store, Clock: mttime.New(), Lease: time.Minute, Log: slog.New(slog.DiscardHandler),
-		Former: func(r mtbackend.Record) { received <- r },
+		OnPreviousRecord: func(r mtbackend.Record) { received <- r },
 	})
 	t.Cleanup(cleanUp)
 	next.Publish(mtbackend.Record{Daemon: "a", Address: "a:1", Service: "maps", State: mtbackend.Unknown})
@@ -184,7 +184,7 @@
 func TestUnseenRecordExpiresAtItsDeletion(t *testing.T) {
 	store := mtstandin.NewRevisions(time.Now)
 	b := start(t, store, "b")
-	waitFor(t, "b has read everything", func() bool { return b.Now().Revision != 0 })
+	waitFor(t, "b has read everything", func() bool { return b.View().Revision != 0 })
 	store.Deafen(true)
 	writeAndDelete(t, store)
 	store.Deafen(false)
@@ -207,17 +207,17 @@
 		t.Run(name, func(t *testing.T) {
 			store := mtstandin.NewRevisions(time.Now)
 			b := start(t, store, "b")
-			waitFor(t, "b has read everything", func() bool { return b.Now().Revision != 0 })
+			waitFor(t, "b has read everything", func() bool { return b.View().Revision != 0 })
 			writeAndDelete(t, store)
 			waitFor(t, "b sees the deletion of a's record", func() bool { return knowsRecord(b, "a", true) })
-			first := b.Now()
+			first := b.View()
 			store.Deafen(true)
 			writeAndDelete(t, store)
 			store.Put("other", nil)
 			resume(store)
-			waitFor(t, "b has received the later changes", func() bool { return b.Now().Revision > first.Revision })
+			waitFor(t, "b has received the later changes", func() bool { return b.View().Revision > first.Revision })
 			assert.Assert(t, knowsRecord(b, "a", true))
-			assert.Assert(t, b.Now().Members["a"].Since > first.Members["a"].Since, "counted from the first deletion")
+			assert.Assert(t, b.View().Members["a"].ExpiredSince > first.Members["a"].ExpiredSince, "counted from the first deletion")
 		})
 	}
 }
@@ -229,10 +229,10 @@
 	store := mtstandin.NewRevisions(time.Now)
 	a := start(t, store, "a")
 	a.Publish(record("a"))
-	waitFor(t, "a's record is valid", func() bool { return knowsRecord(a, "a", false) && a.Certain() != 0 })
-	before := a.Own()
+	waitFor(t, "a's record is valid", func() bool { return knowsRecord(a, "a", false) && a.RecordValidUntil() != 0 })
+	before := a.RecordVersion()
 	store.Delete(mtstore.BackendName("a"))
-	waitFor(t, "a's record is valid again", func() bool { return a.Own() > before && knowsRecord(a, "a", false) })
+	waitFor(t, "a's record is valid again", func() bool { return a.RecordVersion() > before && knowsRecord(a, "a", false) })
 	_, err := store.Get(context.Background(), mtstore.BackendName("a"))
 	assert.NilError(t, err)
 }
@@ -249,7 +249,7 @@
 	value, err := table.Encode()
 	assert.NilError(t, err)
 	store.Put(mtstore.RangeName("maps"), value)
-	waitFor(t, "b has read everything", func() bool { return knowsRecord(b, "a", false) && len(b.Now().Assignments) == 1 })
+	waitFor(t, "b has read everything", func() bool { return knowsRecord(b, "a", false) && len(b.View().Assignments) == 1 })
 	all := waitForChanges(t.Context(), b, 0, nil, time.Second)
 	assert.Equal(t, len(all.Entries), 2)
 	none := waitForChanges(t.Context(), b, all.Revision, nil, time.Millisecond)
@@ -278,7 +278,7 @@
 	if after == 0 {
 		return s.store.Watch(ctx, prefix, after, wait)
 	}
-	changes := waitForChanges(ctx, s.upstream, after, s.downstream.Now().Epochs(), wait)
+	changes := waitForChanges(ctx, s.upstream, after, s.downstream.View().Epochs(), wait)
 	for _, e := range changes.Entries {
 		if patch, err := mtrange.DecodePatch(e.Value); err == nil && patch != nil {
 			s.patches.Add(1)
@@ -316,10 +316,10 @@
 		put()
 	}
 	waitFor(t, "the downstream daemon has the last table", func() bool {
-		a, ok := downstream.Now().Assignments["maps"]
+		a, ok := downstream.View().Assignments["maps"]
 		return ok && a.Next == table.Next
 	})
-	assert.DeepEqual(t, downstream.Now().Assignments["maps"].Table, table)
+	assert.DeepEqual(t, downstream.View().Assignments["maps"].Table, table)
 	changes := waitForChanges(t.Context(), downstream, 0, nil, time.Second)
 	last, err := mtrange.Decode(changes.Entries[len(changes.Entries)-1].Value)
 	assert.NilError(t, err, "the assignment that it passes on must be complete")
@@ -327,7 +327,7 @@
 	table, err = table.Move(900, 909, mtrange.Owner{Daemon: "b", Incarnation: mtid.ServerIncarnation{Server: "t"}}, "")
 	assert.NilError(t, err)
 	put()
-	waitFor(t, "the downstream daemon has the next table", func() bool { return downstream.Now().Assignments["maps"].Next == table.Next })
+	waitFor(t, "the downstream daemon has the next table", func() bool { return downstream.View().Assignments["maps"].Next == table.Next })
 	assert.Assert(t, source.patches.Load() > 0)
 }
 
@@ -352,10 +352,10 @@
 	assert.NilError(t, err)
 	second, err := first.Move(0, 9, mtrange.Owner{Daemon: "b", Incarnation: mtid.ServerIncarnation{Server: "t"}}, "")
 	assert.NilError(t, err)
-	b.Learn(mtdirectory.Assignment{Table: second, Version: 9})
-	b.Learn(mtdirectory.Assignment{Table: first, Version: 8})
-	assert.Equal(t, b.Now().Assignments["maps"].Version, mtid.Version(9))
-	assert.Equal(t, b.Seen(), mtid.Version(9))
+	b.ApplyAssignment(mtdirectory.Assignment{Table: second, Version: 9})
+	b.ApplyAssignment(mtdirectory.Assignment{Table: first, Version: 8})
+	assert.Equal(t, b.View().Assignments["maps"].Version, mtid.Version(9))
+	assert.Equal(t, b.NewestVersion(), mtid.Version(9))
 }
 
 // A daemon's server was lost, and its record contains the requests that were in
@@ -366,7 +366,7 @@
 	received := make(chan mtbackend.Record, 8)
 	_, cleanUp := mtdirectory.New(mtdirectory.Config{
 		Self: "b", Store: store, Clock: mttime.New(), Lease: lease, Log: slog.New(slog.DiscardHandler),
-		Heard: func(r mtbackend.Record) { received <- r },
+		OnRecord: func(r mtbackend.Record) { received <- r },
 	})
 	t.Cleanup(cleanUp)
 	lost := record("a")
--- a/io/mtdirectory/publisher.go
+++ b/io/mtdirectory/publisher.go
@@ -286,7 +286,7 @@
 // Otherwise, what that incarnation knew about its server would be lost, such as that
 // it is leaving, which a server may report only once.
 func (p *publisher) reportPrevious(e mtstore.Entry) {
-	if p.Former == nil || e.Version == 0 {
+	if p.OnPreviousRecord == nil || e.Version == 0 {
 		return
 	}
 	record, err := mtbackend.Decode(e.Value)
@@ -294,7 +294,7 @@
 		p.Log.Warn("record of a previous incarnation of this daemon can't be decoded", "version", uint64(e.Version), "error", err)
 		return
 	}
-	p.Former(record)
+	p.OnPreviousRecord(record)
 }
 
 // maxWriteAttempts is the number of attempts to write the record over conflicting
--- a/io/mtdirectory/zone.go
+++ b/io/mtdirectory/zone.go
@@ -14,9 +14,9 @@
 	zone := mtid.Zone(strings.TrimPrefix(e.Name, mtstore.ZonePrefix))
 	d.copyMembersOnce(v)
 	if e.Version == 0 {
-		v.Out = v.Out.Without(zone, e.Revision)
+		v.OutOfService = v.OutOfService.Without(zone, e.Revision)
 	} else {
-		v.Out = v.Out.With(zone, e.Version)
+		v.OutOfService = v.OutOfService.With(zone, e.Version)
 	}
 	d.Log.Info("availability zone", "zone", zone, "out", e.Version != 0, "revision", uint64(e.Revision))
 }
@@ -28,10 +28,10 @@
 	return strings.HasPrefix(e.Name, mtstore.ZonePrefix) && d.entries[e.Name].Revision >= e.Revision
 }
 
-// Recheck applies a full read of the operators' entries that was made outside the
+// ApplyZones applies a full read of the operators' entries that was made outside the
 // watch. It reports whether the read contained a change of a zone that the watch had
 // not delivered.
-func (d *Directory) Recheck(read mtstore.Changes) bool {
+func (d *Directory) ApplyZones(read mtstore.Changes) bool {
 	changed := false
 	d.update(func(v *View) bool {
 		for _, e := range d.newerZoneEntries(read) {
--- a/io/mtdirectory/zone_test.go
+++ b/io/mtdirectory/zone_test.go
@@ -24,10 +24,10 @@
 	r := record("b")
 	r.Zone = "riga-b"
 	b.Publish(r)
-	serving := func() int { return len(a.Now().Serving(r.Service)) }
+	serving := func() int { return len(a.View().Serving(r.Service)) }
 	waitFor(t, "a knows the record of b", func() bool { return serving() == 1 })
 	store.Put(mtstore.ZoneName("riga-b"), []byte("{}"))
-	waitFor(t, "the zone is out of service", func() bool { return serving() == 0 && a.Now().Out.Has("riga-b") })
+	waitFor(t, "the zone is out of service", func() bool { return serving() == 0 && a.View().OutOfService.Has("riga-b") })
 	store.Delete(mtstore.ZoneName("riga-b"))
 	waitFor(t, "the zone is in service again", func() bool { return serving() == 1 })
 }
@@ -40,7 +40,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		store := mtstandin.NewRevisions(time.Now)
 		a := start(t, store, "a")
-		waitFor(t, "the store has been read", func() bool { return a.Now().Revision != 0 })
+		waitFor(t, "the store has been read", func() bool { return a.View().Revision != 0 })
 		zones := []mtid.Zone{"riga-a", "riga-b"}
 		seen := make(map[mtid.Zone]mtid.Revision)
 		for range rapid.IntRange(1, 12).Draw(rt, "events") {
@@ -56,7 +56,7 @@
 				reconcileAndCompare(t, store, a, zones)
 			}
 			for _, z := range zones {
-				changed := a.Now().Out.ChangedAt(z)
+				changed := a.View().OutOfService.ChangedAt(z)
 				assert.Assert(t, changed >= seen[z], "zone %s goes back from revision %d to %d", z, seen[z], changed)
 				seen[z] = changed
 			}
@@ -71,12 +71,12 @@
 	t.Helper()
 	read, err := store.Watch(context.Background(), mtstore.ZonePrefix, 0, 0)
 	assert.NilError(t, err)
-	d.Recheck(read)
+	d.ApplyZones(read)
 	for _, z := range zones {
 		entry, err := store.Get(context.Background(), mtstore.ZoneName(z))
-		assert.Equal(t, d.Now().Out.Has(z), err == nil, "zone %s", z)
+		assert.Equal(t, d.View().OutOfService.Has(z), err == nil, "zone %s", z)
 		if err == nil {
-			assert.Equal(t, d.Now().Out.Version(z), entry.Version)
+			assert.Equal(t, d.View().OutOfService.Version(z), entry.Version)
 		}
 	}
 }
@@ -103,9 +103,9 @@
 	defer closeDirectory()
 	source.changes <- mtstore.Changes{Revision: 10}
 	name := mtstore.ZoneName("riga-a")
-	waitFor(t, "the source has been read", func() bool { return directory.Now().Revision == 10 })
-	assert.Assert(t, directory.Recheck(mtstore.Changes{Revision: 20, Entries: []mtstore.Entry{{Name: name, Version: 18, Revision: 18}}}))
+	waitFor(t, "the source has been read", func() bool { return directory.View().Revision == 10 })
+	assert.Assert(t, directory.ApplyZones(mtstore.Changes{Revision: 20, Entries: []mtstore.Entry{{Name: name, Version: 18, Revision: 18}}}))
 	source.changes <- mtstore.Changes{Revision: 14, Entries: []mtstore.Entry{{Name: name, Revision: 14}}}
-	waitFor(t, "the late update has been applied", func() bool { return directory.Now().Revision == 14 })
-	assert.Assert(t, directory.Now().Out.Has("riga-a"))
+	waitFor(t, "the late update has been applied", func() bool { return directory.View().Revision == 14 })
+	assert.Assert(t, directory.View().OutOfService.Has("riga-a"))
 }
--- a/io/mtgrant/move.go
+++ b/io/mtgrant/move.go
@@ -22,7 +22,7 @@
 func (g *Grants) balance(ctx context.Context) {
 	record, _ := g.Host.Record()
 	owner := record.Owner()
-	assignment, ok := g.Directory.Now().Assignments[g.Service]
+	assignment, ok := g.Directory.View().Assignments[g.Service]
 	if !ok || owner.Incarnation.IsZero() {
 		return
 	}
@@ -33,11 +33,11 @@
 		// While a daemon is restarted its server can't be reached, for longer
 		// than a warm move takes.
 		g.empty(ctx, owned)
-	case !g.Directory.Answers():
+	case !g.Directory.StoreAvailable():
 		// Keys that are released now have no owner until the store is back, for seconds;
 		// here they are served until then. Only a server that leaves can't wait: released
 		// before its end, its keys are warm at the next owner.
-	case g.Directory.Now().Out.Has(record.Zone):
+	case g.Directory.View().OutOfService.Has(record.Zone):
 		g.spill(ctx, owner, owned)
 	case record.AcceptsWork():
 		g.relieve(ctx, owned)
@@ -47,7 +47,7 @@
 // empty moves all keys of a leaving server to the others, to each its share.
 func (g *Grants) empty(ctx context.Context, owned []mtrange.Range) {
 	// The own record in the directory may still be that of before the leaving.
-	survivors := slices.DeleteFunc(g.survivors(g.Directory.Now()), func(o mtrange.Owner) bool { return o.Daemon == g.Self })
+	survivors := slices.DeleteFunc(g.survivors(g.Directory.View()), func(o mtrange.Owner) bool { return o.Daemon == g.Self })
 	if len(survivors) == 0 {
 		g.Log.Warn("leaving server keeps its keys: no other takes them", "ranges", len(owned))
 		return
@@ -74,10 +74,10 @@
 // turn returns the place of this server among those of its service that give all their keys
 // away, as their zones are out of service.
 func (g *Grants) turn(owner mtrange.Owner) mtrange.SpillPosition {
-	view := g.Directory.Now()
+	view := g.Directory.View()
 	var turn mtrange.SpillPosition
 	for _, m := range view.Members {
-		if m.Service != g.Service || !view.Out.Has(m.Zone) {
+		if m.Service != g.Service || !view.OutOfService.Has(m.Zone) {
 			continue
 		}
 		turn.Total++
@@ -194,7 +194,7 @@
 	doubt, direct := false, false
 	wanted := mtrange.Transfer{From: r.Owner, Epoch: r.Epoch, Low: low, High: high, To: to, WarmupState: warmth}
 	for tries := 0; ctx.Err() == nil; tries++ {
-		if !g.Directory.Now().Assignments[g.Service].CanApply(wanted) {
+		if !g.Directory.View().Assignments[g.Service].CanApply(wanted) {
 			return true // this move has landed, or another daemon has taken the keys
 		}
 		if tries >= conflicts && !doubt {
@@ -232,7 +232,7 @@
 // five times a second.
 func (g *Grants) awaitStore(ctx context.Context) {
 	end := g.Clock.Steady().Add(awayPause + rand.N(awayPause))
-	for !g.Directory.Answers() && g.Clock.Steady().Before(end) {
+	for !g.Directory.StoreAvailable() && g.Clock.Steady().Before(end) {
 		if !mtduty.Sleep(ctx, awayLook) {
 			return
 		}
@@ -248,7 +248,7 @@
 	defer cancel()
 	for {
 		changed := g.Directory.Changed()
-		if !g.Directory.Now().Assignments[g.Service].CanApply(wanted) {
+		if !g.Directory.View().Assignments[g.Service].CanApply(wanted) {
 			return true
 		}
 		select {
--- a/io/mtgrant/mtgrant.go
+++ b/io/mtgrant/mtgrant.go
@@ -234,7 +234,7 @@
 
 // elsewhere says why the server does not hold the key.
 func (g *Grants) elsewhere(life mtid.ServerIncarnation, key mtid.KeyNumber) error {
-	assignment, ok := g.Directory.Now().Assignments[g.Service]
+	assignment, ok := g.Directory.View().Assignments[g.Service]
 	if !ok {
 		return &mtreply.RefusedError{Cause: mtreply.CauseNoOwner, RetryAfter: grantRetry}
 	}
@@ -250,7 +250,7 @@
 // helps nobody.
 func (g *Grants) ungranted(now mtclock.Instant) error {
 	retry := grantRetry
-	if !g.Directory.Certain().After(now) {
+	if !g.Directory.RecordValidUntil().After(now) {
 		retry = awayRetry
 	}
 	return &mtreply.RefusedError{Cause: mtreply.CauseNoLease, RetryAfter: retry}
@@ -277,7 +277,7 @@
 	if owner.Incarnation.IsZero() || record.State == mtbackend.Ended || record.State == mtbackend.Unknown {
 		return
 	}
-	assignment, ok := g.Directory.Now().Assignments[g.Service]
+	assignment, ok := g.Directory.View().Assignments[g.Service]
 	if !ok {
 		return
 	}
@@ -303,7 +303,7 @@
 // Clear takes all keys from a life of the server that owns none. An order that
 // was meant for a former life at the same address may have reached it.
 func (g *Grants) Clear(ctx context.Context, life mtid.ServerIncarnation, address string) error {
-	view := g.Directory.Now()
+	view := g.Directory.View()
 	if view.Revision == 0 {
 		// Whose keys these are is not known yet, and nobody else hears of the new
 		// life before the store is reached.
--- a/io/mtgrant/mtgrant_test.go
+++ b/io/mtgrant/mtgrant_test.go
@@ -255,7 +255,7 @@
 func (f *fleet) turns() { time.Sleep(700 * time.Millisecond) }
 
 func (f *fleet) owner(key mtid.KeyNumber) mtid.Daemon {
-	a, ok := f.directory.Now().Assignments[service]
+	a, ok := f.directory.View().Assignments[service]
 	if !ok {
 		return ""
 	}
@@ -272,7 +272,7 @@
 	_, err = f.store.Swap(context.Background(), entry.Name, entry.Version, entry.Value, lease)
 	assert.NilError(f.t, err)
 	assert.NilError(f.t, f.store.End(context.Background(), lease))
-	f.until("the record of b is seen gone", func() bool { return f.directory.Now().Members["b"].Lapsed })
+	f.until("the record of b is seen gone", func() bool { return f.directory.View().Members["b"].Expired })
 }
 
 // A server leaves while its daemon renews grants. A renewal that was found due
@@ -389,7 +389,7 @@
 	}
 	f.start()
 	f.until("all keys are taken over", func() bool {
-		a, ok := f.directory.Now().Assignments[service]
+		a, ok := f.directory.View().Assignments[service]
 		return ok && a.Keys(ownerOf("a")) == int(mtid.LastKeyNumber)+1
 	})
 }
@@ -410,7 +410,7 @@
 			change(&r)
 			f.write(r)
 			f.until("the keys are taken over", func() bool {
-				a := f.directory.Now().Assignments[service]
+				a := f.directory.View().Assignments[service]
 				return a.Keys(ownerOf("b")) == 0
 			})
 		})
@@ -567,11 +567,11 @@
 func TestTheFirstAssignmentWaitsForAllServers(t *testing.T) {
 	f := newFleet(t)
 	f.start()
-	f.until("the own record stands", func() bool { return len(f.directory.Now().Members) == 1 })
+	f.until("the own record stands", func() bool { return len(f.directory.View().Members) == 1 })
 	f.turns()
 	assert.Equal(t, f.owner(0), mtid.Daemon(""))
 	f.write(record("b", mtbackend.Ready))
-	f.until("the other is seen", func() bool { return len(f.directory.Now().Members) == 2 })
+	f.until("the other is seen", func() bool { return len(f.directory.View().Members) == 2 })
 	f.turns()
 	f.clock.advance(2 * time.Second)
 	f.until("keys are assigned", func() bool { return f.owner(0) == "a" && f.owner(mtid.LastKeyNumber) == "b" })
@@ -609,7 +609,7 @@
 	away.Store(false)
 	f.until("the move has landed", func() bool { return f.owner(0) == "b" })
 	assert.Equal(t, f.port.count("grant"), 1)
-	assert.Assert(t, !f.directory.Now().Assignments[service].CanApply(batch.Load().Transfers[0]))
+	assert.Assert(t, !f.directory.View().Assignments[service].CanApply(batch.Load().Transfers[0]))
 }
 
 // Every server has more than it can do. Each owner asked a dozen others every 0.7 s whether
@@ -733,7 +733,7 @@
 	f.start()
 	f.until("the keys are granted", func() bool { return f.port.count("grant") >= 1 })
 	f.store.Fail(func(op, _ string) error { return &mtstore.UnavailableError{Op: op, Err: errors.New("away")} })
-	f.until("the outage is noticed", func() bool { return !f.directory.Answers() })
+	f.until("the outage is noticed", func() bool { return !f.directory.StoreAvailable() })
 	f.mu.Lock()
 	f.standing = mtrange.LoadReport{Owner: ownerOf("a"), Slots: 10, Demand: 25, Keys: 32768, Known: true}
 	f.others = []mtrange.LoadReport{{Owner: ownerOf("b"), Slots: 10, Demand: 1, Keys: 32768, Known: true}}
@@ -752,7 +752,7 @@
 	refused := make(chan struct{})
 	f.delegate = func(_ context.Context, b mtrange.Batch) ([]mtrange.Outcome, bool) {
 		f.store.Fail(func(op, _ string) error { return &mtstore.UnavailableError{Op: op, Err: errors.New("turned away")} })
-		for f.directory.Answers() {
+		for f.directory.StoreAvailable() {
 			time.Sleep(time.Millisecond)
 		}
 		close(refused)
--- a/io/mtgrant/order.go
+++ b/io/mtgrant/order.go
@@ -44,13 +44,13 @@
 // order: servers answer late, and while one answer after the other was waited for, the
 // time ran out.
 func (g *Grants) mayOrder(now mtclock.Instant) bool {
-	return g.Directory.Certain().Sub(now) > orderTimeout && g.Directory.Current()
+	return g.Directory.RecordValidUntil().Sub(now) > orderTimeout && g.Directory.Current()
 }
 
 // catchUp sees to it that a copy that is older than the own record does not stay so: a
 // watch that pauses tries again at once, and one that hears nothing reads everything anew.
 func (g *Grants) catchUp(now mtclock.Instant) {
-	older := g.Directory.Certain().After(now) && !g.Directory.Current()
+	older := g.Directory.RecordValidUntil().After(now) && !g.Directory.Current()
 	g.mu.Lock()
 	since := g.behind
 	switch {
@@ -63,9 +63,9 @@
 	switch {
 	case !older:
 	case since == 0:
-		g.Directory.Hurry()
+		g.Directory.RetryWatch()
 	case now.Sub(since) >= behindFor:
-		g.Log.Warn("copy stays older than the own record: reading everything", "own", uint64(g.Directory.Own()), "copy", uint64(g.Directory.Now().Revision))
+		g.Log.Warn("copy stays older than the own record: reading everything", "own", uint64(g.Directory.RecordVersion()), "copy", uint64(g.Directory.View().Revision))
 		g.Directory.Resync()
 	}
 }
@@ -78,7 +78,7 @@
 	if !g.mayOrder(now) {
 		return nil
 	}
-	certain := g.Directory.Certain().Sub(now)
+	certain := g.Directory.RecordValidUntil().Sub(now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var due []*grant
--- a/io/mtgrant/take.go
+++ b/io/mtgrant/take.go
@@ -31,8 +31,8 @@
 	if !g.Keyed() {
 		return
 	}
-	view := g.Directory.Now()
-	up, ok := g.Directory.Up()
+	view := g.Directory.View()
+	up, ok := g.Directory.StoreUpSince()
 	if view.Revision == 0 || !ok {
 		return
 	}
@@ -119,16 +119,16 @@
 // allStand reports whether the records of all owners stand. They are looked through only
 // when a record or the table has changed, which is far more seldom than the duty looks.
 func (g *Grants) allStand(view *mtdirectory.View, a mtdirectory.Assignment) bool {
-	if g.owned == a.Table && g.roll == view.Roll {
+	if g.owned == a.Table && g.roll == view.MembershipVersion {
 		return g.stand
 	}
 	if g.owned != a.Table {
 		g.owned, g.owners = a.Table, a.Owners()
 	}
-	g.roll, g.stand = view.Roll, true
+	g.roll, g.stand = view.MembershipVersion, true
 	for _, owner := range g.owners {
 		m, known := view.Members[owner.Daemon]
-		g.stand = g.stand && known && !m.Lapsed && m.MayHoldKeys(owner.Incarnation)
+		g.stand = g.stand && known && !m.Expired && m.MayHoldKeys(owner.Incarnation)
 	}
 	return g.stand
 }
@@ -139,9 +139,9 @@
 	for _, owner := range g.owners {
 		m, known := view.Members[owner.Daemon]
 		switch {
-		case view.Foreign[owner.Daemon]:
+		case view.InvalidRecords[owner.Daemon]:
 			// Somebody wrote over the record; its daemon may live and hold keys.
-		case known && !m.Lapsed:
+		case known && !m.Expired:
 			if !m.MayHoldKeys(owner.Incarnation) {
 				lost = append(lost, owner)
 			}
@@ -153,7 +153,7 @@
 			if now.Sub(up) >= g.outlast() {
 				lost = append(lost, owner)
 			}
-		case now.Sub(m.Since) >= g.outlast():
+		case now.Sub(m.ExpiredSince) >= g.outlast():
 			lost = append(lost, owner)
 		}
 	}
@@ -180,7 +180,7 @@
 	var conditions []mtstore.Condition
 	for _, owner := range lost {
 		c := mtstore.Condition{Name: mtstore.BackendName(owner.Daemon)}
-		if m, ok := view.Members[owner.Daemon]; ok && !m.Lapsed {
+		if m, ok := view.Members[owner.Daemon]; ok && !m.Expired {
 			c.Version = m.Version
 		}
 		if !slices.Contains(conditions, c) {
--- a/io/mtgrant/transfer.go
+++ b/io/mtgrant/transfer.go
@@ -41,7 +41,7 @@
 	waiting := g.transfers
 	g.transfers = nil
 	g.mu.Unlock()
-	b := mtrange.Batch{Service: g.Service, Daemon: g.Self, RecordVersion: g.Directory.Own(), KnownEpoch: g.Directory.Now().Assignments[g.Service].Epoch()}
+	b := mtrange.Batch{Service: g.Service, Daemon: g.Self, RecordVersion: g.Directory.RecordVersion(), KnownEpoch: g.Directory.View().Assignments[g.Service].NextEpoch()}
 	direct := false
 	for _, t := range waiting {
 		b.Transfers = append(b.Transfers, t.Transfer)
--- a/io/mtingress/send.go
+++ b/io/mtingress/send.go
@@ -276,7 +276,7 @@
 
 // epoch returns the epoch under which the call's key is owned, as far as is known here.
 func (s *Sender) epoch(call *mtcall.Call) mtid.Epoch {
-	assignment, ok := s.Directory.Now().Assignments[call.Service]
+	assignment, ok := s.Directory.View().Assignments[call.Service]
 	if !ok {
 		return 0
 	}
@@ -291,7 +291,7 @@
 func (s *Sender) redirected(call *mtcall.Call, state *sending, asked mtdirectory.Member, refused *mtreply.RefusedError) bool {
 	former := state.owner
 	state.owner = ""
-	newer := refused.Epoch > s.Directory.Now().Assignments[call.Service].Epoch()
+	newer := refused.Epoch > s.Directory.View().Assignments[call.Service].NextEpoch()
 	if refused.Cause != mtreply.CauseStaleRoute || refused.Owner == "" || refused.Owner == asked.Daemon || !newer {
 		if refused.Cause == mtreply.CauseNoLease {
 			state.owner = former // it is about to be granted there
@@ -312,7 +312,7 @@
 
 // target returns the daemon to ask next.
 func (s *Sender) target(call *mtcall.Call, state *sending) (mtdirectory.Member, error) {
-	view := s.Directory.Now()
+	view := s.Directory.View()
 	if call.Keyed {
 		return s.owner(view, call, state)
 	}
@@ -355,13 +355,13 @@
 		s.choices[service] = c
 	}
 	now := s.Steady()
-	if c.known && c.roll == view.Roll && now.Sub(c.at) < lapsedUse/4 {
+	if c.known && c.roll == view.MembershipVersion && now.Sub(c.at) < lapsedUse/4 {
 		return c
 	}
-	c.known, c.roll, c.at = true, view.Roll, now
+	c.known, c.roll, c.at = true, view.MembershipVersion, now
 	var candidates []mtchoice.Candidate
 	for _, m := range view.Members {
-		if m.Service == service && !view.Out.Has(m.Zone) && s.usable(m, now) {
+		if m.Service == service && !view.OutOfService.Has(m.Zone) && s.usable(m, now) {
 			candidates = append(candidates, mtchoice.Candidate{Holder: holder(m), Zone: m.Zone, Slots: m.Slots})
 		}
 	}
@@ -374,12 +374,12 @@
 	if !m.AcceptsWork() {
 		return false
 	}
-	if !m.Lapsed {
+	if !m.Expired {
 		return true
 	}
 	// While the store does not answer, nobody can renew a record there.
-	up, ok := s.Directory.Up()
-	return !ok || now.Sub(max(up, m.Since)) < lapsedUse
+	up, ok := s.Directory.StoreUpSince()
+	return !ok || now.Sub(max(up, m.ExpiredSince)) < lapsedUse
 }
 
 // try sends the call to a member, once.
--- a/io/mtingress/send_test.go
+++ b/io/mtingress/send_test.go
@@ -74,7 +74,7 @@
 	})
 	t.Cleanup(cleanUp)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if len(directory.Now().Members) == 3 {
+		if len(directory.View().Members) == 3 {
 			return poll.Success()
 		}
 		return poll.Continue("records not read")
@@ -101,7 +101,7 @@
 	t.Helper()
 	table, err := mtrange.Spread("desk", []mtrange.Owner{{Daemon: "b", Incarnation: mtid.ServerIncarnation{Server: "s"}}})
 	assert.NilError(t, err)
-	sender.Directory.Learn(mtdirectory.Assignment{Table: table, Version: 1})
+	sender.Directory.ApplyAssignment(mtdirectory.Assignment{Table: table, Version: 1})
 	call.Keyed = true
 	return call
 }
@@ -143,10 +143,10 @@
 			return wholeOK, nil
 		}
 		if n == 4 {
-			own := s.Directory.Now().Assignments["desk"]
+			own := s.Directory.View().Assignments["desk"]
 			next, err := own.Move(0, mtid.LastKeyNumber, mtrange.Owner{Daemon: "c", Incarnation: mtid.ServerIncarnation{Server: "s"}}, "")
 			assert.NilError(t, err)
-			s.Directory.Learn(mtdirectory.Assignment{Table: next, Version: own.Version + 1})
+			s.Directory.ApplyAssignment(mtdirectory.Assignment{Table: next, Version: own.Version + 1})
 		}
 		return nil, away
 	}
--- a/io/mtmesh/commit.go
+++ b/io/mtmesh/commit.go
@@ -38,7 +38,7 @@
 	defer cancel()
 	outcomes, entry, err := peers.Commit(ctx, writer.Address, b)
 	if err == nil {
-		m.directory.Load().Inform(entry)
+		m.directory.Load().ApplyPushedAssignment(entry)
 		return outcomes, true
 	}
 	m.config.Log.Warn("moves were not written by another daemon", "peer", writer.Daemon, "transfers", len(b.Transfers), "error", err)
@@ -56,7 +56,7 @@
 // commitFor writes changes of owners on behalf of another daemon.
 func (m *Mesh) commitFor(ctx context.Context, b mtrange.Batch) ([]mtrange.Outcome, mtstore.Entry) {
 	outcomes := mtkernel.MustLookup[*mtcommit.Committer](m.kernel, NameCommitter).Gather(ctx, b)
-	assignment, ok := m.directory.Load().Now().Assignments[b.Service]
+	assignment, ok := m.directory.Load().View().Assignments[b.Service]
 	if !ok {
 		return outcomes, mtstore.Entry{}
 	}
--- a/io/mtmesh/learn.go
+++ b/io/mtmesh/learn.go
@@ -92,7 +92,7 @@
 	if directory == nil {
 		return nil
 	}
-	return directory.Now()
+	return directory.View()
 }
 
 // plan returns who hears from whom among the members that are known.
@@ -101,16 +101,16 @@
 	if view == nil {
 		return mtspread.New(nil)
 	}
-	if p := l.planned.Load(); p != nil && p.roll == view.Roll {
+	if p := l.planned.Load(); p != nil && p.roll == view.MembershipVersion {
 		return p.tree
 	}
 	nodes := make([]mtspread.Node, 0, len(view.Members))
 	for _, m := range view.Members {
-		if !m.Lapsed && !m.Leaving {
+		if !m.Expired && !m.Leaving {
 			nodes = append(nodes, mtspread.Node{Daemon: m.Daemon, Zone: m.Zone, Address: m.Address, Link: m.Link})
 		}
 	}
-	p := &plan{roll: view.Roll, tree: mtspread.New(nodes)}
+	p := &plan{roll: view.MembershipVersion, tree: mtspread.New(nodes)}
 	l.planned.Store(p)
 	return p.tree
 }
@@ -260,10 +260,10 @@
 		if directory == nil || !l.teaches(q.Relays) {
 			return mtforward.Lesson{}, &mtstore.UnavailableError{Op: "teach", Err: notWatching{}}
 		}
-		if _, up := directory.Up(); !up {
+		if _, up := directory.StoreUpSince(); !up {
 			return mtforward.Lesson{}, &mtstore.UnavailableError{Op: "teach", Err: notWatching{}}
 		}
-		changes, next := directory.Since(q.After, q.Epochs)
+		changes, next := directory.ChangesSince(q.After, q.Epochs)
 		lesson := mtforward.Lesson{Changes: changes, Hops: int(l.hops.Load())}
 		if len(changes.Entries) > 0 || l.certainty.fresher(theirs) {
 			return lesson, nil
@@ -285,7 +285,7 @@
 
 // inform tells a daemon of an assignment that gives it keys.
 func (m *Mesh) inform(to mtid.Daemon, a mtdirectory.Assignment, since mtid.Epoch) {
-	member, ok := m.directory.Load().Now().Members[to]
+	member, ok := m.directory.Load().View().Members[to]
 	if !ok {
 		return
 	}
--- a/io/mtmesh/learn_test.go
+++ b/io/mtmesh/learn_test.go
@@ -88,7 +88,7 @@
 				s.write(name)
 				poll.WaitOn(t, func(poll.LogT) poll.Result {
 					for _, d := range directories {
-						if _, known := d.Now().Members[name]; !known {
+						if _, known := d.View().Members[name]; !known {
 							return poll.Continue("%s has not heard of %s", d.Self, name)
 						}
 					}
@@ -116,7 +116,7 @@
 	learns := s.join(pupil, tree)
 	hears := func(d *mtdirectory.Directory, name mtid.Daemon) {
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
-			if _, known := d.Now().Members[name]; known {
+			if _, known := d.View().Members[name]; known {
 				return poll.Success()
 			}
 			return poll.Continue("not heard of %s yet", name)
--- a/io/mtmesh/mtmesh.go
+++ b/io/mtmesh/mtmesh.go
@@ -178,7 +178,7 @@
 // force, the other servers are known, and the daemon does not shut down.
 func (m *Mesh) Ready() bool {
 	directory := mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory)
-	return m.ready.Load() && m.Ingress().Configuration() != nil && directory.Now().Revision != 0
+	return m.ready.Load() && m.Ingress().Configuration() != nil && directory.View().Revision != 0
 }
 
 func (m *Mesh) addClock() error {
@@ -218,17 +218,17 @@
 	}
 	m.learner.tree = m.learner.plan
 	directory, cleanUp := mtdirectory.New(mtdirectory.Config{
-		Self:   m.config.Daemon,
-		Store:  m.config.Store,
-		Clock:  mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock),
-		Lease:  m.config.Lease,
-		Log:    m.config.Log,
-		Source: m.learner,
-		Other:  m.config.Other,
-		Former: m.former.hear,
-		Heard:  m.heard,
-
-		Applied: m.learner.applied,
+		Self:             m.config.Daemon,
+		Store:            m.config.Store,
+		Clock:            mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock),
+		Lease:            m.config.Lease,
+		Log:              m.config.Log,
+		Source:           m.learner,
+		OnOtherEntry:     m.config.Other,
+		OnPreviousRecord: m.former.hear,
+		OnRecord:         m.heard,
+
+		OnUpdate: m.learner.applied,
 	})
 	m.directory.Store(directory)
 	return mtkernel.Register(m.kernel, NameDirectory, directory, cleanUp)
@@ -291,7 +291,7 @@
 	grants.Store(held)
 	m.former.follow(host)
 	m.host.Store(host)
-	for _, member := range directory.Now().Members {
+	for _, member := range directory.View().Members {
 		host.Heard(member.Record)
 	}
 	directory.OnChange(m.zones)
@@ -419,7 +419,7 @@
 		grpc.InitialWindowSize(mtforward.Window), grpc.InitialConnWindowSize(mtforward.Window),
 		grpc.ReadBufferSize(peerBuffer), grpc.WriteBufferSize(peerBuffer), grpc.SharedWriteBuffer(true))
 	mtforward.Register(m.peers, mtforward.Server{
-		Host: m.Host(), Clock: mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock), News: m.exchange(), Teach: m.learner.teach, Inform: m.directory.Load().Inform, Commit: m.commitFor,
+		Host: m.Host(), Clock: mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock), News: m.exchange(), Teach: m.learner.teach, Inform: m.directory.Load().ApplyPushedAssignment, Commit: m.commitFor,
 	})
 	go func() {
 		if err := m.peers.Serve(peers); err != nil {
--- a/io/mtmesh/news.go
+++ b/io/mtmesh/news.go
@@ -49,8 +49,8 @@
 func (m *Mesh) tell() mtforward.News {
 	var news mtforward.News
 	if directory := m.directory.Load(); directory != nil {
-		news.Seen = directory.Seen()
-		news.Zones = directory.Now().Out.Digest()
+		news.Seen = directory.NewestVersion()
+		news.Zones = directory.View().OutOfService.Digest()
 	}
 	if c := m.configuration(); c != nil {
 		news.Config = c.Version
@@ -120,7 +120,7 @@
 	for _, e := range read.Entries {
 		m.config.Other(e)
 	}
-	news := directory.Recheck(read)
+	news := directory.ApplyZones(read)
 	m.certainty.confirm(begun)
 	newer := m.tell().Config > before && before != 0
 	if (newer || news) && m.learner.turn() != mtroute.PollFallback {
@@ -181,8 +181,8 @@
 // spread tells all other daemons what this one has seen.
 func (m *Mesh) spread() {
 	peers := mtkernel.MustLookup[*mtforward.Client](m.kernel, NamePeers)
-	for name, member := range mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory).Now().Members {
-		if name == m.config.Daemon || member.Lapsed {
+	for name, member := range mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory).View().Members {
+		if name == m.config.Daemon || member.Expired {
 			continue
 		}
 		go func() {
--- a/io/mtmesh/standing.go
+++ b/io/mtmesh/standing.go
@@ -31,7 +31,7 @@
 
 // standings returns what is known of the servers of this VM's service.
 func (m *Mesh) standings() (self mtrange.LoadReport, others []mtrange.LoadReport) {
-	view := mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory).Now()
+	view := mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory).View()
 	peers := mtkernel.MustLookup[*mtforward.Client](m.kernel, NamePeers)
 	now := mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock).Now()
 	var shares map[mtrange.Owner]int
@@ -63,7 +63,7 @@
 	peers := mtkernel.MustLookup[*mtforward.Client](m.kernel, NamePeers)
 	now := mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock).Now()
 	var stale []mtdirectory.Member
-	for _, member := range mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory).Now().Serving(m.config.Service) {
+	for _, member := range mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory).View().Serving(m.config.Service) {
 		if member.Daemon == m.config.Daemon {
 			continue
 		}
--- a/io/mtmesh/zone.go
+++ b/io/mtmesh/zone.go
@@ -21,7 +21,7 @@
 		return
 	}
 	own := m.config.Zone
-	out := directory.Now().Out
+	out := directory.View().OutOfService
 	m.zone.mu.Lock()
 	defer m.zone.mu.Unlock()
 	if m.zone.changed == out.ChangedAt(own) {
--- a/io/mtstore/client.go
+++ b/io/mtstore/client.go
@@ -66,7 +66,7 @@
 		return mtstore.Entry{}, err
 	}
 	var entry mtstore.Entry
-	err := c.call(ctx, call{Call: Call{Op: opGet, Name: name, Read: true}, path: pathGet}, getRequest{Name: name}, &entry)
+	err := c.call(ctx, call{Call: Call{Op: opGet, Name: name, ReadOnly: true}, path: pathGet}, getRequest{Name: name}, &entry)
 	return entry, err
 }
 
@@ -85,7 +85,7 @@
 		return 0, err
 	}
 	if response.Version == 0 {
-		return 0, &mtstore.UnknownError{Op: opSwap, Name: name, Err: &AnswerError{Reason: "no version"}}
+		return 0, &mtstore.UnknownError{Op: opSwap, Name: name, Err: &ResponseError{Reason: "no version"}}
 	}
 	return response.Version, nil
 }
@@ -98,7 +98,7 @@
 	c.counts.watching.Add(1)
 	defer c.counts.watching.Add(-1)
 	var changes mtstore.Changes
-	description := call{Call: Call{Op: opWatch, Name: prefix, Read: true}, path: pathWatch, wait: wait}
+	description := call{Call: Call{Op: opWatch, Name: prefix, ReadOnly: true}, path: pathWatch, wait: wait}
 	err := c.call(ctx, description, watchRequest{Prefix: prefix, After: after, Wait: wait}, &changes)
 	return changes, err
 }
@@ -158,7 +158,7 @@
 		return description.rejectionError(status, body)
 	}
 	if err := json.Unmarshal(body, out); err != nil {
-		return description.Lost(err)
+		return description.OutcomeError(err)
 	}
 	return nil
 }
@@ -169,7 +169,7 @@
 func (c call) rejectionError(status int, body []byte) error {
 	var r refusal
 	if err := json.Unmarshal(body, &r); err != nil || r.Kind.status() != status {
-		return c.Lost(&AnswerError{Status: status, Reason: "not the store's"})
+		return c.OutcomeError(&ResponseError{Status: status, Reason: "not the store's"})
 	}
 	switch r.Kind {
 	case kindMissing:
@@ -181,19 +181,19 @@
 	case kindRejected:
 		return &mtstore.RejectedError{Op: c.Op, Reason: r.Reason}
 	case kindUnavailable:
-		return &mtstore.UnavailableError{Op: c.Op, Err: &AnswerError{Status: status, Reason: r.Reason}}
+		return &mtstore.UnavailableError{Op: c.Op, Err: &ResponseError{Status: status, Reason: r.Reason}}
 	}
-	return c.Lost(&AnswerError{Status: status, Reason: "unknown kind " + string(r.Kind)})
+	return c.OutcomeError(&ResponseError{Status: status, Reason: "unknown kind " + string(r.Kind)})
 }
 
-// AnswerError reports that a response of the store is invalid, or contains the reason
+// ResponseError reports that a response of the store is invalid, or contains the reason
 // of a refusal.
-type AnswerError struct {
+type ResponseError struct {
 	Status int // HTTP status; zero if the body of a successful response is invalid
 	Reason string
 }
 
 // Error implements error.
-func (e *AnswerError) Error() string {
+func (e *ResponseError) Error() string {
 	return fmt.Sprintf("store answered with status %d: %s", e.Status, e.Reason)
 }
--- a/io/mtstore/client_test.go
+++ b/io/mtstore/client_test.go
@@ -71,8 +71,8 @@
 	assert.Equal(t, client.Vars().Get("unavailable").String(), "1")
 }
 
-// The store terminates while a connection is open and idle. The next write fails on that
-// connection, and it is unknown whether the store has read it.
+// The store terminates while a connection is open and idle. The next write fails on
+// that connection, and it is unknown whether the store has read it.
 func TestClientReportsUnknownOnClosedConnection(t *testing.T) {
 	var calls atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/io/mtstore/contract_test.go
+++ b/io/mtstore/contract_test.go
@@ -227,7 +227,7 @@
 		assertType(t, err, &core.UnknownError{})
 		f.memory.SetFaults(mtstore.Faults{})
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
-			if f.memory.Settle() == 1 {
+			if f.memory.ApplyLateWrites() == 1 {
 				return poll.Success()
 			}
 			return poll.Continue("the write is not pending yet")
--- a/io/mtstore/exchange.go
+++ b/io/mtstore/exchange.go
@@ -11,14 +11,14 @@
 
 // Call describes a call to a store over HTTP, for its errors.
 type Call struct {
-	Op   string
-	Name string
-	Read bool // the call has no effect, so its outcome is certain even if the response is lost
+	Op       string
+	Name     string
+	ReadOnly bool // the call has no effect, so its outcome is certain even if the response is lost
 }
 
-// Lost returns the error for a call that was sent, or may have been sent.
-func (c Call) Lost(err error) error {
-	if c.Read {
+// OutcomeError returns the error for a call that was sent, or may have been sent.
+func (c Call) OutcomeError(err error) error {
+	if c.ReadOnly {
 		return &mtstore.UnavailableError{Op: c.Op, Err: err}
 	}
 	return &mtstore.UnknownError{Op: c.Op, Name: c.Name, Err: err}
@@ -38,15 +38,15 @@
 		if !connected.Load() {
 			return 0, nil, &mtstore.UnavailableError{Op: c.Op, Err: err}
 		}
-		return 0, nil, c.Lost(err)
+		return 0, nil, c.OutcomeError(err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err = io.ReadAll(io.LimitReader(response.Body, limit+1))
 	if err != nil {
-		return 0, nil, c.Lost(err)
+		return 0, nil, c.OutcomeError(err)
 	}
 	if int64(len(body)) > limit {
-		return 0, nil, c.Lost(&AnswerError{Status: response.StatusCode, Reason: "too large"})
+		return 0, nil, c.OutcomeError(&ResponseError{Status: response.StatusCode, Reason: "too large"})
 	}
 	return response.StatusCode, body, nil
 }
--- a/io/mtstore/handler.go
+++ b/io/mtstore/handler.go
@@ -37,11 +37,11 @@
 	e.GET(pathFaults, func(c echo.Context) error { return reportFaults(c, m) })
 	e.POST(pathFaults, func(c echo.Context) error { return switchFaults(c, m) })
 	e.POST(pathExpire, func(c echo.Context) error {
-		m.Lapse()
+		m.ExpireLeases()
 		return c.NoContent(http.StatusNoContent)
 	})
 	e.POST(pathSettle, func(c echo.Context) error {
-		return c.String(http.StatusOK, strconv.Itoa(m.Settle())+"\n")
+		return c.String(http.StatusOK, strconv.Itoa(m.ApplyLateWrites())+"\n")
 	})
 	return e
 }
--- a/io/mtstore/memory.go
+++ b/io/mtstore/memory.go
@@ -114,8 +114,8 @@
 	m.notifyWatches()
 }
 
-// Lapse expires all leases immediately.
-func (m *Memory) Lapse() {
+// ExpireLeases expires all leases immediately.
+func (m *Memory) ExpireLeases() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for id := range m.leases {
@@ -123,9 +123,9 @@
 	}
 }
 
-// Settle attempts to apply the pending late writes, in the order of their due times,
-// and returns their number.
-func (m *Memory) Settle() int {
+// ApplyLateWrites attempts to apply the pending late writes, in the order of their due
+// times, and returns their number.
+func (m *Memory) ApplyLateWrites() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	due := m.late
