--- a/io/mtcommit/mtcommit.go
+++ b/io/mtcommit/mtcommit.go
@@ -180,7 +180,7 @@
 // writeBatch writes transfers in one step, and retries after conflicting writes.
 func (c *Committer) writeBatch(service mtid.Service, batch []*pendingTransfer) {
 	for try := 1; ; try++ {
-		assignment := c.Directory.Now().Assignments[service]
+		assignment := c.Directory.View().Assignments[service]
 		next, applicable := c.apply(assignment.Table, batch)
 		if len(applicable) == 0 {
 			return
@@ -249,7 +249,7 @@
 	if c.NotifyOwner == nil {
 		return
 	}
-	assignment := c.Directory.Now().Assignments[service]
+	assignment := c.Directory.View().Assignments[service]
 	done := make(map[mtid.Daemon]bool, len(applicable))
 	for _, p := range applicable {
 		if to := p.To.Daemon; !done[to] {
@@ -280,7 +280,7 @@
 	version, err := c.Store.SwapIf(ctx, conditions, name, expected, value, "")
 	if err == nil {
 		c.Log.Info("assignment written", "why", why, "service", next.Service, "version", uint64(version), "epoch", uint64(next.Next), "conditions", len(conditions))
-		c.Directory.Learn(mtdirectory.Assignment{Table: next, Version: version})
+		c.Directory.ApplyAssignment(mtdirectory.Assignment{Table: next, Version: version})
 		return mtrange.Written, ""
 	}
 	c.Log.Warn("assignment not written", "why", why, "expected", uint64(expected), "error", err)
@@ -309,6 +309,6 @@
 		c.Log.Error("assignment passed over", "service", service, "error", err)
 		return false
 	}
-	c.Directory.Learn(mtdirectory.Assignment{Table: table, Version: current.Version})
+	c.Directory.ApplyAssignment(mtdirectory.Assignment{Table: table, Version: current.Version})
 	return true
 }
--- a/io/mtgrant/move.go
+++ b/io/mtgrant/move.go
@@ -22,7 +22,7 @@
 func (g *Grants) balance(ctx context.Context) {
 	record, _ := g.Host.Record()
 	owner := record.Owner()
-	assignment, ok := g.Directory.Now().Assignments[g.Service]
+	assignment, ok := g.Directory.View().Assignments[g.Service]
 	if !ok || owner.Incarnation.IsZero() {
 		return
 	}
@@ -33,11 +33,11 @@
 		// While a daemon restarts, its server is unreachable for longer than a warm move
 		// takes.
 		g.drain(ctx, owned)
-	case !g.Directory.Answers():
+	case !g.Directory.StoreAvailable():
 		// Keys that are released now have no owner until the store is available again, for
 		// seconds. Until then this server can serve them. Only a leaving server can't wait:
 		// if its keys are released before it ends, the next owner starts warm.
-	case g.Directory.Now().Out.Has(record.Zone):
+	case g.Directory.View().OutOfService.Has(record.Zone):
 		g.spill(ctx, owner, owned)
 	case record.AcceptsWork():
 		g.offload(ctx, owned)
@@ -48,7 +48,7 @@
 func (g *Grants) drain(ctx context.Context, owned []mtrange.Range) {
 	// The own record in the directory may still be the one from before the server was
 	// leaving.
-	survivors := slices.DeleteFunc(g.survivors(g.Directory.Now()), func(o mtrange.Owner) bool { return o.Daemon == g.Self })
+	survivors := slices.DeleteFunc(g.survivors(g.Directory.View()), func(o mtrange.Owner) bool { return o.Daemon == g.Self })
 	if len(survivors) == 0 {
 		g.Log.Warn("leaving server keeps its keys: no other server accepts work", "ranges", len(owned))
 		return
@@ -75,10 +75,10 @@
 // spillPosition returns the position of this server among the servers of its service that
 // move all their keys because their zones are out of service.
 func (g *Grants) spillPosition(owner mtrange.Owner) mtrange.SpillPosition {
-	view := g.Directory.Now()
+	view := g.Directory.View()
 	var position mtrange.SpillPosition
 	for _, m := range view.Members {
-		if m.Service != g.Service || !view.Out.Has(m.Zone) {
+		if m.Service != g.Service || !view.OutOfService.Has(m.Zone) {
 			continue
 		}
 		position.Total++
@@ -195,7 +195,7 @@
 	uncertain, direct := false, false
 	wanted := mtrange.Transfer{From: r.Owner, Epoch: r.Epoch, Low: low, High: high, To: to, WarmupState: warmupState}
 	for tries := 0; ctx.Err() == nil; tries++ {
-		if !g.Directory.Now().Assignments[g.Service].CanApply(wanted) {
+		if !g.Directory.View().Assignments[g.Service].CanApply(wanted) {
 			return true // the move was written, or the keys were taken over by another server
 		}
 		if tries >= maxConflicts && !uncertain {
@@ -233,7 +233,7 @@
 // an unknown outcome tried the store five times a second.
 func (g *Grants) awaitStore(ctx context.Context) {
 	end := g.Clock.Steady().Add(unavailablePause + rand.N(unavailablePause))
-	for !g.Directory.Answers() && g.Clock.Steady().Before(end) {
+	for !g.Directory.StoreAvailable() && g.Clock.Steady().Before(end) {
 		if !mtduty.Sleep(ctx, storePollPeriod) {
 			return
 		}
@@ -250,7 +250,7 @@
 	defer cancel()
 	for {
 		changed := g.Directory.Changed()
-		if !g.Directory.Now().Assignments[g.Service].CanApply(wanted) {
+		if !g.Directory.View().Assignments[g.Service].CanApply(wanted) {
 			return true
 		}
 		select {
--- a/io/mtgrant/mtgrant.go
+++ b/io/mtgrant/mtgrant.go
@@ -240,7 +240,7 @@
 
 // notHeldError returns the error for a key that the server has no grant for.
 func (g *Grants) notHeldError(incarnation mtid.ServerIncarnation, key mtid.KeyNumber) error {
-	assignment, ok := g.Directory.Now().Assignments[g.Service]
+	assignment, ok := g.Directory.View().Assignments[g.Service]
 	if !ok {
 		return &mtreply.RefusedError{Cause: mtreply.CauseNoOwner, RetryAfter: grantRetry}
 	}
@@ -256,7 +256,7 @@
 // or elsewhere, so the error asks the caller to retry later.
 func (g *Grants) notGrantedError(now mtclock.Instant) error {
 	retry := grantRetry
-	if !g.Directory.Certain().After(now) {
+	if !g.Directory.RecordValidUntil().After(now) {
 		retry = unavailableRetry
 	}
 	return &mtreply.RefusedError{Cause: mtreply.CauseNoLease, RetryAfter: retry}
@@ -283,7 +283,7 @@
 	if owner.Incarnation.IsZero() || record.State == mtbackend.Ended || record.State == mtbackend.Unknown {
 		return
 	}
-	assignment, ok := g.Directory.Now().Assignments[g.Service]
+	assignment, ok := g.Directory.View().Assignments[g.Service]
 	if !ok {
 		return
 	}
@@ -309,7 +309,7 @@
 // ReleaseUnowned revokes all keys from an incarnation of the server that owns none. A command for
 // the previous incarnation at the same address may have reached it.
 func (g *Grants) ReleaseUnowned(ctx context.Context, incarnation mtid.ServerIncarnation, address string) error {
-	view := g.Directory.Now()
+	view := g.Directory.View()
 	if view.Revision == 0 {
 		// The owner of the keys is unknown until the assignment has been read. No other
 		// daemon sees the new incarnation before the store is reachable.
--- a/io/mtgrant/mtgrant_test.go
+++ b/io/mtgrant/mtgrant_test.go
@@ -256,7 +256,7 @@
 func (f *fleet) letLoopsRun() { time.Sleep(700 * time.Millisecond) }
 
 func (f *fleet) owner(key mtid.KeyNumber) mtid.Daemon {
-	a, ok := f.directory.Now().Assignments[service]
+	a, ok := f.directory.View().Assignments[service]
 	if !ok {
 		return ""
 	}
@@ -273,7 +273,7 @@
 	_, err = f.store.Swap(context.Background(), entry.Name, entry.Version, entry.Value, lease)
 	assert.NilError(f.t, err)
 	assert.NilError(f.t, f.store.End(context.Background(), lease))
-	f.until("the record of b has expired in the copy", func() bool { return f.directory.Now().Members["b"].Lapsed })
+	f.until("the record of b has expired in the copy", func() bool { return f.directory.View().Members["b"].Expired })
 }
 
 // A server starts to leave while its daemon renews grants. If a renewal that was found due
@@ -389,7 +389,7 @@
 	}
 	f.start()
 	f.until("all keys are taken over", func() bool {
-		a, ok := f.directory.Now().Assignments[service]
+		a, ok := f.directory.View().Assignments[service]
 		return ok && a.Keys(ownerOf("a")) == int(mtid.LastKeyNumber)+1
 	})
 }
@@ -410,7 +410,7 @@
 			change(&r)
 			f.write(r)
 			f.until("the keys are taken over", func() bool {
-				a := f.directory.Now().Assignments[service]
+				a := f.directory.View().Assignments[service]
 				return a.Keys(ownerOf("b")) == 0
 			})
 		})
@@ -573,11 +573,11 @@
 func TestFirstAssignmentWaitsForAllServers(t *testing.T) {
 	f := newFleet(t)
 	f.start()
-	f.until("the copy contains the own record", func() bool { return len(f.directory.Now().Members) == 1 })
+	f.until("the copy contains the own record", func() bool { return len(f.directory.View().Members) == 1 })
 	f.letLoopsRun()
 	assert.Equal(t, f.owner(0), mtid.Daemon(""))
 	f.write(record("b", mtbackend.Ready))
-	f.until("the copy contains the other record", func() bool { return len(f.directory.Now().Members) == 2 })
+	f.until("the copy contains the other record", func() bool { return len(f.directory.View().Members) == 2 })
 	f.letLoopsRun()
 	f.clock.advance(2 * time.Second)
 	f.until("keys are assigned", func() bool { return f.owner(0) == "a" && f.owner(mtid.LastKeyNumber) == "b" })
@@ -615,7 +615,7 @@
 	unavailable.Store(false)
 	f.until("the move is written", func() bool { return f.owner(0) == "b" })
 	assert.Equal(t, f.server.count("grant"), 1)
-	assert.Assert(t, !f.directory.Now().Assignments[service].CanApply(batch.Load().Transfers[0]))
+	assert.Assert(t, !f.directory.View().Assignments[service].CanApply(batch.Load().Transfers[0]))
 }
 
 // Every server is overloaded. Each owner queried a dozen others for spare capacity every
@@ -740,7 +740,7 @@
 	f.start()
 	f.until("the keys are granted", func() bool { return f.server.count("grant") >= 1 })
 	f.store.Fail(func(op, _ string) error { return &mtstore.UnavailableError{Op: op, Err: errors.New("unavailable")} })
-	f.until("the outage is detected", func() bool { return !f.directory.Answers() })
+	f.until("the outage is detected", func() bool { return !f.directory.StoreAvailable() })
 	f.mu.Lock()
 	f.ownLoad = mtrange.LoadReport{Owner: ownerOf("a"), Slots: 10, Demand: 25, Keys: 32768, Known: true}
 	f.otherLoads = []mtrange.LoadReport{{Owner: ownerOf("b"), Slots: 10, Demand: 1, Keys: 32768, Known: true}}
@@ -760,7 +760,7 @@
 	refused := make(chan struct{})
 	f.delegate = func(_ context.Context, b mtrange.Batch) ([]mtrange.Outcome, bool) {
 		f.store.Fail(func(op, _ string) error { return &mtstore.UnavailableError{Op: op, Err: errors.New("rejected")} })
-		for f.directory.Answers() {
+		for f.directory.StoreAvailable() {
 			time.Sleep(time.Millisecond)
 		}
 		close(refused)
--- a/io/mtgrant/order.go
+++ b/io/mtgrant/order.go
@@ -47,14 +47,14 @@
 // servers answer late, and while answers were awaited one after the other, that time
 // passed.
 func (g *Grants) maySendGrants(now mtclock.Instant) bool {
-	return g.Directory.Certain().Sub(now) > commandTimeout && g.Directory.Current()
+	return g.Directory.RecordValidUntil().Sub(now) > commandTimeout && g.Directory.Current()
 }
 
 // refreshStaleCopy updates a copy that is older than the own record. A watch that is
 // pausing after a failure retries at once, and one that receives nothing is replaced by
 // reading everything again.
 func (g *Grants) refreshStaleCopy(now mtclock.Instant) {
-	stale := g.Directory.Certain().After(now) && !g.Directory.Current()
+	stale := g.Directory.RecordValidUntil().After(now) && !g.Directory.Current()
 	g.mu.Lock()
 	since := g.staleSince
 	switch {
@@ -67,9 +67,9 @@
 	switch {
 	case !stale:
 	case since == 0:
-		g.Directory.Hurry()
+		g.Directory.RetryWatch()
 	case now.Sub(since) >= maxStaleness:
-		g.Log.Warn("copy stays older than the own record: reading everything", "own", uint64(g.Directory.Own()), "copy", uint64(g.Directory.Now().Revision))
+		g.Log.Warn("copy stays older than the own record: reading everything", "own", uint64(g.Directory.RecordVersion()), "copy", uint64(g.Directory.View().Revision))
 		g.Directory.Resync()
 	}
 }
@@ -83,7 +83,7 @@
 	if !g.maySendGrants(now) {
 		return nil
 	}
-	certain := g.Directory.Certain().Sub(now)
+	certain := g.Directory.RecordValidUntil().Sub(now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var due []*grant
--- a/io/mtgrant/take.go
+++ b/io/mtgrant/take.go
@@ -31,8 +31,8 @@
 	if !g.Keyed() {
 		return
 	}
-	view := g.Directory.Now()
-	upSince, ok := g.Directory.Up()
+	view := g.Directory.View()
+	upSince, ok := g.Directory.StoreUpSince()
 	if view.Revision == 0 || !ok {
 		return
 	}
@@ -120,16 +120,16 @@
 // keys. The result is cached until a record or the table changes, which is far less often
 // than the takeover loop runs.
 func (g *Grants) allRecordsValid(view *mtdirectory.View, a mtdirectory.Assignment) bool {
-	if g.ownersTable == a.Table && g.recordsRoll == view.Roll {
+	if g.ownersTable == a.Table && g.recordsRoll == view.MembershipVersion {
 		return g.recordsValid
 	}
 	if g.ownersTable != a.Table {
 		g.ownersTable, g.owners = a.Table, a.Owners()
 	}
-	g.recordsRoll, g.recordsValid = view.Roll, true
+	g.recordsRoll, g.recordsValid = view.MembershipVersion, true
 	for _, owner := range g.owners {
 		m, known := view.Members[owner.Daemon]
-		g.recordsValid = g.recordsValid && known && !m.Lapsed && m.MayHoldKeys(owner.Incarnation)
+		g.recordsValid = g.recordsValid && known && !m.Expired && m.MayHoldKeys(owner.Incarnation)
 	}
 	return g.recordsValid
 }
@@ -140,10 +140,10 @@
 	for _, owner := range g.owners {
 		m, known := view.Members[owner.Daemon]
 		switch {
-		case view.Foreign[owner.Daemon]:
+		case view.InvalidRecords[owner.Daemon]:
 			// Another writer overwrote the record. Its daemon may be alive and its server
 			// may hold keys.
-		case known && !m.Lapsed:
+		case known && !m.Expired:
 			if !m.MayHoldKeys(owner.Incarnation) {
 				lost = append(lost, owner)
 			}
@@ -155,7 +155,7 @@
 			if now.Sub(upSince) >= g.grantsExpireAfter() {
 				lost = append(lost, owner)
 			}
-		case now.Sub(m.Since) >= g.grantsExpireAfter():
+		case now.Sub(m.ExpiredSince) >= g.grantsExpireAfter():
 			lost = append(lost, owner)
 		}
 	}
@@ -185,7 +185,7 @@
 	var conditions []mtstore.Condition
 	for _, owner := range lost {
 		c := mtstore.Condition{Name: mtstore.BackendName(owner.Daemon)}
-		if m, ok := view.Members[owner.Daemon]; ok && !m.Lapsed {
+		if m, ok := view.Members[owner.Daemon]; ok && !m.Expired {
 			c.Version = m.Version
 		}
 		if !slices.Contains(conditions, c) {
--- a/io/mtmesh/commit.go
+++ b/io/mtmesh/commit.go
@@ -40,7 +40,7 @@
 	defer cancel()
 	outcomes, entry, err := peers.Commit(ctx, writer.Address, b)
 	if err == nil {
-		m.directory.Load().Inform(entry)
+		m.directory.Load().ApplyPushedAssignment(entry)
 		return outcomes, true
 	}
 	m.config.Log.Warn("writing transfers through another daemon failed", "peer", writer.Daemon, "transfers", len(b.Transfers), "error", err)
@@ -59,7 +59,7 @@
 // changes of the assignment since the epoch that the other daemon knows.
 func (m *Mesh) commitFor(ctx context.Context, b mtrange.Batch) ([]mtrange.Outcome, mtstore.Entry) {
 	outcomes := mtkernel.MustLookup[*mtcommit.Committer](m.kernel, NameCommitter).CommitForPeer(ctx, b)
-	assignment, ok := m.directory.Load().Now().Assignments[b.Service]
+	assignment, ok := m.directory.Load().View().Assignments[b.Service]
 	if !ok {
 		return outcomes, mtstore.Entry{}
 	}
--- a/io/mtmesh/learn.go
+++ b/io/mtmesh/learn.go
@@ -95,7 +95,7 @@
 	if directory == nil {
 		return nil
 	}
-	return directory.Now()
+	return directory.View()
 }
 
 // memberTree returns the distribution tree of the known live members.
@@ -104,16 +104,16 @@
 	if view == nil {
 		return mtspread.New(nil)
 	}
-	if p := f.cached.Load(); p != nil && p.roll == view.Roll {
+	if p := f.cached.Load(); p != nil && p.roll == view.MembershipVersion {
 		return p.tree
 	}
 	nodes := make([]mtspread.Node, 0, len(view.Members))
 	for _, m := range view.Members {
-		if !m.Lapsed && !m.Leaving {
+		if !m.Expired && !m.Leaving {
 			nodes = append(nodes, mtspread.Node{Daemon: m.Daemon, Zone: m.Zone, Address: m.Address, Link: m.Link})
 		}
 	}
-	p := &cachedTree{roll: view.Roll, tree: mtspread.New(nodes)}
+	p := &cachedTree{roll: view.MembershipVersion, tree: mtspread.New(nodes)}
 	f.cached.Store(p)
 	return p.tree
 }
@@ -268,10 +268,10 @@
 		if directory == nil || !f.mayServe(q.Relays) {
 			return mtforward.Lesson{}, &mtstore.UnavailableError{Op: "teach", Err: notWatching{}}
 		}
-		if _, up := directory.Up(); !up {
+		if _, up := directory.StoreUpSince(); !up {
 			return mtforward.Lesson{}, &mtstore.UnavailableError{Op: "teach", Err: notWatching{}}
 		}
-		changes, next := directory.Since(q.After, q.Epochs)
+		changes, next := directory.ChangesSince(q.After, q.Epochs)
 		reply := mtforward.Lesson{Changes: changes, Hops: int(f.hops.Load())}
 		if len(changes.Entries) > 0 || f.freshness.fresher(theirs) {
 			return reply, nil
@@ -294,7 +294,7 @@
 
 // sendOwnershipUpdate sends a daemon the changes of an assignment that gives it keys.
 func (m *Mesh) sendOwnershipUpdate(to mtid.Daemon, a mtdirectory.Assignment, since mtid.Epoch) {
-	member, ok := m.directory.Load().Now().Members[to]
+	member, ok := m.directory.Load().View().Members[to]
 	if !ok {
 		return
 	}
--- a/io/mtmesh/learn_test.go
+++ b/io/mtmesh/learn_test.go
@@ -87,7 +87,7 @@
 				c.write(name)
 				poll.WaitOn(t, func(poll.LogT) poll.Result {
 					for _, d := range directories {
-						if _, known := d.Now().Members[name]; !known {
+						if _, known := d.View().Members[name]; !known {
 							return poll.Continue("%s has not received the record of %s yet", d.Self, name)
 						}
 					}
@@ -115,7 +115,7 @@
 	directory := c.join(member, tree)
 	waitFor := func(d *mtdirectory.Directory, name mtid.Daemon) {
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
-			if _, known := d.Now().Members[name]; known {
+			if _, known := d.View().Members[name]; known {
 				return poll.Success()
 			}
 			return poll.Continue("the record of %s has not been received yet", name)
--- a/io/mtmesh/mtmesh.go
+++ b/io/mtmesh/mtmesh.go
@@ -180,7 +180,7 @@
 // force, the other servers are known, and the daemon is not shutting down.
 func (m *Mesh) Ready() bool {
 	directory := mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory)
-	return m.ready.Load() && m.Ingress().Configuration() != nil && directory.Now().Revision != 0
+	return m.ready.Load() && m.Ingress().Configuration() != nil && directory.View().Revision != 0
 }
 
 func (m *Mesh) addClock() error {
@@ -220,17 +220,17 @@
 	}
 	m.feed.tree = m.feed.memberTree
 	directory, cleanUp := mtdirectory.New(mtdirectory.Config{
-		Self:   m.config.Daemon,
-		Store:  m.config.Store,
-		Clock:  mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock),
-		Lease:  m.config.Lease,
-		Log:    m.config.Log,
-		Source: m.feed,
-		Other:  m.config.OnOtherEntry,
-		Former: m.previous.receive,
-		Heard:  m.receiveRecord,
-
-		Applied: m.feed.applied,
+		Self:             m.config.Daemon,
+		Store:            m.config.Store,
+		Clock:            mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock),
+		Lease:            m.config.Lease,
+		Log:              m.config.Log,
+		Source:           m.feed,
+		OnOtherEntry:     m.config.OnOtherEntry,
+		OnPreviousRecord: m.previous.receive,
+		OnRecord:         m.receiveRecord,
+
+		OnUpdate: m.feed.applied,
 	})
 	m.directory.Store(directory)
 	return mtkernel.Register(m.kernel, NameDirectory, directory, cleanUp)
@@ -295,7 +295,7 @@
 	grants.Store(created)
 	m.previous.attach(host)
 	m.host.Store(host)
-	for _, member := range directory.Now().Members {
+	for _, member := range directory.View().Members {
 		host.MergeSuspects(member.Record)
 	}
 	directory.OnChange(m.applyZone)
@@ -424,7 +424,7 @@
 		grpc.InitialWindowSize(mtforward.Window), grpc.InitialConnWindowSize(mtforward.Window),
 		grpc.ReadBufferSize(peerBufferSize), grpc.WriteBufferSize(peerBufferSize), grpc.SharedWriteBuffer(true))
 	mtforward.Register(m.peers, mtforward.Server{
-		Host: m.Host(), Clock: mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock), News: m.exchange(), Teach: m.feed.serve, Inform: m.directory.Load().Inform, Commit: m.commitFor,
+		Host: m.Host(), Clock: mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock), News: m.exchange(), Teach: m.feed.serve, Inform: m.directory.Load().ApplyPushedAssignment, Commit: m.commitFor,
 	})
 	go func() {
 		if err := m.peers.Serve(peers); err != nil {
--- a/io/mtmesh/news.go
+++ b/io/mtmesh/news.go
@@ -51,8 +51,8 @@
 func (m *Mesh) knownVersions() mtforward.News {
 	var versions mtforward.News
 	if directory := m.directory.Load(); directory != nil {
-		versions.Seen = directory.Seen()
-		versions.Zones = directory.Now().Out.Digest()
+		versions.Seen = directory.NewestVersion()
+		versions.Zones = directory.View().OutOfService.Digest()
 	}
 	if c := m.configuration(); c != nil {
 		versions.Config = c.Version
@@ -124,7 +124,7 @@
 	for _, e := range read.Entries {
 		m.config.OnOtherEntry(e)
 	}
-	zonesChanged := directory.Recheck(read)
+	zonesChanged := directory.ApplyZones(read)
 	m.freshness.confirm(started)
 	newer := m.knownVersions().Config > before && before != 0
 	if (newer || zonesChanged) && m.feed.pollSchedule() != mtroute.PollFallback {
@@ -185,8 +185,8 @@
 // notifyPeers sends the versions that this daemon knows to all other live daemons.
 func (m *Mesh) notifyPeers() {
 	peers := mtkernel.MustLookup[*mtforward.Client](m.kernel, NamePeers)
-	for name, member := range mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory).Now().Members {
-		if name == m.config.Daemon || member.Lapsed {
+	for name, member := range mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory).View().Members {
+		if name == m.config.Daemon || member.Expired {
 			continue
 		}
 		go func() {
--- a/io/mtmesh/zone.go
+++ b/io/mtmesh/zone.go
@@ -21,7 +21,7 @@
 		return
 	}
 	own := m.config.Zone
-	out := directory.Now().Out
+	out := directory.View().OutOfService
 	m.zoneState.mu.Lock()
 	defer m.zoneState.mu.Unlock()
 	if m.zoneState.revision == out.ChangedAt(own) {
