--- a/core/mtstore/mtstore.go
+++ b/core/mtstore/mtstore.go
@@ -109,7 +109,7 @@
 
 // Error implements error.
 func (e *CompactedError) Error() string {
-	return fmt.Sprintf("store: changes after revision %d have been compacted", e.After)
+	return fmt.Sprintf("store: changes after revision %d are forgotten", e.After)
 }
 
 // NotFoundError reports that a name does not exist in the store.
@@ -128,7 +128,7 @@
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("store: %s is at version %d, expected %d", e.Name, e.Current.Version, e.Expected)
+	return fmt.Sprintf("store: %s is at version %d, not %d", e.Name, e.Current.Version, e.Expected)
 }
 
 // UnknownError reports that a call was sent and no response was received: a write
@@ -155,7 +155,7 @@
 
 // Error implements error.
 func (e *UnavailableError) Error() string {
-	return fmt.Sprintf("store: unavailable for %s: %v", e.Op, e.Err)
+	return fmt.Sprintf("store: not available for %s: %v", e.Op, e.Err)
 }
 
 // Unwrap returns the error that kept the call from reaching the store.
@@ -166,7 +166,7 @@
 
 // Error implements error.
 func (e *LeaseExpiredError) Error() string {
-	return fmt.Sprintf("store: lease %s has expired", e.Lease)
+	return fmt.Sprintf("store: lease %s lapsed", e.Lease)
 }
 
 // RejectedError reports that the store rejected a call as invalid, for example
