--- a/io/mtforward/mtforward.go
+++ b/io/mtforward/mtforward.go
@@ -1,10 +1,10 @@
-// Package mtforward carries calls between daemons over gRPC: from the one that a
-// caller asked to the one beside the backend server.
+// Package mtforward forwards calls between daemons over gRPC: from the daemon that
+// received a call to the daemon that runs on the VM of the backend server.
 //
-// A daemon that is frozen, powerless or behind a silent connection doesn't refuse
-// a call, it lets it hang. So the receiver sends the header of its reply as soon
-// as the call has arrived; a sender that sees none in time knows that nobody is
-// there, long before the call's deadline.
+// A daemon that is frozen, without power or behind a dead connection doesn't refuse
+// a call, it lets it hang. So the receiver sends the response header as soon as the
+// call has arrived. A sender that receives no header in time knows long before the
+// call's deadline that the daemon is unresponsive.
 //
 // # Usage
 //
@@ -12,8 +12,8 @@
 //	answer, err := client.Forward(ctx, daemon, address, call)
 //	mtforward.Register(grpcServer, mtforward.Server{Host: host, Clock: clock, News: exchange, Teach: teach})
 //
-// Forward fails with a *mtreply.RefusedError if the call was not run, else with
-// a *mtreply.UnknownError. All types are safe for concurrent use.
+// Forward fails with a *mtreply.RefusedError if the call was not run, and with a
+// *mtreply.UnknownError if it may have run. All types are safe for concurrent use.
 package mtforward
 
 import (
@@ -43,91 +43,96 @@
 type clock interface{ Now() mtclock.Instant }
 
 const (
-	// arrival is how long the header of a reply may take before an idempotent call
-	// is given up. Packets may wait for a second on a narrow link that is full, and
-	// what is given up then reaches its server all the same. One that must not run
-	// twice is not given up: nobody could send it again, and its answer may still
-	// come. Sixty kilobytes took 1.8 s over a link of 10 Mbit/s with others; their
-	// caller was told 502 while the server began to work on them.
-	arrival = 1500 * time.Millisecond
-	// lastCall is after which time a connection that is no longer used is closed.
-	// Calls on it may still be answered until their deadlines.
-	lastCall = 30 * time.Second
-	// buffer is the size of a connection's buffers, in bytes. A daemon has a connection
-	// to each of hundreds of others, and most messages are smaller. Those for writing
-	// are shared: at any moment few connections have something to write.
-	buffer = 8 << 10
-	// Window is how many bytes may be under way to a receiver. A window that is
-	// set keeps gRPC from measuring the connection with a ping for each burst of
-	// data. The processor time of a calm day of nine daemons fell from 11.5 s to
-	// 10.3 s by it, one run each.
+	// headerTimeout limits the wait for the response header of an idempotent call.
+	// Packets may be queued for a second on a saturated slow link, and a call that is
+	// abandoned then still reaches its server. A call that isn't idempotent has no such
+	// timeout: it can't be sent again, and its reply may still arrive. 60 kB took 1.8 s
+	// over a shared link of 10 Mbit/s, and with the timeout the caller got a 502 while
+	// the server began to process the call. Learn allows the same time beyond its wait.
+	headerTimeout = 1500 * time.Millisecond
+	// detachedLifetime is the time after which a connection that was removed from the
+	// pool is closed. Calls on it may still be answered until their deadlines.
+	detachedLifetime = 30 * time.Second
+	// bufferSize is the size of a connection's buffers, in bytes. A daemon has
+	// connections to hundreds of others, and most messages are smaller. Write buffers
+	// are shared, since few connections write at the same time.
+	bufferSize = 8 << 10
+	// Window is the flow control window in bytes: how much may be in transit to a
+	// receiver. Setting it turns off gRPC's bandwidth estimation, which sends a ping for
+	// each burst of data. For nine daemons on a day with little traffic, this lowered
+	// the CPU time from 11.5 s to 10.3 s.
 	Window = 1 << 20
-	// messageLimit is the largest message, in bytes.
-	messageLimit = 72 << 20
-	// unreachableRetry is when to ask again for a server whose daemon can't be
-	// reached: about the time in which a daemon is back.
+	// maxMessageSize is the size of the largest message, in bytes.
+	maxMessageSize = 72 << 20
+	// unreachableRetry is the Retry-After of a call whose daemon can't be reached:
+	// about the time that a daemon needs to become available again.
 	unreachableRetry = 500 * time.Millisecond
 )
 
-// A daemon that was restarted listens again within a second or two.
-var reconnect = grpc.ConnectParams{
+// connectParams has short delays, because a restarted daemon listens again within a
+// second or two.
+var connectParams = grpc.ConnectParams{
 	Backoff:           backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: 300 * time.Millisecond},
 	MinConnectTimeout: 500 * time.Millisecond,
 }
 
-// Report is the load that a daemon reported, and when.
+// Report is the last load that a daemon reported, and when the report was received.
 type Report struct {
 	mtcall.Load
 	At mtclock.Instant
 }
 
-// News is how much a daemon has seen of what all share.
+// News summarizes which versions of the shared state a daemon has received. Daemons
+// compare their summaries to detect that one of them missed an update.
 type News struct {
-	Config mtid.Version // of the configuration in force
-	Seen   mtid.Version // the newest of all records and assignments
-	Zones  mtzone.Digest
-	// Age is how long ago the configuration certainly was the newest, and the zones
-	// certainly those that are out of service.
+	Config mtid.Version  // version of the configuration in force
+	Seen   mtid.Version  // highest version of all records and assignments
+	Zones  mtzone.Digest // of the zones that are out of service
+	// Age is the time since the daemon last knew for certain that its configuration
+	// and its set of zones out of service were the newest.
 	Age time.Duration
 }
 
-// Exchange is how daemons tell each other what they have seen.
+// Exchange provides this daemon's summary of the shared state to other daemons and
+// receives theirs. Calls, load requests and requests for changes carry them both ways.
 type Exchange struct {
-	Tell func() News
-	// Hear is told of another daemon's news. They are an answer to what was sent at
-	// an instant, or it is zero: then nobody knows for how long they were on their way.
+	Tell func() News // returns the summary of this daemon
+	// Hear processes the summary of another daemon. If it came in a reply, sent is when
+	// the request was sent. If it came in a request, sent is zero, because the time
+	// that it spent in transit is unknown.
 	Hear func(news News, sent mtclock.Instant)
 }
 
-// Client sends calls to other daemons over one connection each.
+// Client sends calls to other daemons, over one connection to each of them.
 type Client struct {
-	clock   clock
-	news    Exchange
-	pool    *mtconn.Pool
-	ctx     context.Context // of the probes
-	probes  sync.WaitGroup
-	mu      sync.Mutex
-	reports map[mtid.Daemon]Report
-	silent  *mtsilence.Detector
+	clock    clock
+	exchange Exchange
+	pool     *mtconn.Pool
+	ctx      context.Context // canceled by the clean-up, ends the probes
+	probes   sync.WaitGroup
+	mu       sync.Mutex
+	reports  map[mtid.Daemon]Report
+	detector *mtsilence.Detector
 }
 
-// NewClient returns a client and its clean-up function.
-func NewClient(c clock, news Exchange) (*Client, func()) {
+// NewClient returns a client and its clean-up function, which stops the probes and
+// closes all connections.
+func NewClient(c clock, exchange Exchange) (*Client, func()) {
 	pool, cleanUp := mtconn.New(
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithConnectParams(reconnect),
+		grpc.WithConnectParams(connectParams),
 		grpc.WithContextDialer(dial),
 		grpc.WithInitialWindowSize(Window),
 		grpc.WithInitialConnWindowSize(Window),
-		grpc.WithReadBufferSize(buffer),
-		grpc.WithWriteBufferSize(buffer),
+		grpc.WithReadBufferSize(bufferSize),
+		grpc.WithWriteBufferSize(bufferSize),
 		grpc.WithSharedWriteBuffer(true),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(messageLimit), grpc.MaxCallSendMsgSize(messageLimit)),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageSize), grpc.MaxCallSendMsgSize(maxMessageSize)),
 	)
 	ctx, cancel := context.WithCancel(context.Background())
 	client := &Client{
-		clock: c, news: news, pool: pool, ctx: ctx,
-		reports: make(map[mtid.Daemon]Report), silent: mtsilence.New(),
+		clock: c, exchange: exchange, pool: pool, ctx: ctx,
+		reports: make(map[mtid.Daemon]Report), detector: mtsilence.New(),
 	}
 	return client, func() {
 		cancel()
@@ -136,38 +141,39 @@
 	}
 }
 
-// dial connects to another daemon.
+// dial opens a connection that fails soon when its peer becomes unresponsive.
 func dial(ctx context.Context, address string) (net.Conn, error) {
 	return mtdial.Dial(ctx, "tcp", address)
 }
 
-// suspect keeps new calls from a daemon that does not answer, and lets the next
-// ones after that open a new connection: an open one may stay silent where a new
-// one works. Calls that are under way on it are left alone. Closed with it, all
-// calls to a daemon behind a full link failed because of one.
-func (c *Client) suspect(daemon mtid.Daemon, address string) {
+// markUnresponsive marks a daemon as unresponsive, so that it gets no new calls, and starts to
+// probe it. Probes and later calls use a new connection, because the old one may stay
+// dead while new ones work. The old connection is not closed at once: that would fail
+// all calls in flight to a daemon behind a saturated link because of a single slow one.
+func (c *Client) markUnresponsive(daemon mtid.Daemon, address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ctx.Err() != nil || !c.silent.Suspect(c.clock.Now(), address) {
+	if c.ctx.Err() != nil || !c.detector.Suspect(c.clock.Now(), address) {
 		return
 	}
 	if conn := c.pool.Take(address); conn != nil {
-		time.AfterFunc(lastCall, func() { _ = conn.Close() })
+		time.AfterFunc(detachedLifetime, func() { _ = conn.Close() })
 	}
 	c.probes.Go(func() { c.probe(daemon, address) })
 }
 
-// probe asks a silent daemon how it is until it answers, or nobody has calls for it.
+// probe requests the load of an unresponsive daemon until it replies, or until no calls
+// have been intended for it for some time.
 func (c *Client) probe(daemon mtid.Daemon, address string) {
 	for {
-		ctx, cancel := context.WithTimeout(c.ctx, c.patience(address))
+		ctx, cancel := context.WithTimeout(c.ctx, c.responseTimeout(address))
 		err := c.Observe(ctx, daemon, address)
 		cancel()
 		if err == nil {
 			return
 		}
 		c.mu.Lock()
-		pause, more := c.silent.ProbeFailed(c.clock.Now(), address)
+		pause, more := c.detector.ProbeFailed(c.clock.Now(), address)
 		c.mu.Unlock()
 		if !more || !mtduty.Sleep(c.ctx, pause) {
 			return
@@ -175,28 +181,29 @@
 	}
 }
 
-// Silent reports whether a daemon does not answer.
+// Silent reports whether the daemon at the address is unresponsive, so that it must not
+// get calls.
 func (c *Client) Silent(address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.silent.Unresponsive(c.clock.Now(), address)
+	return c.detector.Unresponsive(c.clock.Now(), address)
 }
 
-// patience returns how long to wait for a sign from a daemon.
-func (c *Client) patience(address string) time.Duration {
+// responseTimeout returns how long to wait for a response header or the reply to a probe.
+func (c *Client) responseTimeout(address string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.silent.Timeout(address)
+	return c.detector.Timeout(address)
 }
 
-// answered notes that a sign came from a daemon.
-func (c *Client) answered(address string, since mtclock.Instant) {
+// recordResponse records that a daemon responded to what was sent at since.
+func (c *Client) recordResponse(address string, since mtclock.Instant) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.silent.Answered(address, c.clock.Now().Sub(since))
+	c.detector.Answered(address, c.clock.Now().Sub(since))
 }
 
-// Report returns the last load that a daemon reported.
+// Report returns the last load that a daemon reported, or false if it reported none.
 func (c *Client) Report(daemon mtid.Daemon) (Report, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -204,92 +211,94 @@
 	return r, ok
 }
 
-// note keeps a report.
-func (c *Client) note(daemon mtid.Daemon, w *mtwire.ForwardLoad) {
+// recordLoad stores the load report of a reply, if the reply has one.
+func (c *Client) recordLoad(daemon mtid.Daemon, w *mtwire.ForwardLoad) {
 	if w == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reports[daemon] = Report{Load: readLoad(w), At: c.clock.Now()}
+	c.reports[daemon] = Report{Load: loadFromWire(w), At: c.clock.Now()}
 }
 
-// Observe asks a daemon for its load.
+// Observe requests the load of a daemon, stores it for Report and exchanges summaries of
+// the shared state.
 func (c *Client) Observe(ctx context.Context, daemon mtid.Daemon, address string) error {
 	conn, err := c.pool.Conn(address)
 	if err != nil {
 		return err
 	}
-	begun := c.clock.Now()
-	load, err := mtwire.NewForwarderClient(conn).Observe(ctx, &mtwire.ObserveRequest{News: wireNews(c.news.Tell())})
+	sent := c.clock.Now()
+	load, err := mtwire.NewForwarderClient(conn).Observe(ctx, &mtwire.ObserveRequest{News: newsToWire(c.exchange.Tell())})
 	if err != nil {
 		return &mtreply.UnknownError{Cause: mtreply.CauseLost, Err: err}
 	}
-	c.answered(address, begun)
-	c.note(daemon, load)
-	c.news.Hear(readNews(load.GetNews()), begun)
+	c.recordResponse(address, sent)
+	c.recordLoad(daemon, load)
+	c.exchange.Hear(newsFromWire(load.GetNews()), sent)
 	return nil
 }
 
-// Question is what a daemon asks of one that it learns from.
+// Question is a request for changes of the store that a daemon sends to its upstream.
 type Question struct {
-	After  mtid.Revision         // tell what has changed since
-	Epochs map[string]mtid.Epoch // up to which assignments are known, by name of the entry
-	Wait   time.Duration         // for so long, if there is nothing to tell
-	// Relays says that the asker tells others what it learns.
+	After  mtid.Revision         // requests the changes after this revision
+	Epochs map[string]mtid.Epoch // epochs up to which assignments are known, by entry name
+	Wait   time.Duration         // how long to wait for a change if there is none yet
+	// Relays is set if the requesting daemon is itself an upstream of other daemons.
 	Relays bool
-	// Age is how long ago the asker was certain of its configuration.
+	// Age is the time since the requesting daemon last knew for certain that its
+	// configuration was the newest.
 	Age time.Duration
 }
 
-// Lesson is the answer to a Question.
+// Lesson is the reply of an upstream to a Question.
 type Lesson struct {
 	Changes mtstore.Changes
-	Hops    int // from the store to the daemon that was asked, which is one hop on
+	Hops    int // distance of the upstream from the store; 1 if it watches the store itself
 }
 
-// Learn waits for changes of the store, as the daemon at the address hears of them. Of
-// an assignment that is known here up to an epoch, the entry holds a patch. It fails
-// with a *mtstore.UnavailableError if that one does not hear of them.
+// Learn waits for changes of the store that the daemon at the address receives. The entry
+// of an assignment that is known up to an epoch holds a patch. Learn fails with a
+// *mtstore.UnavailableError if the other daemon does not receive changes itself.
 func (c *Client) Learn(ctx context.Context, address string, q Question) (Lesson, error) {
 	conn, err := c.pool.Conn(address)
 	if err != nil {
 		return Lesson{}, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, q.Wait+arrival)
+	ctx, cancel := context.WithTimeout(ctx, q.Wait+headerTimeout)
 	defer cancel()
-	question := &mtwire.LearnRequest{After: uint64(q.After), WaitMs: q.Wait.Milliseconds(), Relays: q.Relays, News: wireNews(c.news.Tell())}
+	request := &mtwire.LearnRequest{After: uint64(q.After), WaitMs: q.Wait.Milliseconds(), Relays: q.Relays, News: newsToWire(c.exchange.Tell())}
 	for name, epoch := range q.Epochs {
-		question.Epochs = append(question.Epochs, &mtwire.LearnEpoch{Name: name, Next: uint64(epoch)})
+		request.Epochs = append(request.Epochs, &mtwire.LearnEpoch{Name: name, Next: uint64(epoch)})
 	}
 	sent := c.clock.Now()
-	w, err := mtwire.NewForwarderClient(conn).Learn(ctx, question)
+	w, err := mtwire.NewForwarderClient(conn).Learn(ctx, request)
 	if err != nil {
 		return Lesson{}, &mtstore.UnavailableError{Op: "learn", Err: err}
 	}
-	c.news.Hear(readNews(w.GetNews()), sent)
-	lesson := Lesson{Changes: mtstore.Changes{Revision: mtid.Revision(w.GetRevision())}, Hops: int(w.GetHops())}
+	c.exchange.Hear(newsFromWire(w.GetNews()), sent)
+	reply := Lesson{Changes: mtstore.Changes{Revision: mtid.Revision(w.GetRevision())}, Hops: int(w.GetHops())}
 	for _, e := range w.GetEntries() {
-		lesson.Changes.Entries = append(lesson.Changes.Entries, readEntry(e))
+		reply.Changes.Entries = append(reply.Changes.Entries, entryFromWire(e))
 	}
-	return lesson, nil
+	return reply, nil
 }
 
-// Inform tells a daemon of a write of an assignment that concerns it.
+// Inform pushes a write of an assignment to a daemon that it affects.
 func (c *Client) Inform(ctx context.Context, address string, entry mtstore.Entry) error {
 	conn, err := c.pool.Conn(address)
 	if err != nil {
 		return err
 	}
-	if _, err := mtwire.NewForwarderClient(conn).Inform(ctx, wireEntry(entry)); err != nil {
+	if _, err := mtwire.NewForwarderClient(conn).Inform(ctx, entryToWire(entry)); err != nil {
 		return &mtreply.UnknownError{Cause: mtreply.CauseLost, Err: err}
 	}
 	return nil
 }
 
-// Commit has changes of owners written by the daemon at the address, and returns what
-// became of each of them, with what has changed of the assignment. It fails with a
-// *mtreply.RefusedError if the batch never left, else with a *mtreply.UnknownError.
+// Commit requests the daemon at the address to write a batch of ownership transfers. It
+// returns the outcome of each transfer and the changes of the assignment. It fails with a
+// *mtreply.RefusedError if the batch was never sent, else with a *mtreply.UnknownError.
 func (c *Client) Commit(ctx context.Context, address string, b mtrange.Batch) ([]mtrange.Outcome, mtstore.Entry, error) {
 	conn, err := c.pool.Conn(address)
 	if err != nil {
@@ -307,10 +316,10 @@
 			outcomes[i] = mtrange.Outcome(w.GetOutcomes()[i])
 		}
 	}
-	return outcomes, readEntry(w.GetAssignment()), nil
+	return outcomes, entryFromWire(w.GetAssignment()), nil
 }
 
-// Forward sends a call to the daemon beside a backend server.
+// Forward sends a call to the daemon on the VM of a backend server and waits for the reply.
 func (c *Client) Forward(ctx context.Context, daemon mtid.Daemon, address string, call *mtcall.Call) (*mtcall.Answer, error) {
 	conn, err := c.pool.Conn(address)
 	if err != nil {
@@ -320,47 +329,48 @@
 	ctx, cancel := context.WithTimeout(ctx, call.Deadline.Sub(now))
 	defer cancel()
 	watched, sent := mtconn.Watch(ctx)
-	inner, giveUp := context.WithCancel(watched)
-	defer giveUp()
-	stream, err := mtwire.NewForwarderClient(conn).Forward(inner, c.wire(now, call))
+	inner, cancelCall := context.WithCancel(watched)
+	defer cancelCall()
+	stream, err := mtwire.NewForwarderClient(conn).Forward(inner, c.forwardRequest(now, call))
 	if err != nil {
 		return nil, mtconn.Explain(ctx, err, sent, unreachableRetry)
 	}
-	if err := c.arrived(stream, daemon, address, call.Idempotent, giveUp); err != nil {
+	if err := c.awaitHeader(stream, daemon, address, call.Idempotent, cancelCall); err != nil {
 		return nil, mtconn.Explain(ctx, err, sent, unreachableRetry)
 	}
 	w, err := stream.Recv()
 	if err != nil {
 		return nil, mtconn.Explain(ctx, err, sent, unreachableRetry)
 	}
-	c.note(daemon, w.GetLoad())
-	c.news.Hear(readNews(w.GetNews()), now)
-	return readReply(w)
+	c.recordLoad(daemon, w.GetLoad())
+	c.exchange.Hear(newsFromWire(w.GetNews()), now)
+	return replyFromWire(w)
 }
 
-// wire returns the message of a call, with the news.
-func (c *Client) wire(now mtclock.Instant, call *mtcall.Call) *mtwire.ForwardRequest {
-	w := wireCall(now, call)
-	w.News = wireNews(c.news.Tell())
+// forwardRequest encodes a call, together with this daemon's summary of the shared state.
+func (c *Client) forwardRequest(now mtclock.Instant, call *mtcall.Call) *mtwire.ForwardRequest {
+	w := callToWire(now, call)
+	w.News = newsToWire(c.exchange.Tell())
 	return w
 }
 
-// arrived waits for the header, which says that the call has arrived.
-func (c *Client) arrived(stream grpc.ClientStream, daemon mtid.Daemon, address string, idempotent bool, giveUp func()) error {
-	begun := c.clock.Now()
-	slow := time.AfterFunc(c.patience(address), func() { c.suspect(daemon, address) })
-	defer slow.Stop()
-	var late *time.Timer
+// awaitHeader waits for the response header, which acknowledges the arrival of the call.
+// If the header takes longer than usual, the daemon is marked as unresponsive.
+func (c *Client) awaitHeader(stream grpc.ClientStream, daemon mtid.Daemon, address string, idempotent bool, cancelCall func()) error {
+	sent := c.clock.Now()
+	slowTimer := time.AfterFunc(c.responseTimeout(address), func() { c.markUnresponsive(daemon, address) })
+	defer slowTimer.Stop()
+	var lateTimer *time.Timer
 	if idempotent {
-		late = time.AfterFunc(arrival, giveUp)
+		lateTimer = time.AfterFunc(headerTimeout, cancelCall)
 	}
 	_, err := stream.Header()
 	switch {
 	case err != nil:
 		return err
-	case late != nil && !late.Stop():
+	case lateTimer != nil && !lateTimer.Stop():
 		return context.Canceled
 	}
-	c.answered(address, begun)
+	c.recordResponse(address, sent)
 	return nil
 }
--- a/io/mtforward/mtforward_test.go
+++ b/io/mtforward/mtforward_test.go
@@ -23,7 +23,7 @@
 	"magnoliaturn/io/mttime"
 )
 
-// host answers calls as a test says.
+// host answers calls with the test's run function and reports a fixed load.
 type host struct {
 	run func(ctx context.Context, call *mtcall.Call) (*mtcall.Answer, error)
 }
@@ -36,38 +36,38 @@
 	return mtcall.Load{Running: 3, Waiting: 2, Slots: 10, ServiceTime: time.Second, Demand: 1.5}
 }
 
-// news notes what a daemon hears.
-type news struct{ heard chan mtforward.News }
+// newsLog records the summaries that a daemon receives.
+type newsLog struct{ received chan mtforward.News }
 
-func exchange(tell mtforward.News) (mtforward.Exchange, *news) {
-	n := &news{heard: make(chan mtforward.News, 100)}
-	return mtforward.Exchange{Tell: func() mtforward.News { return tell }, Hear: func(h mtforward.News, _ mtclock.Instant) { n.heard <- h }}, n
+func exchange(local mtforward.News) (mtforward.Exchange, *newsLog) {
+	n := &newsLog{received: make(chan mtforward.News, 100)}
+	return mtforward.Exchange{Tell: func() mtforward.News { return local }, Hear: func(remote mtforward.News, _ mtclock.Instant) { n.received <- remote }}, n
 }
 
-func serve(t *testing.T, h *host) (address string, heard *news) {
+func serve(t *testing.T, h *host) (address string, received *newsLog) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	server := grpc.NewServer()
-	told, heard := exchange(mtforward.News{Config: 7, Seen: 70})
+	local, received := exchange(mtforward.News{Config: 7, Seen: 70})
 	mtforward.Register(server, mtforward.Server{
-		Host: h, Clock: mttime.New(), News: told,
+		Host: h, Clock: mttime.New(), News: local,
 		Teach: func(context.Context, mtforward.Question) (mtforward.Lesson, error) {
-			return mtforward.Lesson{}, &mtstore.UnavailableError{Op: "teach", Err: errors.New("deaf")}
+			return mtforward.Lesson{}, &mtstore.UnavailableError{Op: "teach", Err: errors.New("store is not watched")}
 		},
 	})
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(server.Stop)
-	return listener.Addr().String(), heard
+	return listener.Addr().String(), received
 }
 
-func client(t *testing.T) (*mtforward.Client, *mttime.Clock, *news) {
+func client(t *testing.T) (*mtforward.Client, *mttime.Clock, *newsLog) {
 	t.Helper()
 	clock := mttime.New()
-	told, heard := exchange(mtforward.News{Config: 5, Seen: 50})
-	c, cleanUp := mtforward.NewClient(clock, told)
+	local, received := exchange(mtforward.News{Config: 5, Seen: 50})
+	c, cleanUp := mtforward.NewClient(clock, local)
 	t.Cleanup(cleanUp)
-	return c, clock, heard
+	return c, clock, received
 }
 
 func call(clock *mttime.Clock) *mtcall.Call {
@@ -79,30 +79,30 @@
 	}
 }
 
-func TestACallArrivesAsItWasSent(t *testing.T) {
+func TestCallAndAnswerAreTransmittedUnchanged(t *testing.T) {
 	var got *mtcall.Call
 	want := &mtcall.Answer{Status: 201, Header: []mtcall.Field{{Name: "Y", Value: "3"}}, Body: []byte("tea"), Queued: time.Millisecond, Served: time.Second}
-	address, heard := serve(t, &host{run: func(_ context.Context, c *mtcall.Call) (*mtcall.Answer, error) {
+	address, serverNews := serve(t, &host{run: func(_ context.Context, c *mtcall.Call) (*mtcall.Answer, error) {
 		got = c
 		return want, nil
 	}})
-	c, clock, hears := client(t)
+	c, clock, clientNews := client(t)
 	sent := call(clock)
 	answer, err := c.Forward(t.Context(), "b", address, sent)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, answer, want)
-	// Times travel as what is left of them.
+	// Instants are sent as remaining times, so they don't arrive exactly.
 	assert.Assert(t, got.Objective < got.Deadline)
 	got.Objective, got.Deadline = sent.Objective, sent.Deadline
 	assert.DeepEqual(t, got, sent)
 	report, ok := c.Report("b")
 	assert.Assert(t, ok)
 	assert.Equal(t, report.Waiting, 2)
-	assert.Equal(t, (<-heard.heard).Seen, mtid.Version(50))
-	assert.Equal(t, (<-hears.heard).Seen, mtid.Version(70))
+	assert.Equal(t, (<-serverNews.received).Seen, mtid.Version(50))
+	assert.Equal(t, (<-clientNews.received).Seen, mtid.Version(70))
 }
 
-func TestFailuresKeepTheirMeaning(t *testing.T) {
+func TestErrorTypesArePreserved(t *testing.T) {
 	for _, want := range []error{
 		&mtreply.RefusedError{Cause: mtreply.CauseShed, RetryAfter: time.Second, Detail: "full"},
 		&mtreply.RefusedError{Cause: mtreply.CauseQuarantined, RetryAfter: -time.Microsecond},
@@ -124,37 +124,38 @@
 	}
 }
 
-// A VM lost its power. Nobody refuses the call there, it hangs; it was held until
-// its deadline, half a minute later. Without the sign of its arrival the call
-// ends long before, as one that may have run, and the next ones don't wait.
-func TestASilentDaemonIsGivenUpSoon(t *testing.T) {
+// The VM of a daemon has lost its power, so a call to it hangs instead of being refused.
+// Guards against waiting until the deadline half a minute later: without a response
+// header, the call must end long before with an unknown outcome, and later calls must
+// not wait at all.
+func TestCallToUnresponsiveDaemonEndsBeforeDeadline(t *testing.T) {
 	address, _ := serve(t, &host{run: func(context.Context, *mtcall.Call) (*mtcall.Answer, error) {
 		return &mtcall.Answer{Status: 200}, nil
 	}})
-	through, freeze := proxy(t, address)
+	proxied, freeze := proxy(t, address)
 	c, clock, _ := client(t)
-	_, err := c.Forward(t.Context(), "b", through, call(clock))
+	_, err := c.Forward(t.Context(), "b", proxied, call(clock))
 	assert.NilError(t, err)
 	freeze()
 	sent := call(clock)
-	_, err = c.Forward(t.Context(), "b", through, sent)
+	_, err = c.Forward(t.Context(), "b", proxied, sent)
 	var unknown *mtreply.UnknownError
 	assert.Assert(t, errors.As(err, &unknown), "%v", err)
 	assert.Equal(t, unknown.Cause, mtreply.CauseLost)
-	assert.Assert(t, clock.Now().Before(sent.Deadline), "held until its deadline")
-	assert.Assert(t, c.Silent(through))
+	assert.Assert(t, clock.Now().Before(sent.Deadline), "the call ended only at its deadline")
+	assert.Assert(t, c.Silent(proxied))
 }
 
-// proxy passes bytes on until it is frozen: connections stay open then, and
-// nobody hears anything.
+// proxy forwards bytes until it is frozen. Then connections stay open, but nothing
+// arrives any more.
 func proxy(t *testing.T, to string) (address string, freeze func()) {
 	t.Helper()
-	address, freeze, _ = freezer(t, to)
+	address, freeze, _ = thawableProxy(t, to)
 	return address, freeze
 }
 
-// freezer is proxy with a way back: what is opened after the thaw works.
-func freezer(t *testing.T, to string) (address string, freeze, thaw func()) {
+// thawableProxy is a proxy that works again for connections opened after the thaw.
+func thawableProxy(t *testing.T, to string) (address string, freeze, thaw func()) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -170,14 +171,14 @@
 			if err != nil {
 				return
 			}
-			go pass(out, in, &frozen)
-			go pass(in, out, &frozen)
+			go copyBytes(out, in, &frozen)
+			go copyBytes(in, out, &frozen)
 		}
 	}()
 	return listener.Addr().String(), func() { frozen.Store(true) }, func() { frozen.Store(false) }
 }
 
-func pass(to, from net.Conn, frozen *atomic.Bool) {
+func copyBytes(to, from net.Conn, frozen *atomic.Bool) {
 	buffer := make([]byte, 4096)
 	for {
 		n, err := from.Read(buffer)
@@ -191,14 +192,14 @@
 	}
 }
 
-// mute is a daemon that says of one call that it has arrived, and of another
-// nothing, as when its packets wait on a full link.
-type mute struct {
+// partialDaemon acknowledges all calls but the one with the ID "silent", as if the
+// packets of that call were queued on a saturated link.
+type partialDaemon struct {
 	mtwire.UnimplementedForwarderServer
 	release chan struct{}
 }
 
-func (m *mute) Forward(w *mtwire.ForwardRequest, stream grpc.ServerStreamingServer[mtwire.ForwardReply]) error {
+func (d *partialDaemon) Forward(w *mtwire.ForwardRequest, stream grpc.ServerStreamingServer[mtwire.ForwardReply]) error {
 	if w.GetId() == "silent" {
 		<-stream.Context().Done()
 		return stream.Context().Err()
@@ -206,18 +207,18 @@
 	if err := stream.SendHeader(metadata.MD{}); err != nil {
 		return err
 	}
-	<-m.release
+	<-d.release
 	return stream.Send(&mtwire.ForwardReply{Outcome: string(mtreply.Answered), Status: 200})
 }
 
-// One call to a daemon is not heard of, and is given up. The other calls on the
-// same connection were cut off with it, and their callers told 502, although
-// their server was at work.
-func TestOneSilentCallDoesNotCutOffOthers(t *testing.T) {
+// One call to a daemon is not acknowledged and is abandoned. Guards against closing the
+// connection with it: the other calls on it failed with 502, although their server was
+// processing them.
+func TestUnacknowledgedCallDoesNotCancelOthers(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	server := grpc.NewServer()
-	peer := &mute{release: make(chan struct{})}
+	peer := &partialDaemon{release: make(chan struct{})}
 	mtwire.RegisterForwarderServer(server, peer)
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(server.Stop)
@@ -227,23 +228,23 @@
 		_, err := c.Forward(t.Context(), "b", listener.Addr().String(), call(clock))
 		done <- err
 	}()
-	silent := call(clock)
-	silent.ID = "silent"
-	_, err = c.Forward(t.Context(), "b", listener.Addr().String(), silent)
+	unacknowledged := call(clock)
+	unacknowledged.ID = "silent"
+	_, err = c.Forward(t.Context(), "b", listener.Addr().String(), unacknowledged)
 	var unknown *mtreply.UnknownError
 	assert.Assert(t, errors.As(err, &unknown), "%v", err)
 	close(peer.release)
 	assert.NilError(t, <-done)
 }
 
-// Sixty kilobytes wait on a narrow link with others. The sender gave the call up after
-// 1.5 s and told its caller 502; its bytes arrived all the same, and the server ran it.
-// A call that must not run twice can't go elsewhere anyway, so its answer is waited for.
-func TestACallThatMustNotRunTwiceIsNotGivenUpOnItsWay(t *testing.T) {
+// A call of 60 kB is slow on a saturated link. Guards against abandoning it after 1.5 s:
+// the caller got a 502, although the call arrived and ran. A call that isn't idempotent
+// can't be sent elsewhere anyway, so the sender must wait for its reply.
+func TestNonIdempotentCallIsNotAbandonedInTransit(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	server := grpc.NewServer()
-	mtwire.RegisterForwarderServer(server, &tardy{after: 1800 * time.Millisecond})
+	mtwire.RegisterForwarderServer(server, &slowDaemon{delay: 1800 * time.Millisecond})
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(server.Stop)
 	c, clock, _ := client(t)
@@ -254,47 +255,48 @@
 	assert.Equal(t, answer.Status, 200)
 }
 
-// tardy is a daemon behind a link on which calls wait for so long.
-type tardy struct {
+// slowDaemon acknowledges calls after a delay, as if it were behind a saturated link.
+type slowDaemon struct {
 	mtwire.UnimplementedForwarderServer
-	after time.Duration
+	delay time.Duration
 }
 
-func (d *tardy) Forward(_ *mtwire.ForwardRequest, stream grpc.ServerStreamingServer[mtwire.ForwardReply]) error {
-	time.Sleep(d.after)
+func (d *slowDaemon) Forward(_ *mtwire.ForwardRequest, stream grpc.ServerStreamingServer[mtwire.ForwardReply]) error {
+	time.Sleep(d.delay)
 	if err := stream.SendHeader(metadata.MD{}); err != nil {
 		return err
 	}
 	return stream.Send(&mtwire.ForwardReply{Outcome: string(mtreply.Answered), Status: 200})
 }
 
-// A daemon was cut off for a moment. Whether it is back is asked beside the calls, and
-// these go there again once it has answered.
-func TestASilentDaemonIsProbedUntilItAnswers(t *testing.T) {
+// A daemon was disconnected for a moment. Probes, not calls, must detect that it is
+// available again, and then it must get calls again.
+func TestUnresponsiveDaemonIsProbedUntilItResponds(t *testing.T) {
 	address, _ := serve(t, &host{run: func(context.Context, *mtcall.Call) (*mtcall.Answer, error) {
 		return &mtcall.Answer{Status: 200}, nil
 	}})
-	through, freeze, thaw := freezer(t, address)
+	proxied, freeze, thaw := thawableProxy(t, address)
 	c, clock, _ := client(t)
-	_, err := c.Forward(t.Context(), "b", through, call(clock))
+	_, err := c.Forward(t.Context(), "b", proxied, call(clock))
 	assert.NilError(t, err)
 	freeze()
-	_, err = c.Forward(t.Context(), "b", through, call(clock))
+	_, err = c.Forward(t.Context(), "b", proxied, call(clock))
 	assert.Assert(t, err != nil)
-	assert.Assert(t, c.Silent(through))
+	assert.Assert(t, c.Silent(proxied))
 	thaw()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if c.Silent(through) {
-			return poll.Continue("still passed over")
+		if c.Silent(proxied) {
+			return poll.Continue("still marked as unresponsive")
 		}
 		return poll.Success()
 	}, poll.WithTimeout(20*time.Second))
-	_, err = c.Forward(t.Context(), "b", through, call(clock))
+	_, err = c.Forward(t.Context(), "b", proxied, call(clock))
 	assert.NilError(t, err)
 }
 
-// Nothing listens: no byte of the call has left, so it was not run.
-func TestADaemonThatIsGoneRefuses(t *testing.T) {
+// Nothing listens at the address. No byte of the call was sent, so it was not run, and
+// the error must say so.
+func TestRefusedConnectionMeansNotRun(t *testing.T) {
 	c, clock, _ := client(t)
 	sent := call(clock)
 	sent.Deadline = clock.Now().Add(2 * time.Second)
@@ -304,8 +306,9 @@
 	assert.Equal(t, refused.Cause, mtreply.CauseUnreachable)
 }
 
-// The caller leaves; the server that works for it hears of that over the hop.
-func TestACallerThatLeavesIsHeardOfOverTheHop(t *testing.T) {
+// A caller cancels its request while the server of another daemon runs it. The
+// cancellation must reach that server.
+func TestCancellationIsForwarded(t *testing.T) {
 	begun, ended := make(chan struct{}), make(chan struct{})
 	address, _ := serve(t, &host{run: func(ctx context.Context, _ *mtcall.Call) (*mtcall.Answer, error) {
 		close(begun)
@@ -326,9 +329,9 @@
 	<-ended
 }
 
-// Two daemons that learned from each other would both know nothing. One that
-// does not watch the store itself says so.
-func TestADeafDaemonDoesNotTeach(t *testing.T) {
+// Two daemons that pulled changes from each other would both miss all of them. One that
+// receives none itself must refuse to serve them.
+func TestDaemonWithoutChangesDoesNotServeThem(t *testing.T) {
 	address, _ := serve(t, &host{})
 	c, _, _ := client(t)
 	_, err := c.Learn(t.Context(), address, mtforward.Question{After: 5, Wait: time.Second})
--- a/io/mtforward/server.go
+++ b/io/mtforward/server.go
@@ -20,82 +20,84 @@
 	"magnoliaturn/core/mtzone"
 )
 
-// host runs calls on the backend server of this VM.
+// host runs calls on the backend server of this VM and reports its load.
 type host interface {
 	Run(ctx context.Context, call *mtcall.Call) (*mtcall.Answer, error)
 	Load() mtcall.Load
 }
 
-// Server is what answers other daemons.
+// Server holds the handlers for the requests of other daemons.
 type Server struct {
 	Host  host
 	Clock clock
 	News  Exchange
 	// Teach waits for changes of the store on behalf of another daemon. It fails with
-	// a *mtstore.UnavailableError if this daemon does not hear of them: two that
-	// learned from each other would both know nothing.
-	Teach teach
-	// Inform is told of a write of an assignment that concerns this daemon.
+	// a *mtstore.UnavailableError if this daemon does not receive them itself: two
+	// daemons that were each other's upstream would both miss all changes.
+	Teach teachFunc
+	// Inform receives writes of assignments that other daemons push, because they affect
+	// this daemon.
 	Inform func(mtstore.Entry)
-	// Commit writes changes of owners on behalf of another daemon, and returns what became
-	// of each, with what has changed of the assignment.
+	// Commit writes ownership transfers on behalf of another daemon. It returns the
+	// outcome of each transfer and the changes of the assignment.
 	Commit func(context.Context, mtrange.Batch) ([]mtrange.Outcome, mtstore.Entry)
 }
 
-type teach = func(ctx context.Context, q Question) (Lesson, error)
+type teachFunc = func(ctx context.Context, q Question) (Lesson, error)
 
-// server implements the service.
+// server implements mtwire.ForwarderServer.
 type server struct {
 	mtwire.UnimplementedForwarderServer
-	host   host
-	clock  clock
-	news   Exchange
-	teach  teach
-	inform func(mtstore.Entry)
-	commit func(context.Context, mtrange.Batch) ([]mtrange.Outcome, mtstore.Entry)
+	host     host
+	clock    clock
+	exchange Exchange
+	teach    teachFunc
+	inform   func(mtstore.Entry)
+	commit   func(context.Context, mtrange.Batch) ([]mtrange.Outcome, mtstore.Entry)
 }
 
-// Register adds the service to a gRPC server.
+// Register registers the Forwarder service with a gRPC server.
 func Register(r grpc.ServiceRegistrar, s Server) {
-	mtwire.RegisterForwarderServer(r, &server{host: s.Host, clock: s.Clock, news: s.News, teach: s.Teach, inform: s.Inform, commit: s.Commit})
+	mtwire.RegisterForwarderServer(r, &server{host: s.Host, clock: s.Clock, exchange: s.News, teach: s.Teach, inform: s.Inform, commit: s.Commit})
 }
 
-// maxLearn bounds how long another daemon may wait.
-const maxLearn = 30 * time.Second
+// maxLearnWait limits how long a request for changes may wait, whatever it asks for.
+const maxLearnWait = 30 * time.Second
 
 // Learn implements mtwire.ForwarderServer.
 func (s *server) Learn(ctx context.Context, w *mtwire.LearnRequest) (*mtwire.LearnReply, error) {
 	q := Question{
 		After:  mtid.Revision(w.GetAfter()),
 		Epochs: make(map[string]mtid.Epoch, len(w.GetEpochs())),
-		Wait:   min(time.Duration(w.GetWaitMs())*time.Millisecond, maxLearn),
+		Wait:   min(time.Duration(w.GetWaitMs())*time.Millisecond, maxLearnWait),
 		Relays: w.GetRelays(),
 		Age:    micros(w.GetNews().GetAgeUs()),
 	}
 	for _, e := range w.GetEpochs() {
 		q.Epochs[e.GetName()] = mtid.Epoch(e.GetNext())
 	}
-	s.news.Hear(readNews(w.GetNews()), 0)
+	s.exchange.Hear(newsFromWire(w.GetNews()), 0)
 	arrived := s.clock.Now()
-	lesson, err := s.teach(ctx, q)
+	update, err := s.teach(ctx, q)
 	if err != nil {
 		return nil, status.Error(codes.Unavailable, err.Error())
 	}
-	news := s.news.Tell()
-	// The asker counts from the sending of its question, a long wait ago.
+	news := s.exchange.Tell()
+	// The requesting daemon adds the time since it sent the request, which includes
+	// the wait here.
 	news.Age -= s.clock.Now().Sub(arrived)
-	reply := &mtwire.LearnReply{Revision: uint64(lesson.Changes.Revision), Hops: uint32(lesson.Hops), News: wireNews(news)}
-	for _, e := range lesson.Changes.Entries {
-		reply.Entries = append(reply.Entries, wireEntry(e))
+	reply := &mtwire.LearnReply{Revision: uint64(update.Changes.Revision), Hops: uint32(update.Hops), News: newsToWire(news)}
+	for _, e := range update.Changes.Entries {
+		reply.Entries = append(reply.Entries, entryToWire(e))
 	}
 	return reply, nil
 }
 
-func wireEntry(e mtstore.Entry) *mtwire.LearnEntry {
+func entryToWire(e mtstore.Entry) *mtwire.LearnEntry {
 	return &mtwire.LearnEntry{Name: e.Name, Value: e.Value, Version: uint64(e.Version), Revision: uint64(e.Revision)}
 }
 
-func readEntry(w *mtwire.LearnEntry) mtstore.Entry {
+func entryFromWire(w *mtwire.LearnEntry) mtstore.Entry {
 	return mtstore.Entry{
 		Name: w.GetName(), Value: w.GetValue(), Version: mtid.Version(w.GetVersion()), Revision: mtid.Revision(w.GetRevision()),
 	}
@@ -103,7 +105,7 @@
 
 // Inform implements mtwire.ForwarderServer.
 func (s *server) Inform(_ context.Context, w *mtwire.LearnEntry) (*mtwire.InformReply, error) {
-	s.inform(readEntry(w))
+	s.inform(entryFromWire(w))
 	return &mtwire.InformReply{}, nil
 }
 
@@ -114,7 +116,7 @@
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
 	outcomes, entry := s.commit(ctx, b)
-	reply := &mtwire.CommitReply{Assignment: wireEntry(entry)}
+	reply := &mtwire.CommitReply{Assignment: entryToWire(entry)}
 	for _, o := range outcomes {
 		reply.Outcomes = append(reply.Outcomes, uint32(o))
 	}
@@ -126,39 +128,40 @@
 	if err := stream.SendHeader(metadata.MD{}); err != nil {
 		return err
 	}
-	s.news.Hear(readNews(w.GetNews()), 0)
-	answer, err := s.host.Run(stream.Context(), readCall(s.clock.Now(), w))
-	reply := wireReply(answer, err)
-	reply.Load = wireLoad(s.host.Load())
-	reply.News = wireNews(s.news.Tell())
+	s.exchange.Hear(newsFromWire(w.GetNews()), 0)
+	answer, err := s.host.Run(stream.Context(), callFromWire(s.clock.Now(), w))
+	reply := replyToWire(answer, err)
+	reply.Load = loadToWire(s.host.Load())
+	reply.News = newsToWire(s.exchange.Tell())
 	return stream.Send(reply)
 }
 
 // Observe implements mtwire.ForwarderServer.
 func (s *server) Observe(_ context.Context, w *mtwire.ObserveRequest) (*mtwire.ForwardLoad, error) {
-	s.news.Hear(readNews(w.GetNews()), 0)
-	load := wireLoad(s.host.Load())
-	load.News = wireNews(s.news.Tell())
+	s.exchange.Hear(newsFromWire(w.GetNews()), 0)
+	load := loadToWire(s.host.Load())
+	load.News = newsToWire(s.exchange.Tell())
 	return load, nil
 }
 
-func wireNews(n News) *mtwire.News {
+func newsToWire(n News) *mtwire.News {
 	return &mtwire.News{Config: uint64(n.Config), Seen: uint64(n.Seen), Zones: uint64(n.Zones), AgeUs: n.Age.Microseconds()}
 }
 
-func readNews(w *mtwire.News) News {
+func newsFromWire(w *mtwire.News) News {
 	return News{Config: mtid.Version(w.GetConfig()), Seen: mtid.Version(w.GetSeen()), Zones: mtzone.Digest(w.GetZones()), Age: micros(w.GetAgeUs())}
 }
 
-// Times travel as what is left of them: clocks of two VMs are not compared.
+// Instants are encoded as the time that is left until then, because the clocks of two VMs
+// can't be compared.
 
-func wireCall(now mtclock.Instant, c *mtcall.Call) *mtwire.ForwardRequest {
+func callToWire(now mtclock.Instant, c *mtcall.Call) *mtwire.ForwardRequest {
 	return &mtwire.ForwardRequest{
 		Id:          string(c.ID),
 		Method:      c.Method,
 		Target:      c.Target,
 		Host:        c.Host,
-		Header:      wireFields(c.Header),
+		Header:      fieldsToWire(c.Header),
 		Body:        c.Body,
 		Service:     string(c.Service),
 		Route:       string(c.Route),
@@ -175,13 +178,13 @@
 	}
 }
 
-func readCall(now mtclock.Instant, w *mtwire.ForwardRequest) *mtcall.Call {
+func callFromWire(now mtclock.Instant, w *mtwire.ForwardRequest) *mtcall.Call {
 	return &mtcall.Call{
 		ID:         mtcall.ID(w.GetId()),
 		Method:     w.GetMethod(),
 		Target:     w.GetTarget(),
 		Host:       w.GetHost(),
-		Header:     readFields(w.GetHeader()),
+		Header:     fieldsFromWire(w.GetHeader()),
 		Body:       w.GetBody(),
 		Service:    mtid.Service(w.GetService()),
 		Route:      mtid.Class(w.GetRoute()),
@@ -200,7 +203,7 @@
 
 func micros(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-func wireFields(fields []mtcall.Field) []*mtwire.Field {
+func fieldsToWire(fields []mtcall.Field) []*mtwire.Field {
 	out := make([]*mtwire.Field, 0, len(fields))
 	for _, f := range fields {
 		out = append(out, &mtwire.Field{Name: f.Name, Value: f.Value})
@@ -208,7 +211,7 @@
 	return out
 }
 
-func readFields(w []*mtwire.Field) []mtcall.Field {
+func fieldsFromWire(w []*mtwire.Field) []mtcall.Field {
 	out := make([]mtcall.Field, 0, len(w))
 	for _, f := range w {
 		out = append(out, mtcall.Field{Name: f.GetName(), Value: f.GetValue()})
@@ -216,21 +219,21 @@
 	return out
 }
 
-func wireLoad(l mtcall.Load) *mtwire.ForwardLoad {
+func loadToWire(l mtcall.Load) *mtwire.ForwardLoad {
 	return &mtwire.ForwardLoad{
 		Running: uint32(l.Running), Waiting: uint32(l.Waiting), Slots: uint32(l.Slots),
 		ServiceUs: l.ServiceTime.Microseconds(), Demand: float32(l.Demand),
 	}
 }
 
-func readLoad(w *mtwire.ForwardLoad) mtcall.Load {
+func loadFromWire(w *mtwire.ForwardLoad) mtcall.Load {
 	return mtcall.Load{
 		Running: int(w.GetRunning()), Waiting: int(w.GetWaiting()), Slots: int(w.GetSlots()),
 		ServiceTime: micros(w.GetServiceUs()), Demand: float64(w.GetDemand()),
 	}
 }
 
-func wireReply(answer *mtcall.Answer, err error) *mtwire.ForwardReply {
+func replyToWire(answer *mtcall.Answer, err error) *mtwire.ForwardReply {
 	var refused *mtreply.RefusedError
 	var unknown *mtreply.UnknownError
 	switch {
@@ -238,7 +241,7 @@
 		return &mtwire.ForwardReply{
 			Outcome:  string(mtreply.Answered),
 			Status:   uint32(answer.Status),
-			Header:   wireFields(answer.Header),
+			Header:   fieldsToWire(answer.Header),
 			Body:     answer.Body,
 			QueuedUs: answer.Queued.Microseconds(),
 			ServedUs: answer.Served.Microseconds(),
@@ -252,22 +255,23 @@
 	case errors.As(err, &unknown):
 		return &mtwire.ForwardReply{Outcome: string(mtreply.Unknown), Cause: string(unknown.Cause), Detail: unknown.Error()}
 	}
-	// Only a proof allows "not run".
+	// Any other error proves nothing, so the call may have run.
 	return &mtwire.ForwardReply{Outcome: string(mtreply.Unknown), Cause: string(mtreply.CauseLost), Detail: err.Error()}
 }
 
-// remoteError is what another daemon said of a call whose outcome is unknown.
+// remoteError is the error text that another daemon returned for a call whose outcome is
+// unknown.
 type remoteError struct{ detail string }
 
 // Error implements error.
 func (e *remoteError) Error() string { return e.detail }
 
-func readReply(w *mtwire.ForwardReply) (*mtcall.Answer, error) {
+func replyFromWire(w *mtwire.ForwardReply) (*mtcall.Answer, error) {
 	switch mtreply.Outcome(w.GetOutcome()) {
 	case mtreply.Answered:
 		return &mtcall.Answer{
 			Status: int(w.GetStatus()),
-			Header: readFields(w.GetHeader()),
+			Header: fieldsFromWire(w.GetHeader()),
 			Body:   w.GetBody(),
 			Queued: micros(w.GetQueuedUs()),
 			Served: micros(w.GetServedUs()),
