--- a/io/mtingress/mtingress.go
+++ b/io/mtingress/mtingress.go
@@ -1,10 +1,10 @@
-// Package mtingress takes callers' HTTP requests by host and path, and sees each
-// of them to a backend server and back.
+// Package mtingress accepts callers' HTTP requests, routes them by host and path, sends
+// each of them to a backend server and returns the response.
 //
-// It is the only layer that sends a call again, and it does so only if the call
-// was proved not run, or is idempotent and the shared budget pays for it. What
-// it gives up gets its final answer at once: 503 if it was not run, with the
-// time after which to ask again, 504 or 502 if it may have run.
+// It is the only layer that retries calls. It retries a call only if the call was
+// provably not run, or if it is idempotent and the shared retry budget allows it. A
+// call that it abandons is answered at once: with 503 and a Retry-After header if it
+// was not run, with 504 or 502 if it may have run.
 //
 // # Usage
 //
@@ -40,62 +40,66 @@
 
 type clock interface{ Now() mtclock.Instant }
 
-// sender takes a call to a backend server.
+// sender sends a call to a backend server, to at most that many of them in turn.
 type sender interface {
 	Send(ctx context.Context, call *mtcall.Call, attempts int) (*mtcall.Answer, error)
 }
 
 const (
-	// unconfigured is when to ask again while no configuration is known.
-	unconfigured = 500 * time.Millisecond
-	// maxBody bounds a body where the configuration names no limit, in bytes.
+	// unconfiguredRetry is the Retry-After while the configuration is unknown or may be
+	// outdated.
+	unconfiguredRetry = 500 * time.Millisecond
+	// maxBody is the largest request body in bytes, and the limit if the configuration
+	// sets none.
 	maxBody = 16 << 20
-	// remembered is how many tries that failed are remembered: those of the
-	// longest deadlines, ten seconds, at two hundred a second.
-	remembered = 2048
+	// maxFailedTries is how many failed tries are remembered in order to recognize their
+	// retries: enough for 200 failures per second and deadlines of up to 10 s.
+	maxFailedTries = 2048
 )
 
-// Config is what an Ingress works with.
+// Config holds the settings and dependencies of an Ingress.
 type Config struct {
 	Names   mtheader.Names
-	Service mtid.Service // on this VM
-	// Parent reports whether the backend server on this VM makes a request as a
-	// part of one that it runs.
+	Service mtid.Service // service of the backend server on this VM
+	// Parent reports whether a request with this ID is nested: whether the ID is derived
+	// from that of a request that the backend server on this VM runs.
 	Parent func(id mtcall.ID) bool
-	// Denies reports whether the configuration in force is so certainly the newest
-	// that a route which it does not have can be denied.
+	// Denies reports whether the configuration in force was confirmed as the newest so
+	// recently that requests without a route in it can be answered with 404.
 	Denies func(now mtclock.Instant) bool
 	Send   sender
 	Clock  clock
 	Log    *slog.Logger
-	// Done is told what became of each request.
+	// Done is called with the outcome of each request.
 	Done func(call *mtcall.Call, answer *mtcall.Answer, status int, err error, took time.Duration)
 }
 
-// Ingress serves callers.
+// Ingress handles the HTTP requests of callers.
 type Ingress struct {
 	Config
 	config   atomic.Pointer[mtroute.Config]
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // protects splitter and attempts
 	splitter *mtroute.Splitter
 	attempts *mtattempt.Attempts
 	closing  atomic.Bool
-	// ending ends when the calls that are still under way in a shutdown get
-	// their final answers, at the instant end.
-	ending context.Context
-	finish context.CancelFunc
-	end    atomic.Int64
+	// lifetime is canceled at the instant end of a shutdown. Calls that are still in
+	// flight get their final responses then.
+	lifetime    context.Context
+	endLifetime context.CancelFunc
+	end         atomic.Int64
 }
 
-// New returns an Ingress that knows no configuration yet.
+// New returns an Ingress without a configuration. It answers all requests with 503 until
+// Configure is called.
 func New(config Config) *Ingress {
-	in := &Ingress{Config: config, splitter: mtroute.NewSplitter(), attempts: mtattempt.New(remembered)}
-	in.ending, in.finish = context.WithCancel(context.Background())
+	in := &Ingress{Config: config, splitter: mtroute.NewSplitter(), attempts: mtattempt.New(maxFailedTries)}
+	in.lifetime, in.endLifetime = context.WithCancel(context.Background())
 	return in
 }
 
-// Configure puts a configuration in force, unless a newer one is. Versions never
-// go back within one life.
+// Configure puts a configuration in force and reports whether it did so: a version that
+// is not newer than the current one is ignored, so versions never go back within one
+// incarnation of the daemon.
 func (in *Ingress) Configure(c *mtroute.Config) bool {
 	for {
 		old := in.config.Load()
@@ -109,72 +113,73 @@
 	}
 }
 
-// Configuration returns what is in force, or nil.
+// Configuration returns the configuration in force, or nil if there is none yet.
 func (in *Ingress) Configuration() *mtroute.Config { return in.config.Load() }
 
-// Retire makes each answer from now on the last one on its connection. What is
-// still under way at the instant end gets its final answer then: a connection
-// that closes without one leaves its caller in the dark.
+// Retire begins a shutdown: each response from now on closes its connection. Calls that
+// are still in flight at the instant end get their final responses then, because the
+// caller of a connection that closes without a response can't tell what happened.
 func (in *Ingress) Retire(end mtclock.Instant) {
 	in.end.Store(int64(end))
 	in.closing.Store(true)
-	time.AfterFunc(end.Sub(in.Clock.Now()), in.finish)
+	time.AfterFunc(end.Sub(in.Clock.Now()), in.endLifetime)
 }
 
-// within returns the context of a call.
-func (in *Ingress) within(ctx context.Context, left time.Duration) (context.Context, func()) {
+// callContext returns the context of a call, which is canceled when the time left has
+// passed, and at the end of a shutdown.
+func (in *Ingress) callContext(ctx context.Context, left time.Duration) (context.Context, func()) {
 	ctx, cancel := context.WithTimeout(ctx, left)
-	stop := context.AfterFunc(in.ending, cancel)
+	stop := context.AfterFunc(in.lifetime, cancel)
 	return ctx, func() {
 		stop()
 		cancel()
 	}
 }
 
-// Handle is the handler of all callers' requests.
+// Handle is the Echo handler for all requests of callers.
 func (in *Ingress) Handle(c echo.Context) error {
 	arrived := in.Clock.Now()
 	r, w := c.Request(), c.Response()
 	if in.closing.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	call, route, err := in.read(arrived, r)
+	call, route, err := in.parseRequest(arrived, r)
 	if err != nil {
-		in.fail(w, call, err)
+		in.writeError(w, call, err)
 		in.Done(call, nil, w.Status, err, in.Clock.Now().Sub(arrived))
 		return nil
 	}
-	ctx, cancel := in.within(r.Context(), call.Deadline.Sub(arrived))
+	ctx, cancel := in.callContext(r.Context(), call.Deadline.Sub(arrived))
 	defer cancel()
 	answer, err := in.Send.Send(ctx, call, route.MaxAttempts)
 	if err == nil {
-		err = in.write(w, call, answer)
+		err = in.writeAnswer(w, call, answer)
 	} else {
-		in.fail(w, call, err)
+		in.writeError(w, call, err)
 	}
-	in.remember(call, w.Status)
+	in.recordFailure(call, w.Status)
 	in.Done(call, answer, w.Status, err, in.Clock.Now().Sub(arrived))
 	return nil
 }
 
-// read turns a request into a call.
-func (in *Ingress) read(now mtclock.Instant, r *http.Request) (*mtcall.Call, *mtroute.Route, error) {
+// parseRequest converts a request to a call. If it fails, the call holds what is known.
+func (in *Ingress) parseRequest(now mtclock.Instant, r *http.Request) (*mtcall.Call, *mtroute.Route, error) {
 	call := &mtcall.Call{
 		ID: mtcall.ID(r.Header.Get(in.Names.ID)), Method: r.Method, Target: r.RequestURI, Host: r.Host, Caller: in.Service, Arrived: now,
 	}
 	config := in.config.Load()
 	if config == nil {
-		return call, nil, &mtreply.RefusedError{Cause: mtreply.CauseNoService, RetryAfter: unconfigured, Detail: "no configuration is known yet"}
+		return call, nil, &mtreply.RefusedError{Cause: mtreply.CauseNoService, RetryAfter: unconfiguredRetry, Detail: "no configuration is known yet"}
 	}
 	route, ok := config.Match(r.Host, r.RequestURI)
 	if !ok && !in.Denies(now) {
-		return call, nil, &mtreply.RefusedError{Cause: mtreply.CauseNoService, RetryAfter: unconfigured, Detail: "the route may be newer than the configuration"}
+		return call, nil, &mtreply.RefusedError{Cause: mtreply.CauseNoService, RetryAfter: unconfiguredRetry, Detail: "the route may be newer than the configuration"}
 	}
 	if !ok {
 		return call, nil, &routeError{version: config.Version}
 	}
 	if call.ID == "" || len(call.ID) > mtcall.MaxID {
-		return call, nil, &requestError{status: http.StatusBadRequest, reason: "identifier is missing or too long"}
+		return call, nil, &requestError{status: http.StatusBadRequest, reason: "request ID is missing or too long"}
 	}
 	call.Route, call.Idempotent, call.Priority = route.Name, route.Idempotent, route.Priority
 	call.Nested = in.Parent(call.ID)
@@ -195,17 +200,17 @@
 	if err := in.readKey(call, config, r); err != nil {
 		return call, nil, err
 	}
-	call.Header = in.fields(r.Header)
+	call.Header = in.forwardedFields(r.Header)
 	if err := in.readBody(call, config, r); err != nil {
 		return call, nil, err
 	}
-	in.recall(now, call)
+	in.adjustObjective(now, call)
 	return call, route, nil
 }
 
-// recall counts the objective of a call from its caller's first try. A nested call
-// has no second one.
-func (in *Ingress) recall(now mtclock.Instant, call *mtcall.Call) {
+// adjustObjective counts the objective of a retried call from its caller's first try.
+// Nested calls are not retried by their callers.
+func (in *Ingress) adjustObjective(now mtclock.Instant, call *mtcall.Call) {
 	if call.Nested {
 		return
 	}
@@ -215,8 +220,8 @@
 	call.Objective = call.Objective.Add(call.FirstArrived.Sub(now))
 }
 
-// remember notes a call that failed, after which its caller may ask again.
-func (in *Ingress) remember(call *mtcall.Call, status int) {
+// recordFailure remembers a failed call, so that a retry of its caller is recognized.
+func (in *Ingress) recordFailure(call *mtcall.Call, status int) {
 	if call.FirstArrived == 0 || status < http.StatusInternalServerError {
 		return
 	}
@@ -225,7 +230,7 @@
 	in.attempts.RecordFailure(in.Clock.Now(), call.Fingerprint(), call.FirstArrived, call.CallerDeadline)
 }
 
-// readKey reads the key of a call to a service that is divided by key.
+// readKey reads the key of a call from the header if the service is divided by key.
 func (in *Ingress) readKey(call *mtcall.Call, config *mtroute.Config, r *http.Request) error {
 	if !config.Services[call.Service].Keyed {
 		return nil
@@ -238,7 +243,7 @@
 	return nil
 }
 
-// readBody reads the whole body: a call that may be sent again needs all of it.
+// readBody reads the whole body into memory, because a retry sends it again.
 func (in *Ingress) readBody(call *mtcall.Call, config *mtroute.Config, r *http.Request) error {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil
@@ -252,19 +257,19 @@
 		return &requestError{status: http.StatusBadRequest, reason: err.Error()}
 	}
 	if len(body) > limit {
-		return &requestError{status: http.StatusRequestEntityTooLarge, reason: "body is too large"}
+		return &requestError{status: http.StatusRequestEntityTooLarge, reason: "request body exceeds the size limit"}
 	}
 	call.Body = body
 	return nil
 }
 
-// fields returns the header to pass on: not what concerns the caller's
-// connection, and not what the system sets itself.
-func (in *Ingress) fields(h http.Header) []mtcall.Field {
-	dropped := connectionFields(h)
+// forwardedFields returns the header fields to forward: all but hop-by-hop fields and those
+// that this system sets itself.
+func (in *Ingress) forwardedFields(h http.Header) []mtcall.Field {
+	hopByHop := connectionFields(h)
 	out := make([]mtcall.Field, 0, len(h))
 	for name, values := range h {
-		if mtheader.HopByHop(name) || in.own(name) || dropped[name] {
+		if mtheader.HopByHop(name) || in.reserved(name) || hopByHop[name] {
 			continue
 		}
 		for _, v := range values {
@@ -274,30 +279,32 @@
 	return out
 }
 
-// own reports whether the system sets a field itself.
-func (in *Ingress) own(name string) bool {
+// reserved reports whether this system sets a header field itself, so that the value of a
+// caller must not be forwarded.
+func (in *Ingress) reserved(name string) bool {
 	n := in.Names
 	return name == n.ID || name == n.Deadline || name == n.Key || name == n.Caller || name == n.TargetServer
 }
 
-// connectionFields returns the fields that the Connection field names.
+// connectionFields returns the names that the Connection header lists, which are
+// hop-by-hop fields too.
 func connectionFields(h http.Header) map[string]bool {
-	var named map[string]bool
+	var listed map[string]bool
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
-			if named == nil {
-				named = make(map[string]bool)
+			if listed == nil {
+				listed = make(map[string]bool)
 			}
-			named[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
+			listed[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
 		}
 	}
-	return named
+	return listed
 }
 
-// write gives the caller the answer as the backend server made it.
-func (in *Ingress) write(w http.ResponseWriter, call *mtcall.Call, answer *mtcall.Answer) error {
+// writeAnswer sends the caller the response of the backend server unchanged.
+func (in *Ingress) writeAnswer(w http.ResponseWriter, call *mtcall.Call, answer *mtcall.Answer) error {
 	h := w.Header()
-	h["Content-Type"] = nil // none is made up
+	h["Content-Type"] = nil // prevents net/http from guessing one
 	for _, f := range answer.Header {
 		h[f.Name] = append(h[f.Name], f.Value)
 	}
@@ -312,20 +319,20 @@
 	return err
 }
 
-// bodyAllowed reports whether answers with that status have a body.
+// bodyAllowed reports whether a response with this status may have a body.
 func bodyAllowed(status int) bool {
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// routeError says that the configuration in force has no such route.
+// routeError reports that no route in the configuration in force matches the request.
 type routeError struct{ version mtid.Version }
 
 // Error implements error.
 func (e *routeError) Error() string {
-	return "no route in version " + strconv.FormatUint(uint64(e.version), 10)
+	return "no matching route in configuration version " + strconv.FormatUint(uint64(e.version), 10)
 }
 
-// requestError says what is wrong with a request.
+// requestError reports an invalid request, and the HTTP status to answer it with.
 type requestError struct {
 	status int
 	reason string
@@ -334,8 +341,8 @@
 // Error implements error.
 func (e *requestError) Error() string { return e.reason }
 
-// fail gives the caller the final answer to a call that has none.
-func (in *Ingress) fail(w http.ResponseWriter, call *mtcall.Call, err error) {
+// writeError answers a call that the backend server has not answered.
+func (in *Ingress) writeError(w http.ResponseWriter, call *mtcall.Call, err error) {
 	h := w.Header()
 	if call.ID != "" {
 		h.Set(in.Names.ID, string(call.ID))
@@ -348,9 +355,9 @@
 	w.WriteHeader(status)
 }
 
-// Status returns the status for a failed call, and when to ask again, or a
-// negative time. 503 promises that the call was not run and never will be; 502
-// and 504 promise nothing.
+// Status returns the HTTP status for a failed call, and the time after which to retry, or
+// a negative duration if the response has no Retry-After. The status 503 guarantees that
+// the call was not run and never will be; 502 and 504 guarantee nothing.
 func Status(err error) (status int, retry time.Duration) {
 	var refused *mtreply.RefusedError
 	var unknown *mtreply.UnknownError
--- a/io/mtingress/send.go
+++ b/io/mtingress/send.go
@@ -27,12 +27,12 @@
 	Run(ctx context.Context, call *mtcall.Call) (*mtcall.Answer, error)
 	Load() mtcall.Load
 	// Proven reports whether a server has answered the same request before, and Prove
-	// notes that one has.
+	// records that one has.
 	Proven(p mtpoison.Fingerprint) bool
 	Prove(p mtpoison.Fingerprint)
 }
 
-// peers send calls to other daemons.
+// peers forwards calls to other daemons and reports their state.
 type peers interface {
 	Forward(ctx context.Context, daemon mtid.Daemon, address string, call *mtcall.Call) (*mtcall.Answer, error)
 	Report(daemon mtid.Daemon) (mtforward.Report, bool)
@@ -40,43 +40,42 @@
 }
 
 const (
-	// bounces is how often a call that no server has begun goes to another one
-	// at once. A draining server, one that has moved the key, or a full one
-	// beside others with room cost no server anything. The choice ends it sooner
-	// where all others were full a moment ago.
-	bounces = 5
-	// moved is how long the ingress waits for news of a key's new owner before it asks
-	// again for the first time, and movedGrowth by how much longer each time after that.
-	// Mostly it hears of the owner first; calls for keys on their way are two daemons'
-	// work for nothing.
-	moved       = 15 * time.Millisecond
-	movedGrowth = 1.6
-	// movedFor is for how long it does so: as long as another daemon's word that
-	// there is news, and a reading of the store, take when the own watch is deaf.
-	movedFor = 300 * time.Millisecond
-	// ownerRetry is when to ask again for keys whose owner can't be reached:
-	// about the time in which a daemon is back.
+	// maxBounces is how often a call that no server has started is sent to another
+	// server at once. A refusal by a server that is draining, has moved the key or is
+	// full costs no server any work. The choice policy ends the search sooner if all
+	// other servers were full a moment ago.
+	maxBounces = 5
+	// ownerWait is how long the ingress waits for an ownership update before it sends a
+	// call for a moved key again, and ownerWaitGrowth the factor for each further wait.
+	// Usually the update arrives first. A call for a key that is being moved is wasted
+	// work for two daemons.
+	ownerWait       = 15 * time.Millisecond
+	ownerWaitGrowth = 1.6
+	// ownerWaitLimit bounds all waits of a call together: the time that a notification by
+	// another daemon and a read from the store take if the own watch missed the update.
+	ownerWaitLimit = 300 * time.Millisecond
+	// ownerRetry is the Retry-After for keys whose owner can't be reached: about the time
+	// that a daemon needs to become available again.
 	ownerRetry = 800 * time.Millisecond
-	// emptyRetry is when to ask again for a service without any server.
+	// emptyRetry is the Retry-After for a service without any server.
 	emptyRetry = 500 * time.Millisecond
-	// redirects bounds how often a key that is not held where it was asked for is asked
-	// for again.
-	redirects = 20
-	// lapsedUse is how long a record that is gone from the store is still used:
-	// while the store is away leases may run out, and records are back within
-	// two seconds of its return.
+	// maxRedirects is how often a call is sent again because a daemon does not own its key.
+	maxRedirects = 20
+	// lapsedUse is how long a member is still used after its record has been removed from
+	// the store. While the store is unavailable leases may expire, and the records are
+	// written again within two seconds after it has become available.
 	lapsedUse = 3 * time.Second
-	// farCost is what a server in another availability zone costs more: as much as
-	// all slots in use. The bytes between zones are paid for.
-	farCost = 1.0
+	// otherZoneCost is the extra cost of a server in another availability zone: as much as
+	// that of having all slots in use, because traffic between zones is billed.
+	otherZoneCost = 1.0
 )
 
-// Retries is what each first try of a service earns towards a second one. The
-// limit for all daemons together is a fifth of the requests; nested calls that a
-// repeated request makes count as repeats too and can't be told apart.
+// Retries is the fraction of a retry that each first try of a service adds to the retry
+// budget. The limit for all daemons together is a fifth of the requests. It also covers
+// the nested calls of a retried request, which can't be distinguished from retries.
 const Retries = 0.08
 
-// SenderConfig is what a Sender works with.
+// SenderConfig holds the settings and dependencies of a Sender.
 type SenderConfig struct {
 	Self      mtid.Daemon
 	Zone      mtid.Zone
@@ -89,23 +88,23 @@
 	Random    *rand.Rand
 }
 
-// Sender takes calls to backend servers, once or again.
+// Sender sends calls to backend servers and retries them where that is safe.
 type Sender struct {
 	SenderConfig
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // protects retry and choices
 	retry   *mtretry.Budgeted
 	choices map[mtid.Service]*choice
 }
 
-// choice chooses among the servers of one service.
+// choice selects among the servers of one service.
 type choice struct {
 	policy *mtchoice.Least
-	known  bool
-	roll   uint64 // of the view whose members it knows
-	at     mtclock.Instant
+	set    bool            // whether the policy has candidates from a view
+	roll   uint64          // Roll of the view that the candidates come from
+	at     mtclock.Instant // when the candidates were last updated
 }
 
-// NewSender returns a Sender.
+// NewSender returns a Sender for the servers in the directory of config.
 func NewSender(config SenderConfig) *Sender {
 	return &Sender{
 		SenderConfig: config,
@@ -114,34 +113,34 @@
 	}
 }
 
-// sending is the state of one call on its way.
+// sending is the state of one call that is being sent.
 type sending struct {
-	tried     []mtid.Holder // daemons that can't or won't take it
-	bounced   int
-	redirects int             // other owners asked, or the same one again
-	waits     int             // for news of another owner
-	movedAt   mtclock.Instant // when the key was first not held where it was asked for
-	// owner is the daemon beside the owner of the key, as another daemon says that
-	// has heard more of the assignment.
+	tried     []mtid.Holder   // daemons that refused the call or failed
+	bounces   int             // refusals after which another server was tried at once
+	redirects int             // tries after a refusal because the daemon didn't own the key
+	waits     int             // waits for an ownership update
+	movedAt   mtclock.Instant // when a daemon first refused the call because it didn't own the key
+	// owner is the daemon that owns the key according to a refusal by another daemon,
+	// which has a newer assignment than this one.
 	owner    mtid.Daemon
-	arrivals int // at backend servers
-	// doubt is the failure of a try that may have run. Whatever later tries say,
-	// the call is not proved not run any more.
-	doubt error
-	last  error // of the tries so far
+	arrivals int // tries that may have reached a backend server
+	// uncertain is the error of a try that may have run. From then on no refusal of a
+	// later try proves that the call was not run.
+	uncertain error
+	last      error // error of the last try
 }
 
-// verdict returns what the caller is told after a last failure.
-func (s *sending) verdict(last error) error {
+// finalError returns the error for the caller, given the error of the last try.
+func (s *sending) finalError(last error) error {
 	var refused *mtreply.RefusedError
-	if s.doubt != nil && errors.As(last, &refused) {
-		return s.doubt
+	if s.uncertain != nil && errors.As(last, &refused) {
+		return s.uncertain
 	}
 	return last
 }
 
-// Send implements the sender of an Ingress. attempts is how many servers may be
-// given the call at most.
+// Send sends a call to a backend server and returns the response. It sends it to at most
+// attempts servers one after the other; refusals before a server was reached don't count.
 func (s *Sender) Send(ctx context.Context, call *mtcall.Call, attempts int) (*mtcall.Answer, error) {
 	flow := mtretry.Flow{Class: mtid.Class(call.Service)}
 	s.mu.Lock()
@@ -149,17 +148,17 @@
 	s.retry.First(flow)
 	s.mu.Unlock()
 	state := &sending{}
-	mark := call.Fingerprint()
-	call.Proven = s.Host.Proven(mark)
+	fingerprint := call.Fingerprint()
+	call.Proven = s.Host.Proven(fingerprint)
 	for {
 		member, err := s.target(call, state)
 		if err != nil {
-			return nil, state.verdict(err)
+			return nil, state.finalError(err)
 		}
 		begun := s.Clock.Now()
 		answer, err := s.try(ctx, call, member)
 		if err == nil {
-			s.Host.Prove(mark)
+			s.Host.Prove(fingerprint)
 			return answer, nil
 		}
 		call.Tries = append(call.Tries, mtcall.Try{
@@ -168,20 +167,21 @@
 		state.last = err
 		var unknown *mtreply.UnknownError
 		if errors.As(err, &unknown) {
-			state.doubt = err
+			state.uncertain = err
 		}
-		if !s.again(ctx, call, member, state, attempts, err) {
-			return nil, state.verdict(err)
+		if !s.prepareRetry(ctx, call, member, state, attempts, err) {
+			return nil, state.finalError(err)
 		}
 	}
 }
 
-// again decides whether the call is sent once more, and waits if need be.
-func (s *Sender) again(ctx context.Context, call *mtcall.Call, member mtdirectory.Member, state *sending, attempts int, err error) bool {
+// prepareRetry reports whether to send a call again after an error, and waits before that if
+// necessary.
+func (s *Sender) prepareRetry(ctx context.Context, call *mtcall.Call, member mtdirectory.Member, state *sending, attempts int, err error) bool {
 	if ctx.Err() != nil {
 		return false
 	}
-	if !reached(err) {
+	if !mayHaveReachedServer(err) {
 		return s.bounce(ctx, call, member, state, err)
 	}
 	state.arrivals++
@@ -205,9 +205,9 @@
 	return ok && mtduty.Sleep(ctx, wait)
 }
 
-// reached reports whether the failed try may have reached a backend server, so
-// that another one is a repeat.
-func reached(err error) bool {
+// mayHaveReachedServer reports whether a failed try may have reached a backend server, so
+// that another try counts as a retry.
+func mayHaveReachedServer(err error) bool {
 	var refused *mtreply.RefusedError
 	if !errors.As(err, &refused) {
 		return true
@@ -215,7 +215,7 @@
 	return refused.Cause == mtreply.CauseRefused || refused.Cause == mtreply.CauseFenced
 }
 
-// bounce decides about a call that no backend server has seen.
+// bounce reports whether to send a call again that did not reach a backend server.
 func (s *Sender) bounce(ctx context.Context, call *mtcall.Call, member mtdirectory.Member, state *sending, err error) bool {
 	var refused *mtreply.RefusedError
 	errors.As(err, &refused)
@@ -223,15 +223,15 @@
 		if refused.Cause != mtreply.CauseStaleRoute && refused.Cause != mtreply.CauseNoLease {
 			return false
 		}
-		if refused.RetryAfter > movedFor {
-			return false // nobody will hold the key before the waiting here is over
+		if refused.RetryAfter > ownerWaitLimit {
+			return false // the key will have no owner before ownerWaitLimit has passed
 		}
 		now := s.Clock.Now()
 		if state.movedAt == 0 {
 			state.movedAt = now
 		}
 		state.redirects++
-		if now.Sub(state.movedAt) > movedFor || state.redirects > redirects {
+		if now.Sub(state.movedAt) > ownerWaitLimit || state.redirects > maxRedirects {
 			return false
 		}
 		if s.redirected(call, state, member, refused) {
@@ -243,22 +243,22 @@
 		return false
 	}
 	state.tried = append(state.tried, holder(member))
-	state.bounced++
-	// A call that is late already isn't worth looking for room in other zones: it
-	// would take the slots of calls that are still in time, and the bytes cost more
-	// than a late answer is worth.
+	state.bounces++
+	// Don't look for spare capacity in other zones for a call that is late already: it
+	// would occupy slots that calls in time need, and the traffic between zones costs
+	// more than a late response is worth.
 	if full(refused.Cause) && call.Late(s.Clock.Now(), call.TypicalService) {
 		return false
 	}
-	return state.bounced <= bounces
+	return state.bounces <= maxBounces
 }
 
-// awaitOwner waits until another owner of the call's key is known, or until it is time to
-// ask again. It returns false once the caller has gone.
+// awaitOwner waits until an update changes the ownership of the call's key, or until it is
+// time for the next try. It returns false if the context ends first.
 func (s *Sender) awaitOwner(ctx context.Context, call *mtcall.Call, state *sending) bool {
-	pause := time.Duration(float64(moved) * math.Pow(movedGrowth, float64(state.waits)))
+	pause := time.Duration(float64(ownerWait) * math.Pow(ownerWaitGrowth, float64(state.waits)))
 	state.waits++
-	waiting, cancel := context.WithTimeout(ctx, pause)
+	waitCtx, cancel := context.WithTimeout(ctx, pause)
 	defer cancel()
 	before := s.epoch(call)
 	for {
@@ -268,13 +268,14 @@
 		}
 		select {
 		case <-changed:
-		case <-waiting.Done():
+		case <-waitCtx.Done():
 			return ctx.Err() == nil
 		}
 	}
 }
 
-// epoch returns the epoch under which the call's key is owned, as far as is known here.
+// epoch returns the epoch of the ownership of the call's key in the local assignment, or 0
+// if there is no assignment.
 func (s *Sender) epoch(call *mtcall.Call) mtid.Epoch {
 	assignment, ok := s.Directory.Now().Assignments[call.Service]
 	if !ok {
@@ -284,17 +285,17 @@
 	return r.Epoch
 }
 
-// redirected reports whether the daemon that refused a key has told who owns it, by an
-// assignment that is not known here yet: then the call goes there at once. News of a
-// move take a tenth of a second, and until then one in ten lookups was asked for again
-// and again where the key had been, until its time was over.
+// redirected reports whether the refusal of a call names the owner of its key from a newer
+// assignment than the local one, so that the call is sent there at once. The update of a
+// moved key takes a tenth of a second to arrive, and without redirection one in ten lookups
+// was sent to the previous owner again and again until its deadline.
 func (s *Sender) redirected(call *mtcall.Call, state *sending, asked mtdirectory.Member, refused *mtreply.RefusedError) bool {
-	former := state.owner
+	previous := state.owner
 	state.owner = ""
 	newer := refused.Epoch > s.Directory.Now().Assignments[call.Service].Epoch()
 	if refused.Cause != mtreply.CauseStaleRoute || refused.Owner == "" || refused.Owner == asked.Daemon || !newer {
 		if refused.Cause == mtreply.CauseNoLease {
-			state.owner = former // it is about to be granted there
+			state.owner = previous // the key is about to be granted there
 		}
 		return false
 	}
@@ -302,15 +303,15 @@
 	return true
 }
 
-// full reports whether a server refused for its load.
+// full reports whether a server refused a call because of its load.
 func full(cause mtreply.Cause) bool {
 	return cause == mtreply.CauseShed || cause == mtreply.CauseQueueFull
 }
 
-// holder names a member for the choice policy.
+// holder identifies a member for the choice policy. The policy needs no incarnations.
 func holder(m mtdirectory.Member) mtid.Holder { return mtid.Holder{Daemon: m.Daemon, Incarnation: 1} }
 
-// target returns the daemon to ask next.
+// target returns the member to send the call to next.
 func (s *Sender) target(call *mtcall.Call, state *sending) (mtdirectory.Member, error) {
 	view := s.Directory.Now()
 	if call.Keyed {
@@ -321,7 +322,7 @@
 	c := s.choice(view, call.Service)
 	chosen, ok := c.policy.Pick(s.Clock.Now(), state.tried)
 	if !ok && state.last != nil {
-		return mtdirectory.Member{}, state.last // every server has been asked
+		return mtdirectory.Member{}, state.last // every server has been tried
 	}
 	if !ok {
 		return mtdirectory.Member{}, &mtreply.RefusedError{Cause: mtreply.CauseNoServer, RetryAfter: emptyRetry, Detail: "no server takes calls of the service"}
@@ -329,7 +330,7 @@
 	return view.Members[chosen.Daemon], nil
 }
 
-// owner returns the daemon beside the owner of the call's key.
+// owner returns the member whose server owns the call's key.
 func (s *Sender) owner(view *mtdirectory.View, call *mtcall.Call, state *sending) (mtdirectory.Member, error) {
 	assignment, ok := view.Assignments[call.Service]
 	if !ok {
@@ -347,18 +348,18 @@
 	return member, nil
 }
 
-// choice returns the choice of a service, brought up to date.
+// choice returns the choice of a service, with its candidates updated to the view.
 func (s *Sender) choice(view *mtdirectory.View, service mtid.Service) *choice {
 	c, ok := s.choices[service]
 	if !ok {
-		c = &choice{policy: mtchoice.NewLeast(s.Random, s.Zone, farCost)}
+		c = &choice{policy: mtchoice.NewLeast(s.Random, s.Zone, otherZoneCost)}
 		s.choices[service] = c
 	}
 	now := s.Steady()
-	if c.known && c.roll == view.Roll && now.Sub(c.at) < lapsedUse/4 {
+	if c.set && c.roll == view.Roll && now.Sub(c.at) < lapsedUse/4 {
 		return c
 	}
-	c.known, c.roll, c.at = true, view.Roll, now
+	c.set, c.roll, c.at = true, view.Roll, now
 	var candidates []mtchoice.Candidate
 	for _, m := range view.Members {
 		if m.Service == service && !view.Out.Has(m.Zone) && s.usable(m, now) {
@@ -377,12 +378,12 @@
 	if !m.Lapsed {
 		return true
 	}
-	// While the store does not answer, nobody can renew a record there.
+	// While the store is unavailable, no daemon can renew its record.
 	up, ok := s.Directory.Up()
 	return !ok || now.Sub(max(up, m.Since)) < lapsedUse
 }
 
-// try sends the call to a member, once.
+// try sends the call to a member once, and informs the choice policy of its start and end.
 func (s *Sender) try(ctx context.Context, call *mtcall.Call, member mtdirectory.Member) (*mtcall.Answer, error) {
 	chosen := holder(member)
 	if !call.Keyed {
@@ -390,17 +391,17 @@
 		s.choices[call.Service].policy.Started(chosen)
 		s.mu.Unlock()
 	}
-	answer, err := s.pass(ctx, call, member)
+	answer, err := s.send(ctx, call, member)
 	if !call.Keyed {
 		s.mu.Lock()
-		s.choices[call.Service].policy.Ended(s.Clock.Now(), chosen, kind(err), s.report(member))
+		s.choices[call.Service].policy.Ended(s.Clock.Now(), chosen, resultKind(err), s.report(member))
 		s.mu.Unlock()
 	}
 	return answer, err
 }
 
-// pass takes the call to the member: by a function call if it is this daemon.
-func (s *Sender) pass(ctx context.Context, call *mtcall.Call, member mtdirectory.Member) (*mtcall.Answer, error) {
+// send sends the call to a member. If that is this daemon, it calls the host directly.
+func (s *Sender) send(ctx context.Context, call *mtcall.Call, member mtdirectory.Member) (*mtcall.Answer, error) {
 	if member.Daemon == s.Self {
 		return s.Host.Run(ctx, call)
 	}
@@ -410,7 +411,7 @@
 	return s.Peers.Forward(ctx, member.Daemon, member.Address, call)
 }
 
-// report returns what is known of the member's load.
+// report returns the last load report of a member, or the zero value if there is none.
 func (s *Sender) report(member mtdirectory.Member) mtchoice.Report {
 	if member.Daemon == s.Self {
 		load := s.Host.Load()
@@ -423,8 +424,8 @@
 	return mtchoice.Report{Busy: r.Running + r.Waiting, Service: r.ServiceTime, At: r.At}
 }
 
-// kind says what an end tells of the server.
-func kind(err error) mtchoice.Kind {
+// resultKind classifies the result of a try by what it shows about the server.
+func resultKind(err error) mtchoice.Kind {
 	var refused *mtreply.RefusedError
 	if err == nil {
 		return mtchoice.Good
--- a/io/mtingress/send_test.go
+++ b/io/mtingress/send_test.go
@@ -32,20 +32,21 @@
 	"magnoliaturn/io/mttime"
 )
 
-// peers answer calls as a test says; the daemon under test has no server.
-type peers struct {
+// fakePeers records the daemons that get calls and answers with the test's function. The
+// daemon under test has no backend server.
+type fakePeers struct {
 	sent   []mtid.Daemon
 	answer func(n int) (*mtcall.Answer, error)
 }
 
-func (p *peers) Forward(_ context.Context, daemon mtid.Daemon, _ string, _ *mtcall.Call) (*mtcall.Answer, error) {
+func (p *fakePeers) Forward(_ context.Context, daemon mtid.Daemon, _ string, _ *mtcall.Call) (*mtcall.Answer, error) {
 	p.sent = append(p.sent, daemon)
 	return p.answer(len(p.sent))
 }
 
-func (*peers) Report(mtid.Daemon) (mtforward.Report, bool) { return mtforward.Report{}, false }
+func (*fakePeers) Report(mtid.Daemon) (mtforward.Report, bool) { return mtforward.Report{}, false }
 
-func (*peers) Silent(string) bool { return false }
+func (*fakePeers) Silent(string) bool { return false }
 
 type host struct{}
 
@@ -59,8 +60,8 @@
 
 func (host) Prove(mtpoison.Fingerprint) {}
 
-// newSender returns a sender that knows three servers beside other daemons.
-func newSender(t *testing.T, p *peers) (*mtingress.Sender, *mttime.Clock) {
+// newSender returns a sender whose directory has the servers of three other daemons.
+func newSender(t *testing.T, p *fakePeers) (*mtingress.Sender, *mttime.Clock) {
 	t.Helper()
 	clock := mttime.New()
 	store := mtstandin.NewRevisions(time.Now)
@@ -77,7 +78,7 @@
 		if len(directory.Now().Members) == 3 {
 			return poll.Success()
 		}
-		return poll.Continue("records not read")
+		return poll.Continue("the directory has not read all records")
 	})
 	return mtingress.NewSender(mtingress.SenderConfig{
 		Self: "a", Directory: directory, Host: host{}, Peers: p, Clock: clock, Steady: clock.Steady,
@@ -96,8 +97,8 @@
 	wholeOK = &mtcall.Answer{Status: http.StatusOK}
 )
 
-// keyed makes the call one for a key of a service that daemon b owns.
-func keyed(t *testing.T, sender *mtingress.Sender, call *mtcall.Call) *mtcall.Call {
+// withKey gives the call a key, and makes daemon b the owner of all keys of its service.
+func withKey(t *testing.T, sender *mtingress.Sender, call *mtcall.Call) *mtcall.Call {
 	t.Helper()
 	table, err := mtrange.Spread("desk", []mtrange.Owner{{Daemon: "b", Incarnation: mtid.ServerIncarnation{Server: "s"}}})
 	assert.NilError(t, err)
@@ -106,11 +107,12 @@
 	return call
 }
 
-// A hot run has moved, and this daemon hears of it a tenth of a second later. It asked
-// the former owner again every 15 ms until then, which a lookup of 200 ms does not
-// outlive. The former owner knows the new one, and the call goes there at once.
-func TestARefusedKeyIsAskedForAtTheOwnerThatIsNamed(t *testing.T) {
-	p := &peers{}
+// A key range has moved, and its update arrives here a tenth of a second later. Guards
+// against trying the previous owner every 15 ms until then, by which time a lookup with a
+// deadline of 200 ms has failed. The refusal names the new owner, which must get the call
+// at once.
+func TestCallIsRedirectedToOwnerNamedInRefusal(t *testing.T) {
+	p := &fakePeers{}
 	p.answer = func(n int) (*mtcall.Answer, error) {
 		if n == 1 {
 			return nil, &mtreply.RefusedError{Cause: mtreply.CauseStaleRoute, Owner: "c", Epoch: 99}
@@ -118,26 +120,26 @@
 		return wholeOK, nil
 	}
 	s, clock := newSender(t, p)
-	answer, err := s.Send(t.Context(), keyed(t, s, newCall(clock.Now(), true)), 2)
+	answer, err := s.Send(t.Context(), withKey(t, s, newCall(clock.Now(), true)), 2)
 	assert.NilError(t, err)
 	assert.Equal(t, answer, wholeOK)
 	assert.DeepEqual(t, p.sent, []mtid.Daemon{"b", "c"})
 }
 
-// A key is on its way and nobody holds it for a third of a second. Its daemons asked each
-// other for it every 15 ms, twenty times for each call, and had no time for others. A word
-// of its new owner is gone by at once.
-func TestAKeyOnItsWayIsAskedForAFewTimes(t *testing.T) {
-	away := &mtreply.RefusedError{Cause: mtreply.CauseStaleRoute}
-	p := &peers{answer: func(int) (*mtcall.Answer, error) { return nil, away }}
+// A key is being moved, and has no owner for a third of a second. Guards against daemons
+// that send each call 20 times, every 15 ms, and have no time left for other calls. An
+// ownership update must end the wait at once.
+func TestCallForMovingKeyIsRetriedFewTimes(t *testing.T) {
+	stale := &mtreply.RefusedError{Cause: mtreply.CauseStaleRoute}
+	p := &fakePeers{answer: func(int) (*mtcall.Answer, error) { return nil, stale }}
 	s, clock := newSender(t, p)
-	_, err := s.Send(t.Context(), keyed(t, s, newCall(clock.Now(), true)), 2)
-	assert.Equal(t, err, error(away))
-	assert.Assert(t, len(p.sent) <= 8, "asked %d times", len(p.sent))
+	_, err := s.Send(t.Context(), withKey(t, s, newCall(clock.Now(), true)), 2)
+	assert.Equal(t, err, error(stale))
+	assert.Assert(t, len(p.sent) <= 8, "%d tries", len(p.sent))
 
-	p = &peers{}
+	p = &fakePeers{}
 	s, clock = newSender(t, p)
-	call := keyed(t, s, newCall(clock.Now(), true))
+	call := withKey(t, s, newCall(clock.Now(), true))
 	p.answer = func(n int) (*mtcall.Answer, error) {
 		if n > 4 {
 			return wholeOK, nil
@@ -148,18 +150,19 @@
 			assert.NilError(t, err)
 			s.Directory.Learn(mtdirectory.Assignment{Table: next, Version: own.Version + 1})
 		}
-		return nil, away
+		return nil, stale
 	}
 	_, err = s.Send(t.Context(), call, 2)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, p.sent, []mtid.Daemon{"b", "b", "b", "b", "c"})
 }
 
-// The store turns the owner's daemon away, and its grants have run out. The owner says
-// that nothing changes before 0.8 s; the caller waited 0.3 s for that answer.
-func TestAKeyThatNobodyWillHoldSoonIsRefusedAtOnce(t *testing.T) {
-	for retry, asked := range map[time.Duration]int{800 * time.Millisecond: 1, 200 * time.Millisecond: 2} {
-		p := &peers{}
+// The store rejects the owner's daemon, whose grants have expired. The refusal says that
+// nothing changes for 0.8 s. Guards against waiting 0.3 s before the caller gets the
+// refusal.
+func TestCallIsRefusedAtOnceIfKeyHasNoOwnerForLong(t *testing.T) {
+	for retry, tries := range map[time.Duration]int{800 * time.Millisecond: 1, 200 * time.Millisecond: 2} {
+		p := &fakePeers{}
 		p.answer = func(n int) (*mtcall.Answer, error) {
 			if n == 1 {
 				return nil, &mtreply.RefusedError{Cause: mtreply.CauseNoLease, RetryAfter: retry}
@@ -167,20 +170,20 @@
 			return wholeOK, nil
 		}
 		s, clock := newSender(t, p)
-		_, err := s.Send(t.Context(), keyed(t, s, newCall(clock.Now(), true)), 2)
-		assert.Equal(t, len(p.sent), asked)
-		if asked == 1 {
-			status, told := mtingress.Status(err)
+		_, err := s.Send(t.Context(), withKey(t, s, newCall(clock.Now(), true)), 2)
+		assert.Equal(t, len(p.sent), tries)
+		if tries == 1 {
+			status, retryAfter := mtingress.Status(err)
 			assert.Equal(t, status, http.StatusServiceUnavailable)
-			assert.Equal(t, told, retry)
+			assert.Equal(t, retryAfter, retry)
 		}
 	}
 }
 
-// The word of a daemon that has heard less than this one leads nowhere: two that name
-// each other would be asked in turn.
-func TestAnOlderWordOfAnOwnerIsNotFollowed(t *testing.T) {
-	p := &peers{}
+// A refusal names an owner from an assignment older than the local one. It must not be
+// followed: two daemons that named each other would get the call in turn.
+func TestRedirectToOutdatedOwnerIsIgnored(t *testing.T) {
+	p := &fakePeers{}
 	p.answer = func(n int) (*mtcall.Answer, error) {
 		if n == 1 {
 			return nil, &mtreply.RefusedError{Cause: mtreply.CauseStaleRoute, Owner: "c", Epoch: 1}
@@ -188,15 +191,15 @@
 		return wholeOK, nil
 	}
 	s, clock := newSender(t, p)
-	_, err := s.Send(t.Context(), keyed(t, s, newCall(clock.Now(), true)), 2)
+	_, err := s.Send(t.Context(), withKey(t, s, newCall(clock.Now(), true)), 2)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, p.sent, []mtid.Daemon{"b", "b"})
 }
 
-// A first try was cut off while the server worked on it, and the second was
-// refused. The caller was told 503, which promises that nothing has run.
-func TestARefusalAfterATryInDoubtIsNoProof(t *testing.T) {
-	p := &peers{answer: func(n int) (*mtcall.Answer, error) {
+// The connection of the first try breaks while the server processes it, and the second try
+// is refused. Guards against answering with 503, which guarantees that nothing has run.
+func TestRefusalAfterUncertainTryIsNotReported(t *testing.T) {
+	p := &fakePeers{answer: func(n int) (*mtcall.Answer, error) {
 		if n == 1 {
 			return nil, lost
 		}
@@ -205,12 +208,12 @@
 	sender, clock := newSender(t, p)
 	_, err := sender.Send(t.Context(), newCall(clock.Now(), true), 3)
 	status, retry := mtingress.Status(err)
-	assert.Assert(t, len(p.sent) > 1, "no second try")
+	assert.Assert(t, len(p.sent) > 1, "the call was not retried")
 	assert.Equal(t, status, http.StatusBadGateway)
 	assert.Assert(t, retry < 0)
 }
 
-func TestTries(t *testing.T) {
+func TestRetriesDependOnIdempotenceAndOutcome(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		idempotent bool
@@ -226,7 +229,7 @@
 		{"not idempotent, full gate", false, 1, shed, 2, http.StatusOK},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			p := &peers{answer: func(n int) (*mtcall.Answer, error) {
+			p := &fakePeers{answer: func(n int) (*mtcall.Answer, error) {
 				if n == 1 {
 					return nil, test.first
 				}
@@ -243,21 +246,21 @@
 			assert.Equal(t, got, test.status)
 			assert.Equal(t, len(p.sent), test.sent)
 			if test.sent == 2 {
-				assert.Assert(t, p.sent[0] != p.sent[1], "the same server was asked again")
+				assert.Assert(t, p.sent[0] != p.sent[1], "the same server was tried twice")
 			}
 		})
 	}
 }
 
-// sent is a sender that notes the call and answers.
-type sent struct {
+// fakeSender records the call and returns a fixed result, or blocks until the context ends.
+type fakeSender struct {
 	call   *mtcall.Call
 	answer *mtcall.Answer
 	err    error
 	hang   bool
 }
 
-func (s *sent) Send(ctx context.Context, call *mtcall.Call, _ int) (*mtcall.Answer, error) {
+func (s *fakeSender) Send(ctx context.Context, call *mtcall.Call, _ int) (*mtcall.Answer, error) {
 	s.call = call
 	if s.hang {
 		<-ctx.Done()
@@ -266,7 +269,7 @@
 	return s.answer, s.err
 }
 
-func newIngress(t *testing.T, s *sent) (*mtingress.Ingress, *mttime.Clock, http.Handler) {
+func newIngress(t *testing.T, s *fakeSender) (*mtingress.Ingress, *mttime.Clock, http.Handler) {
 	t.Helper()
 	clock := mttime.New()
 	ingress := mtingress.New(mtingress.Config{
@@ -289,7 +292,7 @@
 	return c
 }
 
-func request(target, id string, header ...string) *http.Request {
+func newRequest(target, id string, header ...string) *http.Request {
 	r := httptest.NewRequest(http.MethodGet, target, nil)
 	r.Host = "maps.example"
 	if id != "" {
@@ -301,8 +304,8 @@
 	return r
 }
 
-func TestOwnAnswers(t *testing.T) {
-	big := request("/desk/1", "1")
+func TestResponsesMadeByIngress(t *testing.T) {
+	big := newRequest("/desk/1", "1")
 	big.Body = http.MaxBytesReader(nil, httptest.NewRequest(http.MethodPost, "/", strings.NewReader("more than ten bytes")).Body, 100)
 	for _, test := range []struct {
 		name       string
@@ -312,18 +315,18 @@
 		status     int
 		retry      bool
 	}{
-		{"nothing configured", request("/desk/1", "1"), nil, false, http.StatusServiceUnavailable, true},
-		{"no such route", request("/none", "1"), nil, true, http.StatusNotFound, false},
-		{"no identifier", request("/desk/1", ""), nil, true, http.StatusBadRequest, false},
-		{"no key", request("/plans/1", "1"), nil, true, http.StatusBadRequest, false},
+		{"nothing configured", newRequest("/desk/1", "1"), nil, false, http.StatusServiceUnavailable, true},
+		{"no such route", newRequest("/none", "1"), nil, true, http.StatusNotFound, false},
+		{"no identifier", newRequest("/desk/1", ""), nil, true, http.StatusBadRequest, false},
+		{"no key", newRequest("/plans/1", "1"), nil, true, http.StatusBadRequest, false},
 		{"body too large", big, nil, true, http.StatusRequestEntityTooLarge, false},
-		{"refused", request("/desk/1", "1"), shed, true, http.StatusServiceUnavailable, true},
-		{"refused for good", request("/desk/1", "1"), &mtreply.RefusedError{Cause: mtreply.CauseQuarantined, RetryAfter: -1}, true, http.StatusServiceUnavailable, false},
-		{"timed out at the server", request("/desk/1", "1"), &mtreply.UnknownError{Cause: mtreply.CauseTimeout, Err: context.DeadlineExceeded}, true, http.StatusGatewayTimeout, false},
-		{"lost", request("/desk/1", "1"), lost, true, http.StatusBadGateway, false},
+		{"refused", newRequest("/desk/1", "1"), shed, true, http.StatusServiceUnavailable, true},
+		{"refused for good", newRequest("/desk/1", "1"), &mtreply.RefusedError{Cause: mtreply.CauseQuarantined, RetryAfter: -1}, true, http.StatusServiceUnavailable, false},
+		{"timed out at the server", newRequest("/desk/1", "1"), &mtreply.UnknownError{Cause: mtreply.CauseTimeout, Err: context.DeadlineExceeded}, true, http.StatusGatewayTimeout, false},
+		{"lost", newRequest("/desk/1", "1"), lost, true, http.StatusBadGateway, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			ingress, _, handler := newIngress(t, &sent{err: test.err})
+			ingress, _, handler := newIngress(t, &fakeSender{err: test.err})
 			if test.configured {
 				ingress.Configure(configuration(t, 1))
 			}
@@ -336,25 +339,26 @@
 	}
 }
 
-// A route was added a second ago, and this daemon can't know whether it has heard of all
-// changes. Told 404, callers don't ask again; they are told to come back instead.
-func TestARouteIsDeniedOnlyWithCertainty(t *testing.T) {
-	ingress, _, handler := newIngress(t, &sent{})
+// A route was added a second ago, and this daemon can't know whether it has received all
+// changes. Guards against a 404, after which callers don't retry: they must get a 503 with
+// a Retry-After header.
+func TestUnknownRouteIsDeniedOnlyIfConfigurationIsFresh(t *testing.T) {
+	ingress, _, handler := newIngress(t, &fakeSender{})
 	ingress.Configure(configuration(t, 1))
 	ingress.Denies = func(mtclock.Instant) bool { return false }
 	w := httptest.NewRecorder()
-	handler.ServeHTTP(w, request("/none", "1"))
+	handler.ServeHTTP(w, newRequest("/none", "1"))
 	assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 	assert.Assert(t, w.Header().Get("Retry-After") != "")
 }
 
-// The caller's own word on where the request comes from, and what concerns its
-// connection only, stays here; all else is passed on.
-func TestWhatIsPassedOn(t *testing.T) {
-	s := &sent{answer: &mtcall.Answer{Status: http.StatusTeapot, Header: []mtcall.Field{{Name: "X-A", Value: "1"}, {Name: "X-A", Value: "2"}}, Body: []byte("tea")}}
+// Header fields that this system sets itself, which a caller might forge, and hop-by-hop
+// fields must not be forwarded. Everything else must arrive unchanged.
+func TestForwardedRequestAndAnswer(t *testing.T) {
+	s := &fakeSender{answer: &mtcall.Answer{Status: http.StatusTeapot, Header: []mtcall.Field{{Name: "X-A", Value: "1"}, {Name: "X-A", Value: "2"}}, Body: []byte("tea")}}
 	ingress, clock, handler := newIngress(t, s)
 	ingress.Configure(configuration(t, 1))
-	r := request("/plans/a%2Fb?x=%31", "id-7", mtheader.DefaultNames.Key, "4096", mtheader.DefaultNames.Caller, "forged",
+	r := newRequest("/plans/a%2Fb?x=%31", "id-7", mtheader.DefaultNames.Key, "4096", mtheader.DefaultNames.Caller, "forged",
 		mtheader.DefaultNames.Deadline, "700", "Connection", "X-Hop", "X-Hop", "1", "X-Kept", "2", mtheader.DefaultNames.TargetServer, "forged")
 	w := httptest.NewRecorder()
 	handler.ServeHTTP(w, r)
@@ -369,25 +373,24 @@
 	assert.Assert(t, left <= 700*time.Millisecond && left > 0, "left %s", left)
 }
 
-// An older version arrives late, by a slower way. What is in force never goes
-// back.
-func TestConfigurationsNeverGoBack(t *testing.T) {
-	ingress, _, _ := newIngress(t, &sent{})
+// An older version arrives late, over a slower path. It must not replace a newer one.
+func TestOlderConfigurationIsIgnored(t *testing.T) {
+	ingress, _, _ := newIngress(t, &fakeSender{})
 	assert.Assert(t, ingress.Configure(configuration(t, 5)))
 	assert.Assert(t, !ingress.Configure(configuration(t, 4)))
 	assert.Assert(t, !ingress.Configure(configuration(t, 5)))
 	assert.Equal(t, ingress.Configuration().Version, mtid.Version(5))
 }
 
-// A daemon is told to stop while a server still works on a request. At the end
-// of the grace the connection was closed without a word.
-func TestWhatIsUnderWayAtTheEndGetsAFinalAnswer(t *testing.T) {
-	ingress, clock, handler := newIngress(t, &sent{hang: true})
+// A daemon stops while a server still processes a request. Guards against closing the
+// connection at the end of the grace period without a response.
+func TestCallInFlightAtEndOfShutdownIsAnswered(t *testing.T) {
+	ingress, clock, handler := newIngress(t, &fakeSender{hang: true})
 	ingress.Configure(configuration(t, 1))
 	done := make(chan *httptest.ResponseRecorder)
 	go func() {
 		w := httptest.NewRecorder()
-		handler.ServeHTTP(w, request("/desk/1", "1"))
+		handler.ServeHTTP(w, newRequest("/desk/1", "1"))
 		done <- w
 	}()
 	ingress.Retire(clock.Now().Add(50 * time.Millisecond))
@@ -395,17 +398,17 @@
 	assert.Equal(t, w.Code, http.StatusGatewayTimeout)
 }
 
-// stepped is a clock that a test moves.
-type stepped struct{ now mtclock.Instant }
+// fakeClock is a clock that a test advances.
+type fakeClock struct{ now mtclock.Instant }
 
-func (c *stepped) Now() mtclock.Instant { return c.now }
+func (c *fakeClock) Now() mtclock.Instant { return c.now }
 
-// A caller was refused and asks again with what is left of its deadline. Its
-// objective runs from its first try. Another caller gives a shorter deadline at its
-// first try; its objective runs from then.
-func TestASecondTryKeepsItsObjective(t *testing.T) {
-	s := &sent{err: shed}
-	clock := &stepped{now: mtclock.Instant(time.Hour)}
+// A caller whose request was refused retries it with the rest of its deadline. Its
+// objective must count from the first try. A first try of another caller with a shorter
+// deadline must not be taken for a retry.
+func TestRetryKeepsObjectiveOfFirstTry(t *testing.T) {
+	s := &fakeSender{err: shed}
+	clock := &fakeClock{now: mtclock.Instant(time.Hour)}
 	ingress := mtingress.New(mtingress.Config{
 		Denies: func(mtclock.Instant) bool { return true },
 		Names:  mtheader.DefaultNames, Service: "own", Parent: func(mtcall.ID) bool { return false }, Send: s, Clock: clock, Log: slog.New(slog.DiscardHandler),
@@ -414,18 +417,18 @@
 	router := echo.New()
 	router.Any("/*", ingress.Handle)
 	ingress.Configure(configuration(t, 1))
-	ask := func(deadline string) time.Duration {
-		router.ServeHTTP(httptest.NewRecorder(), request("/plans/1", "1", mtheader.DefaultNames.Key, "1", mtheader.DefaultNames.Deadline, deadline))
+	request := func(deadline string) time.Duration {
+		router.ServeHTTP(httptest.NewRecorder(), newRequest("/plans/1", "1", mtheader.DefaultNames.Key, "1", mtheader.DefaultNames.Deadline, deadline))
 		return s.call.Objective.Sub(clock.now)
 	}
-	assert.Equal(t, ask("5000"), time.Second)
-	assert.Equal(t, ask("4300"), time.Second, "a fresh request with a shorter deadline")
+	assert.Equal(t, request("5000"), time.Second)
+	assert.Equal(t, request("4300"), time.Second, "new request with a shorter deadline")
 	clock.now = clock.now.Add(400 * time.Millisecond)
-	assert.Equal(t, ask("4590"), 600*time.Millisecond, "second try after 400 ms")
+	assert.Equal(t, request("4590"), 600*time.Millisecond, "second try after 400 ms")
 	clock.now = clock.now.Add(1600 * time.Millisecond)
-	assert.Equal(t, ask("2990"), -time.Second, "third try after 2 s")
-	assert.Equal(t, ask("2000"), time.Second, "a fresh request beside it")
+	assert.Equal(t, request("2990"), -time.Second, "third try after 2 s")
+	assert.Equal(t, request("2000"), time.Second, "new request of another caller")
 	s.err, s.answer = nil, wholeOK
-	assert.Equal(t, ask("1500"), time.Second)
-	assert.Equal(t, ask("1500"), time.Second, "nobody asks again after success")
+	assert.Equal(t, request("1500"), time.Second)
+	assert.Equal(t, request("1500"), time.Second, "no retry follows a success")
 }
