--- a/io/mtpipeline/conn.go
+++ b/io/mtpipeline/conn.go
@@ -12,25 +12,26 @@
 	"time"
 )
 
-// bufferSize is that of the buffers of a connection, in bytes.
+// bufferSize is the size of the read and write buffers of a connection, in bytes.
 const bufferSize = 4 << 10
 
-// conn is one connection. Its requests are read by one goroutine and served by one each.
+// conn is one connection. One goroutine reads its requests, and each request is processed by
+// a goroutine of its own.
 type conn struct {
 	net.Conn
 	server *Server
 	limit  *io.LimitedReader
 	reader *bufio.Reader
-	writer *bufio.Writer // of whose turn it is
-	// ctx ends when the caller has gone.
+	writer *bufio.Writer // used by the oldest unanswered exchange only
+	// ctx is canceled when the caller has disconnected.
 	ctx    context.Context
 	cancel context.CancelFunc
 
 	mu      sync.Mutex
-	open    int       // requests that are not answered yet
-	last    *exchange // the newest request that was read
-	reading bool      // the next one is being read
-	ending  bool      // no further one is
+	pending int       // number of requests that have been read but not answered
+	last    *exchange // the last request that was read
+	reading bool      // whether the next request is being read
+	closing bool      // whether no further request is to be read
 }
 
 func newConn(s *Server, accepted net.Conn) *conn {
@@ -41,47 +42,48 @@
 	return c
 }
 
-// answered is the turn of a request before which none is open.
+// answered is a closed channel. It stands for the exchange before the first one.
 var answered = func() chan struct{} {
 	done := make(chan struct{})
 	close(done)
 	return done
 }()
 
-// serve reads requests and has them served until the connection ends.
+// serve reads requests and starts to process them until the connection ends.
 func (c *conn) serve() {
-	defer c.server.remove(c)
+	defer c.server.untrack(c)
 	defer c.abort()
-	turn := answered
-	c.rest()
+	previous := answered
+	c.setIdleDeadline()
 	for {
 		if _, err := c.reader.Peek(1); err != nil {
-			// The caller has gone, or the connection was idle for too long. What is open has
-			// nobody to answer to.
+			// The caller has disconnected, or the connection was idle for too long. Pending
+			// requests are canceled, because nobody receives their responses.
 			c.cancel()
 			break
 		}
-		if !c.begin() {
+		if !c.beginRead() {
 			break
 		}
-		request, err := c.read()
+		request, err := c.readRequest()
 		if err != nil {
-			<-turn
+			<-previous
 			c.reject(err)
 			break
 		}
-		turn = c.exchange(request, turn)
+		previous = c.exchange(request, previous)
 	}
-	<-turn
+	<-previous
 	c.cancel()
 	c.linger()
 }
 
-// lingerTime is how long a caller has to read the last answer.
+// lingerTime is how long a caller has to read the last response.
 const lingerTime = 500 * time.Millisecond
 
-// linger lets the caller read the last answer: closed with requests that nobody has read, a
-// connection is reset, and what was on its way to the caller is lost.
+// linger closes the write side and discards input for a while, so that the caller can read
+// the last response. Closing a connection with unread requests would reset it, and responses
+// in transit would be lost.
 func (c *conn) linger() {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
@@ -91,30 +93,30 @@
 	_, _ = io.Copy(io.Discard, c.Conn)
 }
 
-// rest lets the connection end by itself if no request comes for long, or at once if none
-// is to come. It is called while none is open.
-func (c *conn) rest() {
+// setIdleDeadline sets the read deadline of an idle connection, so that it ends if no request
+// arrives in time, or at once if it is closing. It has no effect while requests are pending.
+func (c *conn) setIdleDeadline() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.restLocked()
+	c.setIdleDeadlineLocked()
 }
 
-// restLocked is rest with mu held.
-func (c *conn) restLocked() {
+// setIdleDeadlineLocked is setIdleDeadline for callers that hold mu.
+func (c *conn) setIdleDeadlineLocked() {
 	switch {
-	case c.open > 0 || c.reading:
-	case c.ending:
+	case c.pending > 0 || c.reading:
+	case c.closing:
 		_ = c.SetReadDeadline(time.Unix(1, 0))
 	default:
 		_ = c.SetReadDeadline(time.Now().Add(c.server.Limits.IdleTime))
 	}
 }
 
-// begin reports whether the next request is to be read.
-func (c *conn) begin() bool {
+// beginRead reports whether to read the next request, and sets the timeout for its header.
+func (c *conn) beginRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ending {
+	if c.closing {
 		return false
 	}
 	c.reading = true
@@ -122,8 +124,8 @@
 	return true
 }
 
-// read reads the header of a request.
-func (c *conn) read() (*http.Request, error) {
+// readRequest reads the header of a request.
+func (c *conn) readRequest() (*http.Request, error) {
 	c.limit.N = int64(c.server.Limits.Header + bufferSize)
 	request, err := http.ReadRequest(c.reader)
 	if err == nil && request.Host == "" && request.ProtoAtLeast(1, 1) {
@@ -140,55 +142,58 @@
 	return request.WithContext(c.ctx), nil
 }
 
-// hostError says that a request names no host.
+// hostError reports an HTTP/1.1 request without a Host header.
 type hostError struct{}
 
 // Error implements error.
-func (*hostError) Error() string { return "request without a host" }
+func (*hostError) Error() string { return "request has no Host header" }
 
-// headerError says that a request's header is too large.
+// headerError reports a request header that exceeds the size limit.
 type headerError struct{}
 
 // Error implements error.
-func (*headerError) Error() string { return "header of a request is too large" }
-
-// exchange has a request served whose answer follows on turn, and returns the turn of the
-// next one. It returns once the next one may be read.
-func (c *conn) exchange(request *http.Request, turn chan struct{}) chan struct{} {
-	e := &exchange{conn: c, request: request, turn: turn, done: make(chan struct{}), header: make(http.Header)}
-	alone := !concurrent(request)
-	if alone {
-		<-turn
-		e.watchBody()
+func (*headerError) Error() string { return "request header exceeds the size limit" }
+
+// exchange starts to process a request. previous is closed when all earlier requests have
+// been answered, and the returned channel when this one has. exchange returns as soon as the
+// next request may be read.
+func (c *conn) exchange(request *http.Request, previous chan struct{}) chan struct{} {
+	e := &exchange{conn: c, request: request, previous: previous, done: make(chan struct{}), header: make(http.Header)}
+	exclusive := !concurrent(request)
+	if exclusive {
+		<-previous
+		e.trackBody()
 	}
 	c.mu.Lock()
-	c.open++
+	c.pending++
 	c.last, c.reading = e, false
-	full := c.open >= c.server.Limits.Outstanding
+	atLimit := c.pending >= c.server.Limits.Outstanding
 	_ = c.SetReadDeadline(time.Time{})
 	c.mu.Unlock()
 	go e.serve()
 	switch {
-	case alone:
-		// Whoever goes is noticed by the next read, which must not take what is left of the
-		// body, and the next request must not begin before this one is answered.
+	case exclusive:
+		// The next read detects when the caller disconnects. It must wait until the body is
+		// consumed, and the next request must wait until this one is answered.
 		<-e.consumed
 		if _, err := c.reader.Peek(1); err != nil {
 			c.cancel()
 		}
 		<-e.done
-	case full:
+	case atLimit:
 		<-e.done
 	}
 	return e.done
 }
 
-// concurrent reports whether a request may be served beside others of its connection.
+// concurrent reports whether a request may be processed together with others of its
+// connection.
 func concurrent(r *http.Request) bool {
 	return (r.Method == http.MethodGet || r.Method == http.MethodHead) && r.ContentLength == 0
 }
 
-// reject answers what can't be read, if it is not the connection that has failed.
+// reject answers a request that could not be parsed. If reading failed because of the
+// connection, it does nothing.
 func (c *conn) reject(err error) {
 	status := http.StatusBadRequest
 	var header *headerError
@@ -200,22 +205,22 @@
 		return
 	}
 	response := http.Response{StatusCode: status, ProtoMajor: 1, ProtoMinor: 1, Close: true}
-	// The caller may have gone.
+	// A write error means that the caller has disconnected.
 	if response.Write(c.writer) == nil {
 		_ = c.writer.Flush()
 	}
 }
 
-// finish reads no further request; the connection ends once those that were read are
-// answered.
-func (c *conn) finish() {
+// closeWhenAnswered makes the connection read no further request, and end as soon as those
+// that have been read are answered.
+func (c *conn) closeWhenAnswered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ending = true
-	c.restLocked()
+	c.closing = true
+	c.setIdleDeadlineLocked()
 }
 
-// abort cuts the connection off.
+// abort cancels all pending requests and closes the connection at once.
 func (c *conn) abort() {
 	c.cancel()
 	_ = c.Conn.Close()
--- a/io/mtpipeline/exchange.go
+++ b/io/mtpipeline/exchange.go
@@ -11,15 +11,15 @@
 	"time"
 )
 
-// exchange is a request and its answer, which is written once it is complete and its turn
-// has come.
+// exchange is a request and its response. The response is buffered, and written once it is
+// complete and all previous responses have been written.
 type exchange struct {
-	conn    *conn
-	request *http.Request
-	turn    <-chan struct{} // closed once all before it are answered
-	done    chan struct{}   // closed once this one is
-	// consumed is closed once the body has been read, or is not read any more. It is nil
-	// for a request without one.
+	conn     *conn
+	request  *http.Request
+	previous <-chan struct{} // closed once all earlier requests are answered
+	done     chan struct{}   // closed once this request is answered
+	// consumed is closed once the body has been read or closed. It is nil for a request
+	// that runs concurrently, which has no body.
 	consumed chan struct{}
 
 	status int
@@ -43,28 +43,29 @@
 	return e.body.Write(p)
 }
 
-// leftover is how many bytes of a body are read that the handler has left, before the
-// connection is closed instead.
-const leftover = 256 << 10
+// maxDiscard is how many bytes of a body are discarded that the handler has not read. If
+// there are more, the connection is closed instead.
+const maxDiscard = 256 << 10
 
-// serve runs the handler and answers.
+// serve runs the handler and writes the response when it is due. If the handler panicked, it
+// closes the connection instead.
 func (e *exchange) serve() {
-	defer e.end()
-	complete := e.handle()
-	drained := e.drain()
-	<-e.turn
+	defer e.finish()
+	complete := e.runHandler()
+	drained := e.discardBody()
+	<-e.previous
 	if !complete {
 		e.conn.abort()
 		return
 	}
-	e.answer(!drained)
+	e.writeResponse(!drained)
 }
 
-// handle runs the handler, and reports whether it gave an answer.
-func (e *exchange) handle() (complete bool) {
+// runHandler runs the handler and reports whether it returned without a panic.
+func (e *exchange) runHandler() (complete bool) {
 	defer func() {
 		if failure := recover(); failure != nil {
-			e.conn.server.Log.Error("handler of a request failed", "failure", failure, "stack", string(debug.Stack()))
+			e.conn.server.Log.Error("HTTP handler panicked", "failure", failure, "stack", string(debug.Stack()))
 		}
 	}()
 	e.conn.server.Handler.ServeHTTP(e, e.request)
@@ -72,39 +73,41 @@
 	return true
 }
 
-// drain reads what the handler has left of the body, and reports whether that was all.
-func (e *exchange) drain() bool {
+// discardBody reads the rest of the body, and reports whether it reached the end of it.
+func (e *exchange) discardBody() bool {
 	if e.consumed == nil {
 		return true
 	}
-	_, err := io.CopyN(io.Discard, e.request.Body, leftover)
+	_, err := io.CopyN(io.Discard, e.request.Body, maxDiscard)
 	_ = e.request.Body.Close()
 	return err == io.EOF
 }
 
-// answer writes the answer.
-func (e *exchange) answer(closes bool) {
+// writeResponse writes the response. It closes the connection if closeConn is set, or if the
+// request or the handler requests that.
+func (e *exchange) writeResponse(closeConn bool) {
 	response := http.Response{
 		StatusCode: e.status, ProtoMajor: 1, ProtoMinor: 1, Request: e.request, Header: e.header,
 		Body: io.NopCloser(&e.body), ContentLength: int64(e.body.Len()),
 	}
 	if e.request.Method == http.MethodHead {
-		response.ContentLength = e.length()
+		response.ContentLength = e.declaredLength()
 	}
-	wanted := closes || e.request.Close || closing(e.header)
+	closeWanted := closeConn || e.request.Close || requestsClose(e.header)
 	e.header.Del("Connection")
-	response.Close = e.conn.closes(e, wanted)
+	response.Close = e.conn.announceClose(e, closeWanted)
 	if e.header["Date"] == nil {
 		e.header.Set("Date", time.Now().UTC().Format(http.TimeFormat))
 	}
-	// The caller may have gone, which the reading of the next request shows.
+	// A write error means that the caller has disconnected.
 	if response.Write(e.conn.writer) != nil || e.conn.writer.Flush() != nil {
 		e.conn.abort()
 	}
 }
 
-// length returns the length that the handler has named, which is that of no body here.
-func (e *exchange) length() int64 {
+// declaredLength returns the Content-Length that the handler has set, or -1. The response to
+// a HEAD request declares a length without having a body.
+func (e *exchange) declaredLength() int64 {
 	n, err := strconv.ParseInt(e.header.Get("Content-Length"), 10, 64)
 	if err != nil {
 		return -1
@@ -112,61 +115,62 @@
 	return n
 }
 
-// closing reports whether an answer is to be the last on its connection.
-func closing(h http.Header) bool {
+// requestsClose reports whether the header of a response asks to close the connection.
+func requestsClose(h http.Header) bool {
 	return strings.EqualFold(h.Get("Connection"), "close")
 }
 
-// closes reports whether the answer to e says that the connection closes. If that is
-// wanted, no further request is read, and the newest that was read says so.
-func (c *conn) closes(e *exchange, wanted bool) bool {
+// announceClose reports whether the response of e announces that the connection closes, which
+// only the response to the last request that was read does. If closeWanted is set, no further
+// request is read.
+func (c *conn) announceClose(e *exchange, closeWanted bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if wanted {
-		c.ending = true
+	if closeWanted {
+		c.closing = true
 	}
-	return c.ending && c.last == e && !c.reading
+	return c.closing && c.last == e && !c.reading
 }
 
-// end notes that the request is answered.
-func (e *exchange) end() {
+// finish records that the request has been answered, and lets the next response be written.
+func (e *exchange) finish() {
 	c := e.conn
 	c.mu.Lock()
-	c.open--
-	c.restLocked()
+	c.pending--
+	c.setIdleDeadlineLocked()
 	c.mu.Unlock()
 	close(e.done)
 }
 
-// watchBody makes it known when the body has been read. A caller that asks first whether to
-// send it is told so.
-func (e *exchange) watchBody() {
+// trackBody makes the end of the body close consumed. If the caller waits for the response
+// 100 Continue before it sends the body, trackBody writes it.
+func (e *exchange) trackBody() {
 	e.consumed = make(chan struct{})
 	if strings.EqualFold(e.request.Header.Get("Expect"), "100-continue") {
-		// A caller that has gone shows in the reading.
+		// If the caller has disconnected, reading the body fails.
 		_, _ = e.conn.writer.WriteString("HTTP/1.1 100 Continue\r\n\r\n")
 		_ = e.conn.writer.Flush()
 	}
-	e.request.Body = &watched{ReadCloser: e.request.Body, ended: sync.OnceFunc(func() { close(e.consumed) })}
+	e.request.Body = &trackedBody{ReadCloser: e.request.Body, onEnd: sync.OnceFunc(func() { close(e.consumed) })}
 }
 
-// watched is a body that tells its end.
-type watched struct {
+// trackedBody is a request body that calls onEnd when it has been read or closed.
+type trackedBody struct {
 	io.ReadCloser
-	ended func()
+	onEnd func()
 }
 
 // Read implements io.Reader.
-func (w *watched) Read(p []byte) (int, error) {
-	n, err := w.ReadCloser.Read(p)
+func (b *trackedBody) Read(p []byte) (int, error) {
+	n, err := b.ReadCloser.Read(p)
 	if err != nil {
-		w.ended()
+		b.onEnd()
 	}
 	return n, err
 }
 
-// Close implements io.Closer. What is left of the body stays unread.
-func (w *watched) Close() error {
-	w.ended()
+// Close implements io.Closer. It leaves the rest of the body unread.
+func (b *trackedBody) Close() error {
+	b.onEnd()
 	return nil
 }
--- a/io/mtpipeline/mtpipeline.go
+++ b/io/mtpipeline/mtpipeline.go
@@ -1,22 +1,21 @@
-// Package mtpipeline serves HTTP/1.1 connections on which callers send further requests
-// before the first one is answered.
+// Package mtpipeline is an HTTP/1.1 server that processes pipelined requests of a connection
+// concurrently.
 //
-// The server of net/http reads the next request of a connection once the one before is
-// answered, so that whoever sends three at once waits for the third as long as for all of
-// them. Here requests that are safe to repeat and carry no body are served at the same
-// time, and answered in the order in which they came. Any other request begins once those
-// before it are answered, and nothing behind it begins before it is.
+// The server of net/http reads the next request of a connection only after it has answered
+// the previous one, so three pipelined requests take as long as the sum of all three. This
+// server processes GET and HEAD requests without a body concurrently and answers them in
+// the order of their arrival. Any other request starts only after all previous ones have
+// been answered, and later requests start only after it has been answered.
 //
-// Parsing and writing are those of net/http.
+// Requests are parsed and responses are written by net/http.
 //
 // # Usage
 //
 //	server := &mtpipeline.Server{Handler: handler, Limits: limits}
 //	err := server.Serve(listener) // http.ErrServerClosed after Shutdown or Close
 //
-// An answer with the field "Connection: close" is the last one on its connection, but for
-// those of requests that had been read by then: all of these are answered, and the last of
-// them says that the connection closes.
+// A response with "Connection: close" closes its connection. Requests that have been read by
+// then are still answered, and only the last response announces that the connection closes.
 package mtpipeline
 
 import (
@@ -28,15 +27,16 @@
 	"time"
 )
 
-// Limits bound what a caller may use up.
+// Limits bounds the resources that a caller may use.
 type Limits struct {
-	Header      int           // bytes of a request's header
-	HeaderTime  time.Duration // for a request's header, from its first byte on
-	IdleTime    time.Duration // for the next request on a connection
-	Outstanding int           // requests of one connection that are served at once
+	Header      int           // maximum size of a request header, in bytes
+	HeaderTime  time.Duration // timeout for a request header, from its first byte
+	IdleTime    time.Duration // timeout for the next request on an idle connection
+	Outstanding int           // maximum number of concurrent requests of a connection
 }
 
-// Server serves connections. Its fields are set before Serve, and not changed.
+// Server serves HTTP/1.1 connections. Its exported fields must not be changed after Serve has
+// been called.
 type Server struct {
 	Handler http.Handler
 	Limits  Limits
@@ -46,11 +46,11 @@
 	listener net.Listener
 	conns    map[*conn]struct{}
 	closing  bool
-	ended    sync.WaitGroup // connections
+	active   sync.WaitGroup // counts the open connections
 }
 
-// Serve serves what the listener accepts until Shutdown or Close, and returns
-// http.ErrServerClosed then, or why the listener failed.
+// Serve accepts and serves connections until Shutdown or Close is called, and returns
+// http.ErrServerClosed then. If the listener fails, it returns the error of the listener.
 func (s *Server) Serve(l net.Listener) error {
 	s.mu.Lock()
 	s.listener = l
@@ -63,19 +63,20 @@
 	for {
 		accepted, err := l.Accept()
 		if err != nil {
-			if s.ending() {
+			if s.isClosing() {
 				return http.ErrServerClosed
 			}
 			return err
 		}
-		if c := s.add(accepted); c != nil {
+		if c := s.track(accepted); c != nil {
 			go c.serve()
 		}
 	}
 }
 
-// add takes in a connection, unless the server ends.
-func (s *Server) add(accepted net.Conn) *conn {
+// track registers a connection. If the server is closing, it closes the connection and
+// returns nil.
+func (s *Server) track(accepted net.Conn) *conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closing {
@@ -87,27 +88,27 @@
 		s.conns = make(map[*conn]struct{})
 	}
 	s.conns[c] = struct{}{}
-	s.ended.Add(1)
+	s.active.Add(1)
 	return c
 }
 
-// remove forgets a connection that has ended.
-func (s *Server) remove(c *conn) {
+// untrack unregisters a connection that has ended.
+func (s *Server) untrack(c *conn) {
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
-	s.ended.Done()
+	s.active.Done()
 }
 
-// ending reports whether the server has been told to end.
-func (s *Server) ending() bool {
+// isClosing reports whether Shutdown or Close has been called.
+func (s *Server) isClosing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.closing
 }
 
-// end closes the listener and returns the open connections.
-func (s *Server) end() []*conn {
+// beginClose closes the listener and returns the open connections.
+func (s *Server) beginClose() []*conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closing = true
@@ -121,15 +122,15 @@
 	return open
 }
 
-// Shutdown takes no new connections and no new requests, and returns once those that have
-// been read are answered, or with the error of ctx.
+// Shutdown accepts no new connections, reads no further requests, and waits until those that
+// have been read are answered. If ctx ends first, it returns the error of ctx.
 func (s *Server) Shutdown(ctx context.Context) error {
-	for _, c := range s.end() {
-		c.finish()
+	for _, c := range s.beginClose() {
+		c.closeWhenAnswered()
 	}
 	answered := make(chan struct{})
 	go func() {
-		s.ended.Wait()
+		s.active.Wait()
 		close(answered)
 	}()
 	select {
@@ -140,9 +141,9 @@
 	}
 }
 
-// Close cuts all connections off.
+// Close closes the listener and all connections at once.
 func (s *Server) Close() error {
-	for _, c := range s.end() {
+	for _, c := range s.beginClose() {
 		c.abort()
 	}
 	return nil
--- a/io/mtpipeline/mtpipeline_test.go
+++ b/io/mtpipeline/mtpipeline_test.go
@@ -20,24 +20,24 @@
 	"magnoliaturn/io/mtpipeline"
 )
 
-// stand serves a handler and connects to it.
-type stand struct {
+// testConn is a server with a handler, and a connection to it.
+type testConn struct {
 	t      *testing.T
 	server *mtpipeline.Server
 	conn   net.Conn
 	reader *bufio.Reader
-	failed chan error
+	served chan error // result of Serve
 }
 
-func newStand(t *testing.T, handler http.HandlerFunc) *stand {
+func newTestConn(t *testing.T, handler http.HandlerFunc) *testConn {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	s := &stand{t: t, failed: make(chan error, 1), server: &mtpipeline.Server{
+	s := &testConn{t: t, served: make(chan error, 1), server: &mtpipeline.Server{
 		Handler: handler, Log: slog.New(slog.DiscardHandler),
 		Limits: mtpipeline.Limits{Header: 4 << 10, HeaderTime: 10 * time.Second, IdleTime: 10 * time.Second, Outstanding: 8},
 	}}
-	go func() { s.failed <- s.server.Serve(listener) }()
+	go func() { s.served <- s.server.Serve(listener) }()
 	s.conn, err = net.Dial("tcp", listener.Addr().String())
 	assert.NilError(t, err)
 	s.reader = bufio.NewReader(s.conn)
@@ -48,7 +48,7 @@
 	return s
 }
 
-func (s *stand) send(text string) {
+func (s *testConn) send(text string) {
 	s.t.Helper()
 	_, err := io.WriteString(s.conn, text)
 	assert.NilError(s.t, err)
@@ -56,8 +56,8 @@
 
 func get(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: h\r\n\r\n" }
 
-// read reads the next answer.
-func (s *stand) read() (*http.Response, string) {
+// read reads the next response.
+func (s *testConn) read() (*http.Response, string) {
 	s.t.Helper()
 	assert.NilError(s.t, s.conn.SetReadDeadline(time.Now().Add(20*time.Second)))
 	response, err := http.ReadResponse(s.reader, nil)
@@ -67,12 +67,12 @@
 	return response, string(body)
 }
 
-// A caller sends three requests before the first is answered. They run at the same time, and
-// are answered in their order, whichever is ready first.
+// A caller sends three requests before the first is answered. They must run concurrently and
+// be answered in their order, whichever finishes first.
 func TestPipelinedRequestsRunAtOnceAndAreAnsweredInOrder(t *testing.T) {
 	var together sync.WaitGroup
 	together.Add(3)
-	s := newStand(t, func(w http.ResponseWriter, r *http.Request) {
+	s := newTestConn(t, func(w http.ResponseWriter, r *http.Request) {
 		together.Done()
 		together.Wait()
 		if r.URL.Path == "/1" {
@@ -88,9 +88,9 @@
 	}
 }
 
-// What must not be run twice, or has a body, runs alone: after all that was sent before it,
-// and before all that was sent behind it.
-func TestAnUnsafeRequestRunsAlone(t *testing.T) {
+// A request that is not safe or has a body must start after all earlier requests have ended,
+// and end before any later one starts.
+func TestUnsafeRequestRunsExclusively(t *testing.T) {
 	var mu sync.Mutex
 	var events []string
 	note := func(e string) {
@@ -98,7 +98,7 @@
 		defer mu.Unlock()
 		events = append(events, e)
 	}
-	s := newStand(t, func(w http.ResponseWriter, r *http.Request) {
+	s := newTestConn(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		note("begin " + r.URL.Path)
 		time.Sleep(20 * time.Millisecond)
@@ -117,10 +117,10 @@
 	assert.DeepEqual(t, events, []string{"begin /1", "end /1", "begin /2", "end /2", "begin /3", "end /3", "begin /4", "end /4"})
 }
 
-// An answer closes the connection while requests behind it are at work: they are answered,
-// and the last one says that the connection closes. Nothing that was read goes unanswered.
-func TestAClosingAnswerWaitsForThoseBehindIt(t *testing.T) {
-	s := newStand(t, func(w http.ResponseWriter, r *http.Request) {
+// A response requests to close the connection while later requests are being processed. These
+// must still be answered, and the last response must announce that the connection closes.
+func TestConnectionClosesAfterPendingRequests(t *testing.T) {
+	s := newTestConn(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/1" {
 			time.Sleep(50 * time.Millisecond)
 			w.Header().Set("Connection", "close")
@@ -132,54 +132,56 @@
 	s.send(get("/1") + get("/2"))
 	first, _ := s.read()
 	second, body := s.read()
-	assert.Assert(t, !first.Close || body == "", "the first answer closes although a second one follows")
+	assert.Assert(t, !first.Close || body == "", "the first response announces a close although another one follows")
 	assert.Equal(t, body, "/2")
 	assert.Assert(t, second.Close)
 	_, err := s.reader.ReadByte()
 	assert.Equal(t, err, io.EOF)
 }
 
-// A caller leaves while its requests are at work: they are told, with a body or without.
-func TestALeavingCallerIsNoticed(t *testing.T) {
+// A caller disconnects while its requests are being processed, with or without a body. Their
+// contexts must be canceled.
+func TestDisconnectCancelsRequests(t *testing.T) {
 	for name, request := range map[string]string{
 		"safe": get("/1"), "two": get("/1") + get("/2"), "with a body": "POST /1 HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx",
 	} {
 		t.Run(name, func(t *testing.T) {
-			begun, told := make(chan struct{}, 2), make(chan struct{}, 2)
-			s := newStand(t, func(_ http.ResponseWriter, r *http.Request) {
+			begun, canceled := make(chan struct{}, 2), make(chan struct{}, 2)
+			s := newTestConn(t, func(_ http.ResponseWriter, r *http.Request) {
 				_, _ = io.ReadAll(r.Body)
 				begun <- struct{}{}
 				<-r.Context().Done()
-				told <- struct{}{}
+				canceled <- struct{}{}
 			})
 			s.send(request)
 			<-begun
 			assert.NilError(t, s.conn.Close())
 			select {
-			case <-told:
+			case <-canceled:
 			case <-time.After(20 * time.Second):
-				t.Fatal("the handler was not told")
+				t.Fatal("the context of the request was not canceled")
 			}
 		})
 	}
 }
 
-// A shutdown answers what was read, closes connections that rest, and takes nothing new.
-func TestShutdownAnswersWhatWasRead(t *testing.T) {
+// Shutdown must answer the requests that have been read, close idle connections, and accept
+// no new ones.
+func TestShutdownAnswersPendingRequests(t *testing.T) {
 	begun, end := make(chan struct{}), make(chan struct{})
-	s := newStand(t, func(w http.ResponseWriter, _ *http.Request) {
+	s := newTestConn(t, func(w http.ResponseWriter, _ *http.Request) {
 		close(begun)
 		<-end
 		_, _ = io.WriteString(w, "whole")
 	})
-	resting, err := net.Dial("tcp", s.conn.RemoteAddr().String())
+	idle, err := net.Dial("tcp", s.conn.RemoteAddr().String())
 	assert.NilError(t, err)
 	s.send(get("/1"))
 	<-begun
 	stopped := make(chan error)
 	go func() { stopped <- s.server.Shutdown(context.Background()) }()
-	assert.Equal(t, <-s.failed, http.ErrServerClosed)
-	_, err = resting.Read(make([]byte, 1))
+	assert.Equal(t, <-s.served, http.ErrServerClosed)
+	_, err = idle.Read(make([]byte, 1))
 	assert.Equal(t, err, io.EOF)
 	close(end)
 	response, body := s.read()
@@ -189,14 +191,14 @@
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if conn, err := net.Dial("tcp", s.conn.RemoteAddr().String()); err == nil {
 			_ = conn.Close()
-			return poll.Continue("connections are taken")
+			return poll.Continue("the server still accepts connections")
 		}
 		return poll.Success()
 	})
 }
 
-// What is no request is refused once those before it are answered.
-func TestWhatIsNoRequestIsRefusedInItsTurn(t *testing.T) {
+// An invalid request must be rejected after the previous one has been answered.
+func TestInvalidRequestIsRejectedInOrder(t *testing.T) {
 	for name, test := range map[string]struct {
 		text string
 		want int
@@ -206,7 +208,7 @@
 		"large header": {"GET / HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 16<<10) + "\r\n\r\n", http.StatusRequestHeaderFieldsTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStand(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "first") })
+			s := newTestConn(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "first") })
 			s.send(get("/1") + test.text)
 			_, body := s.read()
 			assert.Equal(t, body, "first")
@@ -217,10 +219,10 @@
 	}
 }
 
-// Callers of net/http get along with it: lengths, chunks, HEAD, answers without a body, and
-// bodies that the handler leaves unread.
-func TestOrdinaryCallers(t *testing.T) {
-	s := newStand(t, func(w http.ResponseWriter, r *http.Request) {
+// The client of net/http must work with the server: with declared lengths, chunked bodies,
+// HEAD requests, responses without a body, and bodies that the handler doesn't read.
+func TestNetHTTPClient(t *testing.T) {
+	s := newTestConn(t, func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/none":
 			w.WriteHeader(http.StatusNoContent)
@@ -258,9 +260,9 @@
 	}
 }
 
-// A handler that panics ends its connection, and no other one.
-func TestAFailingHandlerEndsItsConnection(t *testing.T) {
-	s := newStand(t, func(w http.ResponseWriter, r *http.Request) {
+// A handler that panics must close its own connection and no other one.
+func TestPanicClosesOnlyItsConnection(t *testing.T) {
+	s := newTestConn(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/fails" {
 			panic("no")
 		}
@@ -275,21 +277,22 @@
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 }
 
-// Whatever a caller sends, its connection ends once it has sent all of it, and nothing panics.
+// For any input, the connection must end after the caller has closed its write side, and
+// nothing must panic.
 func FuzzConnection(f *testing.F) {
 	f.Add([]byte(get("/1") + get("/2")))
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n" + get("/2")))
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 9\r\n\r\nab"))
 	f.Add([]byte("HEAD / HTTP/1.0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		s := newStand(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) })
+		s := newTestConn(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) })
 		_, err := s.conn.Write(text)
 		assert.NilError(t, err)
 		assert.NilError(t, s.conn.(*net.TCPConn).CloseWrite())
 		assert.NilError(t, s.conn.SetReadDeadline(time.Now().Add(20*time.Second)))
 		if _, err := io.Copy(io.Discard, s.conn); err != nil {
 			var timeout net.Error
-			assert.Assert(t, !errors.As(err, &timeout) || !timeout.Timeout(), "the connection does not end")
+			assert.Assert(t, !errors.As(err, &timeout) || !timeout.Timeout(), "the connection did not end in time")
 		}
 	})
 }
