--- a/io/mtconn/mtconn.go
+++ b/io/mtconn/mtconn.go
@@ -1,8 +1,9 @@
-// Package mtconn keeps connections to other daemons over gRPC, one for each
-// address, and tells what a failed call over one of them proves.
+// Package mtconn pools gRPC connections to other daemons, one for each address, and
+// determines whether a failed call may have been run.
 //
-// A message that was never handed to the transport has not left, so the call was
-// not run; gRPC's status alone can't tell, since Unavailable covers both.
+// A call whose message was never passed to the transport was not sent, so it was not
+// run. The status of gRPC does not reveal this: Unavailable covers calls that were not
+// sent and calls that were.
 //
 // # Usage
 //
@@ -28,17 +29,17 @@
 	"magnoliaturn/core/mtreply"
 )
 
-// Pool holds the connections.
+// Pool holds one connection for each address.
 type Pool struct {
 	options []grpc.DialOption
 	mu      sync.Mutex
 	conns   map[string]*grpc.ClientConn
 }
 
-// New returns an empty pool and its clean-up function. Its connections never
-// send a call a second time by themselves.
+// New returns an empty pool and its clean-up function, which closes all connections. The
+// automatic retries of gRPC are turned off.
 func New(options ...grpc.DialOption) (*Pool, func()) {
-	options = append(options, grpc.WithStatsHandler(handler{}), grpc.WithDisableRetry())
+	options = append(options, grpc.WithStatsHandler(sentHandler{}), grpc.WithDisableRetry())
 	p := &Pool{options: options, conns: make(map[string]*grpc.ClientConn)}
 	return p, p.close
 }
@@ -52,7 +53,8 @@
 	p.conns = map[string]*grpc.ClientConn{}
 }
 
-// Conn returns the connection to an address, a new one if there is none.
+// Conn returns the connection to an address, and creates it if there is none. It fails with
+// a *mtreply.RefusedError.
 func (p *Pool) Conn(address string) (*grpc.ClientConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,8 +69,8 @@
 	return conn, nil
 }
 
-// Take takes the connection to an address out of the pool, open as it is, so that
-// the next call opens a new one. It is nil if there is none.
+// Take removes the connection to an address from the pool without closing it, so that the
+// next call opens a new one. It returns nil if there is none.
 func (p *Pool) Take(address string) *grpc.ClientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,15 +79,17 @@
 	return conn
 }
 
-// Forget closes the connection to an address that no record names any more.
+// Forget closes the connection to an address and removes it from the pool. It is meant for
+// addresses that no record contains any more.
 func (p *Pool) Forget(address string) {
 	if conn := p.Take(address); conn != nil {
 		_ = conn.Close()
 	}
 }
 
-// Explain says what is known of a call that failed: a *mtreply.RefusedError with
-// that time to ask again if its message never left, else a *mtreply.UnknownError.
+// Explain converts the error of a failed call. If the message was never sent, it returns a
+// *mtreply.RefusedError with retry as the time after which to retry, else a
+// *mtreply.UnknownError.
 func Explain(ctx context.Context, err error, sent *atomic.Bool, retry time.Duration) error {
 	if !sent.Load() {
 		return &mtreply.RefusedError{Cause: mtreply.CauseUnreachable, RetryAfter: retry, Detail: err.Error()}
--- a/io/mtconn/sent.go
+++ b/io/mtconn/sent.go
@@ -7,33 +7,34 @@
 	"google.golang.org/grpc/stats"
 )
 
-type key struct{}
+// sentKey is the context key of the flag that Watch returns.
+type sentKey struct{}
 
-// Watch returns a context for one call, and what is set once its message was
-// handed to the transport.
+// Watch returns a context for one call, and a flag that is set as soon as the message of
+// the call is passed to the transport.
 func Watch(ctx context.Context) (context.Context, *atomic.Bool) {
 	sent := &atomic.Bool{}
-	return context.WithValue(ctx, key{}, sent), sent
+	return context.WithValue(ctx, sentKey{}, sent), sent
 }
 
-// handler notes the moment in the call's context.
-type handler struct{}
+// sentHandler is a gRPC stats handler that sets the flag in the context of a call.
+type sentHandler struct{}
 
 // TagRPC implements stats.Handler.
-func (handler) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
+func (sentHandler) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
 
 // HandleRPC implements stats.Handler.
-func (handler) HandleRPC(ctx context.Context, s stats.RPCStats) {
+func (sentHandler) HandleRPC(ctx context.Context, s stats.RPCStats) {
 	if _, ok := s.(*stats.OutPayload); !ok {
 		return
 	}
-	if sent, ok := ctx.Value(key{}).(*atomic.Bool); ok {
+	if sent, ok := ctx.Value(sentKey{}).(*atomic.Bool); ok {
 		sent.Store(true)
 	}
 }
 
 // TagConn implements stats.Handler.
-func (handler) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
+func (sentHandler) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
 
 // HandleConn implements stats.Handler.
-func (handler) HandleConn(context.Context, stats.ConnStats) {}
+func (sentHandler) HandleConn(context.Context, stats.ConnStats) {}
--- a/io/mtdial/mtdial.go
+++ b/io/mtdial/mtdial.go
@@ -1,9 +1,9 @@
-// Package mtdial opens TCP connections that don't stay silent for ever.
+// Package mtdial opens TCP connections that detect a dead peer or path within seconds.
 //
-// Between two VMs an open connection may go silent for good, without a reset,
-// while new ones work. Nobody hears of it but by a time-out; the kernel's own
-// are counted in minutes. The options set here end such a connection within
-// three seconds, whether bytes are on their way or not.
+// A connection between two VMs may stop transmitting for good without a reset, while new
+// connections work. Only a timeout detects this, and the defaults of the kernel are
+// minutes. The options set here end such a connection within three seconds, whether it
+// is idle or has unacknowledged data.
 //
 // # Usage
 //
@@ -20,34 +20,33 @@
 	"golang.org/x/sys/unix"
 )
 
-// unacknowledged is after which time the kernel gives a connection up whose bytes
-// nobody acknowledges. Several retransmissions fit into it, the first of which
-// comes after 200 ms.
-const unacknowledged = 1500 * time.Millisecond
+// userTimeout is the time after which the kernel closes a connection whose data is not
+// acknowledged. It allows several retransmissions, the first of which comes after 200 ms.
+const userTimeout = 1500 * time.Millisecond
 
-// keepAlive finds an idle connection that has gone silent.
+// keepAlive detects an idle connection whose peer or path is dead.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}
 
-// Dial connects to an address.
+// Dial connects to an address with the options of this package.
 func Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{Control: control, KeepAliveConfig: keepAlive}
 	return dialer.DialContext(ctx, network, address)
 }
 
-// Listen listens on a TCP address; the options hold for what is accepted.
+// Listen listens on a TCP address. Accepted connections have the options of this package.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
 	config := net.ListenConfig{Control: control, KeepAliveConfig: keepAlive}
 	return config.Listen(ctx, "tcp", address)
 }
 
-// control sets the option that package net does not know.
+// control sets TCP_USER_TIMEOUT, which package net has no setting for.
 func control(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var sockErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledged.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockErr
 }
--- a/io/mtlisten/mtlisten.go
+++ b/io/mtlisten/mtlisten.go
@@ -1,6 +1,6 @@
-// Package mtlisten opens the HTTP listeners of a daemon with limits on
-// connections, headers and time, so that a client that is slow, silent or
-// hostile can't use up a small VM.
+// Package mtlisten opens the HTTP listeners of a daemon with limits on connections,
+// header sizes and times, so that a slow, unresponsive or malicious client can't exhaust
+// a small VM.
 //
 // # Usage
 //
@@ -10,8 +10,8 @@
 //	})
 //	defer cleanUp()
 //
-// The clean-up stops accepting, lets requests that are being served end within
-// Grace, and then closes what is left.
+// The clean-up stops accepting connections, waits up to Grace for requests in flight, and
+// then closes the remaining connections.
 package mtlisten
 
 import (
@@ -27,21 +27,21 @@
 	"magnoliaturn/io/mtpipeline"
 )
 
-// Limits of every listener.
+// Limits that apply to every listener.
 const (
-	HeaderTime  = 5 * time.Second  // for a request's header
-	IdleTime    = 60 * time.Second // for the next request on a connection
-	HeaderBytes = 16 << 10
-	Grace       = 10 * time.Second
+	HeaderTime  = 5 * time.Second  // timeout for a request header
+	IdleTime    = 60 * time.Second // timeout for the next request on a connection
+	HeaderBytes = 16 << 10         // maximum size of a request header
+	Grace       = 10 * time.Second // how long a shutdown waits for requests in flight
 
 	defaultConnections = 1024
-	// outstanding is how many requests of one connection are served at once.
-	outstanding = 32
+	// maxPipelined is how many pipelined requests of a connection are processed at once.
+	maxPipelined = 32
 )
 
-// ListenError says that an address can't be listened on.
+// ListenError reports that a listener could not be opened, or that it failed later.
 type ListenError struct {
-	Purpose string // may be empty
+	Purpose string // who the listener is for; may be empty
 	Address string
 	Err     error
 }
@@ -55,26 +55,26 @@
 	return where + ": " + e.Err.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of the network listener or of the server.
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// Options are the limits that differ between listeners.
+// Options are the settings that differ between listeners.
 type Options struct {
-	Connections int           // open at once; 0 is 1024
-	Read        time.Duration // for a whole request; 0 is no limit
-	Write       time.Duration // for a whole reply; 0 is no limit
-	Grace       time.Duration // for requests that run at the end; 0 is Grace
+	Connections int           // maximum number of open connections; 0 means 1024
+	Read        time.Duration // timeout for a whole request; 0 means no limit
+	Write       time.Duration // timeout for a whole response; 0 means no limit
+	Grace       time.Duration // how long a shutdown waits for requests; 0 means the constant Grace
 	TLS         *tls.Config
-	// Pipelined serves requests at the same time that were sent before the first of them
-	// was answered (mtpipeline). It goes without TLS, Read, Write and ConnContext.
+	// Pipelined processes pipelined requests concurrently, with package mtpipeline. TLS,
+	// Read, Write and ConnContext are ignored then.
 	Pipelined bool
-	Log       *slog.Logger // of a pipelined server
-	// ConnContext is that of net/http: it adds to the context of what comes on a new
-	// connection. It may be nil.
+	Log       *slog.Logger // used by a pipelined server
+	// ConnContext modifies the context of the requests on a new connection, as in
+	// net/http. It may be nil.
 	ConnContext func(ctx context.Context, conn net.Conn) context.Context
 }
 
-// Server is an open listener.
+// Server is an open listener and the HTTP server that handles its connections.
 type Server struct {
 	listener net.Listener
 	engine   engine
@@ -82,23 +82,23 @@
 	done     chan struct{}
 }
 
-// engine serves connections; *http.Server is one.
+// engine is an HTTP server, either *http.Server or *mtpipeline.Server.
 type engine interface {
 	Serve(l net.Listener) error
 	Shutdown(ctx context.Context) error
 	Close() error
 }
 
-// Address returns where the server listens, with the port that was chosen if
-// the address named port 0.
+// Address returns the address of the listener. If it was opened with port 0, this is the
+// port that the kernel chose.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Failed returns a channel on which the server's end is told, if it comes
-// before the clean-up.
+// Failed returns a channel that receives a *ListenError if the server ends before it is shut
+// down.
 func (s *Server) Failed() <-chan error { return s.failed }
 
-// Shutdown takes no new connections, lets the requests that are being served
-// end, and cuts off what is left when ctx is done. It is called once.
+// Shutdown stops accepting connections and waits for requests in flight. When ctx is done,
+// it closes the remaining connections. It must be called only once.
 func (s *Server) Shutdown(ctx context.Context) {
 	if s.engine.Shutdown(ctx) != nil {
 		_ = s.engine.Close()
@@ -106,11 +106,12 @@
 	<-s.done
 }
 
-// Close cuts everything off. It may be called at any time, also after Shutdown.
+// Close closes the listener and all connections at once. It may be called at any time, also
+// after Shutdown.
 func (s *Server) Close() { _ = s.engine.Close() }
 
-// Serve listens on address and serves handler until the clean-up, which is
-// graceful. It fails with a *ListenError.
+// Serve listens on a TCP address and serves handler until the clean-up function is called,
+// which shuts the server down gracefully. Serve fails with a *ListenError.
 func Serve(address string, handler http.Handler, options Options) (*Server, func(), error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -127,7 +128,7 @@
 	}, nil
 }
 
-// Start serves handler on a listener until Shutdown or Close.
+// Start serves handler on an open listener until Shutdown or Close is called.
 func Start(listener net.Listener, handler http.Handler, options Options) *Server {
 	if options.Connections == 0 {
 		options.Connections = defaultConnections
@@ -145,7 +146,7 @@
 
 func newEngine(handler http.Handler, options Options) engine {
 	if options.Pipelined {
-		limits := mtpipeline.Limits{Header: HeaderBytes, HeaderTime: HeaderTime, IdleTime: IdleTime, Outstanding: outstanding}
+		limits := mtpipeline.Limits{Header: HeaderBytes, HeaderTime: HeaderTime, IdleTime: IdleTime, Outstanding: maxPipelined}
 		return &mtpipeline.Server{Handler: handler, Limits: limits, Log: options.Log}
 	}
 	server := &http.Server{
@@ -159,54 +160,55 @@
 		ConnContext:       options.ConnContext,
 	}
 	if options.TLS != nil {
-		return &secured{Server: server}
+		return &tlsServer{Server: server}
 	}
 	return server
 }
 
-// secured serves over TLS.
-type secured struct{ *http.Server }
+// tlsServer is an engine that serves HTTP over TLS.
+type tlsServer struct{ *http.Server }
 
 // Serve implements engine.
-func (s *secured) Serve(l net.Listener) error { return s.ServeTLS(l, "", "") }
-
-// Limit returns a listener that closes connections past most at once. A
-// listener that stopped accepting instead would leave new clients waiting in
-// the kernel's queue behind silent ones; so they learn that they must go
-// elsewhere.
-func Limit(listener net.Listener, most int) net.Listener {
-	return &limited{Listener: listener, free: make(chan struct{}, most)}
+func (s *tlsServer) Serve(l net.Listener) error { return s.ServeTLS(l, "", "") }
+
+// Limit returns a listener that accepts at most that many concurrent connections and closes
+// any further one immediately. If it stopped accepting instead, new clients would wait in
+// the accept queue of the kernel behind idle connections. A closed connection makes them
+// try another daemon.
+func Limit(listener net.Listener, maxConnections int) net.Listener {
+	return &limitedListener{Listener: listener, tokens: make(chan struct{}, maxConnections)}
 }
 
-type limited struct {
+type limitedListener struct {
 	net.Listener
-	free chan struct{} // holds a token for each open connection
+	tokens chan struct{} // holds one token for each open connection
 }
 
 // Accept implements net.Listener.
-func (l *limited) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
 		select {
-		case l.free <- struct{}{}:
-			return &counted{Conn: conn, release: sync.OnceFunc(func() { <-l.free })}, nil
+		case l.tokens <- struct{}{}:
+			return &countedConn{Conn: conn, release: sync.OnceFunc(func() { <-l.tokens })}, nil
 		default:
 			_ = conn.Close()
 		}
 	}
 }
 
-// counted gives its place back when it is closed, once.
-type counted struct {
+// countedConn is a connection that returns its token when it is first closed.
+type countedConn struct {
 	net.Conn
 	release func()
 }
 
-// CloseWrite ends the sending half, where the connection has two.
-func (c *counted) CloseWrite() error {
+// CloseWrite closes the write side. It fails with errors.ErrUnsupported if the connection
+// can't be half-closed.
+func (c *countedConn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
 	}
@@ -214,7 +216,7 @@
 }
 
 // Close implements net.Conn.
-func (c *counted) Close() error {
+func (c *countedConn) Close() error {
 	defer c.release()
 	return c.Conn.Close()
 }
--- a/io/mtlisten/mtlisten_test.go
+++ b/io/mtlisten/mtlisten_test.go
@@ -12,31 +12,31 @@
 	"magnoliaturn/io/mtlisten"
 )
 
-// A client opens connections and says nothing. Others past the limit must be
-// turned away at once, and served again as soon as a place is free.
+// A client opens as many connections as allowed and sends nothing. Further connections must
+// be closed at once, and accepted again as soon as the number is below the limit.
 func TestConnectionsAreLimited(t *testing.T) {
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
 	server, cleanUp, err := mtlisten.Serve("127.0.0.1:0", handler, mtlisten.Options{Connections: 2})
 	assert.NilError(t, err)
 	defer cleanUp()
-	var silent []net.Conn
+	var idle []net.Conn
 	for range 2 {
 		conn, err := net.Dial("tcp", server.Address())
 		assert.NilError(t, err)
-		silent = append(silent, conn)
+		idle = append(idle, conn)
 	}
 	extra, err := net.Dial("tcp", server.Address())
 	assert.NilError(t, err)
-	// The write may fail already; if not, no answer comes.
+	// Either this write fails, or the read below does.
 	_, _ = io.WriteString(extra, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 	_, err = extra.Read(make([]byte, 1))
-	assert.Assert(t, err != nil, "the third connection was served")
-	for _, conn := range silent {
+	assert.Assert(t, err != nil, "the third connection was served despite the limit of two")
+	for _, conn := range idle {
 		assert.NilError(t, conn.Close())
 	}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
-		// The server may not have seen yet that the silent ones are gone.
+		// The server may not have noticed yet that the idle connections are closed.
 		response, err := client.Get("http://" + server.Address())
 		if err != nil {
 			continue
@@ -46,8 +46,8 @@
 	}
 }
 
-// A server that is leaving must let the request that it runs end, and take no
-// new one.
+// A server that shuts down must finish the request that it is processing and accept no
+// new connections.
 func TestCleanUpWaitsForRequests(t *testing.T) {
 	begun, end := make(chan struct{}), make(chan struct{})
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
