--- a/io/mtadmin/mtadmin.go
+++ b/io/mtadmin/mtadmin.go
@@ -144,10 +144,10 @@
 // plain HTTP.
 func Options(config *tls.Config) mtlisten.Options {
 	return mtlisten.Options{
-		Connections: connections,
-		Read:        readTimeout,
-		Write:       handlerTimeout + readTimeout,
-		TLS:         config,
+		MaxConnections: connections,
+		ReadTimeout:    readTimeout,
+		WriteTimeout:   handlerTimeout + readTimeout,
+		TLS:            config,
 	}
 }
 
--- a/io/mtconn/mtconn.go
+++ b/io/mtconn/mtconn.go
@@ -9,10 +9,10 @@
 //
 //	pool, cleanUp := mtconn.New(grpc.WithTransportCredentials(credentials))
 //	conn, err := pool.Conn(address)
-//	ctx, sent := mtconn.Watch(ctx)
+//	ctx, sent := mtconn.TrackSend(ctx)
 //	reply, err := mtwire.NewPeerClient(conn).Relay(ctx, request)
 //	if err != nil {
-//		return mtconn.Explain(ctx, err, sent, retry)
+//		return mtconn.ClassifyError(ctx, err, sent, retry)
 //	}
 //
 // A Pool is safe for concurrent use.
@@ -69,9 +69,9 @@
 	return conn, nil
 }
 
-// Take removes the connection to an address from the pool without closing it, so that the
+// Detach removes the connection to an address from the pool without closing it, so that the
 // next call opens a new one. It returns nil if there is none.
-func (p *Pool) Take(address string) *grpc.ClientConn {
+func (p *Pool) Detach(address string) *grpc.ClientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	conn := p.conns[address]
@@ -82,15 +82,15 @@
 // Forget closes the connection to an address and removes it from the pool. It is meant for
 // addresses that no record contains any more.
 func (p *Pool) Forget(address string) {
-	if conn := p.Take(address); conn != nil {
+	if conn := p.Detach(address); conn != nil {
 		_ = conn.Close()
 	}
 }
 
-// Explain converts the error of a failed call. If the message was never sent, it returns a
-// *mtreply.RefusedError with retry as the time after which to retry, else a
+// ClassifyError converts the error of a failed call. If the message was never sent, it
+// returns a *mtreply.RefusedError with retry as the time after which to retry, else a
 // *mtreply.UnknownError.
-func Explain(ctx context.Context, err error, sent *atomic.Bool, retry time.Duration) error {
+func ClassifyError(ctx context.Context, err error, sent *atomic.Bool, retry time.Duration) error {
 	if !sent.Load() {
 		return &mtreply.RefusedError{Cause: mtreply.CauseUnreachable, RetryAfter: retry, Detail: err.Error()}
 	}
--- a/io/mtconn/sent.go
+++ b/io/mtconn/sent.go
@@ -7,12 +7,12 @@
 	"google.golang.org/grpc/stats"
 )
 
-// sentKey is the context key of the flag that Watch returns.
+// sentKey is the context key of the flag that TrackSend returns.
 type sentKey struct{}
 
-// Watch returns a context for one call, and a flag that is set as soon as the message of
+// TrackSend returns a context for one call, and a flag that is set as soon as the message of
 // the call is passed to the transport.
-func Watch(ctx context.Context) (context.Context, *atomic.Bool) {
+func TrackSend(ctx context.Context) (context.Context, *atomic.Bool) {
 	sent := &atomic.Bool{}
 	return context.WithValue(ctx, sentKey{}, sent), sent
 }
--- a/io/mtdaemon/admin.go
+++ b/io/mtdaemon/admin.go
@@ -54,7 +54,7 @@
 	options := mtadmin.Options(mtkernel.MustLookup[*credentialSet](d.kernel, NameKeys).admin())
 	listener := mtlisten.Start(mtkernel.MustLookup[*sockets](d.kernel, NameSockets).admin, server.Handler(), options)
 	return mtkernel.Register(d.kernel, NameAdmin, server, func() {
-		ctx, cancel := context.WithTimeout(context.Background(), mtlisten.Grace)
+		ctx, cancel := context.WithTimeout(context.Background(), mtlisten.DefaultGrace)
 		defer cancel()
 		listener.Shutdown(ctx)
 		self.close()
--- a/io/mtdaemon/listen.go
+++ b/io/mtdaemon/listen.go
@@ -114,11 +114,11 @@
 // listen serves the sockets of callers, daemons and the backend server.
 func (d *Daemon) listen() error {
 	s := mtkernel.MustLookup[*sockets](d.kernel, NameSockets)
-	options := mtlisten.Options{Connections: connections, Read: readTimeout}
+	options := mtlisten.Options{MaxConnections: connections, ReadTimeout: readTimeout}
 	l := &listeners{
 		callers: mtlisten.Start(s.callers, d.callers(), options),
 		local:   mtlisten.Start(s.local, d.local(), options),
-		peers:   mtlisten.Limit(s.peers, connections),
+		peers:   mtlisten.LimitConnections(s.peers, connections),
 		grpc:    d.peers(),
 		stop:    make(chan struct{}),
 	}
@@ -167,11 +167,11 @@
 		grpc.Creds(mtkernel.MustLookup[*credentialSet](d.kernel, NameKeys).server()),
 		grpc.MaxRecvMsgSize(size),
 		grpc.MaxSendMsgSize(size),
-		grpc.MaxHeaderListSize(mtlisten.HeaderBytes),
+		grpc.MaxHeaderListSize(mtlisten.MaxHeaderBytes),
 		grpc.MaxConcurrentStreams(streams),
 		// A client that connects and says nothing would else hold its place for
 		// two minutes, and enough of them would shut the other daemons out.
-		grpc.ConnectionTimeout(mtlisten.HeaderTime),
+		grpc.ConnectionTimeout(mtlisten.HeaderTimeout),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: pingEvery, PermitWithoutStream: true}),
 	)
 	view := mtkernel.MustLookup[*mtview.View](d.kernel, NameView)
--- a/io/mtforward/mtforward.go
+++ b/io/mtforward/mtforward.go
@@ -10,7 +10,7 @@
 //
 //	client, cleanUp := mtforward.NewClient(clock, exchange)
 //	answer, err := client.Forward(ctx, daemon, address, call)
-//	mtforward.Register(grpcServer, mtforward.Server{Host: host, Clock: clock, News: exchange, Teach: teach})
+//	mtforward.Register(grpcServer, mtforward.Server{Host: host, Clock: clock, Exchange: exchange, ServeChanges: serve})
 //
 // Forward fails with a *mtreply.RefusedError if the call was not run, and with a
 // *mtreply.UnknownError if it may have run. All types are safe for concurrent use.
@@ -48,7 +48,7 @@
 	// abandoned then still reaches its server. A call that isn't idempotent has no such
 	// timeout: it can't be sent again, and its reply may still arrive. 60 kB took 1.8 s
 	// over a shared link of 10 Mbit/s, and with the timeout the caller got a 502 while
-	// the server began to process the call. Learn allows the same time beyond its wait.
+	// the server began to process the call. PullChanges allows the same time beyond its wait.
 	headerTimeout = 1500 * time.Millisecond
 	// detachedLifetime is the time after which a connection that was removed from the
 	// pool is closed. Calls on it may still be answered until their deadlines.
@@ -57,11 +57,11 @@
 	// connections to hundreds of others, and most messages are smaller. Write buffers
 	// are shared, since few connections write at the same time.
 	bufferSize = 8 << 10
-	// Window is the flow control window in bytes: how much may be in transit to a
+	// FlowWindow is the flow control window in bytes: how much may be in transit to a
 	// receiver. Setting it turns off gRPC's bandwidth estimation, which sends a ping for
 	// each burst of data. For nine daemons on a day with little traffic, this lowered
 	// the CPU time from 11.5 s to 10.3 s.
-	Window = 1 << 20
+	FlowWindow = 1 << 20
 	// maxMessageSize is the size of the largest message, in bytes.
 	maxMessageSize = 72 << 20
 	// unreachableRetry is the Retry-After of a call whose daemon can't be reached:
@@ -76,54 +76,54 @@
 	MinConnectTimeout: 500 * time.Millisecond,
 }
 
-// Report is the last load that a daemon reported, and when the report was received.
-type Report struct {
+// LoadReport is the last load that a daemon reported, and when the report was received.
+type LoadReport struct {
 	mtcall.Load
-	At mtclock.Instant
+	ReceivedAt mtclock.Instant
 }
 
-// News summarizes which versions of the shared state a daemon has received. Daemons
+// StateSummary summarizes which versions of the shared state a daemon has received. Daemons
 // compare their summaries to detect that one of them missed an update.
-type News struct {
-	Config mtid.Version  // version of the configuration in force
-	Seen   mtid.Version  // highest version of all records and assignments
-	Zones  mtzone.Digest // of the zones that are out of service
+type StateSummary struct {
+	ConfigVersion mtid.Version  // version of the configuration in force
+	NewestVersion mtid.Version  // highest version of all records and assignments
+	Zones         mtzone.Digest // of the zones that are out of service
 	// Age is the time since the daemon last knew for certain that its configuration
 	// and its set of zones out of service were the newest.
 	Age time.Duration
 }
 
-// Exchange provides this daemon's summary of the shared state to other daemons and
+// StateExchange provides this daemon's summary of the shared state to other daemons and
 // receives theirs. Calls, load requests and requests for changes carry them both ways.
-type Exchange struct {
-	Tell func() News // returns the summary of this daemon
-	// Hear processes the summary of another daemon. If it came in a reply, sent is when
+type StateExchange struct {
+	Summarize func() StateSummary // returns the summary of this daemon
+	// Receive processes the summary of another daemon. If it came in a reply, sent is when
 	// the request was sent. If it came in a request, sent is zero, because the time
 	// that it spent in transit is unknown.
-	Hear func(news News, sent mtclock.Instant)
+	Receive func(remote StateSummary, sent mtclock.Instant)
 }
 
 // Client sends calls to other daemons, over one connection to each of them.
 type Client struct {
 	clock    clock
-	exchange Exchange
+	exchange StateExchange
 	pool     *mtconn.Pool
 	ctx      context.Context // canceled by the clean-up, ends the probes
 	probes   sync.WaitGroup
 	mu       sync.Mutex
-	reports  map[mtid.Daemon]Report
+	reports  map[mtid.Daemon]LoadReport
 	detector *mtsilence.Detector
 }
 
 // NewClient returns a client and its clean-up function, which stops the probes and
 // closes all connections.
-func NewClient(c clock, exchange Exchange) (*Client, func()) {
+func NewClient(c clock, exchange StateExchange) (*Client, func()) {
 	pool, cleanUp := mtconn.New(
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithConnectParams(connectParams),
 		grpc.WithContextDialer(dial),
-		grpc.WithInitialWindowSize(Window),
-		grpc.WithInitialConnWindowSize(Window),
+		grpc.WithInitialWindowSize(FlowWindow),
+		grpc.WithInitialConnWindowSize(FlowWindow),
 		grpc.WithReadBufferSize(bufferSize),
 		grpc.WithWriteBufferSize(bufferSize),
 		grpc.WithSharedWriteBuffer(true),
@@ -132,7 +132,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	client := &Client{
 		clock: c, exchange: exchange, pool: pool, ctx: ctx,
-		reports: make(map[mtid.Daemon]Report), detector: mtsilence.New(),
+		reports: make(map[mtid.Daemon]LoadReport), detector: mtsilence.New(),
 	}
 	return client, func() {
 		cancel()
@@ -156,7 +156,7 @@
 	if c.ctx.Err() != nil || !c.detector.Suspect(c.clock.Now(), address) {
 		return
 	}
-	if conn := c.pool.Take(address); conn != nil {
+	if conn := c.pool.Detach(address); conn != nil {
 		time.AfterFunc(detachedLifetime, func() { _ = conn.Close() })
 	}
 	c.probes.Go(func() { c.probe(daemon, address) })
@@ -167,7 +167,7 @@
 func (c *Client) probe(daemon mtid.Daemon, address string) {
 	for {
 		ctx, cancel := context.WithTimeout(c.ctx, c.responseTimeout(address))
-		err := c.Observe(ctx, daemon, address)
+		err := c.QueryLoad(ctx, daemon, address)
 		cancel()
 		if err == nil {
 			return
@@ -181,9 +181,9 @@
 	}
 }
 
-// Silent reports whether the daemon at the address is unresponsive, so that it must not
+// Unresponsive reports whether the daemon at the address is unresponsive, so that it must not
 // get calls.
-func (c *Client) Silent(address string) bool {
+func (c *Client) Unresponsive(address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.detector.Unresponsive(c.clock.Now(), address)
@@ -203,8 +203,8 @@
 	c.detector.Answered(address, c.clock.Now().Sub(since))
 }
 
-// Report returns the last load that a daemon reported, or false if it reported none.
-func (c *Client) Report(daemon mtid.Daemon) (Report, bool) {
+// LoadReport returns the last load that a daemon reported, or false if it reported none.
+func (c *Client) LoadReport(daemon mtid.Daemon) (LoadReport, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r, ok := c.reports[daemon]
@@ -218,29 +218,29 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reports[daemon] = Report{Load: loadFromWire(w), At: c.clock.Now()}
+	c.reports[daemon] = LoadReport{Load: loadFromWire(w), ReceivedAt: c.clock.Now()}
 }
 
-// Observe requests the load of a daemon, stores it for Report and exchanges summaries of
-// the shared state.
-func (c *Client) Observe(ctx context.Context, daemon mtid.Daemon, address string) error {
+// QueryLoad requests the load of a daemon, stores it for LoadReport and exchanges
+// summaries of the shared state.
+func (c *Client) QueryLoad(ctx context.Context, daemon mtid.Daemon, address string) error {
 	conn, err := c.pool.Conn(address)
 	if err != nil {
 		return err
 	}
 	sent := c.clock.Now()
-	load, err := mtwire.NewForwarderClient(conn).Observe(ctx, &mtwire.ObserveRequest{News: newsToWire(c.exchange.Tell())})
+	load, err := mtwire.NewForwarderClient(conn).Observe(ctx, &mtwire.ObserveRequest{News: summaryToWire(c.exchange.Summarize())})
 	if err != nil {
 		return &mtreply.UnknownError{Cause: mtreply.CauseLost, Err: err}
 	}
 	c.recordResponse(address, sent)
 	c.recordLoad(daemon, load)
-	c.exchange.Hear(newsFromWire(load.GetNews()), sent)
+	c.exchange.Receive(summaryFromWire(load.GetNews()), sent)
 	return nil
 }
 
-// Question is a request for changes of the store that a daemon sends to its upstream.
-type Question struct {
+// ChangesRequest is a request for changes of the store that a daemon sends to its upstream.
+type ChangesRequest struct {
 	After  mtid.Revision         // requests the changes after this revision
 	Epochs map[string]mtid.Epoch // epochs up to which assignments are known, by entry name
 	Wait   time.Duration         // how long to wait for a change if there is none yet
@@ -251,41 +251,41 @@
 	Age time.Duration
 }
 
-// Lesson is the reply of an upstream to a Question.
-type Lesson struct {
+// ChangesReply is the reply of an upstream to a ChangesRequest.
+type ChangesReply struct {
 	Changes mtstore.Changes
 	Hops    int // distance of the upstream from the store; 1 if it watches the store itself
 }
 
-// Learn waits for changes of the store that the daemon at the address receives. The entry
-// of an assignment that is known up to an epoch holds a patch. Learn fails with a
+// PullChanges waits for changes of the store that the daemon at the address receives. The
+// entry of an assignment that is known up to an epoch holds a patch. PullChanges fails with a
 // *mtstore.UnavailableError if the other daemon does not receive changes itself.
-func (c *Client) Learn(ctx context.Context, address string, q Question) (Lesson, error) {
+func (c *Client) PullChanges(ctx context.Context, address string, q ChangesRequest) (ChangesReply, error) {
 	conn, err := c.pool.Conn(address)
 	if err != nil {
-		return Lesson{}, err
+		return ChangesReply{}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, q.Wait+headerTimeout)
 	defer cancel()
-	request := &mtwire.LearnRequest{After: uint64(q.After), WaitMs: q.Wait.Milliseconds(), Relays: q.Relays, News: newsToWire(c.exchange.Tell())}
+	request := &mtwire.LearnRequest{After: uint64(q.After), WaitMs: q.Wait.Milliseconds(), Relays: q.Relays, News: summaryToWire(c.exchange.Summarize())}
 	for name, epoch := range q.Epochs {
 		request.Epochs = append(request.Epochs, &mtwire.LearnEpoch{Name: name, Next: uint64(epoch)})
 	}
 	sent := c.clock.Now()
 	w, err := mtwire.NewForwarderClient(conn).Learn(ctx, request)
 	if err != nil {
-		return Lesson{}, &mtstore.UnavailableError{Op: "learn", Err: err}
+		return ChangesReply{}, &mtstore.UnavailableError{Op: "learn", Err: err}
 	}
-	c.exchange.Hear(newsFromWire(w.GetNews()), sent)
-	reply := Lesson{Changes: mtstore.Changes{Revision: mtid.Revision(w.GetRevision())}, Hops: int(w.GetHops())}
+	c.exchange.Receive(summaryFromWire(w.GetNews()), sent)
+	reply := ChangesReply{Changes: mtstore.Changes{Revision: mtid.Revision(w.GetRevision())}, Hops: int(w.GetHops())}
 	for _, e := range w.GetEntries() {
 		reply.Changes.Entries = append(reply.Changes.Entries, entryFromWire(e))
 	}
 	return reply, nil
 }
 
-// Inform pushes a write of an assignment to a daemon that it affects.
-func (c *Client) Inform(ctx context.Context, address string, entry mtstore.Entry) error {
+// PushAssignment pushes a write of an assignment to a daemon that it affects.
+func (c *Client) PushAssignment(ctx context.Context, address string, entry mtstore.Entry) error {
 	conn, err := c.pool.Conn(address)
 	if err != nil {
 		return err
@@ -304,10 +304,10 @@
 	if err != nil {
 		return nil, mtstore.Entry{}, err
 	}
-	watched, sent := mtconn.Watch(ctx)
+	watched, sent := mtconn.TrackSend(ctx)
 	w, err := mtwire.NewForwarderClient(conn).Commit(watched, b.Wire())
 	if err != nil {
-		return nil, mtstore.Entry{}, mtconn.Explain(ctx, err, sent, unreachableRetry)
+		return nil, mtstore.Entry{}, mtconn.ClassifyError(ctx, err, sent, unreachableRetry)
 	}
 	outcomes := make([]mtrange.Outcome, len(b.Transfers))
 	for i := range outcomes {
@@ -328,29 +328,29 @@
 	now := c.clock.Now()
 	ctx, cancel := context.WithTimeout(ctx, call.Deadline.Sub(now))
 	defer cancel()
-	watched, sent := mtconn.Watch(ctx)
+	watched, sent := mtconn.TrackSend(ctx)
 	inner, cancelCall := context.WithCancel(watched)
 	defer cancelCall()
 	stream, err := mtwire.NewForwarderClient(conn).Forward(inner, c.forwardRequest(now, call))
 	if err != nil {
-		return nil, mtconn.Explain(ctx, err, sent, unreachableRetry)
+		return nil, mtconn.ClassifyError(ctx, err, sent, unreachableRetry)
 	}
 	if err := c.awaitHeader(stream, daemon, address, call.Idempotent, cancelCall); err != nil {
-		return nil, mtconn.Explain(ctx, err, sent, unreachableRetry)
+		return nil, mtconn.ClassifyError(ctx, err, sent, unreachableRetry)
 	}
 	w, err := stream.Recv()
 	if err != nil {
-		return nil, mtconn.Explain(ctx, err, sent, unreachableRetry)
+		return nil, mtconn.ClassifyError(ctx, err, sent, unreachableRetry)
 	}
 	c.recordLoad(daemon, w.GetLoad())
-	c.exchange.Hear(newsFromWire(w.GetNews()), now)
+	c.exchange.Receive(summaryFromWire(w.GetNews()), now)
 	return replyFromWire(w)
 }
 
 // forwardRequest encodes a call, together with this daemon's summary of the shared state.
 func (c *Client) forwardRequest(now mtclock.Instant, call *mtcall.Call) *mtwire.ForwardRequest {
 	w := callToWire(now, call)
-	w.News = newsToWire(c.exchange.Tell())
+	w.News = summaryToWire(c.exchange.Summarize())
 	return w
 }
 
--- a/io/mtforward/mtforward_test.go
+++ b/io/mtforward/mtforward_test.go
@@ -36,24 +36,24 @@
 	return mtcall.Load{Running: 3, Waiting: 2, Slots: 10, ServiceTime: time.Second, Demand: 1.5}
 }
 
-// newsLog records the summaries that a daemon receives.
-type newsLog struct{ received chan mtforward.News }
+// summaryLog records the summaries that a daemon receives.
+type summaryLog struct{ received chan mtforward.StateSummary }
 
-func exchange(local mtforward.News) (mtforward.Exchange, *newsLog) {
-	n := &newsLog{received: make(chan mtforward.News, 100)}
-	return mtforward.Exchange{Tell: func() mtforward.News { return local }, Hear: func(remote mtforward.News, _ mtclock.Instant) { n.received <- remote }}, n
+func exchange(local mtforward.StateSummary) (mtforward.StateExchange, *summaryLog) {
+	log := &summaryLog{received: make(chan mtforward.StateSummary, 100)}
+	return mtforward.StateExchange{Summarize: func() mtforward.StateSummary { return local }, Receive: func(remote mtforward.StateSummary, _ mtclock.Instant) { log.received <- remote }}, log
 }
 
-func serve(t *testing.T, h *host) (address string, received *newsLog) {
+func serve(t *testing.T, h *host) (address string, received *summaryLog) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	server := grpc.NewServer()
-	local, received := exchange(mtforward.News{Config: 7, Seen: 70})
+	local, received := exchange(mtforward.StateSummary{ConfigVersion: 7, NewestVersion: 70})
 	mtforward.Register(server, mtforward.Server{
-		Host: h, Clock: mttime.New(), News: local,
-		Teach: func(context.Context, mtforward.Question) (mtforward.Lesson, error) {
-			return mtforward.Lesson{}, &mtstore.UnavailableError{Op: "teach", Err: errors.New("store is not watched")}
+		Host: h, Clock: mttime.New(), Exchange: local,
+		ServeChanges: func(context.Context, mtforward.ChangesRequest) (mtforward.ChangesReply, error) {
+			return mtforward.ChangesReply{}, &mtstore.UnavailableError{Op: "teach", Err: errors.New("store is not watched")}
 		},
 	})
 	go func() { _ = server.Serve(listener) }()
@@ -61,10 +61,10 @@
 	return listener.Addr().String(), received
 }
 
-func client(t *testing.T) (*mtforward.Client, *mttime.Clock, *newsLog) {
+func client(t *testing.T) (*mtforward.Client, *mttime.Clock, *summaryLog) {
 	t.Helper()
 	clock := mttime.New()
-	local, received := exchange(mtforward.News{Config: 5, Seen: 50})
+	local, received := exchange(mtforward.StateSummary{ConfigVersion: 5, NewestVersion: 50})
 	c, cleanUp := mtforward.NewClient(clock, local)
 	t.Cleanup(cleanUp)
 	return c, clock, received
@@ -82,11 +82,11 @@
 func TestCallAndAnswerAreTransmittedUnchanged(t *testing.T) {
 	var got *mtcall.Call
 	want := &mtcall.Answer{Status: 201, Header: []mtcall.Field{{Name: "Y", Value: "3"}}, Body: []byte("tea"), Queued: time.Millisecond, Served: time.Second}
-	address, serverNews := serve(t, &host{run: func(_ context.Context, c *mtcall.Call) (*mtcall.Answer, error) {
+	address, serverLog := serve(t, &host{run: func(_ context.Context, c *mtcall.Call) (*mtcall.Answer, error) {
 		got = c
 		return want, nil
 	}})
-	c, clock, clientNews := client(t)
+	c, clock, clientLog := client(t)
 	sent := call(clock)
 	answer, err := c.Forward(t.Context(), "b", address, sent)
 	assert.NilError(t, err)
@@ -95,11 +95,11 @@
 	assert.Assert(t, got.Objective < got.Deadline)
 	got.Objective, got.Deadline = sent.Objective, sent.Deadline
 	assert.DeepEqual(t, got, sent)
-	report, ok := c.Report("b")
+	report, ok := c.LoadReport("b")
 	assert.Assert(t, ok)
 	assert.Equal(t, report.Waiting, 2)
-	assert.Equal(t, (<-serverNews.received).Seen, mtid.Version(50))
-	assert.Equal(t, (<-clientNews.received).Seen, mtid.Version(70))
+	assert.Equal(t, (<-serverLog.received).NewestVersion, mtid.Version(50))
+	assert.Equal(t, (<-clientLog.received).NewestVersion, mtid.Version(70))
 }
 
 func TestErrorTypesArePreserved(t *testing.T) {
@@ -143,7 +143,7 @@
 	assert.Assert(t, errors.As(err, &unknown), "%v", err)
 	assert.Equal(t, unknown.Cause, mtreply.CauseLost)
 	assert.Assert(t, clock.Now().Before(sent.Deadline), "the call ended only at its deadline")
-	assert.Assert(t, c.Silent(proxied))
+	assert.Assert(t, c.Unresponsive(proxied))
 }
 
 // proxy forwards bytes until it is frozen. Then connections stay open, but nothing
@@ -282,10 +282,10 @@
 	freeze()
 	_, err = c.Forward(t.Context(), "b", proxied, call(clock))
 	assert.Assert(t, err != nil)
-	assert.Assert(t, c.Silent(proxied))
+	assert.Assert(t, c.Unresponsive(proxied))
 	thaw()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if c.Silent(proxied) {
+		if c.Unresponsive(proxied) {
 			return poll.Continue("still marked as unresponsive")
 		}
 		return poll.Success()
@@ -334,7 +334,7 @@
 func TestDaemonWithoutChangesDoesNotServeThem(t *testing.T) {
 	address, _ := serve(t, &host{})
 	c, _, _ := client(t)
-	_, err := c.Learn(t.Context(), address, mtforward.Question{After: 5, Wait: time.Second})
+	_, err := c.PullChanges(t.Context(), address, mtforward.ChangesRequest{After: 5, Wait: time.Second})
 	var unavailable *mtstore.UnavailableError
 	assert.Assert(t, errors.As(err, &unavailable), "%v", err)
 }
--- a/io/mtforward/server.go
+++ b/io/mtforward/server.go
@@ -28,65 +28,65 @@
 
 // Server holds the handlers for the requests of other daemons.
 type Server struct {
-	Host  host
-	Clock clock
-	News  Exchange
-	// Teach waits for changes of the store on behalf of another daemon. It fails with
+	Host     host
+	Clock    clock
+	Exchange StateExchange
+	// ServeChanges waits for changes of the store on behalf of another daemon. It fails with
 	// a *mtstore.UnavailableError if this daemon does not receive them itself: two
 	// daemons that were each other's upstream would both miss all changes.
-	Teach teachFunc
-	// Inform receives writes of assignments that other daemons push, because they affect
+	ServeChanges changesFunc
+	// ReceiveAssignment receives writes of assignments that other daemons push, because they affect
 	// this daemon.
-	Inform func(mtstore.Entry)
+	ReceiveAssignment func(mtstore.Entry)
 	// Commit writes ownership transfers on behalf of another daemon. It returns the
 	// outcome of each transfer and the changes of the assignment.
 	Commit func(context.Context, mtrange.Batch) ([]mtrange.Outcome, mtstore.Entry)
 }
 
-type teachFunc = func(ctx context.Context, q Question) (Lesson, error)
+type changesFunc = func(ctx context.Context, q ChangesRequest) (ChangesReply, error)
 
 // server implements mtwire.ForwarderServer.
 type server struct {
 	mtwire.UnimplementedForwarderServer
-	host     host
-	clock    clock
-	exchange Exchange
-	teach    teachFunc
-	inform   func(mtstore.Entry)
-	commit   func(context.Context, mtrange.Batch) ([]mtrange.Outcome, mtstore.Entry)
+	host              host
+	clock             clock
+	exchange          StateExchange
+	serveChanges      changesFunc
+	receiveAssignment func(mtstore.Entry)
+	commit            func(context.Context, mtrange.Batch) ([]mtrange.Outcome, mtstore.Entry)
 }
 
 // Register registers the Forwarder service with a gRPC server.
 func Register(r grpc.ServiceRegistrar, s Server) {
-	mtwire.RegisterForwarderServer(r, &server{host: s.Host, clock: s.Clock, exchange: s.News, teach: s.Teach, inform: s.Inform, commit: s.Commit})
+	mtwire.RegisterForwarderServer(r, &server{host: s.Host, clock: s.Clock, exchange: s.Exchange, serveChanges: s.ServeChanges, receiveAssignment: s.ReceiveAssignment, commit: s.Commit})
 }
 
-// maxLearnWait limits how long a request for changes may wait, whatever it asks for.
-const maxLearnWait = 30 * time.Second
+// maxChangesWait limits how long a request for changes may wait, whatever it asks for.
+const maxChangesWait = 30 * time.Second
 
 // Learn implements mtwire.ForwarderServer.
 func (s *server) Learn(ctx context.Context, w *mtwire.LearnRequest) (*mtwire.LearnReply, error) {
-	q := Question{
+	q := ChangesRequest{
 		After:  mtid.Revision(w.GetAfter()),
 		Epochs: make(map[string]mtid.Epoch, len(w.GetEpochs())),
-		Wait:   min(time.Duration(w.GetWaitMs())*time.Millisecond, maxLearnWait),
+		Wait:   min(time.Duration(w.GetWaitMs())*time.Millisecond, maxChangesWait),
 		Relays: w.GetRelays(),
 		Age:    micros(w.GetNews().GetAgeUs()),
 	}
 	for _, e := range w.GetEpochs() {
 		q.Epochs[e.GetName()] = mtid.Epoch(e.GetNext())
 	}
-	s.exchange.Hear(newsFromWire(w.GetNews()), 0)
+	s.exchange.Receive(summaryFromWire(w.GetNews()), 0)
 	arrived := s.clock.Now()
-	update, err := s.teach(ctx, q)
+	update, err := s.serveChanges(ctx, q)
 	if err != nil {
 		return nil, status.Error(codes.Unavailable, err.Error())
 	}
-	news := s.exchange.Tell()
+	summary := s.exchange.Summarize()
 	// The requesting daemon adds the time since it sent the request, which includes
 	// the wait here.
-	news.Age -= s.clock.Now().Sub(arrived)
-	reply := &mtwire.LearnReply{Revision: uint64(update.Changes.Revision), Hops: uint32(update.Hops), News: newsToWire(news)}
+	summary.Age -= s.clock.Now().Sub(arrived)
+	reply := &mtwire.LearnReply{Revision: uint64(update.Changes.Revision), Hops: uint32(update.Hops), News: summaryToWire(summary)}
 	for _, e := range update.Changes.Entries {
 		reply.Entries = append(reply.Entries, entryToWire(e))
 	}
@@ -105,7 +105,7 @@
 
 // Inform implements mtwire.ForwarderServer.
 func (s *server) Inform(_ context.Context, w *mtwire.LearnEntry) (*mtwire.InformReply, error) {
-	s.inform(entryFromWire(w))
+	s.receiveAssignment(entryFromWire(w))
 	return &mtwire.InformReply{}, nil
 }
 
@@ -128,28 +128,28 @@
 	if err := stream.SendHeader(metadata.MD{}); err != nil {
 		return err
 	}
-	s.exchange.Hear(newsFromWire(w.GetNews()), 0)
+	s.exchange.Receive(summaryFromWire(w.GetNews()), 0)
 	answer, err := s.host.Run(stream.Context(), callFromWire(s.clock.Now(), w))
 	reply := replyToWire(answer, err)
 	reply.Load = loadToWire(s.host.Load())
-	reply.News = newsToWire(s.exchange.Tell())
+	reply.News = summaryToWire(s.exchange.Summarize())
 	return stream.Send(reply)
 }
 
 // Observe implements mtwire.ForwarderServer.
 func (s *server) Observe(_ context.Context, w *mtwire.ObserveRequest) (*mtwire.ForwardLoad, error) {
-	s.exchange.Hear(newsFromWire(w.GetNews()), 0)
+	s.exchange.Receive(summaryFromWire(w.GetNews()), 0)
 	load := loadToWire(s.host.Load())
-	load.News = newsToWire(s.exchange.Tell())
+	load.News = summaryToWire(s.exchange.Summarize())
 	return load, nil
 }
 
-func newsToWire(n News) *mtwire.News {
-	return &mtwire.News{Config: uint64(n.Config), Seen: uint64(n.Seen), Zones: uint64(n.Zones), AgeUs: n.Age.Microseconds()}
+func summaryToWire(s StateSummary) *mtwire.News {
+	return &mtwire.News{Config: uint64(s.ConfigVersion), Seen: uint64(s.NewestVersion), Zones: uint64(s.Zones), AgeUs: s.Age.Microseconds()}
 }
 
-func newsFromWire(w *mtwire.News) News {
-	return News{Config: mtid.Version(w.GetConfig()), Seen: mtid.Version(w.GetSeen()), Zones: mtzone.Digest(w.GetZones()), Age: micros(w.GetAgeUs())}
+func summaryFromWire(w *mtwire.News) StateSummary {
+	return StateSummary{ConfigVersion: mtid.Version(w.GetConfig()), NewestVersion: mtid.Version(w.GetSeen()), Zones: mtzone.Digest(w.GetZones()), Age: micros(w.GetAgeUs())}
 }
 
 // Instants are encoded as the time that is left until then, because the clocks of two VMs
--- a/io/mtingress/mtingress.go
+++ b/io/mtingress/mtingress.go
@@ -59,19 +59,19 @@
 
 // Config holds the settings and dependencies of an Ingress.
 type Config struct {
-	Names   mtheader.Names
-	Service mtid.Service // service of the backend server on this VM
-	// Parent reports whether a request with this ID is nested: whether the ID is derived
+	HeaderNames mtheader.Names
+	Service     mtid.Service // service of the backend server on this VM
+	// IsNested reports whether a request with this ID is nested: whether the ID is derived
 	// from that of a request that the backend server on this VM runs.
-	Parent func(id mtcall.ID) bool
-	// Denies reports whether the configuration in force was confirmed as the newest so
+	IsNested func(id mtcall.ID) bool
+	// ConfigFresh reports whether the configuration in force was confirmed as the newest so
 	// recently that requests without a route in it can be answered with 404.
-	Denies func(now mtclock.Instant) bool
-	Send   sender
-	Clock  clock
-	Log    *slog.Logger
-	// Done is called with the outcome of each request.
-	Done func(call *mtcall.Call, answer *mtcall.Answer, status int, err error, took time.Duration)
+	ConfigFresh func(now mtclock.Instant) bool
+	Sender      sender
+	Clock       clock
+	Log         *slog.Logger
+	// OnCompletion is called with the outcome of each request.
+	OnCompletion func(call *mtcall.Call, answer *mtcall.Answer, status int, err error, took time.Duration)
 }
 
 // Ingress handles the HTTP requests of callers.
@@ -116,10 +116,10 @@
 // Configuration returns the configuration in force, or nil if there is none yet.
 func (in *Ingress) Configuration() *mtroute.Config { return in.config.Load() }
 
-// Retire begins a shutdown: each response from now on closes its connection. Calls that
+// BeginShutdown begins a shutdown: each response from now on closes its connection. Calls that
 // are still in flight at the instant end get their final responses then, because the
 // caller of a connection that closes without a response can't tell what happened.
-func (in *Ingress) Retire(end mtclock.Instant) {
+func (in *Ingress) BeginShutdown(end mtclock.Instant) {
 	in.end.Store(int64(end))
 	in.closing.Store(true)
 	time.AfterFunc(end.Sub(in.Clock.Now()), in.endLifetime)
@@ -146,33 +146,33 @@
 	call, route, err := in.parseRequest(arrived, r)
 	if err != nil {
 		in.writeError(w, call, err)
-		in.Done(call, nil, w.Status, err, in.Clock.Now().Sub(arrived))
+		in.OnCompletion(call, nil, w.Status, err, in.Clock.Now().Sub(arrived))
 		return nil
 	}
 	ctx, cancel := in.callContext(r.Context(), call.Deadline.Sub(arrived))
 	defer cancel()
-	answer, err := in.Send.Send(ctx, call, route.MaxAttempts)
+	answer, err := in.Sender.Send(ctx, call, route.MaxAttempts)
 	if err == nil {
 		err = in.writeAnswer(w, call, answer)
 	} else {
 		in.writeError(w, call, err)
 	}
 	in.recordFailure(call, w.Status)
-	in.Done(call, answer, w.Status, err, in.Clock.Now().Sub(arrived))
+	in.OnCompletion(call, answer, w.Status, err, in.Clock.Now().Sub(arrived))
 	return nil
 }
 
 // parseRequest converts a request to a call. If it fails, the call holds what is known.
 func (in *Ingress) parseRequest(now mtclock.Instant, r *http.Request) (*mtcall.Call, *mtroute.Route, error) {
 	call := &mtcall.Call{
-		ID: mtcall.ID(r.Header.Get(in.Names.ID)), Method: r.Method, Target: r.RequestURI, Host: r.Host, Caller: in.Service, Arrived: now,
+		ID: mtcall.ID(r.Header.Get(in.HeaderNames.ID)), Method: r.Method, Target: r.RequestURI, Host: r.Host, Caller: in.Service, Arrived: now,
 	}
 	config := in.config.Load()
 	if config == nil {
 		return call, nil, &mtreply.RefusedError{Cause: mtreply.CauseNoService, RetryAfter: unconfiguredRetry, Detail: "no configuration is known yet"}
 	}
 	route, ok := config.Match(r.Host, r.RequestURI)
-	if !ok && !in.Denies(now) {
+	if !ok && !in.ConfigFresh(now) {
 		return call, nil, &mtreply.RefusedError{Cause: mtreply.CauseNoService, RetryAfter: unconfiguredRetry, Detail: "the route may be newer than the configuration"}
 	}
 	if !ok {
@@ -182,10 +182,10 @@
 		return call, nil, &requestError{status: http.StatusBadRequest, reason: "request ID is missing or too long"}
 	}
 	call.Route, call.Idempotent, call.Priority = route.Name, route.Idempotent, route.Priority
-	call.Nested = in.Parent(call.ID)
+	call.Nested = in.IsNested(call.ID)
 	call.Objective, call.TypicalService = now.Add(route.Objective), route.ExpectedDuration()
 	left := route.Timeout
-	if ms, err := strconv.ParseInt(r.Header.Get(in.Names.Deadline), 10, 64); err == nil {
+	if ms, err := strconv.ParseInt(r.Header.Get(in.HeaderNames.Deadline), 10, 64); err == nil {
 		given := time.Duration(ms) * time.Millisecond
 		left = min(left, given)
 		call.CallerDeadline = now.Add(given)
@@ -235,7 +235,7 @@
 	if !config.Services[call.Service].Keyed {
 		return nil
 	}
-	n, err := strconv.ParseUint(r.Header.Get(in.Names.Key), 10, 16)
+	n, err := strconv.ParseUint(r.Header.Get(in.HeaderNames.Key), 10, 16)
 	if err != nil {
 		return &requestError{status: http.StatusBadRequest, reason: "key is missing or not a number up to 65535"}
 	}
@@ -282,7 +282,7 @@
 // reserved reports whether this system sets a header field itself, so that the value of a
 // caller must not be forwarded.
 func (in *Ingress) reserved(name string) bool {
-	n := in.Names
+	n := in.HeaderNames
 	return name == n.ID || name == n.Deadline || name == n.Key || name == n.Caller || name == n.TargetServer
 }
 
@@ -345,7 +345,7 @@
 func (in *Ingress) writeError(w http.ResponseWriter, call *mtcall.Call, err error) {
 	h := w.Header()
 	if call.ID != "" {
-		h.Set(in.Names.ID, string(call.ID))
+		h.Set(in.HeaderNames.ID, string(call.ID))
 	}
 	status, retry := Status(err)
 	if retry >= 0 {
--- a/io/mtingress/send.go
+++ b/io/mtingress/send.go
@@ -35,8 +35,8 @@
 // peers forwards calls to other daemons and reports their state.
 type peers interface {
 	Forward(ctx context.Context, daemon mtid.Daemon, address string, call *mtcall.Call) (*mtcall.Answer, error)
-	Report(daemon mtid.Daemon) (mtforward.Report, bool)
-	Silent(address string) bool
+	LoadReport(daemon mtid.Daemon) (mtforward.LoadReport, bool)
+	Unresponsive(address string) bool
 }
 
 const (
@@ -70,10 +70,10 @@
 	otherZoneCost = 1.0
 )
 
-// Retries is the fraction of a retry that each first try of a service adds to the retry
+// RetryFraction is the fraction of a retry that each first try of a service adds to the retry
 // budget. The limit for all daemons together is a fifth of the requests. It also covers
 // the nested calls of a retried request, which can't be distinguished from retries.
-const Retries = 0.08
+const RetryFraction = 0.08
 
 // SenderConfig holds the settings and dependencies of a Sender.
 type SenderConfig struct {
@@ -83,7 +83,7 @@
 	Host      host
 	Peers     peers
 	Clock     clock
-	Steady    func() mtclock.Instant
+	Steady    func() mtclock.Instant // monotonic clock, for the ages of records
 	Log       *slog.Logger
 	Random    *rand.Rand
 }
@@ -144,7 +144,7 @@
 func (s *Sender) Send(ctx context.Context, call *mtcall.Call, attempts int) (*mtcall.Answer, error) {
 	flow := mtretry.Flow{Class: mtid.Class(call.Service)}
 	s.mu.Lock()
-	s.retry.Declare(flow, Retries)
+	s.retry.Declare(flow, RetryFraction)
 	s.retry.First(flow)
 	s.mu.Unlock()
 	state := &sending{}
@@ -405,7 +405,7 @@
 	if member.Daemon == s.Self {
 		return s.Host.Run(ctx, call)
 	}
-	if s.Peers.Silent(member.Address) {
+	if s.Peers.Unresponsive(member.Address) {
 		return nil, &mtreply.RefusedError{Cause: mtreply.CauseUnreachable, RetryAfter: ownerRetry, Detail: "the daemon has been silent"}
 	}
 	return s.Peers.Forward(ctx, member.Daemon, member.Address, call)
@@ -417,11 +417,11 @@
 		load := s.Host.Load()
 		return mtchoice.Report{Busy: load.Running + load.Waiting, Service: load.ServiceTime, At: s.Clock.Now()}
 	}
-	r, ok := s.Peers.Report(member.Daemon)
+	r, ok := s.Peers.LoadReport(member.Daemon)
 	if !ok {
 		return mtchoice.Report{}
 	}
-	return mtchoice.Report{Busy: r.Running + r.Waiting, Service: r.ServiceTime, At: r.At}
+	return mtchoice.Report{Busy: r.Running + r.Waiting, Service: r.ServiceTime, At: r.ReceivedAt}
 }
 
 // resultKind classifies the result of a try by what it shows about the server.
--- a/io/mtingress/send_test.go
+++ b/io/mtingress/send_test.go
@@ -44,9 +44,11 @@
 	return p.answer(len(p.sent))
 }
 
-func (*fakePeers) Report(mtid.Daemon) (mtforward.Report, bool) { return mtforward.Report{}, false }
+func (*fakePeers) LoadReport(mtid.Daemon) (mtforward.LoadReport, bool) {
+	return mtforward.LoadReport{}, false
+}
 
-func (*fakePeers) Silent(string) bool { return false }
+func (*fakePeers) Unresponsive(string) bool { return false }
 
 type host struct{}
 
@@ -273,9 +275,9 @@
 	t.Helper()
 	clock := mttime.New()
 	ingress := mtingress.New(mtingress.Config{
-		Denies: func(mtclock.Instant) bool { return true },
-		Names:  mtheader.DefaultNames, Service: "own", Parent: func(mtcall.ID) bool { return false }, Send: s, Clock: clock, Log: slog.New(slog.DiscardHandler),
-		Done: func(*mtcall.Call, *mtcall.Answer, int, error, time.Duration) {},
+		ConfigFresh: func(mtclock.Instant) bool { return true },
+		HeaderNames: mtheader.DefaultNames, Service: "own", IsNested: func(mtcall.ID) bool { return false }, Sender: s, Clock: clock, Log: slog.New(slog.DiscardHandler),
+		OnCompletion: func(*mtcall.Call, *mtcall.Answer, int, error, time.Duration) {},
 	})
 	router := echo.New()
 	router.Any("/*", ingress.Handle)
@@ -345,7 +347,7 @@
 func TestUnknownRouteIsDeniedOnlyIfConfigurationIsFresh(t *testing.T) {
 	ingress, _, handler := newIngress(t, &fakeSender{})
 	ingress.Configure(configuration(t, 1))
-	ingress.Denies = func(mtclock.Instant) bool { return false }
+	ingress.ConfigFresh = func(mtclock.Instant) bool { return false }
 	w := httptest.NewRecorder()
 	handler.ServeHTTP(w, newRequest("/none", "1"))
 	assert.Equal(t, w.Code, http.StatusServiceUnavailable)
@@ -393,7 +395,7 @@
 		handler.ServeHTTP(w, newRequest("/desk/1", "1"))
 		done <- w
 	}()
-	ingress.Retire(clock.Now().Add(50 * time.Millisecond))
+	ingress.BeginShutdown(clock.Now().Add(50 * time.Millisecond))
 	w := <-done
 	assert.Equal(t, w.Code, http.StatusGatewayTimeout)
 }
@@ -410,9 +412,9 @@
 	s := &fakeSender{err: shed}
 	clock := &fakeClock{now: mtclock.Instant(time.Hour)}
 	ingress := mtingress.New(mtingress.Config{
-		Denies: func(mtclock.Instant) bool { return true },
-		Names:  mtheader.DefaultNames, Service: "own", Parent: func(mtcall.ID) bool { return false }, Send: s, Clock: clock, Log: slog.New(slog.DiscardHandler),
-		Done: func(*mtcall.Call, *mtcall.Answer, int, error, time.Duration) {},
+		ConfigFresh: func(mtclock.Instant) bool { return true },
+		HeaderNames: mtheader.DefaultNames, Service: "own", IsNested: func(mtcall.ID) bool { return false }, Sender: s, Clock: clock, Log: slog.New(slog.DiscardHandler),
+		OnCompletion: func(*mtcall.Call, *mtcall.Answer, int, error, time.Duration) {},
 	})
 	router := echo.New()
 	router.Any("/*", ingress.Handle)
--- a/io/mtlisten/mtlisten.go
+++ b/io/mtlisten/mtlisten.go
@@ -5,13 +5,13 @@
 // # Usage
 //
 //	server, cleanUp, err := mtlisten.Serve(settings.Admin, api.Handler(), mtlisten.Options{
-//		Connections: 256,
-//		TLS:         held.Admin(), // nil for plain HTTP
+//		MaxConnections: 256,
+//		TLS:            held.Admin(), // nil for plain HTTP
 //	})
 //	defer cleanUp()
 //
-// The clean-up stops accepting connections, waits up to Grace for requests in flight, and
-// then closes the remaining connections.
+// The clean-up stops accepting connections, waits up to Options.Grace for requests in
+// flight, and then closes the remaining connections.
 package mtlisten
 
 import (
@@ -29,10 +29,10 @@
 
 // Limits that apply to every listener.
 const (
-	HeaderTime  = 5 * time.Second  // timeout for a request header
-	IdleTime    = 60 * time.Second // timeout for the next request on a connection
-	HeaderBytes = 16 << 10         // maximum size of a request header
-	Grace       = 10 * time.Second // how long a shutdown waits for requests in flight
+	HeaderTimeout  = 5 * time.Second  // timeout for a request header
+	IdleTimeout    = 60 * time.Second // timeout for the next request on a connection
+	MaxHeaderBytes = 16 << 10         // maximum size of a request header
+	DefaultGrace   = 10 * time.Second // how long a shutdown waits for requests in flight
 
 	defaultConnections = 1024
 	// maxPipelined is how many pipelined requests of a connection are processed at once.
@@ -60,13 +60,13 @@
 
 // Options are the settings that differ between listeners.
 type Options struct {
-	Connections int           // maximum number of open connections; 0 means 1024
-	Read        time.Duration // timeout for a whole request; 0 means no limit
-	Write       time.Duration // timeout for a whole response; 0 means no limit
-	Grace       time.Duration // how long a shutdown waits for requests; 0 means the constant Grace
-	TLS         *tls.Config
+	MaxConnections int           // maximum number of open connections; 0 means 1024
+	ReadTimeout    time.Duration // timeout for a whole request; 0 means no limit
+	WriteTimeout   time.Duration // timeout for a whole response; 0 means no limit
+	Grace          time.Duration // how long a shutdown waits for requests; 0 means DefaultGrace
+	TLS            *tls.Config
 	// Pipelined processes pipelined requests concurrently, with package mtpipeline. TLS,
-	// Read, Write and ConnContext are ignored then.
+	// ReadTimeout, WriteTimeout and ConnContext are ignored then.
 	Pipelined bool
 	Log       *slog.Logger // used by a pipelined server
 	// ConnContext modifies the context of the requests on a new connection, as in
@@ -118,7 +118,7 @@
 		return nil, nil, &ListenError{Address: address, Err: err}
 	}
 	if options.Grace == 0 {
-		options.Grace = Grace
+		options.Grace = DefaultGrace
 	}
 	s := Start(listener, handler, options)
 	return s, func() {
@@ -130,11 +130,11 @@
 
 // Start serves handler on an open listener until Shutdown or Close is called.
 func Start(listener net.Listener, handler http.Handler, options Options) *Server {
-	if options.Connections == 0 {
-		options.Connections = defaultConnections
+	if options.MaxConnections == 0 {
+		options.MaxConnections = defaultConnections
 	}
 	s := &Server{listener: listener, failed: make(chan error, 1), done: make(chan struct{}), engine: newEngine(handler, options)}
-	bounded := Limit(listener, options.Connections)
+	bounded := LimitConnections(listener, options.MaxConnections)
 	go func() {
 		defer close(s.done)
 		if err := s.engine.Serve(bounded); err != http.ErrServerClosed {
@@ -146,16 +146,16 @@
 
 func newEngine(handler http.Handler, options Options) engine {
 	if options.Pipelined {
-		limits := mtpipeline.Limits{Header: HeaderBytes, HeaderTime: HeaderTime, IdleTime: IdleTime, Outstanding: maxPipelined}
+		limits := mtpipeline.Limits{MaxHeaderBytes: MaxHeaderBytes, HeaderTimeout: HeaderTimeout, IdleTimeout: IdleTimeout, MaxConcurrent: maxPipelined}
 		return &mtpipeline.Server{Handler: handler, Limits: limits, Log: options.Log}
 	}
 	server := &http.Server{
 		Handler:           handler,
-		ReadHeaderTimeout: HeaderTime,
-		ReadTimeout:       options.Read,
-		WriteTimeout:      options.Write,
-		IdleTimeout:       IdleTime,
-		MaxHeaderBytes:    HeaderBytes,
+		ReadHeaderTimeout: HeaderTimeout,
+		ReadTimeout:       options.ReadTimeout,
+		WriteTimeout:      options.WriteTimeout,
+		IdleTimeout:       IdleTimeout,
+		MaxHeaderBytes:    MaxHeaderBytes,
 		TLSConfig:         options.TLS,
 		ConnContext:       options.ConnContext,
 	}
@@ -171,11 +171,11 @@
 // Serve implements engine.
 func (s *tlsServer) Serve(l net.Listener) error { return s.ServeTLS(l, "", "") }
 
-// Limit returns a listener that accepts at most that many concurrent connections and closes
-// any further one immediately. If it stopped accepting instead, new clients would wait in
-// the accept queue of the kernel behind idle connections. A closed connection makes them
-// try another daemon.
-func Limit(listener net.Listener, maxConnections int) net.Listener {
+// LimitConnections returns a listener that accepts at most maxConnections concurrent
+// connections and closes any further one immediately. If it stopped accepting instead, new
+// clients would wait in the accept queue of the kernel behind idle connections. A closed
+// connection makes them try another daemon.
+func LimitConnections(listener net.Listener, maxConnections int) net.Listener {
 	return &limitedListener{Listener: listener, tokens: make(chan struct{}, maxConnections)}
 }
 
--- a/io/mtlisten/mtlisten_test.go
+++ b/io/mtlisten/mtlisten_test.go
@@ -16,7 +16,7 @@
 // be closed at once, and accepted again as soon as the number is below the limit.
 func TestConnectionsAreLimited(t *testing.T) {
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
-	server, cleanUp, err := mtlisten.Serve("127.0.0.1:0", handler, mtlisten.Options{Connections: 2})
+	server, cleanUp, err := mtlisten.Serve("127.0.0.1:0", handler, mtlisten.Options{MaxConnections: 2})
 	assert.NilError(t, err)
 	defer cleanUp()
 	var idle []net.Conn
--- a/io/mtmesh/commit.go
+++ b/io/mtmesh/commit.go
@@ -31,7 +31,7 @@
 func (m *Mesh) delegate(ctx context.Context, b mtrange.Batch) ([]mtrange.Outcome, bool) {
 	peers := mtkernel.MustLookup[*mtforward.Client](m.kernel, NamePeers)
 	writer, ok := m.learner.tree().PrimaryWatcher()
-	if !ok || writer.Daemon == m.config.Daemon || b.RecordVersion == 0 || peers.Silent(writer.Address) {
+	if !ok || writer.Daemon == m.config.Daemon || b.RecordVersion == 0 || peers.Unresponsive(writer.Address) {
 		return nil, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, delegateTimeout)
--- a/io/mtmesh/export_test.go
+++ b/io/mtmesh/export_test.go
@@ -27,13 +27,13 @@
 }
 
 // Teach answers another daemon.
-func (l Learner) Teach(ctx context.Context, q mtforward.Question) (mtforward.Lesson, error) {
+func (l Learner) Teach(ctx context.Context, q mtforward.ChangesRequest) (mtforward.ChangesReply, error) {
 	return l.teach(ctx, q)
 }
 
 // HearsCertainty reports whether a daemon that knows of no configuration and of no zone out of
 // service becomes certain by another one's news, which answer what was sent a moment ago.
-func HearsCertainty(theirs mtforward.News) (bool, error) {
+func HearsCertainty(theirs mtforward.StateSummary) (bool, error) {
 	m := &Mesh{kernel: mtkernel.New()}
 	if err := m.addClock(); err != nil {
 		return false, err
--- a/io/mtmesh/learn.go
+++ b/io/mtmesh/learn.go
@@ -50,7 +50,7 @@
 
 // teachers are the daemons to learn from.
 type teachers interface {
-	Learn(ctx context.Context, address string, q mtforward.Question) (mtforward.Lesson, error)
+	PullChanges(ctx context.Context, address string, q mtforward.ChangesRequest) (mtforward.ChangesReply, error)
 }
 
 // learner hears of changes: from the store itself, or from a daemon that does.
@@ -204,12 +204,12 @@
 		l.move(0)
 	}
 	view := l.view()
-	q := mtforward.Question{After: after, Relays: l.turn() != mtroute.PollFallback, Age: l.certainty.age(l.clock.Now())}
+	q := mtforward.ChangesRequest{After: after, Relays: l.turn() != mtroute.PollFallback, Age: l.certainty.age(l.clock.Now())}
 	if after != 0 {
 		q.Epochs, q.Wait = view.Epochs(), wait
 	}
 	begun := l.clock.Now()
-	lesson, err := l.peers.Learn(ctx, teacher, q)
+	lesson, err := l.peers.PullChanges(ctx, teacher, q)
 	if err != nil {
 		l.move(0)
 		return lesson.Changes, err
@@ -250,7 +250,7 @@
 
 // teach waits for changes on behalf of another daemon, or until this one is certain of its
 // configuration for so much longer that the other should hear of it.
-func (l *learner) teach(ctx context.Context, q mtforward.Question) (mtforward.Lesson, error) {
+func (l *learner) teach(ctx context.Context, q mtforward.ChangesRequest) (mtforward.ChangesReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, q.Wait)
 	defer cancel()
 	directory := l.directory()
@@ -258,13 +258,13 @@
 	for {
 		stirred := l.stirred.wait()
 		if directory == nil || !l.teaches(q.Relays) {
-			return mtforward.Lesson{}, &mtstore.UnavailableError{Op: "teach", Err: notWatching{}}
+			return mtforward.ChangesReply{}, &mtstore.UnavailableError{Op: "teach", Err: notWatching{}}
 		}
 		if _, up := directory.Up(); !up {
-			return mtforward.Lesson{}, &mtstore.UnavailableError{Op: "teach", Err: notWatching{}}
+			return mtforward.ChangesReply{}, &mtstore.UnavailableError{Op: "teach", Err: notWatching{}}
 		}
 		changes, next := directory.Since(q.After, q.Epochs)
-		lesson := mtforward.Lesson{Changes: changes, Hops: int(l.hops.Load())}
+		lesson := mtforward.ChangesReply{Changes: changes, Hops: int(l.hops.Load())}
 		if len(changes.Entries) > 0 || l.certainty.fresher(theirs) {
 			return lesson, nil
 		}
@@ -298,7 +298,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
 		defer cancel()
-		if err := peers.Inform(ctx, member.Address, entry); err != nil {
+		if err := peers.PushAssignment(ctx, member.Address, entry); err != nil {
 			m.config.Log.Info("daemon could not be told of its keys", "peer", to, "error", err)
 		}
 	}()
--- a/io/mtmesh/learn_test.go
+++ b/io/mtmesh/learn_test.go
@@ -32,13 +32,13 @@
 	starting bool
 }
 
-// Learn implements the way to another daemon.
-func (s *school) Learn(ctx context.Context, address string, q mtforward.Question) (mtforward.Lesson, error) {
+// PullChanges implements the way to another daemon.
+func (s *school) PullChanges(ctx context.Context, address string, q mtforward.ChangesRequest) (mtforward.ChangesReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, q.Wait+time.Second)
 	defer cancel()
 	learner, ok := s.open.Load(address)
 	if !ok {
-		return mtforward.Lesson{}, &mtstore.UnavailableError{Op: "learn"}
+		return mtforward.ChangesReply{}, &mtstore.UnavailableError{Op: "learn"}
 	}
 	return learner.(mtmesh.Learner).Teach(ctx, q)
 }
--- a/io/mtmesh/mtmesh.go
+++ b/io/mtmesh/mtmesh.go
@@ -192,7 +192,7 @@
 	clock := mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock)
 	m.record = newRecorder(metrics, clock, m.config.Service, m.config.Log, func() (configuration, seen mtid.Version) {
 		news := m.tell()
-		return news.Config, news.Seen
+		return news.ConfigVersion, news.NewestVersion
 	})
 	return mtkernel.Register(m.kernel, NameMetrics, metrics, cleanUp)
 }
@@ -361,14 +361,14 @@
 		Random:    random,
 	})
 	ingress := mtingress.New(mtingress.Config{
-		Names:   m.config.Names,
-		Service: m.config.Service,
-		Parent:  m.Host().Parent,
-		Denies:  m.certainty.denies,
-		Send:    sender,
-		Clock:   clock,
-		Log:     m.config.Log,
-		Done:    m.record.done,
+		HeaderNames:  m.config.Names,
+		Service:      m.config.Service,
+		IsNested:     m.Host().Parent,
+		ConfigFresh:  m.certainty.denies,
+		Sender:       sender,
+		Clock:        clock,
+		Log:          m.config.Log,
+		OnCompletion: m.record.done,
 	})
 	m.ingress.Store(ingress)
 	return mtkernel.Register(m.kernel, NameIngress, ingress, nil)
@@ -416,10 +416,10 @@
 		return &mtlisten.ListenError{Purpose: "callers", Address: m.config.Callers, Err: err}
 	}
 	m.peers = grpc.NewServer(grpc.MaxConcurrentStreams(streams),
-		grpc.InitialWindowSize(mtforward.Window), grpc.InitialConnWindowSize(mtforward.Window),
+		grpc.InitialWindowSize(mtforward.FlowWindow), grpc.InitialConnWindowSize(mtforward.FlowWindow),
 		grpc.ReadBufferSize(peerBuffer), grpc.WriteBufferSize(peerBuffer), grpc.SharedWriteBuffer(true))
 	mtforward.Register(m.peers, mtforward.Server{
-		Host: m.Host(), Clock: mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock), News: m.exchange(), Teach: m.learner.teach, Inform: m.directory.Load().Inform, Commit: m.commitFor,
+		Host: m.Host(), Clock: mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock), Exchange: m.exchange(), ServeChanges: m.learner.teach, ReceiveAssignment: m.directory.Load().Inform, Commit: m.commitFor,
 	})
 	go func() {
 		if err := m.peers.Serve(peers); err != nil {
@@ -429,7 +429,7 @@
 	router := echo.New()
 	router.HideBanner = true
 	router.Any("/*", m.Ingress().Handle)
-	m.callers = mtlisten.Start(callers, router, mtlisten.Options{Connections: connections, Pipelined: true, Log: m.config.Log})
+	m.callers = mtlisten.Start(callers, router, mtlisten.Options{MaxConnections: connections, Pipelined: true, Log: m.config.Log})
 	return mtkernel.Register(m.kernel, NameListeners, m, func() {
 		m.callers.Close()
 		m.peers.Stop()
@@ -465,7 +465,7 @@
 	end := time.Now().Add(left)
 	m.config.Log.Info("stopping", "grace", m.config.Grace)
 	m.ready.Store(false)
-	m.Ingress().Retire(clock.Now().Add(left - lastWord))
+	m.Ingress().BeginShutdown(clock.Now().Add(left - lastWord))
 	m.Host().Retire()
 	time.Sleep(min(linger, left/2))
 	m.Host().Close()
--- a/io/mtmesh/news.go
+++ b/io/mtmesh/news.go
@@ -41,19 +41,19 @@
 )
 
 // exchange returns how this daemon takes part in the news.
-func (m *Mesh) exchange() mtforward.Exchange {
-	return mtforward.Exchange{Tell: m.tell, Hear: m.hear}
+func (m *Mesh) exchange() mtforward.StateExchange {
+	return mtforward.StateExchange{Summarize: m.tell, Receive: m.hear}
 }
 
 // tell returns what this daemon has seen.
-func (m *Mesh) tell() mtforward.News {
-	var news mtforward.News
+func (m *Mesh) tell() mtforward.StateSummary {
+	var news mtforward.StateSummary
 	if directory := m.directory.Load(); directory != nil {
-		news.Seen = directory.Seen()
+		news.NewestVersion = directory.Seen()
 		news.Zones = directory.Now().Out.Digest()
 	}
 	if c := m.configuration(); c != nil {
-		news.Config = c.Version
+		news.ConfigVersion = c.Version
 	}
 	news.Age = m.certainty.age(m.steady())
 	return news
@@ -61,15 +61,15 @@
 
 // hear compares what another daemon has seen, and asks the store if the own
 // watches don't bring it soon.
-func (m *Mesh) hear(theirs mtforward.News, sent mtclock.Instant) {
+func (m *Mesh) hear(theirs mtforward.StateSummary, sent mtclock.Instant) {
 	own := m.tell()
 	if sent != 0 && own.Zones == theirs.Zones {
-		m.certainty.hear(own.Config, theirs.Config, theirs.Age, sent)
+		m.certainty.hear(own.ConfigVersion, theirs.ConfigVersion, theirs.Age, sent)
 	}
-	if own.Config < theirs.Config {
+	if own.ConfigVersion < theirs.ConfigVersion {
 		soon(&m.asking, doubtAfter+m.deference(), func() { m.doubtConfiguration(theirs) })
 	}
-	if own.Seen < theirs.Seen {
+	if own.NewestVersion < theirs.NewestVersion {
 		soon(&m.doubting, recordsDoubt+m.deference(), func() { m.doubtRecords(theirs) })
 	}
 }
@@ -99,9 +99,9 @@
 }
 
 // doubtConfiguration asks for the configuration if nothing has brought it.
-func (m *Mesh) doubtConfiguration(theirs mtforward.News) {
-	if own := m.tell(); own.Config < theirs.Config {
-		m.config.Log.Warn("another daemon has a newer configuration", "own", uint64(own.Config), "newest", uint64(theirs.Config))
+func (m *Mesh) doubtConfiguration(theirs mtforward.StateSummary) {
+	if own := m.tell(); own.ConfigVersion < theirs.ConfigVersion {
+		m.config.Log.Warn("another daemon has a newer configuration", "own", uint64(own.ConfigVersion), "newest", uint64(theirs.ConfigVersion))
 		m.refresh()
 	}
 }
@@ -111,7 +111,7 @@
 // with it.
 func (m *Mesh) refresh() {
 	directory := mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory)
-	begun, before := m.steady(), m.tell().Config
+	begun, before := m.steady(), m.tell().ConfigVersion
 	read, err := m.config.Refresh()
 	if err != nil {
 		m.config.Log.Warn("configuration could not be asked for", "error", err)
@@ -122,7 +122,7 @@
 	}
 	news := directory.Recheck(read)
 	m.certainty.confirm(begun)
-	newer := m.tell().Config > before && before != 0
+	newer := m.tell().ConfigVersion > before && before != 0
 	if (newer || news) && m.learner.turn() != mtroute.PollFallback {
 		directory.Resync()
 	}
@@ -134,9 +134,9 @@
 }
 
 // doubtRecords reads everything anew if nothing has brought the newer records.
-func (m *Mesh) doubtRecords(theirs mtforward.News) {
-	if own := m.tell(); own.Seen < theirs.Seen {
-		m.config.Log.Warn("another daemon has seen newer records", "own", uint64(own.Seen), "newest", uint64(theirs.Seen))
+func (m *Mesh) doubtRecords(theirs mtforward.StateSummary) {
+	if own := m.tell(); own.NewestVersion < theirs.NewestVersion {
+		m.config.Log.Warn("another daemon has seen newer records", "own", uint64(own.NewestVersion), "newest", uint64(theirs.NewestVersion))
 		mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory).Resync()
 	}
 }
@@ -188,7 +188,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
 			defer cancel()
-			if err := peers.Observe(ctx, name, member.Address); err != nil {
+			if err := peers.QueryLoad(ctx, name, member.Address); err != nil {
 				m.config.Log.Info("daemon could not be told", "peer", name, "error", err)
 			}
 		}()
--- a/io/mtmesh/standing.go
+++ b/io/mtmesh/standing.go
@@ -50,7 +50,7 @@
 			self = s
 			continue
 		}
-		if r, ok := peers.Report(member.Daemon); ok && now.Sub(r.At) < reportLife {
+		if r, ok := peers.LoadReport(member.Daemon); ok && now.Sub(r.ReceivedAt) < reportLife {
 			s.Demand, s.ServiceTime, s.Known = r.Demand, r.ServiceTime, true
 		}
 		others = append(others, s)
@@ -67,7 +67,7 @@
 		if member.Daemon == m.config.Daemon {
 			continue
 		}
-		if r, ok := peers.Report(member.Daemon); ok && now.Sub(r.At) < surveyFresh {
+		if r, ok := peers.LoadReport(member.Daemon); ok && now.Sub(r.ReceivedAt) < surveyFresh {
 			continue
 		}
 		stale = append(stale, member)
@@ -78,7 +78,7 @@
 	var asked sync.WaitGroup
 	for _, member := range stale[:min(len(stale), surveyed)] {
 		asked.Go(func() {
-			if err := peers.Observe(ctx, member.Daemon, member.Address); err != nil {
+			if err := peers.QueryLoad(ctx, member.Daemon, member.Address); err != nil {
 				m.config.Log.Info("server could not be asked for its load", "peer", member.Daemon, "error", err)
 			}
 		})
--- a/io/mtmesh/zone_test.go
+++ b/io/mtmesh/zone_test.go
@@ -15,7 +15,7 @@
 // not. Were it certain then, it would not ask the store.
 func TestCertaintyOfOthersCountsOnlyForTheSameZones(t *testing.T) {
 	for zones, want := range map[mtzone.Digest]bool{0: true, 7: false} {
-		certain, err := mtmesh.HearsCertainty(mtforward.News{Zones: zones})
+		certain, err := mtmesh.HearsCertainty(mtforward.StateSummary{Zones: zones})
 		assert.NilError(t, err)
 		assert.Equal(t, certain, want, "digest %d", zones)
 	}
--- a/io/mtpipeline/conn.go
+++ b/io/mtpipeline/conn.go
@@ -108,7 +108,7 @@
 	case c.closing:
 		_ = c.SetReadDeadline(time.Unix(1, 0))
 	default:
-		_ = c.SetReadDeadline(time.Now().Add(c.server.Limits.IdleTime))
+		_ = c.SetReadDeadline(time.Now().Add(c.server.Limits.IdleTimeout))
 	}
 }
 
@@ -120,13 +120,13 @@
 		return false
 	}
 	c.reading = true
-	_ = c.SetReadDeadline(time.Now().Add(c.server.Limits.HeaderTime))
+	_ = c.SetReadDeadline(time.Now().Add(c.server.Limits.HeaderTimeout))
 	return true
 }
 
 // readRequest reads the header of a request.
 func (c *conn) readRequest() (*http.Request, error) {
-	c.limit.N = int64(c.server.Limits.Header + bufferSize)
+	c.limit.N = int64(c.server.Limits.MaxHeaderBytes + bufferSize)
 	request, err := http.ReadRequest(c.reader)
 	if err == nil && request.Host == "" && request.ProtoAtLeast(1, 1) {
 		err = &hostError{}
@@ -167,7 +167,7 @@
 	c.mu.Lock()
 	c.pending++
 	c.last, c.reading = e, false
-	atLimit := c.pending >= c.server.Limits.Outstanding
+	atLimit := c.pending >= c.server.Limits.MaxConcurrent
 	_ = c.SetReadDeadline(time.Time{})
 	c.mu.Unlock()
 	go e.serve()
--- a/io/mtpipeline/mtpipeline.go
+++ b/io/mtpipeline/mtpipeline.go
@@ -29,10 +29,10 @@
 
 // Limits bounds the resources that a caller may use.
 type Limits struct {
-	Header      int           // maximum size of a request header, in bytes
-	HeaderTime  time.Duration // timeout for a request header, from its first byte
-	IdleTime    time.Duration // timeout for the next request on an idle connection
-	Outstanding int           // maximum number of concurrent requests of a connection
+	MaxHeaderBytes int           // maximum size of a request header, in bytes
+	HeaderTimeout  time.Duration // timeout for a request header, from its first byte
+	IdleTimeout    time.Duration // timeout for the next request on an idle connection
+	MaxConcurrent  int           // maximum number of concurrent requests of a connection
 }
 
 // Server serves HTTP/1.1 connections. Its exported fields must not be changed after Serve has
--- a/io/mtpipeline/mtpipeline_test.go
+++ b/io/mtpipeline/mtpipeline_test.go
@@ -35,7 +35,7 @@
 	assert.NilError(t, err)
 	s := &testConn{t: t, served: make(chan error, 1), server: &mtpipeline.Server{
 		Handler: handler, Log: slog.New(slog.DiscardHandler),
-		Limits: mtpipeline.Limits{Header: 4 << 10, HeaderTime: 10 * time.Second, IdleTime: 10 * time.Second, Outstanding: 8},
+		Limits: mtpipeline.Limits{MaxHeaderBytes: 4 << 10, HeaderTimeout: 10 * time.Second, IdleTimeout: 10 * time.Second, MaxConcurrent: 8},
 	}}
 	go func() { s.served <- s.server.Serve(listener) }()
 	s.conn, err = net.Dial("tcp", listener.Addr().String())
--- a/io/mtrelay/mtrelay.go
+++ b/io/mtrelay/mtrelay.go
@@ -87,14 +87,14 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
-	ctx, sent := mtconn.Watch(ctx)
+	ctx, sent := mtconn.TrackSend(ctx)
 	var header metadata.MD
 	w, err := mtwire.NewPeerClient(conn).Relay(ctx, wireRequest(r, frontier), grpc.Header(&header))
 	if len(header.Get(begunHeader)) > 0 && r.OnBegun != nil {
 		r.OnBegun()
 	}
 	if err != nil {
-		return nil, mtconn.Explain(ctx, err, sent, unreachableRetry)
+		return nil, mtconn.ClassifyError(ctx, err, sent, unreachableRetry)
 	}
 	// A reply that is not for this request would hand one caller another's
 	// data; gRPC matches streams, so this shows only with a faulty peer.
