--- a/io/mtmesh/export_test.go
+++ b/io/mtmesh/export_test.go
@@ -27,14 +27,14 @@
 }
 
 // Serve answers a pull of another daemon.
-func (f Feed) Serve(ctx context.Context, q mtforward.Question) (mtforward.Lesson, error) {
+func (f Feed) Serve(ctx context.Context, q mtforward.ChangesRequest) (mtforward.ChangesReply, error) {
 	return f.serve(ctx, q)
 }
 
 // AdoptsPeerFreshness reports whether a daemon without a configuration, for which all zones
 // are in service, adopts the freshness in a reply of another daemon to a message sent just
 // now.
-func AdoptsPeerFreshness(theirs mtforward.News) (bool, error) {
+func AdoptsPeerFreshness(theirs mtforward.StateSummary) (bool, error) {
 	m := &Mesh{kernel: mtkernel.New()}
 	if err := m.addClock(); err != nil {
 		return false, err
--- a/io/mtmesh/learn.go
+++ b/io/mtmesh/learn.go
@@ -52,7 +52,7 @@
 
 // upstreamClient pulls updates from other daemons.
 type upstreamClient interface {
-	Learn(ctx context.Context, address string, q mtforward.Question) (mtforward.Lesson, error)
+	PullChanges(ctx context.Context, address string, q mtforward.ChangesRequest) (mtforward.ChangesReply, error)
 }
 
 // changeFeed receives the changes of the store, from the store itself or from an upstream
@@ -211,12 +211,12 @@
 		f.setHops(0)
 	}
 	view := f.view()
-	q := mtforward.Question{After: after, Relays: f.pollSchedule() != mtroute.PollFallback, Age: f.freshness.age(f.clock.Now())}
+	q := mtforward.ChangesRequest{After: after, Relays: f.pollSchedule() != mtroute.PollFallback, Age: f.freshness.age(f.clock.Now())}
 	if after != 0 {
 		q.Epochs, q.Wait = view.Epochs(), wait
 	}
 	started := f.clock.Now()
-	reply, err := f.peers.Learn(ctx, upstream, q)
+	reply, err := f.peers.PullChanges(ctx, upstream, q)
 	if err != nil {
 		f.setHops(0)
 		return reply.Changes, err
@@ -258,7 +258,7 @@
 // serve waits for changes on behalf of another daemon. It also returns if the configuration
 // of this daemon has become so much fresher than the other's that the other should be
 // notified.
-func (f *changeFeed) serve(ctx context.Context, q mtforward.Question) (mtforward.Lesson, error) {
+func (f *changeFeed) serve(ctx context.Context, q mtforward.ChangesRequest) (mtforward.ChangesReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, q.Wait)
 	defer cancel()
 	directory := f.directory()
@@ -266,13 +266,13 @@
 	for {
 		changed := f.changed.wait()
 		if directory == nil || !f.mayServe(q.Relays) {
-			return mtforward.Lesson{}, &mtstore.UnavailableError{Op: "teach", Err: notWatching{}}
+			return mtforward.ChangesReply{}, &mtstore.UnavailableError{Op: "teach", Err: notWatching{}}
 		}
 		if _, up := directory.StoreUpSince(); !up {
-			return mtforward.Lesson{}, &mtstore.UnavailableError{Op: "teach", Err: notWatching{}}
+			return mtforward.ChangesReply{}, &mtstore.UnavailableError{Op: "teach", Err: notWatching{}}
 		}
 		changes, next := directory.ChangesSince(q.After, q.Epochs)
-		reply := mtforward.Lesson{Changes: changes, Hops: int(f.hops.Load())}
+		reply := mtforward.ChangesReply{Changes: changes, Hops: int(f.hops.Load())}
 		if len(changes.Entries) > 0 || f.freshness.fresher(theirs) {
 			return reply, nil
 		}
@@ -307,7 +307,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 		defer cancel()
-		if err := peers.Inform(ctx, member.Address, entry); err != nil {
+		if err := peers.PushAssignment(ctx, member.Address, entry); err != nil {
 			m.config.Log.Info("sending an ownership update to a daemon failed", "peer", to, "error", err)
 		}
 	}()
--- a/io/mtmesh/learn_test.go
+++ b/io/mtmesh/learn_test.go
@@ -32,13 +32,13 @@
 	starting bool
 }
 
-// Learn passes a pull directly to the feed of the daemon at the address.
-func (c *cluster) Learn(ctx context.Context, address string, q mtforward.Question) (mtforward.Lesson, error) {
+// PullChanges passes a pull directly to the feed of the daemon at the address.
+func (c *cluster) PullChanges(ctx context.Context, address string, q mtforward.ChangesRequest) (mtforward.ChangesReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, q.Wait+time.Second)
 	defer cancel()
 	feed, ok := c.feeds.Load(address)
 	if !ok {
-		return mtforward.Lesson{}, &mtstore.UnavailableError{Op: "learn"}
+		return mtforward.ChangesReply{}, &mtstore.UnavailableError{Op: "learn"}
 	}
 	return feed.(mtmesh.Feed).Serve(ctx, q)
 }
--- a/io/mtmesh/mtmesh.go
+++ b/io/mtmesh/mtmesh.go
@@ -194,7 +194,7 @@
 	clock := mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock)
 	m.recorder = newRecorder(metrics, clock, m.config.Service, m.config.Log, func() (configuration, seen mtid.Version) {
 		versions := m.knownVersions()
-		return versions.Config, versions.Seen
+		return versions.ConfigVersion, versions.NewestVersion
 	})
 	return mtkernel.Register(m.kernel, NameMetrics, metrics, cleanUp)
 }
@@ -365,14 +365,14 @@
 		Random:    random,
 	})
 	ingress := mtingress.New(mtingress.Config{
-		Names:   m.config.Names,
-		Service: m.config.Service,
-		Parent:  m.Host().Parent,
-		Denies:  m.freshness.mayDenyRoute,
-		Send:    sender,
-		Clock:   clock,
-		Log:     m.config.Log,
-		Done:    m.recorder.done,
+		HeaderNames:  m.config.Names,
+		Service:      m.config.Service,
+		IsNested:     m.Host().Parent,
+		ConfigFresh:  m.freshness.mayDenyRoute,
+		Sender:       sender,
+		Clock:        clock,
+		Log:          m.config.Log,
+		OnCompletion: m.recorder.done,
 	})
 	m.ingress.Store(ingress)
 	return mtkernel.Register(m.kernel, NameIngress, ingress, nil)
@@ -421,10 +421,10 @@
 		return &mtlisten.ListenError{Purpose: "callers", Address: m.config.CallerAddress, Err: err}
 	}
 	m.peers = grpc.NewServer(grpc.MaxConcurrentStreams(maxPeerStreams),
-		grpc.InitialWindowSize(mtforward.Window), grpc.InitialConnWindowSize(mtforward.Window),
+		grpc.InitialWindowSize(mtforward.FlowWindow), grpc.InitialConnWindowSize(mtforward.FlowWindow),
 		grpc.ReadBufferSize(peerBufferSize), grpc.WriteBufferSize(peerBufferSize), grpc.SharedWriteBuffer(true))
 	mtforward.Register(m.peers, mtforward.Server{
-		Host: m.Host(), Clock: mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock), News: m.exchange(), Teach: m.feed.serve, Inform: m.directory.Load().ApplyPushedAssignment, Commit: m.commitFor,
+		Host: m.Host(), Clock: mtkernel.MustLookup[*mttime.Clock](m.kernel, NameClock), Exchange: m.exchange(), ServeChanges: m.feed.serve, ReceiveAssignment: m.directory.Load().ApplyPushedAssignment, Commit: m.commitFor,
 	})
 	go func() {
 		if err := m.peers.Serve(peers); err != nil {
@@ -434,7 +434,7 @@
 	router := echo.New()
 	router.HideBanner = true
 	router.Any("/*", m.Ingress().Handle)
-	m.callers = mtlisten.Start(callers, router, mtlisten.Options{Connections: maxCallerConnections, Pipelined: true, Log: m.config.Log})
+	m.callers = mtlisten.Start(callers, router, mtlisten.Options{MaxConnections: maxCallerConnections, Pipelined: true, Log: m.config.Log})
 	return mtkernel.Register(m.kernel, NameListeners, m, func() {
 		m.callers.Close()
 		m.peers.Stop()
@@ -471,7 +471,7 @@
 	end := time.Now().Add(remaining)
 	m.config.Log.Info("stopping", "grace", m.config.Grace)
 	m.ready.Store(false)
-	m.Ingress().Retire(clock.Now().Add(remaining - finalReplyMargin))
+	m.Ingress().BeginShutdown(clock.Now().Add(remaining - finalReplyMargin))
 	m.Host().Retire()
 	time.Sleep(min(retireDelay, remaining/2))
 	m.Host().Close()
--- a/io/mtmesh/news.go
+++ b/io/mtmesh/news.go
@@ -43,19 +43,19 @@
 )
 
 // exchange returns the functions by which versions are exchanged with other daemons.
-func (m *Mesh) exchange() mtforward.Exchange {
-	return mtforward.Exchange{Tell: m.knownVersions, Hear: m.compareVersions}
+func (m *Mesh) exchange() mtforward.StateExchange {
+	return mtforward.StateExchange{Summarize: m.knownVersions, Receive: m.compareVersions}
 }
 
 // knownVersions returns the versions that this daemon knows, to be sent to another daemon.
-func (m *Mesh) knownVersions() mtforward.News {
-	var versions mtforward.News
+func (m *Mesh) knownVersions() mtforward.StateSummary {
+	var versions mtforward.StateSummary
 	if directory := m.directory.Load(); directory != nil {
-		versions.Seen = directory.NewestVersion()
+		versions.NewestVersion = directory.NewestVersion()
 		versions.Zones = directory.View().OutOfService.Digest()
 	}
 	if c := m.configuration(); c != nil {
-		versions.Config = c.Version
+		versions.ConfigVersion = c.Version
 	}
 	versions.Age = m.freshness.age(m.now())
 	return versions
@@ -64,15 +64,15 @@
 // compareVersions compares the versions that another daemon has sent with those of this
 // daemon. Where the other's are newer, it schedules a check that reads the store unless the
 // watch has delivered them by then.
-func (m *Mesh) compareVersions(theirs mtforward.News, sent mtclock.Instant) {
+func (m *Mesh) compareVersions(theirs mtforward.StateSummary, sent mtclock.Instant) {
 	own := m.knownVersions()
 	if sent != 0 && own.Zones == theirs.Zones {
-		m.freshness.observe(own.Config, theirs.Config, theirs.Age, sent)
+		m.freshness.observe(own.ConfigVersion, theirs.ConfigVersion, theirs.Age, sent)
 	}
-	if own.Config < theirs.Config {
+	if own.ConfigVersion < theirs.ConfigVersion {
 		scheduleOnce(&m.configCheckPending, configCheckDelay+m.deferral(), func() { m.checkConfiguration(theirs) })
 	}
-	if own.Seen < theirs.Seen {
+	if own.NewestVersion < theirs.NewestVersion {
 		scheduleOnce(&m.recordCheckPending, recordCheckDelay+m.deferral(), func() { m.checkRecords(theirs) })
 	}
 }
@@ -102,9 +102,9 @@
 }
 
 // checkConfiguration polls the store if the newer configuration still has not arrived.
-func (m *Mesh) checkConfiguration(theirs mtforward.News) {
-	if own := m.knownVersions(); own.Config < theirs.Config {
-		m.config.Log.Warn("another daemon has a newer configuration", "own", uint64(own.Config), "newest", uint64(theirs.Config))
+func (m *Mesh) checkConfiguration(theirs mtforward.StateSummary) {
+	if own := m.knownVersions(); own.ConfigVersion < theirs.ConfigVersion {
+		m.config.Log.Warn("another daemon has a newer configuration", "own", uint64(own.ConfigVersion), "newest", uint64(theirs.ConfigVersion))
 		m.pollStore()
 	}
 }
@@ -115,7 +115,7 @@
 // too.
 func (m *Mesh) pollStore() {
 	directory := mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory)
-	started, before := m.now(), m.knownVersions().Config
+	started, before := m.now(), m.knownVersions().ConfigVersion
 	read, err := m.config.Refresh()
 	if err != nil {
 		m.config.Log.Warn("polling the store for the configuration failed", "error", err)
@@ -126,7 +126,7 @@
 	}
 	zonesChanged := directory.ApplyZones(read)
 	m.freshness.confirm(started)
-	newer := m.knownVersions().Config > before && before != 0
+	newer := m.knownVersions().ConfigVersion > before && before != 0
 	if (newer || zonesChanged) && m.feed.pollSchedule() != mtroute.PollFallback {
 		directory.Resync()
 	}
@@ -138,9 +138,9 @@
 }
 
 // checkRecords reads everything again if the newer records still have not arrived.
-func (m *Mesh) checkRecords(theirs mtforward.News) {
-	if own := m.knownVersions(); own.Seen < theirs.Seen {
-		m.config.Log.Warn("another daemon has seen newer records", "own", uint64(own.Seen), "newest", uint64(theirs.Seen))
+func (m *Mesh) checkRecords(theirs mtforward.StateSummary) {
+	if own := m.knownVersions(); own.NewestVersion < theirs.NewestVersion {
+		m.config.Log.Warn("another daemon has seen newer records", "own", uint64(own.NewestVersion), "newest", uint64(theirs.NewestVersion))
 		mtkernel.MustLookup[*mtdirectory.Directory](m.kernel, NameDirectory).Resync()
 	}
 }
@@ -192,7 +192,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 			defer cancel()
-			if err := peers.Observe(ctx, name, member.Address); err != nil {
+			if err := peers.QueryLoad(ctx, name, member.Address); err != nil {
 				m.config.Log.Info("sending known versions to a daemon failed", "peer", name, "error", err)
 			}
 		}()
--- a/io/mtmesh/standing.go
+++ b/io/mtmesh/standing.go
@@ -50,7 +50,7 @@
 			self = report
 			continue
 		}
-		if r, ok := peers.Report(member.Daemon); ok && now.Sub(r.At) < reportTTL {
+		if r, ok := peers.LoadReport(member.Daemon); ok && now.Sub(r.ReceivedAt) < reportTTL {
 			report.Demand, report.ServiceTime, report.Known = r.Demand, r.ServiceTime, true
 		}
 		others = append(others, report)
@@ -67,7 +67,7 @@
 		if member.Daemon == m.config.Daemon {
 			continue
 		}
-		if r, ok := peers.Report(member.Daemon); ok && now.Sub(r.At) < surveyMaxAge {
+		if r, ok := peers.LoadReport(member.Daemon); ok && now.Sub(r.ReceivedAt) < surveyMaxAge {
 			continue
 		}
 		stale = append(stale, member)
@@ -78,7 +78,7 @@
 	var asked sync.WaitGroup
 	for _, member := range stale[:min(len(stale), surveySize)] {
 		asked.Go(func() {
-			if err := peers.Observe(ctx, member.Daemon, member.Address); err != nil {
+			if err := peers.QueryLoad(ctx, member.Daemon, member.Address); err != nil {
 				m.config.Log.Info("requesting a load report failed", "peer", member.Daemon, "error", err)
 			}
 		})
--- a/io/mtmesh/zone_test.go
+++ b/io/mtmesh/zone_test.go
@@ -15,7 +15,7 @@
 // not know. If it adopted their freshness, it would not poll the store.
 func TestPeerFreshnessCountsOnlyForTheSameZones(t *testing.T) {
 	for zones, want := range map[mtzone.Digest]bool{0: true, 7: false} {
-		adopted, err := mtmesh.AdoptsPeerFreshness(mtforward.News{Zones: zones})
+		adopted, err := mtmesh.AdoptsPeerFreshness(mtforward.StateSummary{Zones: zones})
 		assert.NilError(t, err)
 		assert.Equal(t, adopted, want, "digest %d", zones)
 	}
