--- a/io/mtingress/mtingress.go
+++ b/io/mtingress/mtingress.go
@@ -179,7 +179,7 @@
 		return call, nil, &routeError{version: config.Version}
 	}
 	if call.ID == "" || len(call.ID) > mtcall.MaxID {
-		return call, nil, &requestError{status: http.StatusBadRequest, reason: "request ID is missing or too long"}
+		return call, nil, &requestError{status: http.StatusBadRequest, reason: "identifier is missing or too long"}
 	}
 	call.Route, call.Idempotent, call.Priority = route.Name, route.Idempotent, route.Priority
 	call.Nested = in.IsNested(call.ID)
@@ -257,7 +257,7 @@
 		return &requestError{status: http.StatusBadRequest, reason: err.Error()}
 	}
 	if len(body) > limit {
-		return &requestError{status: http.StatusRequestEntityTooLarge, reason: "request body exceeds the size limit"}
+		return &requestError{status: http.StatusRequestEntityTooLarge, reason: "body is too large"}
 	}
 	call.Body = body
 	return nil
@@ -329,7 +329,7 @@
 
 // Error implements error.
 func (e *routeError) Error() string {
-	return "no matching route in configuration version " + strconv.FormatUint(uint64(e.version), 10)
+	return "no route in version " + strconv.FormatUint(uint64(e.version), 10)
 }
 
 // requestError reports an invalid request, and the HTTP status to answer it with.
--- a/io/mtpipeline/conn.go
+++ b/io/mtpipeline/conn.go
@@ -146,13 +146,13 @@
 type hostError struct{}
 
 // Error implements error.
-func (*hostError) Error() string { return "request has no Host header" }
+func (*hostError) Error() string { return "request without a host" }
 
 // headerError reports a request header that exceeds the size limit.
 type headerError struct{}
 
 // Error implements error.
-func (*headerError) Error() string { return "request header exceeds the size limit" }
+func (*headerError) Error() string { return "header of a request is too large" }
 
 // exchange starts to process a request. previous is closed when all earlier requests have
 // been answered, and the returned channel when this one has. exchange returns as soon as the
