--- a/io/mtrouter/keyed_test.go
+++ b/io/mtrouter/keyed_test.go
@@ -16,9 +16,9 @@
 	"magnoliaturn/core/mtview"
 )
 
-// Nobody remembers the identifiers of a spread service. A caller's resend of a
-// request that must not run twice may reach a server that never saw the first
-// one, so it is refused before it is sent to any.
+// The servers of a spread service share no record of identifiers. When a caller
+// resends a non-idempotent request, it may reach a server that never saw the first
+// try, so the router refuses it before sending it to any server.
 func TestResendToSpreadServiceIsRefused(t *testing.T) {
 	r, p := newRouter(t)
 	reply := r.Route(context.Background(), &mtrequest.Request{Service: mapsvc, Key: "floor-1", Class: "lift"})
@@ -27,36 +27,38 @@
 	assert.Equal(t, len(p.asked), 0)
 }
 
-// stale is a fleet of two daemons. The one that is asked first is not the owner;
-// it names another and says how far its copy of the live state is.
-type stale struct {
+// stalePeers stands for two daemons. The first one that receives a request is not
+// the owner: it replies with another owner and with the frontier of its own view.
+type stalePeers struct {
 	*peers
-	names    mtid.Holder
-	frontier mtid.Revision
-	order    []string
+	namedOwner mtid.Holder
+	frontier   mtid.Revision
+	addresses  []string
 }
 
-func (s *stale) Relay(_ context.Context, address string, _ *mtrequest.Request, _ mtid.Revision, _ time.Duration) (*mtrequest.Reply, error) {
-	s.order = append(s.order, address)
-	if len(s.order) == 1 {
-		return &mtrequest.Reply{Outcome: mtreply.NotRun, Cause: mtreply.CauseStaleRoute, Owner: s.names, Frontier: s.frontier}, nil
+func (s *stalePeers) Relay(_ context.Context, address string, _ *mtrequest.Request, _ mtid.Revision, _ time.Duration) (*mtrequest.Reply, error) {
+	s.addresses = append(s.addresses, address)
+	if len(s.addresses) == 1 {
+		return &mtrequest.Reply{Outcome: mtreply.NotRun, Cause: mtreply.CauseStaleRoute, Owner: s.namedOwner, Frontier: s.frontier}, nil
 	}
 	return &mtrequest.Reply{Outcome: mtreply.Answered}, nil
 }
 
-// A daemon that was made the owner a moment ago has yet to learn of it, and names
-// its predecessor. Followed there, a caller would be refused by a lost daemon; the
-// one that was asked knows better after a pull. One that knows more is followed.
-func TestCorrectionByWhoKnowsMore(t *testing.T) {
+// A daemon that has just become the owner may not have received the ownership update
+// yet, and names its lost predecessor. Following that redirect would end in a
+// refusal, so the router ignores redirects from daemons whose view is older than its
+// own and retries the same daemon, which is up to date after a pull. Other redirects
+// are followed.
+func TestRedirectFromOutdatedDaemonIsIgnored(t *testing.T) {
 	a, b := mtid.Holder{Daemon: "a", Incarnation: 1}, mtid.Holder{Daemon: "b", Incarnation: 1}
 	tests := []struct {
 		name     string
 		frontier mtid.Revision
 		want     []string
 	}{
-		{"knows more", 20, []string{"a", "b"}},
-		{"knows as much", 10, []string{"a", "b"}},
-		{"knows less", 9, []string{"a", "a"}},
+		{"newer view", 20, []string{"a", "b"}},
+		{"same view", 10, []string{"a", "b"}},
+		{"older view", 9, []string{"a", "a"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -68,11 +70,11 @@
 			item := mtview.Item{Name: mtstore.ShardName(table.Service, 0), Version: 1, Revision: 10, Value: value}
 			_, err = r.View.Merge(mtview.Delta{After: 9, Revision: 10, Items: []mtview.Item{item}})
 			assert.NilError(t, err)
-			s := &stale{peers: p, names: b, frontier: tt.frontier}
+			s := &stalePeers{peers: p, namedOwner: b, frontier: tt.frontier}
 			r.Peers = s
 			reply := r.Route(context.Background(), &mtrequest.Request{Service: table.Service, Key: "room-1", Class: "status", Minted: true})
 			assert.Equal(t, reply.Outcome, mtreply.Answered)
-			assert.DeepEqual(t, s.order, tt.want)
+			assert.DeepEqual(t, s.addresses, tt.want)
 		})
 	}
 }
--- a/io/mtrouter/mtrouter.go
+++ b/io/mtrouter/mtrouter.go
@@ -1,8 +1,8 @@
-// Package mtrouter takes a caller's request to the owner of its key: by a
-// function call if that is this daemon, else over at most one hop.
+// Package mtrouter routes a caller's request to the owner of its key: by a function
+// call if that is this daemon, otherwise over at most one hop.
 //
-// It is the only layer that tries again, and it does so only after a proof that
-// the request was not run, or if its class is idempotent.
+// It is the only layer that retries, and only if the request is known not to have
+// run or if its class is idempotent.
 //
 // # Usage
 //
@@ -37,55 +37,56 @@
 	Serve(ctx context.Context, r *mtrequest.Request) *mtrequest.Reply
 }
 
-// peers relay requests to other daemons.
+// peers relays requests to other daemons.
 type peers interface {
 	Relay(ctx context.Context, address string, r *mtrequest.Request, frontier mtid.Revision, left time.Duration) (*mtrequest.Reply, error)
 }
 
 type clock interface{ Now() mtclock.Instant }
 
-// Config is what a Router works with.
+// Config holds the dependencies of a Router.
 type Config struct {
 	Self  func() mtid.Holder
-	Zone  mtid.Zone // of this daemon
+	Zone  mtid.Zone // this daemon's zone
 	View  *mtview.View
 	Owner owner
 	Peers peers
 	Clock clock
-	Retry mtretry.Policy // used under the router's lock
-	// Poison knows the requests that crash backend servers.
+	Retry mtretry.Policy // guarded by the router's mutex
+	// Poison detects requests that crash backend servers.
 	Poison *iopoison.Watch
-	// Hint is told of peers that know more of the live state.
+	// Hint is called with the frontier of each relayed reply, so that this
+	// daemon can pull from a peer whose view is newer.
 	Hint func(address string, frontier mtid.Revision)
 	// Count adds one to a counter of the router.
 	Count func(name string)
-	// Done is told what came of each request of a declared class.
+	// Done is called with the final reply to each request of a declared class.
 	Done func(q *mtrequest.Request, reply *mtrequest.Reply, took time.Duration)
 }
 
-// Router finds owners.
+// Router finds the owner of a request's key, sends the request there and retries it.
 type Router struct {
 	Config
 	mu       sync.Mutex // guards Retry and declared
 	declared map[mtretry.Flow]*mtbundle.Class
-	spreader *spreader
+	picker   *serverPicker
 }
 
-// declarer is a retry policy with a budget that the bundle sets.
-type declarer interface {
+// budgetDeclarer is a retry policy whose budget is set by the bundle.
+type budgetDeclarer interface {
 	Declare(flow mtretry.Flow, retries float64)
 }
 
-// New returns a router.
+// New returns a Router for the given configuration.
 func New(config Config) *Router {
 	return &Router{
 		Config:   config,
 		declared: make(map[mtretry.Flow]*mtbundle.Class),
-		spreader: newSpreader(config.Zone),
+		picker:   newServerPicker(config.Zone),
 	}
 }
 
-// Route runs a request and returns what came of it.
+// Route runs a request and returns its final reply.
 func (r *Router) Route(ctx context.Context, q *mtrequest.Request) *mtrequest.Reply {
 	service, class, err := mtowner.Declared(r.View.Snapshot(), q)
 	if err != nil {
@@ -97,90 +98,91 @@
 		q.Deadline = limit
 	}
 	q.Ingress = r.Self()
-	ask := r.sendKeyed
+	try := r.sendKeyed
 	if service.Kind == mtbundle.Spread {
 		if !class.Idempotent && !q.Minted {
-			return mtrequest.FromError(undeduplicated)
+			return mtrequest.FromError(errResendToSpread)
 		}
-		ask = r.sendSpread
+		try = r.sendSpread
 	}
-	reply := r.tries(ctx, q, class, service.Kind, ask)
+	reply := r.routeWithRetries(ctx, q, class, service.Kind, try)
 	r.Done(q, reply, r.Clock.Now().Sub(now))
 	return reply
 }
 
-// quarantined refuses a request that crashes backend servers.
-var quarantined = &mtreply.RefusedError{
+// errQuarantined refuses a request that has crashed backend servers.
+var errQuarantined = &mtreply.RefusedError{
 	Cause: mtreply.CauseQuarantined, RetryAfter: -1, Detail: "this request has crashed backend servers",
 }
 
-// undeduplicated refuses a resend that nobody could recognise: with no owner of
-// the key, two servers may each see the identifier for the first time, and the
-// request would run twice.
-var undeduplicated = &mtreply.RefusedError{
+// errResendToSpread refuses a resend that no server could recognize: without an
+// owner of the key, two servers may each see the identifier for the first time, and
+// the request would run twice.
+var errResendToSpread = &mtreply.RefusedError{
 	Cause: mtreply.CauseMalformed, RetryAfter: -1,
 	Detail: mtheader.Key + ": accepted only without, for a non-idempotent class of a spread service",
 }
 
-// staleWait is the pause before asking again a daemon that has yet to learn that
-// it is the owner: about the time of one pull.
-const staleWait = 20 * time.Millisecond
+// staleRouteDelay is the pause before retrying at a daemon that has not yet received
+// the update that made it the owner. It is about the duration of one pull.
+const staleRouteDelay = 20 * time.Millisecond
 
-// asker makes one try and returns whom it asked. corrected is the owner that the
-// last reply named, or zero.
-type asker func(ctx context.Context, q *mtrequest.Request, corrected mtid.Holder) (*mtrequest.Reply, mtid.Holder)
+// tryFunc makes one try and returns the reply and the holder that it was sent to.
+// redirect is the owner that the last reply named, or zero.
+type tryFunc func(ctx context.Context, q *mtrequest.Request, redirect mtid.Holder) (*mtrequest.Reply, mtid.Holder)
 
-// tries sends a request until it is answered or the policy ends it.
+// routeWithRetries sends a request until it is answered or the retry policy gives
+// up.
 //
-// A retry that is refused proves nothing about the tries before it. Told the
-// refusal, a caller would take a request for not run that ran at an owner which
-// was lost meanwhile. So the first unknown outcome is kept, and stands unless a
+// A refused retry proves nothing about earlier tries: the request may have run at an
+// owner that was lost in the meantime, and with the refusal the caller would assume
+// that it never ran. So the first unknown outcome is retained and returned unless a
 // later try is answered.
-func (r *Router) tries(ctx context.Context, q *mtrequest.Request, class *mtbundle.Class, kind mtbundle.Kind, ask asker) *mtrequest.Reply {
+func (r *Router) routeWithRetries(ctx context.Context, q *mtrequest.Request, class *mtbundle.Class, kind mtbundle.Kind, try tryFunc) *mtrequest.Reply {
 	flow := mtretry.Flow{Business: q.Service.Business, Class: class.Name}
-	r.first(flow, class)
+	r.noteFirstTry(flow, class)
 	attempt := mtretry.Attempt{
 		Flow: flow, Idempotent: class.Idempotent, Elsewhere: kind == mtbundle.Spread, Deadline: q.Deadline,
 	}
-	var corrected mtid.Holder
-	var doubt *mtrequest.Reply
+	var redirect mtid.Holder
+	var unknown *mtrequest.Reply
 	for {
-		reply, target := ask(ctx, q, corrected)
+		reply, target := try(ctx, q, redirect)
 		if reply.Outcome == mtreply.Answered {
 			return reply
 		}
-		if reply.Outcome == mtreply.Unknown && doubt == nil {
-			doubt = reply
+		if reply.Outcome == mtreply.Unknown && unknown == nil {
+			unknown = reply
 		}
 		attempt.Tries++
 		attempt.Err = errorOf(reply)
-		wait, ok := r.next(attempt)
-		if ok && reply.Cause == mtreply.CauseStaleRoute && r.correction(reply, target).IsZero() {
-			wait = max(wait, staleWait)
+		wait, ok := r.nextTry(attempt)
+		if ok && reply.Cause == mtreply.CauseStaleRoute && r.namedOwner(reply, target).IsZero() {
+			wait = max(wait, staleRouteDelay)
 		}
-		if !ok || !r.pause(ctx, wait) {
-			return cmp.Or(doubt, reply)
+		if !ok || !r.sleep(ctx, wait) {
+			return cmp.Or(unknown, reply)
 		}
 		r.Count("retries")
-		corrected = mtid.Holder{}
+		redirect = mtid.Holder{}
 		if reply.Cause == mtreply.CauseStaleRoute {
 			attempt.Redirects++
-			corrected = r.correction(reply, target)
+			redirect = r.namedOwner(reply, target)
 		}
 	}
 }
 
-// correction returns the owner that the asked daemon names, or zero if that
-// daemon knows less than this one. The relayed request told it so, and it pulls
-// what it lacks.
-func (r *Router) correction(reply *mtrequest.Reply, asked mtid.Holder) mtid.Holder {
+// namedOwner returns the owner that a stale-route reply names, or zero if the
+// replying daemon's view is older than this one's. In that case the relayed request
+// has already carried the newer frontier to it, and it pulls what it lacks.
+func (r *Router) namedOwner(reply *mtrequest.Reply, asked mtid.Holder) mtid.Holder {
 	if reply.Owner == asked || reply.Frontier < r.View.Snapshot().Frontier() {
 		return mtid.Holder{}
 	}
 	return reply.Owner
 }
 
-// errorOf returns the error that a reply stands for.
+// errorOf converts a reply that is not an answer to the equivalent error.
 func errorOf(reply *mtrequest.Reply) error {
 	if reply.Outcome == mtreply.NotRun {
 		return &mtreply.RefusedError{Cause: reply.Cause, RetryAfter: reply.RetryAfter, Detail: reply.Detail}
@@ -188,50 +190,51 @@
 	return &mtreply.UnknownError{Cause: reply.Cause}
 }
 
-// first notes a request's first try, and the budget of its class when that is
-// new or changed.
-func (r *Router) first(flow mtretry.Flow, class *mtbundle.Class) {
+// noteFirstTry records the first try of a request in the retry policy, and declares
+// the budget of its class if that is new or has changed.
+func (r *Router) noteFirstTry(flow mtretry.Flow, class *mtbundle.Class) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.declared[flow] != class {
 		r.declared[flow] = class
-		if d, ok := r.Retry.(declarer); ok {
+		if d, ok := r.Retry.(budgetDeclarer); ok {
 			d.Declare(flow, class.Retries)
 		}
 	}
 	r.Retry.First(flow)
 }
 
-func (r *Router) next(attempt mtretry.Attempt) (time.Duration, bool) {
+func (r *Router) nextTry(attempt mtretry.Attempt) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.Retry.Next(r.Clock.Now(), attempt)
 }
 
-// pause waits, or returns false if the caller goes away first.
-func (r *Router) pause(ctx context.Context, wait time.Duration) bool {
+// sleep waits. It returns false if ctx, the caller's context, ends first.
+func (r *Router) sleep(ctx context.Context, wait time.Duration) bool {
 	if wait <= 0 {
 		return ctx.Err() == nil
 	}
 	return mtduty.Sleep(ctx, wait)
 }
 
-// keyed picks the owner of the request's key.
-func (r *Router) keyed(q *mtrequest.Request, corrected mtid.Holder) mtid.Holder {
-	if !corrected.IsZero() {
-		return corrected
+// ownerOf returns redirect if it is set, otherwise the owner of the request's key in
+// the current view.
+func (r *Router) ownerOf(q *mtrequest.Request, redirect mtid.Holder) mtid.Holder {
+	if !redirect.IsZero() {
+		return redirect
 	}
 	shard, _ := r.View.Snapshot().Lookup(q.Service, q.Point())
 	return shard.Owner
 }
 
-// sendKeyed asks the owner of the request's key.
-func (r *Router) sendKeyed(ctx context.Context, q *mtrequest.Request, corrected mtid.Holder) (*mtrequest.Reply, mtid.Holder) {
-	target := r.keyed(q, corrected)
+// sendKeyed sends a request to the owner of its key.
+func (r *Router) sendKeyed(ctx context.Context, q *mtrequest.Request, redirect mtid.Holder) (*mtrequest.Reply, mtid.Holder) {
+	target := r.ownerOf(q, redirect)
 	return r.send(ctx, q, target), target
 }
 
-// send asks one holder.
+// send makes one try at target, by a function call if that is this daemon.
 func (r *Router) send(ctx context.Context, q *mtrequest.Request, target mtid.Holder) *mtrequest.Reply {
 	if target.IsZero() {
 		return &mtrequest.Reply{Outcome: mtreply.NotRun, Cause: mtreply.CauseNoOwner, RetryAfter: time.Second}
@@ -239,7 +242,7 @@
 	q.Suspect, q.OnBegun = false, nil
 	switch r.Poison.Judge(q) {
 	case mtpoison.Quarantined:
-		return mtrequest.FromError(quarantined)
+		return mtrequest.FromError(errQuarantined)
 	case mtpoison.Suspect:
 		q.Suspect = true
 	}
--- a/io/mtrouter/doubt_test.go
+++ b/io/mtrouter/retry_test.go
@@ -11,10 +11,9 @@
 	"magnoliaturn/core/mtrequest"
 )
 
-// An owner is killed while it runs a status check, and the check is sent again
-// to nobody: the second try is refused before it is sent. The caller must not be
-// told that its request did not run, for the first try may have.
-func TestRefusedRetryDoesNotUndoTheFirstTry(t *testing.T) {
+// The owner is killed while it runs an idempotent request, and the retry is refused
+// before it is sent. The reply must stay unknown: the first try may have run.
+func TestRefusedRetryKeepsUnknownOutcome(t *testing.T) {
 	lost := &mtreply.UnknownError{Cause: mtreply.CauseLost}
 	unreachable := &mtreply.RefusedError{Cause: mtreply.CauseUnreachable}
 	tests := []struct {
@@ -33,7 +32,7 @@
 			r, p := newRouter(t)
 			p.next = tt.next
 			reply := r.Route(context.Background(), &mtrequest.Request{Service: mapsvc, Key: "floor-1", Class: "doors", Minted: true})
-			assert.Equal(t, len(p.next), 0, "not every try was made")
+			assert.Equal(t, len(p.next), 0, "the router made fewer tries than expected")
 			assert.Equal(t, reply.Outcome, tt.outcome)
 			assert.Equal(t, reply.Cause, tt.cause)
 			if reply.Outcome == mtreply.Unknown {
--- a/io/mtrouter/spread.go
+++ b/io/mtrouter/spread.go
@@ -14,39 +14,39 @@
 	"magnoliaturn/core/mtview"
 )
 
-// spreader chooses the servers of spread services.
-type spreader struct {
+// serverPicker selects a server for each request to a spread service.
+type serverPicker struct {
 	zone     mtid.Zone
-	mu       sync.Mutex // guards choosers and all of each
-	choosers map[mtid.Ref]*chooser
+	mu       sync.Mutex // guards policies and their contents
+	policies map[mtid.Ref]*servicePolicy
 }
 
-// chooser is the choice for one service.
-type chooser struct {
-	policy *mtchoice.Power[*mtchoice.Average]
-	seen   *mtview.Snapshot // the candidates are those of this one
+// servicePolicy is the selection policy of one service.
+type servicePolicy struct {
+	policy   *mtchoice.Power[*mtchoice.Average]
+	snapshot *mtview.Snapshot // source of the policy's current candidates
 }
 
-func newSpreader(zone mtid.Zone) *spreader {
-	return &spreader{zone: zone, choosers: make(map[mtid.Ref]*chooser)}
+func newServerPicker(zone mtid.Zone) *serverPicker {
+	return &serverPicker{zone: zone, policies: make(map[mtid.Ref]*servicePolicy)}
 }
 
-// pick returns the server to ask, or zero if there is none, and counts the
-// request as in flight there until end.
-func (s *spreader) pick(now mtclock.Instant, view *mtview.Snapshot, service mtid.Ref) mtid.Holder {
+// pick returns the server for a request, or zero if there is none, and counts the
+// request as in flight there until finish is called.
+func (s *serverPicker) pick(now mtclock.Instant, view *mtview.Snapshot, service mtid.Ref) mtid.Holder {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.choosers[service]
+	c := s.policies[service]
 	if c == nil {
-		c = &chooser{policy: mtchoice.NewPower(
+		c = &servicePolicy{policy: mtchoice.NewPower(
 			rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 			mtchoice.Options{Zone: s.zone, Reports: true},
 			mtchoice.NewAverage,
 		)}
-		s.choosers[service] = c
+		s.policies[service] = c
 	}
-	if c.seen != view {
-		c.seen = view
+	if c.snapshot != view {
+		c.snapshot = view
 		c.policy.Update(candidates(view, service))
 	}
 	holder, ok := c.policy.Pick(now)
@@ -56,16 +56,16 @@
 	return holder
 }
 
-// end notes what came of a request.
-func (s *spreader) end(now mtclock.Instant, service mtid.Ref, holder mtid.Holder, reply *mtrequest.Reply) {
+// finish reports the result of a request to the policy.
+func (s *serverPicker) finish(now mtclock.Instant, service mtid.Ref, holder mtid.Holder, reply *mtrequest.Reply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c := s.choosers[service]; c != nil {
+	if c := s.policies[service]; c != nil {
 		c.policy.Ended(now, holder, resultOf(reply))
 	}
 }
 
-// candidates returns the daemons that take requests of a service.
+// candidates returns the daemons that accept requests for a service.
 func candidates(view *mtview.Snapshot, service mtid.Ref) []mtchoice.Candidate {
 	var out []mtchoice.Candidate
 	for _, record := range view.Roster() {
@@ -77,7 +77,7 @@
 	return out
 }
 
-// resultOf returns what a reply says of the server that was asked.
+// resultOf classifies a reply by what it shows about the server that sent it.
 func resultOf(reply *mtrequest.Reply) mtchoice.Result {
 	r := mtchoice.Result{Kind: mtchoice.Other, Queue: reply.Queued, RetryAfter: reply.RetryAfter}
 	if reply.Outcome == mtreply.Answered {
@@ -93,10 +93,10 @@
 	return r
 }
 
-// sendSpread asks a server of the policy's choice.
+// sendSpread sends a request to the server that the policy selects.
 func (r *Router) sendSpread(ctx context.Context, q *mtrequest.Request, _ mtid.Holder) (*mtrequest.Reply, mtid.Holder) {
-	target := r.spreader.pick(r.Clock.Now(), r.View.Snapshot(), q.Service)
+	target := r.picker.pick(r.Clock.Now(), r.View.Snapshot(), q.Service)
 	reply := r.send(ctx, q, target)
-	r.spreader.end(r.Clock.Now(), q.Service, target, reply)
+	r.picker.finish(r.Clock.Now(), q.Service, target, reply)
 	return reply, target
 }
--- a/io/mtrouter/spread_test.go
+++ b/io/mtrouter/spread_test.go
@@ -57,7 +57,7 @@
 
 var mapsvc = mtid.Ref{Business: "ratins", Service: "mapsvc"}
 
-// clock moves on by a millisecond each time that it is read.
+// clock advances by a millisecond on each read.
 type clock struct{ now mtclock.Instant }
 
 func (c *clock) Now() mtclock.Instant {
@@ -65,11 +65,12 @@
 	return c.now
 }
 
-// peers count what each address is asked, and fail for those that are down.
+// peers counts the requests to each address and fails those to servers that are
+// down.
 type peers struct {
 	asked map[string]int
 	down  map[string]error
-	next  []error // what the next tries end with, whoever is asked
+	next  []error // results of the next tries, at any address
 }
 
 func (p *peers) Relay(_ context.Context, address string, _ *mtrequest.Request, _ mtid.Revision, _ time.Duration) (*mtrequest.Reply, error) {
@@ -85,18 +86,18 @@
 	return &mtrequest.Reply{Outcome: mtreply.Answered}, nil
 }
 
-// Conn implements the connections of the poison duty, which has none to tell.
+// Conn implements the connections of the poison watch. No other daemon is reachable.
 func (p *peers) Conn(address string) (*grpc.ClientConn, error) {
 	return nil, &mtreply.RefusedError{Cause: mtreply.CauseUnreachable, Detail: address}
 }
 
-// Serve implements the local owner, which is never asked.
+// Serve implements the local owner, which these tests never use.
 func (p *peers) Serve(context.Context, *mtrequest.Request) *mtrequest.Reply {
 	panic("this daemon has no server of the service")
 }
 
-// newRouter returns a router in old-town, and the peers a to f, of which a and
-// b are in old-town as well.
+// newRouter returns a router in zone old-town and the peers a to f, of which a and b
+// are in old-town too.
 func newRouter(t *testing.T) (*mtrouter.Router, *peers) {
 	t.Helper()
 	view := mtview.New()
@@ -131,8 +132,9 @@
 	return r, p
 }
 
-// ask sends so many different requests and returns how many were answered.
-func ask(r *mtrouter.Router, class mtid.Class, times int) int {
+// sendRequests sends the given number of different requests and returns how many
+// were answered.
+func sendRequests(r *mtrouter.Router, class mtid.Class, times int) int {
 	answered := 0
 	for i := range times {
 		reply := r.Route(context.Background(), &mtrequest.Request{
@@ -145,30 +147,30 @@
 	return answered
 }
 
-func TestSpreadStaysInTheZone(t *testing.T) {
+func TestSpreadPrefersOwnZone(t *testing.T) {
 	r, p := newRouter(t)
-	assert.Equal(t, ask(r, "doors", 200), 200)
+	assert.Equal(t, sendRequests(r, "doors", 200), 200)
 	assert.Equal(t, p.asked["a"]+p.asked["b"], 200)
 	assert.Assert(t, p.asked["a"] > 50 && p.asked["b"] > 50, "%v", p.asked)
 }
 
-// One of the near map servers breaks its connections. A door list is asked for
-// again elsewhere, so dispatch notices nothing, and the broken server gets
-// little more than probes.
-func TestSpreadLeavesABrokenServerOut(t *testing.T) {
+// A server in the own zone breaks its connections. Its idempotent requests are
+// retried elsewhere, so every caller gets an answer, and the server receives little
+// more than probes.
+func TestSpreadAvoidsFailingServer(t *testing.T) {
 	r, p := newRouter(t)
 	p.down["a"] = &mtreply.UnknownError{Cause: mtreply.CauseLost}
-	assert.Equal(t, ask(r, "doors", 300), 300)
+	assert.Equal(t, sendRequests(r, "doors", 300), 300)
 	assert.Assert(t, p.asked["a"] < 10, "%v", p.asked)
 }
 
-// A lift's order that may have run is not sent to a second server.
-func TestSpreadDoesNotRepeatWhatMayHaveRun(t *testing.T) {
+// A non-idempotent request that may have run is not sent to a second server.
+func TestSpreadDoesNotRetryUnknownOutcome(t *testing.T) {
 	r, p := newRouter(t)
 	for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
 		p.down[name] = &mtreply.UnknownError{Cause: mtreply.CauseLost}
 	}
-	assert.Equal(t, ask(r, "lift", 1), 0)
+	assert.Equal(t, sendRequests(r, "lift", 1), 0)
 	sum := 0
 	for _, n := range p.asked {
 		sum += n
