--- a/io/mtrelay/mtrelay.go
+++ b/io/mtrelay/mtrelay.go
@@ -1,17 +1,15 @@
-// Package mtrelay carries requests and deltas of the live state between
-// daemons over gRPC.
+// Package mtrelay transmits requests and view deltas between daemons over gRPC.
 //
-// The client tells a request that was never handed to the transport (not run)
-// from one that was (unknown): gRPC's status alone can't, since Unavailable
-// covers both. A stats handler notes the moment at which the message was
-// written.
+// The client distinguishes a request that was never handed to the transport (not
+// run) from one that was (unknown). The gRPC status alone can't, since Unavailable
+// covers both, so a stats handler records when the message is written.
 //
 // # Usage
 //
-//	server := mtrelay.NewServer(owner, view, limit)
+//	server := mtrelay.NewServer(owner, view, clock, onFrontier)
 //	server.Register(grpcServer)
 //	client, cleanUp := mtrelay.NewClient(credentials, limit)
-//	reply, err := client.Relay(ctx, address, request, timeLeft)
+//	reply, err := client.Relay(ctx, address, request, frontier, timeLeft)
 //
 // Client and Server are safe for concurrent use.
 package mtrelay
@@ -34,52 +32,53 @@
 	"magnoliaturn/io/mtconn"
 )
 
-// DeltaLimit is the size, in bytes, near which a delta is cut.
+// DeltaLimit is the approximate size in bytes at which a delta is split.
 const DeltaLimit = 256 << 10
 
-// overhead is what a message needs beside the body, in bytes.
-const overhead = 64 << 10
+// messageOverhead is the allowance for the parts of a message other than the body,
+// in bytes.
+const messageOverhead = 64 << 10
 
-// Pings on idle connections find a peer that vanished without a word. They are
-// rare, since renewal datagrams find a lost daemon sooner.
+// Keepalive pings on idle connections detect a peer that vanished without closing
+// them. They are infrequent, since renewal datagrams detect a lost daemon sooner.
 const (
-	pingAfter   = 20 * time.Second
-	pingTimeout = 5 * time.Second
+	keepaliveTime    = 20 * time.Second
+	keepaliveTimeout = 5 * time.Second
 )
 
-// A daemon that was replaced listens again within seconds. gRPC's own backoff
-// grows to two minutes, for which all of its keys would be refused here.
-var reconnect = grpc.ConnectParams{
+// A replaced daemon listens again within seconds. gRPC's default backoff grows to
+// two minutes, during which requests for all of its keys would be refused here.
+var reconnectParams = grpc.ConnectParams{
 	Backoff:           backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: time.Second},
 	MinConnectTimeout: time.Second,
 }
 
-// unreachableRetry is when to ask again for keys of a daemon that can't be
-// reached: about the time of a takeover.
-const unreachableRetry = time.Second
+// unreachableRetryAfter is the suggested wait before retrying a request whose owner
+// is unreachable. It is about the duration of a takeover.
+const unreachableRetryAfter = time.Second
 
-// Client sends to other daemons over one pooled connection each.
+// Client sends requests to other daemons, with one pooled connection to each.
 type Client struct {
-	// Pool is used for other gRPC services of the daemon too.
+	// Pool also serves the daemon's other gRPC clients.
 	*mtconn.Pool
 }
 
-// NewClient returns a client and its clean-up function. limit is the largest
-// body in bytes.
+// NewClient returns a client and its clean-up function. limit is the maximum body
+// size in bytes.
 func NewClient(creds credentials.TransportCredentials, limit int64) (*Client, func()) {
-	size := int(limit) + overhead + DeltaLimit
+	size := int(limit) + messageOverhead + DeltaLimit
 	pool, cleanUp := mtconn.New(
 		grpc.WithTransportCredentials(creds),
-		grpc.WithConnectParams(reconnect),
+		grpc.WithConnectParams(reconnectParams),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(size), grpc.MaxCallSendMsgSize(size)),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingAfter, Timeout: pingTimeout}),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveTime, Timeout: keepaliveTimeout}),
 	)
 	return &Client{Pool: pool}, cleanUp
 }
 
-// Relay sends a request to the owner's daemon and returns its reply. left is
-// the time until the caller's deadline. It fails with a *mtreply.RefusedError
-// if the request was never sent, else with a *mtreply.UnknownError.
+// Relay sends a request to the owner's daemon and returns its reply. left is the
+// time until the caller's deadline. It fails with a *mtreply.RefusedError if the
+// request was never sent, otherwise with a *mtreply.UnknownError.
 func (c *Client) Relay(ctx context.Context, address string, r *mtrequest.Request, frontier mtid.Revision, left time.Duration) (*mtrequest.Reply, error) {
 	conn, err := c.Conn(address)
 	if err != nil {
@@ -89,23 +88,23 @@
 	defer cancel()
 	ctx, sent := mtconn.Watch(ctx)
 	var header metadata.MD
-	w, err := mtwire.NewPeerClient(conn).Relay(ctx, wireRequest(r, frontier), grpc.Header(&header))
+	w, err := mtwire.NewPeerClient(conn).Relay(ctx, requestToWire(r, frontier), grpc.Header(&header))
 	if len(header.Get(begunHeader)) > 0 && r.OnBegun != nil {
 		r.OnBegun()
 	}
 	if err != nil {
-		return nil, mtconn.Explain(ctx, err, sent, unreachableRetry)
+		return nil, mtconn.Explain(ctx, err, sent, unreachableRetryAfter)
 	}
-	// A reply that is not for this request would hand one caller another's
-	// data; gRPC matches streams, so this shows only with a faulty peer.
+	// A reply to another request would disclose that caller's data. gRPC matches
+	// replies to streams, so this occurs only with a faulty peer.
 	if id, err := mtrequest.ReadID(w.GetId()); err != nil || id != r.ID {
 		return nil, &mtreply.UnknownError{Cause: mtreply.CauseTruncated}
 	}
-	return readReply(w), nil
+	return replyFromWire(w), nil
 }
 
-// Pull returns what changed in a peer's copy of the live state after a
-// revision, with no assignment as steps if whole is set.
+// Pull returns the changes in a peer's view after a revision. If whole is set,
+// assignments are transmitted in full rather than as steps.
 func (c *Client) Pull(ctx context.Context, address string, after mtid.Revision, whole bool) (mtview.Delta, error) {
 	conn, err := c.Conn(address)
 	if err != nil {
@@ -115,10 +114,10 @@
 	if err != nil {
 		return mtview.Delta{}, &PullError{Address: address, Err: err}
 	}
-	return readDelta(after, w), nil
+	return deltaFromWire(after, w), nil
 }
 
-// PullError says that a peer's live state could not be had.
+// PullError reports a failed pull of a peer's view.
 type PullError struct {
 	Address string
 	Err     error
@@ -127,5 +126,5 @@
 // Error implements error.
 func (e *PullError) Error() string { return "relay: pull from " + e.Address + ": " + e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of the gRPC call.
 func (e *PullError) Unwrap() error { return e.Err }
--- a/io/mtrelay/server.go
+++ b/io/mtrelay/server.go
@@ -19,26 +19,27 @@
 	"magnoliaturn/core/mtwire"
 )
 
-// owner runs requests whose key this daemon owns.
+// owner runs requests whose keys this daemon owns.
 type owner interface {
 	Serve(ctx context.Context, r *mtrequest.Request) *mtrequest.Reply
 }
 
 type clock interface{ Now() mtclock.Instant }
 
-// Server answers other daemons.
+// Server handles the requests and pulls of other daemons.
 type Server struct {
 	mtwire.UnimplementedPeerServer
-	owner owner
-	view  *mtview.View
-	clock clock
-	hint  func(frontier mtid.Revision, from mtid.Holder)
+	owner      owner
+	view       *mtview.View
+	clock      clock
+	onFrontier func(frontier mtid.Revision, from mtid.Holder)
 }
 
-// NewServer returns the server of a daemon. hint is called with the frontier
-// of each ingress, so that a daemon that is behind learns of it.
-func NewServer(o owner, view *mtview.View, c clock, hint func(mtid.Revision, mtid.Holder)) *Server {
-	return &Server{owner: o, view: view, clock: c, hint: hint}
+// NewServer returns the peer server of a daemon. onFrontier is called with the
+// frontier of each ingress, so that a daemon with an older view can pull from
+// that ingress.
+func NewServer(o owner, view *mtview.View, c clock, onFrontier func(mtid.Revision, mtid.Holder)) *Server {
+	return &Server{owner: o, view: view, clock: c, onFrontier: onFrontier}
 }
 
 // Register adds the server to a gRPC server.
@@ -54,25 +55,25 @@
 	if !ok {
 		return nil, status.Error(codes.InvalidArgument, "a deadline is required")
 	}
-	r := readRequest(id, w)
+	r := requestFromWire(id, w)
 	r.Deadline = s.clock.Now().Add(time.Until(deadline))
 	r.OnBegun = func() { _ = grpc.SendHeader(ctx, metadata.Pairs(begunHeader, "1")) }
-	s.hint(mtid.Revision(w.GetFrontier()), r.Ingress)
+	s.onFrontier(mtid.Revision(w.GetFrontier()), r.Ingress)
 	reply := s.owner.Serve(ctx, r)
-	return wireReply(id, reply, s.view.Snapshot().Frontier()), nil
+	return replyToWire(id, reply, s.view.Snapshot().Frontier()), nil
 }
 
-// begunHeader is sent ahead of the reply when the owner begins to run a request
-// that is suspected of crashing servers. If the whole VM is lost with it, the
-// ingress knows by this header that the request ran, and did not only wait.
+// begunHeader is sent ahead of the reply when the owner starts to run a request that
+// is suspected of crashing servers. If the whole VM is lost during the run, this
+// header tells the ingress that the request was running and not just waiting.
 const begunHeader = "begun"
 
 // Pull implements mtwire.PeerServer.
 func (s *Server) Pull(_ context.Context, w *mtwire.PullRequest) (*mtwire.PullReply, error) {
-	return wireDelta(s.view.Delta(mtid.Revision(w.GetAfter()), DeltaLimit, w.GetWhole())), nil
+	return deltaToWire(s.view.Delta(mtid.Revision(w.GetAfter()), DeltaLimit, w.GetWhole())), nil
 }
 
-func wireRequest(r *mtrequest.Request, frontier mtid.Revision) *mtwire.RelayRequest {
+func requestToWire(r *mtrequest.Request, frontier mtid.Revision) *mtwire.RelayRequest {
 	return &mtwire.RelayRequest{
 		Id:          r.ID[:],
 		Minted:      r.Minted,
@@ -91,7 +92,7 @@
 	}
 }
 
-func readRequest(id mtrequest.ID, w *mtwire.RelayRequest) *mtrequest.Request {
+func requestFromWire(id mtrequest.ID, w *mtwire.RelayRequest) *mtrequest.Request {
 	return &mtrequest.Request{
 		ID:          id,
 		Minted:      w.GetMinted(),
@@ -108,7 +109,7 @@
 	}
 }
 
-func wireReply(id mtrequest.ID, r *mtrequest.Reply, frontier mtid.Revision) *mtwire.RelayReply {
+func replyToWire(id mtrequest.ID, r *mtrequest.Reply, frontier mtid.Revision) *mtwire.RelayReply {
 	return &mtwire.RelayReply{
 		Id:           id[:],
 		Outcome:      string(r.Outcome),
@@ -126,7 +127,7 @@
 	}
 }
 
-func readReply(w *mtwire.RelayReply) *mtrequest.Reply {
+func replyFromWire(w *mtwire.RelayReply) *mtrequest.Reply {
 	return &mtrequest.Reply{
 		Outcome:     mtreply.Outcome(w.GetOutcome()),
 		Cause:       mtreply.Cause(w.GetCause()),
@@ -143,7 +144,7 @@
 	}
 }
 
-func wireDelta(d mtview.Delta) *mtwire.PullReply {
+func deltaToWire(d mtview.Delta) *mtwire.PullReply {
 	w := &mtwire.PullReply{Revision: uint64(d.Revision), More: d.More}
 	for _, item := range d.Items {
 		w.Items = append(w.Items, &mtwire.Item{
@@ -157,7 +158,7 @@
 	return w
 }
 
-func readDelta(after mtid.Revision, w *mtwire.PullReply) mtview.Delta {
+func deltaFromWire(after mtid.Revision, w *mtwire.PullReply) mtview.Delta {
 	d := mtview.Delta{After: after, Revision: mtid.Revision(w.GetRevision()), More: w.GetMore()}
 	for _, item := range w.GetItems() {
 		d.Items = append(d.Items, mtview.Item{
