--- a/io/mtcaller/mtcaller.go
+++ b/io/mtcaller/mtcaller.go
@@ -1,15 +1,15 @@
-// Package mtcaller is the HTTP side that callers see. Any daemon may be asked;
-// mtheader documents the path and the headers.
+// Package mtcaller implements the HTTP interface for callers. Callers may send a
+// request to any daemon; mtheader documents the path and the headers.
 //
-// Status codes: the backend server's own for an answer; for a request that was
-// not run 400 (malformed), 404 (no such service or class), 413 (too large), 429
-// (over a limit or quarantined) or 503; 504 for an unknown outcome. The headers
-// Request-Outcome and Request-Cause always tell which it was, and Retry-After
-// when it makes sense to come back.
+// Status codes: an answer has the backend server's own. A request that was not run
+// has 400 (malformed), 404 (no such service or class), 413 (too large), 429 (over a
+// limit or quarantined) or 503, and one whose outcome is unknown has 504. The
+// headers Request-Outcome and Request-Cause always say which it was, and Retry-After
+// is set if a retry may succeed.
 //
 // # Usage
 //
-//	mtcaller.Register(echo, router, config)
+//	mtcaller.Register(echo, config)
 package mtcaller
 
 import (
@@ -33,12 +33,12 @@
 	"magnoliaturn/core/mtrequest"
 )
 
-// router finds the owner and returns what came of the request.
+// router sends a request to the owner of its key and returns the reply.
 type router interface {
 	Route(ctx context.Context, r *mtrequest.Request) *mtrequest.Reply
 }
 
-// addresses tells where callers reach a daemon.
+// addresses looks up the address at which callers reach a daemon.
 type addresses interface {
 	CallerAddress(h mtid.Holder) string
 }
@@ -48,14 +48,14 @@
 	Wall() time.Time
 }
 
-// Bounds of what a caller may send.
+// Limits on what a caller may send.
 const (
 	MaxKey     = 512 // bytes
-	MaxName    = 64  // bytes of a business, service or class
+	MaxName    = 64  // bytes, for the name of a business, service or class
 	MaxTimeout = 10 * time.Minute
 )
 
-// FieldError says that a part of a request is outside its accepted range.
+// FieldError reports a part of a request that is not in its accepted form or range.
 type FieldError struct {
 	Field  string
 	Accept string
@@ -64,17 +64,17 @@
 // Error implements error.
 func (e *FieldError) Error() string { return fmt.Sprintf("%s: accepted is %s", e.Field, e.Accept) }
 
-// Config is what the callers' side works with.
+// Config holds the dependencies and limits of the callers' interface.
 type Config struct {
 	Router    router
 	Addresses addresses
 	Clock     clock
-	Body      int64 // largest body in bytes
+	Body      int64 // maximum size in bytes of a request's body
 }
 
 type handler struct{ Config }
 
-// Register adds the callers' routes.
+// Register adds the routes for callers to e.
 func Register(e *echo.Echo, config Config) {
 	h := handler{config}
 	e.Any(mtheader.Prefix+"/:business/:service/:key", h.serve)
@@ -82,16 +82,16 @@
 }
 
 func (h handler) serve(c echo.Context) error {
-	request, err := h.read(c)
+	request, err := h.readRequest(c)
 	if err != nil {
-		return h.write(c, request, mtrequest.FromError(err))
+		return h.writeReply(c, request, mtrequest.FromError(err))
 	}
-	return h.write(c, request, h.Router.Route(c.Request().Context(), request))
+	return h.writeReply(c, request, h.Router.Route(c.Request().Context(), request))
 }
 
-// read returns the request that a caller sent. It fails with a
-// *mtreply.RefusedError; the request then holds what could be read.
-func (h handler) read(c echo.Context) (*mtrequest.Request, error) {
+// readRequest parses a caller's request. It fails with a *mtreply.RefusedError; the
+// returned request then holds the parts that were parsed before the error.
+func (h handler) readRequest(c echo.Context) (*mtrequest.Request, error) {
 	in := c.Request()
 	r := &mtrequest.Request{Method: in.Method, Query: in.URL.RawQuery, ContentType: in.Header.Get("Content-Type")}
 	if err := h.readID(in, r); err != nil {
@@ -111,11 +111,11 @@
 }
 
 func malformed(err error) error {
-	return &mtreply.RefusedError{Cause: mtreply.CauseMalformed, RetryAfter: never, Detail: err.Error()}
+	return &mtreply.RefusedError{Cause: mtreply.CauseMalformed, RetryAfter: noRetry, Detail: err.Error()}
 }
 
-// never says that asking again makes no sense.
-const never = -1
+// noRetry, as the wait before a retry, means that a retry can't succeed.
+const noRetry = -1
 
 func (h handler) readID(in *http.Request, r *mtrequest.Request) error {
 	value := in.Header.Get(mtheader.Key)
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// readPath splits /v1/business/service/key/rest. It reads the escaped path, so
-// that a key may hold an encoded slash.
+// readPath splits /v1/business/service/key/rest. It uses the escaped path, so that a
+// key may contain an encoded slash.
 func readPath(u *url.URL, r *mtrequest.Request) error {
 	const parts = 4
 	rest := strings.TrimPrefix(u.EscapedPath(), mtheader.Prefix+"/")
@@ -165,8 +165,8 @@
 	return nil
 }
 
-// readTimeout sets the deadline. With no header it stays zero, and the router
-// takes the class's.
+// readTimeout sets the deadline. Without the header it stays zero, and the router
+// uses the timeout of the class.
 func (h handler) readTimeout(in *http.Request, r *mtrequest.Request) error {
 	value := in.Header.Get(mtheader.Timeout)
 	if value == "" {
@@ -185,7 +185,7 @@
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
 		return &mtreply.RefusedError{
-			Cause: mtreply.CauseTooLarge, RetryAfter: never,
+			Cause: mtreply.CauseTooLarge, RetryAfter: noRetry,
 			Detail: fmt.Sprintf("body: accepted is up to %d bytes", h.Body),
 		}
 	}
@@ -196,7 +196,7 @@
 	return nil
 }
 
-func (h handler) write(c echo.Context, r *mtrequest.Request, reply *mtrequest.Reply) error {
+func (h handler) writeReply(c echo.Context, r *mtrequest.Request, reply *mtrequest.Reply) error {
 	out := c.Response().Header()
 	out.Set(mtheader.ID, r.ID.String())
 	out.Set(mtheader.Outcome, string(reply.Outcome))
@@ -216,8 +216,8 @@
 	return c.String(Status(reply), reply.Detail)
 }
 
-// retrySeconds rounds up, since Retry-After counts whole seconds and an early
-// retry would be refused again.
+// retrySeconds formats a duration for Retry-After, which counts whole seconds. It
+// rounds up, since an early retry would be refused again.
 func retrySeconds(d time.Duration) string {
 	return strconv.FormatInt(int64((d+time.Second-1)/time.Second), 10)
 }
