--- a/io/mtserver/conn.go
+++ b/io/mtserver/conn.go
@@ -8,23 +8,23 @@
 	"sync/atomic"
 )
 
-// countedConn counts the attempts to write, so that a request which failed
-// before its first byte is known to be one. The error alone can't tell: an idle
-// connection that the server closed gives the same one as a lost reply.
+// countedConn counts write attempts, so that a request that failed before its first
+// byte is recognized as such. The error alone can't tell: an idle connection that
+// the server has closed gives the same error as a lost reply.
 type countedConn struct {
 	net.Conn
 	writes atomic.Int64
 }
 
-// Write implements net.Conn. It counts before it writes: a write that is
-// counted too early makes an outcome unknown, one counted too late would make
-// "not run" untrue.
+// Write implements net.Conn. It counts before it writes: counting too early makes an
+// outcome unknown, but counting too late would report a request that was sent as not
+// run.
 func (c *countedConn) Write(p []byte) (int, error) {
 	c.writes.Add(1)
 	return c.Conn.Write(p)
 }
 
-// dialCounted returns a dial function whose connections count.
+// dialCounted returns a dial function that wraps each connection in a countedConn.
 func dialCounted(dialer *net.Dialer) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dialer.DialContext(ctx, network, address)
@@ -35,14 +35,14 @@
 	}
 }
 
-// usage tells whether one request wrote to the connection that it was given.
-type usage struct {
+// connUsage detects whether a request wrote to the connection that it was given.
+type connUsage struct {
 	mu     sync.Mutex
 	conn   *countedConn
 	before int64
 }
 
-func (u *usage) trace() *httptrace.ClientTrace {
+func (u *connUsage) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		u.mu.Lock()
 		defer u.mu.Unlock()
@@ -53,10 +53,11 @@
 	}}
 }
 
-// written reports whether any byte of the request may have left. It is called
-// after the request failed. It closes the connection first: the transport's
-// writer runs on its own and might begin just after the look otherwise.
-func (u *usage) written() bool {
+// written reports whether any byte of the request may have been sent. It is called
+// after the request failed. It closes the connection before it reads the counter,
+// since the transport's writer goroutine might otherwise start to write just after
+// the check.
+func (u *connUsage) written() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.conn == nil {
--- a/io/mtserver/mtserver.go
+++ b/io/mtserver/mtserver.go
@@ -1,15 +1,15 @@
-// Package mtserver speaks with the backend servers on the daemon's own VM: it
-// takes their announcements and sends them requests.
+// Package mtserver connects the daemon to the backend servers on its own VM: it
+// receives their announcements and sends them requests.
 //
-// The client never lets net/http send a request a second time by itself: the
-// standard transport repeats a GET on a connection that broke, which would run
-// a non-idempotent request twice. It tells a request of which no byte was
-// written (not run) from one that was (unknown), and passes on a reply only if
-// it is whole and carries the identifier of this very request.
+// The client never lets net/http retry a request: the standard transport repeats a
+// GET on a connection that broke, which would run a non-idempotent request twice. It
+// distinguishes a request of which no byte was written (not run) from one that was
+// at least partly written (unknown), and passes a reply on only if it is complete
+// and has the identifier of that request.
 //
 // # Usage
 //
-//	pool := mtserver.NewPool(clock, log)
+//	pool := mtserver.NewPool(clock, limit, log, onChange)
 //	mux.POST(mtheader.AnnouncePath, pool.Announce)
 //	server, ok := pool.Server(ref, now)
 //	reply, err := server.Do(ctx, call)
@@ -41,14 +41,15 @@
 	idleTimeout = time.Minute
 )
 
-// Server is a backend server as a target of requests.
+// Server sends requests to one backend server.
 type Server struct {
-	announced mtannounce.Announcement
-	client    *http.Client
-	limit     int64
+	announcement mtannounce.Announcement
+	client       *http.Client
+	limit        int64
 }
 
-// Call is one request to a backend server with its fences.
+// Call is one request to a backend server, with the epoch and the times that fence
+// it.
 type Call struct {
 	Request  *mtrequest.Request
 	Epoch    mtid.Epoch
@@ -56,7 +57,8 @@
 	Deadline int64 // nanoseconds of the boot-time clock
 }
 
-// newServer returns a target; limit is the largest reply in bytes.
+// newServer returns the Server for an announcement. limit is the maximum size of a
+// reply in bytes.
 func newServer(a mtannounce.Announcement, limit int64) *Server {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	transport := &http.Transport{
@@ -66,21 +68,22 @@
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
-	return &Server{announced: a, limit: limit, client: &http.Client{
+	return &Server{announcement: a, limit: limit, client: &http.Client{
 		Transport: transport,
-		// A redirect would send the request to a server that doesn't own the key.
+		// Following a redirect would send the request to a server that doesn't own
+		// the key.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
 
-// Announced returns what the server said of itself last.
-func (s *Server) Announced() mtannounce.Announcement { return s.announced }
+// Announced returns the server's last announcement.
+func (s *Server) Announced() mtannounce.Announcement { return s.announcement }
 
-// Do sends one request, once. It fails with a *mtreply.RefusedError if the
-// request was not run, else with a *mtreply.UnknownError.
+// Do sends a request exactly once. It fails with a *mtreply.RefusedError if the
+// request was not run, otherwise with a *mtreply.UnknownError.
 func (s *Server) Do(ctx context.Context, call Call) (*mtrequest.Reply, error) {
-	used := &usage{}
-	request, err := s.request(httptrace.WithClientTrace(ctx, used.trace()), call)
+	used := &connUsage{}
+	request, err := s.newRequest(httptrace.WithClientTrace(ctx, used.trace()), call)
 	if err != nil {
 		return nil, &mtreply.RefusedError{Cause: mtreply.CauseMalformed, Detail: err.Error()}
 	}
@@ -89,29 +92,30 @@
 		return nil, callError(ctx, err, used.written())
 	}
 	defer func() { _ = response.Body.Close() }()
-	return s.read(ctx, call, response)
+	return s.readReply(ctx, call, response)
 }
 
-// once wraps a body so that net/http can't rewind it: with no GetBody and a
-// body that is not nil, the transport never repeats a request of which bytes
-// may have been written, whatever its method or headers.
-type once struct{ io.Reader }
+// oneShotBody wraps a body so that net/http can't rewind it. For a request with a
+// non-nil body and without GetBody, the transport never repeats a request of which
+// bytes may have been written, whatever its method or headers.
+type oneShotBody struct{ io.Reader }
 
 // Close implements io.Closer.
-func (once) Close() error { return nil }
+func (oneShotBody) Close() error { return nil }
 
-// body returns the body to send. Only the methods that the transport takes for
-// idempotent need the wrapper where there is nothing to send; with the others it
+// requestBody returns the body to send. An empty body needs the wrapper only with
+// the methods that the transport treats as idempotent; with the others, the wrapper
 // would make the transport send an empty chunked body.
-func body(r *mtrequest.Request) io.ReadCloser {
-	if len(r.Body) > 0 || repeatable(r.Method) {
-		return once{bytes.NewReader(r.Body)}
+func requestBody(r *mtrequest.Request) io.ReadCloser {
+	if len(r.Body) > 0 || retriedByTransport(r.Method) {
+		return oneShotBody{bytes.NewReader(r.Body)}
 	}
 	return http.NoBody
 }
 
-// repeatable reports whether net/http would send a request again by itself.
-func repeatable(method string) bool {
+// retriedByTransport reports whether net/http would itself retry a request with this
+// method.
+func retriedByTransport(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace:
 		return true
@@ -119,11 +123,11 @@
 	return false
 }
 
-func (s *Server) request(ctx context.Context, call Call) (*http.Request, error) {
+func (s *Server) newRequest(ctx context.Context, call Call) (*http.Request, error) {
 	r := call.Request
 	target := url.URL{
 		Scheme:   "http",
-		Host:     s.announced.Address,
+		Host:     s.announcement.Address,
 		Path:     "/" + string(r.Key) + r.Path,
 		RawPath:  "/" + url.PathEscape(string(r.Key)) + r.Path,
 		RawQuery: r.Query,
@@ -132,7 +136,7 @@
 	if err != nil {
 		return nil, err
 	}
-	request.Body = body(r)
+	request.Body = requestBody(r)
 	request.ContentLength = int64(len(r.Body))
 	h := request.Header
 	h.Set(mtheader.ID, r.ID.String())
@@ -159,13 +163,13 @@
 	return &mtreply.UnknownError{Cause: mtreply.CauseLost, Err: err}
 }
 
-func (s *Server) read(ctx context.Context, call Call, response *http.Response) (*mtrequest.Reply, error) {
-	// A reply that lacks the identifier may belong to another request.
+func (s *Server) readReply(ctx context.Context, call Call, response *http.Response) (*mtrequest.Reply, error) {
+	// A reply without the request's identifier may belong to another request.
 	if response.Header.Get(mtheader.ID) != call.Request.ID.String() {
 		return nil, &mtreply.UnknownError{Cause: mtreply.CauseTruncated}
 	}
 	if mtreply.Outcome(response.Header.Get(mtheader.Outcome)) == mtreply.NotRun {
-		return nil, refusal(response)
+		return nil, refusalOf(response)
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, s.limit+1))
 	if err != nil {
@@ -186,8 +190,8 @@
 	}, nil
 }
 
-// refusal returns what a backend server's own refusal means.
-func refusal(response *http.Response) error {
+// refusalOf converts a backend server's refusal to a *mtreply.RefusedError.
+func refusalOf(response *http.Response) error {
 	cause := mtreply.Cause(response.Header.Get(mtheader.Cause))
 	if cause != mtreply.CauseFenced && cause != mtreply.CauseDraining && cause != mtreply.CauseExpired {
 		cause = mtreply.CauseRefused
--- a/io/mtserver/mtserver_test.go
+++ b/io/mtserver/mtserver_test.go
@@ -27,13 +27,13 @@
 	"magnoliaturn/io/mtserver"
 )
 
-const limit = 1 << 10
+const maxReply = 1 << 10
 
 var ref = mtid.Ref{Business: "ratins", Service: "dispatch"}
 
-type still struct{}
+type fixedClock struct{}
 
-func (still) Now() mtclock.Instant { return 0 }
+func (fixedClock) Now() mtclock.Instant { return 0 }
 
 func announcement(address string) mtannounce.Announcement {
 	return mtannounce.Announcement{
@@ -41,16 +41,16 @@
 	}
 }
 
-func target(t *testing.T, address string) *mtserver.Server {
+func newServer(t *testing.T, address string) *mtserver.Server {
 	t.Helper()
-	pool := mtserver.NewPool(still{}, limit, slog.New(slog.DiscardHandler), func() {})
+	pool := mtserver.NewPool(fixedClock{}, maxReply, slog.New(slog.DiscardHandler), func() {})
 	pool.Put(announcement(address))
 	server, ok := pool.Server(ref, 0)
 	assert.Assert(t, ok)
 	return server
 }
 
-func call(method string, body string) mtserver.Call {
+func newCall(method string, body string) mtserver.Call {
 	return mtserver.Call{Epoch: 7, StartBy: 8, Deadline: 9, Request: &mtrequest.Request{
 		ID: mtrequest.Mint(time.UnixMilli(1), [10]byte{1}), Service: ref, Key: "hotel/7", Path: "/robots",
 		Query: "a=b", Class: "send", Method: method, Body: []byte(body),
@@ -72,14 +72,14 @@
 		cause   mtreply.Cause
 	}{
 		{"whole", echoID(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) }), mtreply.Answered, ""},
-		{"an error of its own", echoID(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) }), mtreply.Answered, ""},
+		{"error status", echoID(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) }), mtreply.Answered, ""},
 		{"for another request", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(mtheader.ID, "x") }, mtreply.Unknown, mtreply.CauseTruncated},
 		{"cut off", echoID(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "10")
 			_, _ = w.Write([]byte("half"))
 		}), mtreply.Unknown, mtreply.CauseTruncated},
 		{"too large", echoID(func(w http.ResponseWriter, _ *http.Request) {
-			_, _ = w.Write(make([]byte, limit+1))
+			_, _ = w.Write(make([]byte, maxReply+1))
 		}), mtreply.Unknown, mtreply.CauseTooLarge},
 		{"refused", echoID(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(mtheader.Outcome, string(mtreply.NotRun))
@@ -96,7 +96,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			backend := httptest.NewServer(tt.handler)
 			defer backend.Close()
-			reply, err := target(t, backend.Listener.Addr().String()).Do(context.Background(), call("POST", "x"))
+			reply, err := newServer(t, backend.Listener.Addr().String()).Do(context.Background(), newCall("POST", "x"))
 			if err != nil {
 				reply = mtrequest.FromError(err)
 			}
@@ -110,7 +110,7 @@
 	var got *http.Request
 	backend := httptest.NewServer(echoID(func(_ http.ResponseWriter, r *http.Request) { got = r }))
 	defer backend.Close()
-	_, err := target(t, backend.Listener.Addr().String()).Do(context.Background(), call("POST", "x"))
+	_, err := newServer(t, backend.Listener.Addr().String()).Do(context.Background(), newCall("POST", "x"))
 	assert.NilError(t, err)
 	assert.Equal(t, got.URL.EscapedPath(), "/hotel%2F7/robots")
 	assert.Equal(t, got.URL.RawQuery, "a=b")
@@ -119,32 +119,31 @@
 	assert.Equal(t, got.Header.Get(mtheader.Deadline), "9")
 }
 
-// Nothing listens where the backend server said. The caller is told that its
-// payment was not run, since no byte of it left.
-func TestUnreachableIsNotRun(t *testing.T) {
+// Nothing listens at the announced address. The request is reported as not run,
+// since no byte of it was sent.
+func TestUnreachableServerIsNotRun(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := listener.Addr().String()
 	assert.NilError(t, listener.Close())
-	_, err = target(t, address).Do(context.Background(), call("POST", "x"))
+	_, err = newServer(t, address).Do(context.Background(), newCall("POST", "x"))
 	var refused *mtreply.RefusedError
 	assert.Assert(t, errors.As(err, &refused), "got %v, want a RefusedError", err)
 	assert.Equal(t, refused.Cause, mtreply.CauseUnreachable)
 }
 
-// A send order arrives as a GET. The server answers one request, and closes the
-// kept connection after it has read the second without answering. The standard
-// transport would send a GET again on a fresh connection, and the order would
-// run twice.
-func TestNothingIsSentTwice(t *testing.T) {
+// The server answers the first request on a connection, reads the second one and
+// closes the connection without replying. The standard transport would retry a GET
+// on a new connection, and a non-idempotent request would run twice.
+func TestBrokenConnectionIsNotRetried(t *testing.T) {
 	for _, method := range []string{"GET", "POST"} {
 		t.Run(method, func(t *testing.T) {
 			var seen atomic.Int32
-			address := closing(t, &seen)
-			server := target(t, address)
-			_, err := server.Do(context.Background(), call(method, ""))
+			address := startClosingServer(t, &seen)
+			server := newServer(t, address)
+			_, err := server.Do(context.Background(), newCall(method, ""))
 			assert.NilError(t, err)
-			_, err = server.Do(context.Background(), call(method, ""))
+			_, err = server.Do(context.Background(), newCall(method, ""))
 			var unknown *mtreply.UnknownError
 			assert.Assert(t, errors.As(err, &unknown), "got %v, want an UnknownError", err)
 			assert.Equal(t, seen.Load(), int32(2))
@@ -152,8 +151,9 @@
 	}
 }
 
-// closing serves one request per connection, reads one more and closes.
-func closing(t *testing.T, seen *atomic.Int32) string {
+// startClosingServer starts a server that answers the first request on each
+// connection, reads one more and closes the connection.
+func startClosingServer(t *testing.T, seen *atomic.Int32) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -163,13 +163,13 @@
 			if err != nil {
 				return
 			}
-			go answerOne(conn, seen)
+			go answerFirstRequest(conn, seen)
 		}
 	}()
 	return listener.Addr().String()
 }
 
-func answerOne(conn net.Conn, seen *atomic.Int32) {
+func answerFirstRequest(conn net.Conn, seen *atomic.Int32) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	for i := range 2 {
@@ -185,8 +185,8 @@
 	}
 }
 
-// The caller's time is up while the server still works: the request may have
-// run, and the caller must not hear that it was not.
+// The caller's deadline passes while the server still runs the request. The request
+// may have run, so the outcome is unknown.
 func TestTimeoutIsUnknown(t *testing.T) {
 	release := make(chan struct{})
 	backend := httptest.NewServer(echoID(func(http.ResponseWriter, *http.Request) { <-release }))
@@ -194,15 +194,15 @@
 	defer close(release)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
-	_, err := target(t, backend.Listener.Addr().String()).Do(ctx, call("POST", "x"))
+	_, err := newServer(t, backend.Listener.Addr().String()).Do(ctx, newCall("POST", "x"))
 	var unknown *mtreply.UnknownError
 	assert.Assert(t, errors.As(err, &unknown), "got %v, want an UnknownError", err)
 	assert.Equal(t, unknown.Cause, mtreply.CauseTimeout)
 }
 
-func TestSilentServerExpires(t *testing.T) {
+func TestUnresponsiveServerExpires(t *testing.T) {
 	changes := 0
-	pool := mtserver.NewPool(still{}, limit, slog.New(slog.DiscardHandler), func() { changes++ })
+	pool := mtserver.NewPool(fixedClock{}, maxReply, slog.New(slog.DiscardHandler), func() { changes++ })
 	pool.Put(announcement("127.0.0.1:1"))
 	pool.Put(announcement("127.0.0.1:1"))
 	assert.Equal(t, changes, 1)
@@ -214,7 +214,7 @@
 	assert.Equal(t, changes, 2)
 }
 
-func TestAnnouncementFaults(t *testing.T) {
+func TestAnnouncementReportsAllFaults(t *testing.T) {
 	a := mtannounce.Announcement{Address: "nowhere", State: "asleep"}
 	var fields []string
 	for _, f := range a.Check() {
@@ -223,10 +223,10 @@
 	assert.Equal(t, strings.Join(fields, " "), "business service address slots connections state")
 }
 
-// A daemon that is frozen can't cancel what its server runs, so the server has
-// to know when the lease ends before it needs to.
-func TestAnnouncementIsAnsweredWithTheLeaseEnd(t *testing.T) {
-	pool := mtserver.NewPool(still{}, limit, slog.New(slog.DiscardHandler), func() {})
+// A frozen daemon can't cancel the requests that its server runs, so each
+// announcement reply tells the server when the lease ends.
+func TestAnnouncementReplyHasLeaseEnd(t *testing.T) {
+	pool := mtserver.NewPool(fixedClock{}, maxReply, slog.New(slog.DiscardHandler), func() {})
 	pool.Grant(func() int64 { return 77 })
 	body, err := json.Marshal(announcement("127.0.0.1:1"))
 	assert.NilError(t, err)
--- a/io/mtserver/pool.go
+++ b/io/mtserver/pool.go
@@ -19,36 +19,38 @@
 
 type clock interface{ Now() mtclock.Instant }
 
-// announcementLimit bounds the body of an announcement, in bytes.
+// announcementLimit is the maximum size of an announcement in bytes.
 const announcementLimit = 4 << 10
 
-// Pool holds the backend servers that announced themselves on this VM.
+// Pool holds the backend servers on this VM that have announced themselves.
 type Pool struct {
 	clock    clock
 	log      *slog.Logger
 	limit    int64
 	mu       sync.Mutex
-	servers  map[mtid.Ref]announced
+	servers  map[mtid.Ref]poolEntry
 	onChange func()
-	grant    func() int64
+	leaseEnd func() int64
 }
 
-type announced struct {
-	server *Server
-	at     mtclock.Instant
+type poolEntry struct {
+	server      *Server
+	announcedAt mtclock.Instant
 }
 
-// NewPool returns an empty pool. limit is the largest reply in bytes; onChange
-// is called when a server joins, leaves or changes its terms.
+// NewPool returns an empty pool. limit is the maximum size of a reply in bytes.
+// onChange is called when a server is added or removed, or when its announcement
+// changes in anything but its load.
 func NewPool(c clock, limit int64, log *slog.Logger, onChange func()) *Pool {
-	return &Pool{clock: c, log: log, limit: limit, servers: make(map[mtid.Ref]announced), onChange: onChange}
+	return &Pool{clock: c, log: log, limit: limit, servers: make(map[mtid.Ref]poolEntry), onChange: onChange}
 }
 
-// Grant sets where the pool learns up to when the daemon's lease is certain, in
-// nanoseconds of the boot-time clock. It is called before the first announcement.
-func (p *Pool) Grant(until func() int64) { p.grant = until }
+// Grant sets the function that returns the time until which the daemon's lease is
+// certain to be valid, in nanoseconds of the boot-time clock. It is called before
+// the first announcement.
+func (p *Pool) Grant(until func() int64) { p.leaseEnd = until }
 
-// faults is the body of a refused announcement.
+// faults is the body of the reply to an invalid announcement.
 type faults struct {
 	Faults []fault `json:"faults"`
 }
@@ -59,13 +61,13 @@
 	Accept string `json:"accept"`
 }
 
-// Announce is the handler of mtheader.AnnouncePath. It answers 204, or 400 or
-// 422 with every fault of the announcement, and then nothing has changed.
+// Announce is the handler of mtheader.AnnouncePath. It replies 204, or 400 or 422
+// with all faults of the announcement; in that case nothing has changed.
 //
-// The answer carries the end of the lease. A daemon that is frozen can't cancel
-// what its server runs, and another owner begins on the same keys meanwhile: two
-// servers would run one key at once. A server that gets no answer any more knows
-// by the last one when it has to stop.
+// The reply contains the end of the lease. A frozen daemon can't cancel the requests
+// that its server runs, and meanwhile another owner starts to serve the same keys:
+// two servers would run one key at the same time. A server that no longer receives
+// replies stops at the time given in the last one.
 func (p *Pool) Announce(c echo.Context) error {
 	var a mtannounce.Announcement
 	c.Request().Body = http.MaxBytesReader(c.Response(), c.Request().Body, announcementLimit)
@@ -73,16 +75,16 @@
 		return c.JSON(http.StatusBadRequest, faults{Faults: []fault{{Field: "body", Accept: "a JSON announcement"}}})
 	}
 	if found := a.Check(); len(found) > 0 {
-		return c.JSON(http.StatusUnprocessableEntity, list(found))
+		return c.JSON(http.StatusUnprocessableEntity, faultsOf(found))
 	}
 	p.Put(a)
-	if p.grant != nil {
-		c.Response().Header().Set(mtheader.ServeUntil, strconv.FormatInt(p.grant(), 10))
+	if p.leaseEnd != nil {
+		c.Response().Header().Set(mtheader.ServeUntil, strconv.FormatInt(p.leaseEnd(), 10))
 	}
 	return c.NoContent(http.StatusNoContent)
 }
 
-func list(found []*mtannounce.FieldError) faults {
+func faultsOf(found []*mtannounce.FieldError) faults {
 	var out faults
 	for _, f := range found {
 		out.Faults = append(out.Faults, fault{Field: f.Field, Value: f.Value, Accept: f.Accept})
@@ -90,22 +92,22 @@
 	return out
 }
 
-// Put takes a checked announcement in.
+// Put adds a server, or updates it, from an announcement that has passed Check.
 func (p *Pool) Put(a mtannounce.Announcement) {
 	ref := mtid.Ref{Business: a.Business, Service: a.Service}
 	now := p.clock.Now()
 	p.mu.Lock()
 	old, known := p.servers[ref]
-	next := announced{at: now}
+	next := poolEntry{announcedAt: now}
 	switch {
-	case known && sameTarget(old.server.announced, a):
-		// The connections stay; only the changing parts are new.
-		next.server = &Server{announced: a, client: old.server.client, limit: old.server.limit}
+	case known && sameTarget(old.server.announcement, a):
+		// Keep the connections and replace only the announcement.
+		next.server = &Server{announcement: a, client: old.server.client, limit: old.server.limit}
 	default:
 		next.server = newServer(a, p.limit)
 	}
 	p.servers[ref] = next
-	changed := !known || !sameTerms(old.server.announced, a)
+	changed := !known || !sameExceptLoad(old.server.announcement, a)
 	p.mu.Unlock()
 	if changed {
 		p.log.Info("backend server announced", "service", ref.String(), "address", a.Address, "state", a.State)
@@ -113,72 +115,74 @@
 	}
 }
 
-// sameTarget reports whether connections made under a serve b too.
+// sameTarget reports whether connections made for announcement a can be used for b.
 func sameTarget(a, b mtannounce.Announcement) bool {
 	return a.Address == b.Address && a.Connections == b.Connections
 }
 
-// sameTerms reports whether nothing changed that the roster shows.
-func sameTerms(a, b mtannounce.Announcement) bool {
+// sameExceptLoad reports whether the announcements differ in nothing but the load,
+// which is not part of the roster.
+func sameExceptLoad(a, b mtannounce.Announcement) bool {
 	a.Load, b.Load = 0, 0
 	return a == b
 }
 
-// Server returns the backend server of a service, if it announced itself
-// within mtannounce.TTL. It is called for each request.
+// Server returns the backend server of a service if its last announcement is no
+// older than mtannounce.TTL. It is called for each request.
 func (p *Pool) Server(ref mtid.Ref, now mtclock.Instant) (*Server, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a, ok := p.servers[ref]
-	if !ok || now.Sub(a.at) > mtannounce.TTL {
+	if !ok || now.Sub(a.announcedAt) > mtannounce.TTL {
 		return nil, false
 	}
 	return a.server, true
 }
 
-// Expire forgets the servers that fell silent and reports whether there were
-// any. It is called every second by the daemon's duty.
+// Expire removes the servers whose last announcement is older than mtannounce.TTL,
+// and reports whether there were any. The daemon calls it every second.
 func (p *Pool) Expire(now mtclock.Instant) bool {
 	p.mu.Lock()
-	gone := false
+	removed := false
 	for ref, a := range p.servers {
-		if now.Sub(a.at) > mtannounce.TTL {
+		if now.Sub(a.announcedAt) > mtannounce.TTL {
 			delete(p.servers, ref)
-			gone = true
-			p.log.Warn("backend server fell silent", "service", ref.String(), "address", a.server.announced.Address)
+			removed = true
+			p.log.Warn("backend server removed: its announcement has expired", "service", ref.String(), "address", a.server.announcement.Address)
 		}
 	}
 	p.mu.Unlock()
-	if gone {
+	if removed {
 		p.onChange()
 	}
-	return gone
+	return removed
 }
 
-// Lost forgets a server that refused a connection: its process is gone, and
-// waiting for its silence would keep its keys unavailable for Lifetime. A server
-// that lives announces itself again within a second.
+// Lost removes a server that refused a connection: its process has terminated, and
+// waiting for its announcement to expire would keep its keys unavailable for
+// mtannounce.TTL. A server that is still running announces itself again within a
+// second.
 func (p *Pool) Lost(ref mtid.Ref, server *Server) {
 	p.mu.Lock()
 	current, ok := p.servers[ref]
-	gone := ok && current.server.client == server.client
-	if gone {
+	remove := ok && current.server.client == server.client
+	if remove {
 		delete(p.servers, ref)
 	}
 	p.mu.Unlock()
-	if gone {
-		p.log.Warn("backend server refuses connections", "service", ref.String(), "address", server.announced.Address)
+	if remove {
+		p.log.Warn("backend server refuses connections", "service", ref.String(), "address", server.announcement.Address)
 		p.onChange()
 	}
 }
 
-// Announcements returns what the servers said last, ordered by service.
+// Announcements returns the last announcement of each server, ordered by service.
 func (p *Pool) Announcements() []mtannounce.Announcement {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []mtannounce.Announcement
 	for _, a := range p.servers {
-		out = append(out, a.server.announced)
+		out = append(out, a.server.announcement)
 	}
 	slices.SortFunc(out, func(a, b mtannounce.Announcement) int {
 		return cmp.Compare(refOf(a).String(), refOf(b).String())
@@ -186,8 +190,8 @@
 	return out
 }
 
-// Offers returns the servers in the roster's form. A draining server is not
-// offered for new work.
+// Offers returns the servers in the form of the roster, without those that are
+// draining.
 func (p *Pool) Offers() []mtroster.Offer {
 	var out []mtroster.Offer
 	for _, a := range p.Announcements() {
