--- a/io/mtowner/mtowner.go
+++ b/io/mtowner/mtowner.go
@@ -1,11 +1,11 @@
-// Package mtowner runs the requests whose keys this daemon owns: it checks the
-// lease and the assignment, admits at the gate, remembers identifiers, and asks
-// the backend server on this VM.
+// Package mtowner runs the requests whose keys this daemon owns: it checks the lease
+// and the assignment, admits requests at the gate, deduplicates them by their
+// identifiers and sends them to the backend server on this VM.
 //
-// A request is checked twice. Before the gate, so that work for another owner
-// doesn't queue here; and after it, since the shard or the lease may have gone
-// while it waited. What the second check can't see, a pause between it and the
-// send, the backend server sees by the request's start-by time and epoch.
+// A request is checked twice: before the gate, so that requests for another owner
+// don't queue here, and after it, since the shard may have moved or the lease ended
+// in the meantime. The second check can't detect a pause between itself and the
+// send; the backend server detects it from the request's start-by time and epoch.
 //
 // # Usage
 //
@@ -45,86 +45,89 @@
 	Wall() time.Time
 }
 
-// lease tells which life of this daemon may serve, and until when. The two
-// belong together: a new life starts without permission.
+// lease returns the current incarnation of this daemon and the time until which it
+// may serve. One call returns both because they belong together: a new incarnation
+// starts without permission.
 type lease interface {
 	Permit() (mtid.Holder, mtclock.Instant)
 }
 
-// servers finds the backend server of a service on this VM.
+// servers looks up the backend server of a service on this VM.
 type servers interface {
 	Server(ref mtid.Ref, now mtclock.Instant) (*mtserver.Server, bool)
-	// Lost forgets a server that refuses connections.
+	// Lost removes a server that refuses connections.
 	Lost(ref mtid.Ref, server *mtserver.Server)
 }
 
-// Margin is kept free at the end of a lease: a request must reach the backend
-// server before the lease ends, not just leave the daemon.
+// Margin is the last part of a lease, in which no request is started: a request must
+// reach the backend server before the lease ends, not just leave the daemon by then.
 const Margin = 50 * time.Millisecond
 
-// leaseLook is how often it is looked whether a request has outlasted its lease.
-const leaseLook = 10 * time.Millisecond
+// leaseCheckInterval is the interval at which running requests are checked against
+// the lease.
+const leaseCheckInterval = 10 * time.Millisecond
 
-// Config is what an Owner works with.
+// Config holds the dependencies of an Owner.
 type Config struct {
 	View    *mtview.View
 	Lease   lease
 	Servers servers
 	Clock   clock
 	Log     *slog.Logger
-	// Poison knows the requests that crash backend servers.
+	// Poison detects requests that crash backend servers.
 	Poison *iopoison.Watch
-	// Quiet is called, from whichever goroutine ended the last request, when a
-	// stopped range has nothing in flight.
+	// Quiet is called when a stopped range has no more requests in flight, from the
+	// goroutine that ended the last one.
 	Quiet func(service mtid.Ref, low, high mtid.Point)
 }
 
-// Owner runs requests.
+// Owner checks, admits and runs requests for the keys of this daemon.
 type Owner struct {
 	Config
-	mu       sync.Mutex
-	gates    map[mtid.Ref]*door
-	recents  map[mtid.Ref]*recent
-	meters   map[mtid.Ref]*mtload.Meter
-	runs     map[*run]struct{} // requests of keyed services at the backend server
-	stopping atomic.Bool
+	mu            sync.Mutex
+	gates         map[mtid.Ref]*serviceGate
+	deduplicators map[mtid.Ref]*deduplicator
+	meters        map[mtid.Ref]*mtload.Meter
+	runs          map[*activeRun]struct{} // requests to keyed services that the backend server is running
+	stopping      atomic.Bool
 }
 
-// run is a request at the backend server.
-type run struct {
+// activeRun is a request that the backend server is running.
+type activeRun struct {
 	holder mtid.Holder
 	cancel context.CancelFunc
 }
 
-// New starts the duty that expires waiting requests and cancels running ones
-// whose lease was lost, and returns the Owner with its clean-up function.
+// New returns an Owner and its clean-up function. It starts a goroutine that cancels
+// running requests when their lease is lost.
 func New(config Config) (*Owner, func()) {
-	o := &Owner{Config: config, gates: make(map[mtid.Ref]*door), recents: make(map[mtid.Ref]*recent), meters: make(map[mtid.Ref]*mtload.Meter), runs: make(map[*run]struct{})}
-	return o, mtduty.Every(leaseLook, func(context.Context) { o.tick(o.Clock.Now()) })
+	o := &Owner{Config: config, gates: make(map[mtid.Ref]*serviceGate), deduplicators: make(map[mtid.Ref]*deduplicator), meters: make(map[mtid.Ref]*mtload.Meter), runs: make(map[*activeRun]struct{})}
+	return o, mtduty.Every(leaseCheckInterval, func(context.Context) { o.cancelUnleased(o.Clock.Now()) })
 }
 
-// tick refuses what waited too long and cancels what runs without a lease.
-func (o *Owner) tick(now mtclock.Instant) {
+// cancelUnleased cancels the requests that are running without a valid lease.
+func (o *Owner) cancelUnleased(now mtclock.Instant) {
 	holder, until := o.Lease.Permit()
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for r := range o.runs {
-		// A request may outlast one lease, never its holder's ownership: with
-		// the lease gone another daemon may own the key, so the backend server
-		// is told to stop by closing the connection.
+		// A request may run past the end of one lease if the lease is renewed, but
+		// never past its holder's ownership: without a lease another daemon may own
+		// the key. Canceling closes the connection, which tells the backend server
+		// to stop.
 		if r.holder != holder || !now.Before(until) {
 			r.cancel()
 		}
 	}
 }
 
-// declared returns what the bundle in force says of a request.
-func (o *Owner) declared(r *mtrequest.Request) (*mtbundle.Service, *mtbundle.Class, error) {
+// lookupClass calls Declared with the current view.
+func (o *Owner) lookupClass(r *mtrequest.Request) (*mtbundle.Service, *mtbundle.Class, error) {
 	return Declared(o.View.Snapshot(), r)
 }
 
-// Declared returns what the bundle in force says of a request's service and
-// class. It fails with a *mtreply.RefusedError.
+// Declared returns the declarations of a request's service and class in the bundle
+// in force. It fails with a *mtreply.RefusedError.
 func Declared(s *mtview.Snapshot, r *mtrequest.Request) (*mtbundle.Service, *mtbundle.Class, error) {
 	bundle, ok := s.Bundle(r.Service.Business)
 	if !ok {
@@ -145,7 +148,7 @@
 	return &mtreply.RefusedError{Cause: mtreply.CauseNoService, RetryAfter: -1, Detail: detail}
 }
 
-// Serve runs a request, whoever relayed it, and returns what came of it.
+// Serve runs a request, relayed or not, and returns its reply.
 func (o *Owner) Serve(ctx context.Context, r *mtrequest.Request) *mtrequest.Reply {
 	reply, err := o.serve(ctx, r)
 	if err != nil {
@@ -156,7 +159,7 @@
 	return reply
 }
 
-// ownerOf returns who owns a request's key as far as this daemon knows.
+// ownerOf returns the owner of a request's key in this daemon's view.
 func (o *Owner) ownerOf(r *mtrequest.Request) mtid.Holder {
 	shard, ok := o.View.Snapshot().Lookup(r.Service, r.Point())
 	if !ok {
@@ -169,7 +172,7 @@
 	if o.stopping.Load() {
 		return nil, &mtreply.RefusedError{Cause: mtreply.CauseStopping}
 	}
-	service, class, err := o.declared(r)
+	service, class, err := o.lookupClass(r)
 	if err != nil {
 		return nil, err
 	}
@@ -182,7 +185,7 @@
 		o.Meter(r.Service).Arrive(now, f.low, r.Point())
 	}
 	if service.Kind == mtbundle.Keyed {
-		o.expose(r, class, f.holder)
+		o.markRecentTakeover(r, class, f.holder)
 	}
 	switch o.Poison.Judge(r) {
 	case mtpoison.Quarantined:
@@ -197,7 +200,7 @@
 		return nil, &mtreply.RefusedError{Cause: mtreply.CauseNoServer, RetryAfter: time.Second}
 	}
 	g := o.gate(r.Service)
-	g.fit(server.Announced(), r.Service.Business, service)
+	g.configure(server.Announced(), r.Service.Business, service)
 	end, err := g.Admit(ctx, mtgate.Ticket{
 		Business: r.Service.Business, Class: class.Name, Point: r.Point(), Deadline: r.Deadline, Alone: r.Suspect,
 	})
@@ -212,64 +215,66 @@
 	return reply, nil
 }
 
-// admitted runs a request that has its place at the backend server. end gives
-// the place back.
+// admitted runs a request that holds a slot at the backend server. end releases the
+// slot.
 func (o *Owner) admitted(ctx context.Context, r *mtrequest.Request, service *mtbundle.Service, class *mtbundle.Class, server *mtserver.Server, end func()) (*mtrequest.Reply, error) {
 	if class.Idempotent || service.Kind != mtbundle.Keyed {
 		defer end()
 		return o.run(ctx, r, service, server)
 	}
-	return o.once(ctx, r, service, server, end)
+	return o.runOnce(ctx, r, service, server, end)
 }
 
-// once runs a non-idempotent request unless its identifier was seen before.
+// runOnce runs a non-idempotent request unless its identifier was seen before.
 //
-// The memory is asked after the gate, not before: a request that is held there
-// while its shard moves would be handed over as one that may have run, and its
-// caller would be told so.
-func (o *Owner) once(ctx context.Context, r *mtrequest.Request, service *mtbundle.Service, server *mtserver.Server, end func()) (*mtrequest.Reply, error) {
-	memory := o.recent(r.Service)
-	v, err := o.begin(memory, r, service)
+// The deduplicator is consulted after the gate, not before: otherwise a request held
+// at the gate while its shard moves would be handed over as one that may have run,
+// and its caller would get an unknown outcome.
+func (o *Owner) runOnce(ctx context.Context, r *mtrequest.Request, service *mtbundle.Service, server *mtserver.Server, end func()) (*mtrequest.Reply, error) {
+	dedup := o.deduplicator(r.Service)
+	v, err := o.begin(dedup, r, service)
 	if err != nil || v.reply != nil {
 		end()
 		return v.reply, err
 	}
 	if !v.run {
-		// The first try has a place of its own: this one must not keep another.
+		// The first try holds its own slot, so this one must not occupy another.
 		end()
-		return memory.wait(ctx, r, v)
+		return dedup.wait(ctx, r, v)
 	}
-	// The place is given back last: a shard counts as quiet when nothing is in
-	// flight, and its memory must be whole by then.
+	// The slot is released last: a shard counts as idle when nothing is in flight,
+	// and by then its deduplication entries must be complete.
 	defer end()
 	reply, err := o.run(ctx, r, service, server)
 	if err != nil {
-		memory.end(o.Clock, r, mtrequest.FromError(err))
+		dedup.end(o.Clock, r, mtrequest.FromError(err))
 		return nil, err
 	}
-	memory.end(o.Clock, r, reply)
+	dedup.end(o.Clock, r, reply)
 	return reply, nil
 }
 
-func (o *Owner) begin(memory *recent, r *mtrequest.Request, service *mtbundle.Service) (verdict, error) {
+func (o *Owner) begin(dedup *deduplicator, r *mtrequest.Request, service *mtbundle.Service) (verdict, error) {
 	f, err := o.fence(o.Clock.Now(), r, service)
 	if err != nil {
 		return verdict{}, err
 	}
 	tables := o.View.Snapshot().Tables(r.Service)
-	memory.adopt(o.Clock, f.holder, tables[mtshard.ChunkOf(r.Point(), len(tables))])
-	return memory.begin(o.Clock, r)
+	dedup.syncOwned(o.Clock, f.holder, tables[mtshard.ChunkOf(r.Point(), len(tables))])
+	return dedup.begin(o.Clock, r)
 }
 
-// fence is under which epoch and until when a request may be begun.
+// fence is the permission to start a request: the epoch to send with it and the time
+// until which it may start.
 type fence struct {
 	holder mtid.Holder
-	low    mtid.Point // where the shard begins
+	low    mtid.Point // start of the shard
 	epoch  mtid.Epoch
 	until  mtclock.Instant
 }
 
-// fence fails unless this daemon owns the request's key under a valid lease.
+// fence returns the fence for a request. It fails unless this daemon owns the
+// request's key under a valid lease, except for spread services, which need neither.
 func (o *Owner) fence(now mtclock.Instant, r *mtrequest.Request, service *mtbundle.Service) (fence, error) {
 	holder, until := o.Lease.Permit()
 	if service.Kind != mtbundle.Keyed {
@@ -289,7 +294,7 @@
 	return fence{holder: holder, low: shard.Low, epoch: shard.Epoch, until: until}, nil
 }
 
-// run sends an admitted request to the backend server.
+// run checks an admitted request once more and sends it to the backend server.
 func (o *Owner) run(ctx context.Context, r *mtrequest.Request, service *mtbundle.Service, server *mtserver.Server) (*mtrequest.Reply, error) {
 	now := o.Clock.Now()
 	f, err := o.fence(now, r, service)
@@ -302,7 +307,7 @@
 	ctx, cancel := context.WithTimeout(ctx, r.Deadline.Sub(now))
 	defer cancel()
 	if service.Kind == mtbundle.Keyed {
-		defer o.track(&run{holder: f.holder, cancel: cancel})()
+		defer o.track(&activeRun{holder: f.holder, cancel: cancel})()
 	}
 	boot := o.Clock.Boot()
 	ended := o.Poison.Start(r, server.Announced().Address)
@@ -318,7 +323,7 @@
 		o.Meter(r.Service).Finish(took)
 	}
 	if err != nil {
-		o.noteLoss(ctx, r.Service, server, err)
+		o.removeIfUnreachable(ctx, r.Service, server, err)
 		return nil, err
 	}
 	reply.Owner = f.holder
@@ -326,17 +331,17 @@
 	return reply, nil
 }
 
-// noteLoss forgets the server if it could not be connected to, for another
-// reason than that the request's own time was up.
-func (o *Owner) noteLoss(ctx context.Context, ref mtid.Ref, server *mtserver.Server, err error) {
+// removeIfUnreachable removes the server if connecting to it failed for any reason
+// other than the end of the request's own context.
+func (o *Owner) removeIfUnreachable(ctx context.Context, ref mtid.Ref, server *mtserver.Server, err error) {
 	var refused *mtreply.RefusedError
 	if ctx.Err() == nil && errors.As(err, &refused) && refused.Cause == mtreply.CauseUnreachable {
 		o.Servers.Lost(ref, server)
 	}
 }
 
-// track lists a run until the returned function is called.
-func (o *Owner) track(r *run) func() {
+// track registers a run until the returned function is called.
+func (o *Owner) track(r *activeRun) func() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.runs[r] = struct{}{}
@@ -347,30 +352,30 @@
 	}
 }
 
-func (o *Owner) gate(ref mtid.Ref) *door {
+func (o *Owner) gate(ref mtid.Ref) *serviceGate {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	g := o.gates[ref]
 	if g == nil {
-		g = newDoor(o.Clock, func(low, high mtid.Point) { o.Quiet(ref, low, high) })
+		g = newServiceGate(o.Clock, func(low, high mtid.Point) { o.Quiet(ref, low, high) })
 		o.gates[ref] = g
 	}
 	return g
 }
 
-func (o *Owner) recent(ref mtid.Ref) *recent {
+func (o *Owner) deduplicator(ref mtid.Ref) *deduplicator {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	r := o.recents[ref]
-	if r == nil {
-		r = newRecent()
-		o.recents[ref] = r
+	d := o.deduplicators[ref]
+	if d == nil {
+		d = newDeduplicator()
+		o.deduplicators[ref] = d
 	}
-	return r
+	return d
 }
 
-// Meter returns the load meter of a service, for its requests and for the
-// reports to its planner.
+// Meter returns the load meter of a service, which counts its requests for the
+// reports to the planner.
 func (o *Owner) Meter(ref mtid.Ref) *mtload.Meter {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -382,29 +387,29 @@
 	return m
 }
 
-// Stop holds new work for a range of a service; Config.Quiet is called once
-// none is in flight.
+// Stop holds new requests for a range of a service. Config.Quiet is called once none
+// is in flight.
 func (o *Owner) Stop(ref mtid.Ref, low, high mtid.Point) {
 	o.gate(ref).Stop(low, high)
 }
 
-// Resume admits the held work of a stopped range here.
+// Resume admits the held requests of a stopped range on this daemon.
 func (o *Owner) Resume(ref mtid.Ref, low, high mtid.Point) {
 	o.gate(ref).Resume(low, high)
 }
 
-// Release sends the held work of a stopped range to its new owner.
+// Release redirects the held requests of a stopped range to its new owner.
 func (o *Owner) Release(ref mtid.Ref, low, high mtid.Point) {
-	o.recent(ref).forget(low, high)
+	o.deduplicator(ref).revoke(low, high)
 	o.gate(ref).Release(low, high)
 }
 
-// Drain refuses new work of every service and waits until none is in flight or
+// Drain refuses new requests of every service and waits until none is in flight or
 // ctx is done. It is called at the end of a graceful shutdown.
 func (o *Owner) Drain(ctx context.Context) {
 	o.stopping.Store(true)
 	o.mu.Lock()
-	gates := make([]*door, 0, len(o.gates))
+	gates := make([]*serviceGate, 0, len(o.gates))
 	for _, g := range o.gates {
 		gates = append(gates, g)
 	}
--- a/io/mtowner/recent.go
+++ b/io/mtowner/recent.go
@@ -16,58 +16,59 @@
 	"magnoliaturn/core/mtshard"
 )
 
-// recent drives the memory of recent identifiers of one service.
-type recent struct {
-	mu      sync.Mutex
-	table   *mtrecent.Table
-	next    mtrecent.Waiter
-	waiters map[mtrecent.Waiter]chan *mtrequest.Reply
-	// adopted is the assignment that the memory answers for, by chunk; the
-	// epochs are those of the shards that were granted or imported. Each chunk
-	// counts its own, so that two shards of two chunks may share one.
-	adopted map[int]*mtshard.Table
-	epochs  map[int]epochs
-	// imports are the ranges that were handed over, until they are owned.
-	imports map[mtid.Point]imported
+// deduplicator retains the identifiers of recent requests to one service, and the
+// resends that wait for an answer.
+type deduplicator struct {
+	mu         sync.Mutex
+	table      *mtrecent.Table
+	lastWaiter mtrecent.Waiter
+	waiters    map[mtrecent.Waiter]chan *mtrequest.Reply
+	// synced is the last assignment of each chunk that was applied to table. epochs
+	// are those of the shards that were granted or imported, by chunk: each chunk
+	// counts its own epochs, so shards of two chunks may have the same one.
+	synced map[int]*mtshard.Table
+	epochs map[int]epochs
+	// imports are the ranges that were handed over and are not owned yet.
+	imports map[mtid.Point]pendingImport
 }
 
-// epochs are the epochs of adopted shards of one chunk, by where they begin.
+// epochs maps the start of each owned shard of a chunk to its epoch.
 type epochs map[mtid.Point]mtid.Epoch
 
-// imported is a range that was handed over and isn't owned yet.
-type imported struct {
+// pendingImport is a range that was handed over and is not owned yet.
+type pendingImport struct {
 	from mtid.Holder
 	high mtid.Point
 }
 
-func newRecent() *recent {
-	return &recent{
+func newDeduplicator() *deduplicator {
+	return &deduplicator{
 		table:   mtrecent.New(mtrecent.Limits{}),
 		waiters: make(map[mtrecent.Waiter]chan *mtrequest.Reply),
-		adopted: make(map[int]*mtshard.Table),
+		synced:  make(map[int]*mtshard.Table),
 		epochs:  make(map[int]epochs),
-		imports: make(map[mtid.Point]imported),
+		imports: make(map[mtid.Point]pendingImport),
 	}
 }
 
-// adopt makes the memory answer for the shards that self owns in an assignment.
-// It is called before each request and costs a comparison of pointers when the
-// assignment is the same.
+// syncOwned makes the table cover the shards that self owns in an assignment. It is
+// called before each request, and costs one pointer comparison if the assignment is
+// unchanged.
 //
-// A range that came by a planned move keeps the imported memory. Any other new
-// range is granted as of now: its former owner is lost with its memory, so what
-// was minted before may have run there.
-func (r *recent) adopt(clock clock, self mtid.Holder, table *mtshard.Table) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.adopted[table.Chunk] == table {
+// A range that arrived by a planned move keeps the imported entries. Any other new
+// range is granted as of now: its previous owner was lost with its entries, so a
+// request whose identifier was minted before may have run there.
+func (d *deduplicator) syncOwned(clock clock, self mtid.Holder, table *mtshard.Table) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.synced[table.Chunk] == table {
 		return
 	}
-	r.adopted[table.Chunk] = table
-	// A shard is known by the epochs of earlier assignments, not by those that
-	// this one brings: two parts of a shard that is new here share an epoch, and
+	d.synced[table.Chunk] = table
+	// Compare with the epochs of earlier assignments only, not with those that this
+	// assignment adds: two parts of a shard that is new here share an epoch, and
 	// granting the first must not make the second look like a split of it.
-	before := r.epochs[table.Chunk]
+	before := d.epochs[table.Chunk]
 	now := maps.Clone(before)
 	if now == nil {
 		now = make(epochs)
@@ -76,51 +77,51 @@
 		if before[shard.Low] == shard.Epoch {
 			continue
 		}
-		if !r.known(before, shard) {
-			r.take(clock, self, table, shard)
+		if !d.isSplitOrMerge(before, shard) {
+			d.addShard(clock, self, table, shard)
 		}
 		now[shard.Low] = shard.Epoch
 	}
-	r.epochs[table.Chunk] = now
+	d.epochs[table.Chunk] = now
 }
 
-func (r *recent) take(clock clock, self mtid.Holder, table *mtshard.Table, shard mtshard.Shard) {
+func (d *deduplicator) addShard(clock clock, self mtid.Holder, table *mtshard.Table, shard mtshard.Shard) {
 	high, _ := table.High(shard.Low)
-	offer, ok := r.imports[shard.Low]
-	delete(r.imports, shard.Low)
+	pending, ok := d.imports[shard.Low]
+	delete(d.imports, shard.Low)
 	switch {
-	case ok && table.Handed(shard.Low, offer.from, self) && r.table.Owns(shard.Low):
+	case ok && table.Handed(shard.Low, pending.from, self) && d.table.Owns(shard.Low):
 		return
 	case table.First(shard):
-		_ = r.table.Grant(shard.Low, high, time.Time{})
+		_ = d.table.Grant(shard.Low, high, time.Time{})
 	default:
-		_ = r.table.Grant(shard.Low, high, clock.Wall())
+		_ = d.table.Grant(shard.Low, high, clock.Wall())
 	}
 }
 
-// known reports whether a shard came by a split or a merge of shards that were
-// adopted before. Both keep an epoch, and the memory with it; a part that is
-// gained brings a higher one.
-func (r *recent) known(before epochs, shard mtshard.Shard) bool {
+// isSplitOrMerge reports whether a shard is the result of a split or merge of shards
+// that were already owned. Both retain an epoch, and with it the entries; a part
+// that was gained from another owner has a higher epoch.
+func (d *deduplicator) isSplitOrMerge(before epochs, shard mtshard.Shard) bool {
 	for _, e := range before {
-		if e == shard.Epoch && r.table.Owns(shard.Low) {
+		if e == shard.Epoch && d.table.Owns(shard.Low) {
 			return true
 		}
 	}
 	return false
 }
 
-// begin asks whether an admitted request may run. With a nil error exactly one
-// of the results is set: run, a reply to send, or a channel to wait on.
-func (r *recent) begin(clock clock, q *mtrequest.Request) (verdict, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.next++
-	v := r.table.Begin(clock.Now(), clock.Wall(), mtrecent.Request{
-		DedupKey:    nameOf(q),
+// begin decides whether an admitted request may run. With a nil error, exactly one of
+// these is set in the verdict: run, a reply to send, or a channel to wait on.
+func (d *deduplicator) begin(clock clock, q *mtrequest.Request) (verdict, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.lastWaiter++
+	v := d.table.Begin(clock.Now(), clock.Wall(), mtrecent.Request{
+		DedupKey:    dedupKeyOf(q),
 		Fingerprint: mtrecent.Fingerprint(q.Fingerprint()),
 		Minted:      q.Minted,
-	}, r.next)
+	}, d.lastWaiter)
 	switch v.Kind {
 	case mtrecent.Run:
 		return verdict{run: true}, nil
@@ -130,13 +131,13 @@
 		}}, nil
 	case mtrecent.Wait:
 		answer := make(chan *mtrequest.Reply, 1)
-		r.waiters[r.next] = answer
-		return verdict{answer: answer, waiter: r.next}, nil
+		d.waiters[d.lastWaiter] = answer
+		return verdict{answer: answer, waiter: d.lastWaiter}, nil
 	}
 	return verdict{}, v.Err
 }
 
-// verdict is what to do with an admitted request.
+// verdict says how to continue with an admitted request.
 type verdict struct {
 	run    bool
 	reply  *mtrequest.Reply
@@ -144,100 +145,100 @@
 	waiter mtrecent.Waiter
 }
 
-// end notes what came of a request that begin let run, and tells the resends
-// that wait for it.
-func (r *recent) end(clock clock, q *mtrequest.Request, reply *mtrequest.Reply) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// end records the result of a request that begin let run, and sends it to the
+// waiting resends.
+func (d *deduplicator) end(clock clock, q *mtrequest.Request, reply *mtrequest.Reply) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	outcome := mtrecent.Result{Outcome: reply.Outcome}
 	if reply.Outcome == mtreply.Answered {
 		outcome.Answer = &mtrecent.Answer{Status: reply.Status, ContentType: reply.ContentType, Body: reply.Body}
 	}
-	for _, waiter := range r.table.End(clock.Now(), nameOf(q), outcome) {
-		r.waiters[waiter] <- reply
-		delete(r.waiters, waiter)
+	for _, waiter := range d.table.End(clock.Now(), dedupKeyOf(q), outcome) {
+		d.waiters[waiter] <- reply
+		delete(d.waiters, waiter)
 	}
 }
 
 // wait returns the answer that a resend waits for, or an unknown outcome if its
-// caller's time is up first.
-func (r *recent) wait(ctx context.Context, q *mtrequest.Request, v verdict) (*mtrequest.Reply, error) {
+// context ends first.
+func (d *deduplicator) wait(ctx context.Context, q *mtrequest.Request, v verdict) (*mtrequest.Reply, error) {
 	select {
 	case reply := <-v.answer:
 		same := *reply
 		return &same, nil
 	case <-ctx.Done():
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		r.table.RemoveWaiter(nameOf(q), v.waiter)
-		delete(r.waiters, v.waiter)
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		d.table.RemoveWaiter(dedupKeyOf(q), v.waiter)
+		delete(d.waiters, v.waiter)
 		return nil, &mtreply.UnknownError{Cause: mtreply.CauseEarlier, Err: ctx.Err()}
 	}
 }
 
-func nameOf(q *mtrequest.Request) mtrecent.DedupKey {
+func dedupKeyOf(q *mtrequest.Request) mtrecent.DedupKey {
 	return mtrecent.DedupKey{Point: q.Point(), ID: uuid.UUID(q.ID)}
 }
 
-// exposure is how long after a takeover the requests of a range may be the ones
-// that took its lost owner down: callers send again within seconds.
-const exposure = 30 * time.Second
+// recentTakeoverPeriod is how long after a takeover a request in the range may be
+// the one that crashed the lost owner. Callers resend within seconds.
+const recentTakeoverPeriod = 30 * time.Second
 
-// expose marks a request that may have taken the VM of its key's last owner
-// down. What that owner knew is lost with it, and if the caller asked it
-// directly, nobody else knew. Two signs are left: the range came from a lost
-// owner lately, and the caller's identifier is from before that. With both, the
-// request is a suspect; one that isn't idempotent needn't be, since it is
-// answered as unknown and never run.
-func (o *Owner) expose(r *mtrequest.Request, class *mtbundle.Class, self mtid.Holder) {
+// markRecentTakeover marks a request that may have crashed the VM of its key's
+// previous owner. That owner's records are lost with it, and if the caller sent the
+// request there directly, no other daemon has any. Two indications remain: the range
+// was recently taken over from a lost owner, and the identifier, set by the caller,
+// predates the takeover. With both, the request is a suspect. A non-idempotent
+// request needn't be one, since it is answered as unknown and never run.
+func (o *Owner) markRecentTakeover(r *mtrequest.Request, class *mtbundle.Class, self mtid.Holder) {
 	tables := o.View.Snapshot().Tables(r.Service)
-	memory := o.recent(r.Service)
-	memory.adopt(o.Clock, self, tables[mtshard.ChunkOf(r.Point(), len(tables))])
-	lost, ok := memory.lost(r.Point())
-	r.RecentTakeover = ok && o.Clock.Wall().Before(lost.Add(exposure))
+	dedup := o.deduplicator(r.Service)
+	dedup.syncOwned(o.Clock, self, tables[mtshard.ChunkOf(r.Point(), len(tables))])
+	lost, ok := dedup.takeoverHorizon(r.Point())
+	r.RecentTakeover = ok && o.Clock.Wall().Before(lost.Add(recentTakeoverPeriod))
 	if r.RecentTakeover && class.Idempotent && !r.Minted && !r.ID.CreatedAt().After(lost) {
 		r.Suspect = true
 	}
 }
 
-// lost returns up to which time requests of a point may have run at an owner
-// that is lost.
-func (r *recent) lost(p mtid.Point) (time.Time, bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.table.Horizon(p)
+// takeoverHorizon returns the time up to which requests for a point may have run at
+// an owner that is lost.
+func (d *deduplicator) takeoverHorizon(p mtid.Point) (time.Time, bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.table.Horizon(p)
 }
 
-// Adopt makes the memories answer for all shards that this daemon owns. It is
-// called when an assignment changed, so that a range which came by failover is
-// granted as of then, not as of its first request.
+// Adopt makes the deduplicators cover all shards that this daemon owns. It is called
+// when an assignment has changed, so that a range that arrived by failover is
+// granted as of then and not as of its first request.
 func (o *Owner) Adopt() {
 	holder, _ := o.Lease.Permit()
 	s := o.View.Snapshot()
 	for _, ref := range s.Services() {
 		for _, table := range s.Tables(ref) {
 			if table != nil && len(table.Owned(holder)) > 0 {
-				o.recent(ref).adopt(o.Clock, holder, table)
+				o.deduplicator(ref).syncOwned(o.Clock, holder, table)
 			}
 		}
 	}
 }
 
-// Export returns the recent identifiers of a range for its new owner. It is
-// called when nothing of the range is in flight.
+// Export returns the deduplication entries of a range for its new owner. It is
+// called when no request of the range is in flight.
 func (o *Owner) Export(ref mtid.Ref, low, high mtid.Point) ([]byte, error) {
-	// A range that no request has come for yet isn't adopted: without this its
-	// new owner would get no memory at all, and answer "unknown" to callers
-	// whose requests nobody has ever run.
+	// A range that has received no request yet may not be covered. Without this call
+	// its new owner would get no entries at all, and would reply "unknown" to
+	// callers whose requests have never run.
 	o.Adopt()
-	r := o.recent(ref)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return mtrecent.Encode(r.table.Export(o.Clock.Now(), low, high))
+	d := o.deduplicator(ref)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return mtrecent.Encode(d.table.Export(o.Clock.Now(), low, high))
 }
 
-// Import takes the recent identifiers of a range in, which from owned until
-// now. They count once the assignment shows the move.
+// Import adds the deduplication entries of a range that from has owned until now.
+// They take effect once the assignment shows the move.
 func (o *Owner) Import(ref mtid.Ref, low, high mtid.Point, from mtid.Holder, value []byte) error {
 	handover, err := mtrecent.Decode(value)
 	if err != nil {
@@ -246,22 +247,22 @@
 	if handover.Low != low || handover.High != high {
 		return &mtrecent.RangeError{Low: handover.Low, High: handover.High}
 	}
-	r := o.recent(ref)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if err := r.table.Import(o.Clock.Now(), handover); err != nil {
+	d := o.deduplicator(ref)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if err := d.table.Import(o.Clock.Now(), handover); err != nil {
 		return err
 	}
-	r.imports[low] = imported{from: from, high: high}
+	d.imports[low] = pendingImport{from: from, high: high}
 	return nil
 }
 
-// forget drops the memory of a range that has a new owner.
-func (r *recent) forget(low, high mtid.Point) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.table.Revoke(low, high)
-	for _, chunk := range r.epochs {
+// revoke removes the entries of a range that has a new owner.
+func (d *deduplicator) revoke(low, high mtid.Point) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.table.Revoke(low, high)
+	for _, chunk := range d.epochs {
 		for at := range chunk {
 			if low <= at && at <= high {
 				delete(chunk, at)
--- a/io/mtowner/recent_test.go
+++ b/io/mtowner/recent_test.go
@@ -57,14 +57,15 @@
 `
 
 var (
-	dispatch = mtid.Ref{Business: "ratins", Service: "dispatch"}
-	self     = mtid.Holder{Daemon: "self", Incarnation: 1}
-	other    = mtid.Holder{Daemon: "other", Incarnation: 1}
-	gone     = mtid.Holder{Daemon: "gone", Incarnation: 1}
-	none     = mtroster.WriteID{}
+	dispatch  = mtid.Ref{Business: "ratins", Service: "dispatch"}
+	self      = mtid.Holder{Daemon: "self", Incarnation: 1}
+	other     = mtid.Holder{Daemon: "other", Incarnation: 1}
+	lost      = mtid.Holder{Daemon: "gone", Incarnation: 1}
+	noWriteID = mtroster.WriteID{}
 )
 
-// clock stands still; its wall time is set by the test.
+// clock is a monotonic clock that stands still, with a wall clock that the test
+// advances.
 type clock struct {
 	mu   sync.Mutex
 	wall time.Time
@@ -82,13 +83,13 @@
 	return c.wall
 }
 
-func (c *clock) pass(d time.Duration) {
+func (c *clock) advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.wall = c.wall.Add(d)
 }
 
-// lease is held by self for an hour, until a test ends it.
+// lease is held by self for an hour or until the test ends it.
 type lease struct {
 	mu    sync.Mutex
 	ended bool
@@ -115,23 +116,23 @@
 	return nil, &mtreply.RefusedError{Cause: mtreply.CauseUnreachable, Detail: address}
 }
 
-// bench is an Owner with its backend server.
-type bench struct {
+// harness is an Owner with its backend server.
+type harness struct {
 	*mtowner.Owner
 	t     *testing.T
 	clock *clock
 	lease *lease
 	view  *mtview.View
-	// block makes the backend server hold each request until its caller goes
-	// away or a value is sent.
+	// block makes the backend server hold each request until a value is sent or the
+	// request is canceled.
 	block chan struct{}
 	rev   mtid.Revision
 	mu    sync.Mutex
 	runs  map[string]int
 }
 
-func newBench(t *testing.T) *bench {
-	b := &bench{
+func newHarness(t *testing.T) *harness {
+	b := &harness{
 		t: t, clock: &clock{wall: time.UnixMilli(1_800_000_000_000)}, lease: &lease{}, view: mtview.New(), runs: map[string]int{},
 	}
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -170,7 +171,7 @@
 	return b
 }
 
-func (b *bench) put(name string, version mtid.Version, value []byte) {
+func (b *harness) put(name string, version mtid.Version, value []byte) {
 	b.t.Helper()
 	b.rev++
 	item := mtview.Item{Name: name, Version: version, Revision: b.rev, Value: value}
@@ -179,9 +180,9 @@
 }
 
 // apply writes the next version of an assignment.
-func (b *bench) apply(table *mtshard.Table, ops ...mtshard.Op) *mtshard.Table {
+func (b *harness) apply(table *mtshard.Table, ops ...mtshard.Op) *mtshard.Table {
 	b.t.Helper()
-	next, err := table.Apply(none, ops...)
+	next, err := table.Apply(noWriteID, ops...)
 	assert.NilError(b.t, err)
 	value, err := next.Encode()
 	assert.NilError(b.t, err)
@@ -189,7 +190,7 @@
 	return next
 }
 
-// key returns one that lies in a chunk.
+// key returns a key that lies in the given chunk.
 func key(chunk int) mtid.Key {
 	for i := 0; ; i++ {
 		k := mtid.Key(fmt.Sprint("room-", i))
@@ -199,119 +200,121 @@
 	}
 }
 
-// order returns an order whose identifier is made now.
-func (b *bench) order(chunk int) *mtrequest.Request {
+// sendRequest returns a non-idempotent request whose identifier is minted now.
+func (b *harness) sendRequest(chunk int) *mtrequest.Request {
 	return &mtrequest.Request{
 		ID: mtrequest.Mint(b.clock.Wall(), [10]byte{byte(chunk), 7}), Service: dispatch, Key: key(chunk), Class: "send",
 		Method: "POST", Deadline: mtclock.Instant(5 * time.Second),
 	}
 }
 
-// A shard's planned move is given up after the handover. Its owner goes on,
-// runs an order, and is lost; the shard comes here by failover. Its new epoch
-// happens to be the number of a shard in another chunk that is owned here. The
-// desk sends the order again: it must not run a second time.
-func TestEpochsOfTwoChunksAreNotMixedUp(t *testing.T) {
-	b := newBench(t)
-	first := b.apply(mtshard.New(dispatch, 0, 2), mtshard.Create{Shards: 1, Among: []mtid.Holder{gone}})
-	b.apply(first, mtshard.Failover{Lost: []mtid.Holder{gone}, Among: []mtid.Holder{self}})
+// A planned move of a shard is abandoned after the handover. Its owner continues to
+// serve, runs a request and is lost, and the shard arrives here by failover. Its new
+// epoch equals that of a shard in another chunk that is owned here. The resent
+// request must not run a second time.
+func TestEqualEpochsInTwoChunksAreIndependent(t *testing.T) {
+	b := newHarness(t)
+	first := b.apply(mtshard.New(dispatch, 0, 2), mtshard.Create{Shards: 1, Among: []mtid.Holder{lost}})
+	b.apply(first, mtshard.Failover{Lost: []mtid.Holder{lost}, Among: []mtid.Holder{self}})
 	second := b.apply(mtshard.New(dispatch, 1, 2), mtshard.Create{Shards: 1, Among: []mtid.Holder{other}})
-	b.clock.pass(time.Second)
-	b.Serve(context.Background(), b.order(0)) // the memory answers for chunk 0
+	b.clock.advance(time.Second)
+	b.Serve(context.Background(), b.sendRequest(0)) // makes the deduplicator cover chunk 0
 
 	low, high := second.Shards[0].Low, ^mtid.Point(0)
-	memory := mtrecent.New(mtrecent.Limits{})
-	assert.NilError(t, memory.Grant(low, high, time.Time{}))
-	value, err := mtrecent.Encode(memory.Export(1, low, high))
+	otherTable := mtrecent.New(mtrecent.Limits{})
+	assert.NilError(t, otherTable.Grant(low, high, time.Time{}))
+	value, err := mtrecent.Encode(otherTable.Export(1, low, high))
 	assert.NilError(t, err)
 	assert.NilError(t, b.Import(dispatch, low, high, other, value))
 
-	b.clock.pass(time.Second)
-	order := b.order(1)
-	name := mtrecent.DedupKey{Point: order.Point(), ID: uuid.UUID(order.ID)}
-	verdict := memory.Begin(1, b.clock.Wall(), mtrecent.Request{DedupKey: name}, 1)
-	assert.Equal(t, verdict.Kind, mtrecent.Run) // at the other owner, lost since
+	b.clock.advance(time.Second)
+	request := b.sendRequest(1)
+	dedupKey := mtrecent.DedupKey{Point: request.Point(), ID: uuid.UUID(request.ID)}
+	verdict := otherTable.Begin(1, b.clock.Wall(), mtrecent.Request{DedupKey: dedupKey}, 1)
+	assert.Equal(t, verdict.Kind, mtrecent.Run) // at the other owner, which is lost afterwards
 
-	b.clock.pass(2 * time.Second)
+	b.clock.advance(2 * time.Second)
 	b.apply(second, mtshard.Failover{Lost: []mtid.Holder{other}, Among: []mtid.Holder{self}})
-	reply := b.Serve(context.Background(), order)
-	assert.Equal(t, b.runs[order.ID.String()], 0, "it ran again")
+	reply := b.Serve(context.Background(), request)
+	assert.Equal(t, b.runs[request.ID.String()], 0, "the request ran a second time")
 	assert.Equal(t, reply.Cause, mtreply.CauseTakenOver)
 }
 
-// The same with one chunk: the upper half of a shard was handed over in vain.
-// The whole shard comes by failover, split again at the same place before this
-// daemon looks, so that both halves are new and share their epoch.
-func TestSplitOfAGainedShardIsNotKnown(t *testing.T) {
-	b := newBench(t)
+// The same failure within one chunk: the upper half of a shard is handed over, but
+// the move is abandoned. The whole shard then arrives by failover and is split at
+// the same point before this daemon processes the assignment, so that both halves
+// are new and have the same epoch.
+func TestSplitShardFromFailoverIgnoresEarlierHandover(t *testing.T) {
+	b := newHarness(t)
 	b.apply(mtshard.New(dispatch, 0, 2), mtshard.Create{Shards: 1, Among: []mtid.Holder{self}})
 	table := b.apply(mtshard.New(dispatch, 1, 2), mtshard.Create{Shards: 1, Among: []mtid.Holder{other}})
-	order := b.order(1)
-	middle, high := order.Point(), ^mtid.Point(0)
-	memory := mtrecent.New(mtrecent.Limits{})
-	assert.NilError(t, memory.Grant(middle, high, time.Time{}))
-	value, err := mtrecent.Encode(memory.Export(1, middle, high))
+	request := b.sendRequest(1)
+	middle, high := request.Point(), ^mtid.Point(0)
+	otherTable := mtrecent.New(mtrecent.Limits{})
+	assert.NilError(t, otherTable.Grant(middle, high, time.Time{}))
+	value, err := mtrecent.Encode(otherTable.Export(1, middle, high))
 	assert.NilError(t, err)
 	assert.NilError(t, b.Import(dispatch, middle, high, other, value))
 
-	// The other owner runs the order now, and is lost.
-	b.clock.pass(2 * time.Second)
+	// The other owner runs the request now, and is lost.
+	b.clock.advance(2 * time.Second)
 	b.apply(table, mtshard.Failover{Lost: []mtid.Holder{other}, Among: []mtid.Holder{self}}, mtshard.Split{Point: middle})
-	reply := b.Serve(context.Background(), order)
-	assert.Equal(t, b.runs[order.ID.String()], 0, "it ran again")
+	reply := b.Serve(context.Background(), request)
+	assert.Equal(t, b.runs[request.ID.String()], 0, "the request ran a second time")
 	assert.Equal(t, reply.Cause, mtreply.CauseTakenOver)
 }
 
-// What is split and merged here keeps its memory: no order that nobody has run
-// is answered as unknown for it.
-func TestSplitAndMergeKeepTheMemory(t *testing.T) {
-	b := newBench(t)
+// A shard that is split or merged on its owner keeps its deduplication entries: a
+// request that has never run must not be answered as unknown.
+func TestSplitAndMergeKeepDedupEntries(t *testing.T) {
+	b := newHarness(t)
 	b.apply(mtshard.New(dispatch, 0, 2), mtshard.Create{Shards: 1, Among: []mtid.Holder{self}})
 	table := b.apply(mtshard.New(dispatch, 1, 2), mtshard.Create{Shards: 1, Among: []mtid.Holder{self}})
-	order := b.order(1)
-	assert.Equal(t, b.Serve(context.Background(), order).Outcome, mtreply.Answered)
-	table = b.apply(table, mtshard.Split{Point: order.Point()})
-	late := b.order(1)
-	late.ID[15] = 9
-	assert.Equal(t, b.Serve(context.Background(), late).Outcome, mtreply.Answered)
-	b.apply(table, mtshard.Merge{Low: order.Point()})
-	late.ID[15] = 10
-	assert.Equal(t, b.Serve(context.Background(), late).Outcome, mtreply.Answered)
-	assert.Equal(t, b.Serve(context.Background(), order).Outcome, mtreply.Answered)
-	assert.Equal(t, b.runs[order.ID.String()], 1, "it ran again")
+	request := b.sendRequest(1)
+	assert.Equal(t, b.Serve(context.Background(), request).Outcome, mtreply.Answered)
+	table = b.apply(table, mtshard.Split{Point: request.Point()})
+	fresh := b.sendRequest(1)
+	fresh.ID[15] = 9
+	assert.Equal(t, b.Serve(context.Background(), fresh).Outcome, mtreply.Answered)
+	b.apply(table, mtshard.Merge{Low: request.Point()})
+	fresh.ID[15] = 10
+	assert.Equal(t, b.Serve(context.Background(), fresh).Outcome, mtreply.Answered)
+	assert.Equal(t, b.Serve(context.Background(), request).Outcome, mtreply.Answered)
+	assert.Equal(t, b.runs[request.ID.String()], 1, "the request ran a second time")
 }
 
-// A shard came from a lost daemon. What may have taken that VM down runs alone
-// and under a peer's eyes, which the marks on the request say.
-func TestWhatIsExposed(t *testing.T) {
+// A shard was taken over from a lost daemon. Requests that may have crashed that
+// daemon's VM are marked as suspects, so that they run alone; RecentTakeover makes a
+// peer watch the run.
+func TestRequestsAfterTakeoverAreMarked(t *testing.T) {
 	tests := []struct {
-		name    string
-		class   mtid.Class
-		age     time.Duration // of the identifier, over the takeover
-		minted  bool
-		after   time.Duration // of the request, over the takeover
-		exposed bool
-		suspect bool
+		name           string
+		class          mtid.Class
+		age            time.Duration // of the identifier when the takeover happens
+		minted         bool
+		after          time.Duration // time from the takeover to the request
+		recentTakeover bool
+		suspect        bool
 	}{
-		{"identifier from before", "status", time.Second, false, time.Second, true, true},
-		{"identifier from before, made by the ingress", "status", time.Second, true, time.Second, true, false},
-		{"identifier from before, not idempotent", "send", time.Second, false, time.Second, true, false},
-		{"identifier from after", "status", -time.Second, false, 2 * time.Second, true, false},
-		{"long after", "status", time.Second, false, time.Minute, false, false},
+		{"identifier predates takeover", "status", time.Second, false, time.Second, true, true},
+		{"identifier predates takeover, minted by the ingress", "status", time.Second, true, time.Second, true, false},
+		{"identifier predates takeover, not idempotent", "send", time.Second, false, time.Second, true, false},
+		{"identifier postdates takeover", "status", -time.Second, false, 2 * time.Second, true, false},
+		{"long after takeover", "status", time.Second, false, time.Minute, false, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBench(t)
+			b := newHarness(t)
 			b.apply(mtshard.New(dispatch, 0, 2), mtshard.Create{Shards: 1, Among: []mtid.Holder{self}})
 			table := b.apply(mtshard.New(dispatch, 1, 2), mtshard.Create{Shards: 1, Among: []mtid.Holder{other}})
 			b.apply(table, mtshard.Failover{Lost: []mtid.Holder{other}, Among: []mtid.Holder{self}})
 			b.Adopt()
-			r := b.order(1)
+			r := b.sendRequest(1)
 			r.ID = mtrequest.Mint(b.clock.Wall().Add(-tt.age), [10]byte{1})
 			r.Class, r.Minted = tt.class, tt.minted
-			b.clock.pass(tt.after)
+			b.clock.advance(tt.after)
 			b.Serve(context.Background(), r)
-			assert.Equal(t, r.RecentTakeover, tt.exposed)
+			assert.Equal(t, r.RecentTakeover, tt.recentTakeover)
 			assert.Equal(t, r.Suspect, tt.suspect)
 		})
 	}
