--- a/io/mtcaller/mtcaller.go
+++ b/io/mtcaller/mtcaller.go
@@ -50,9 +50,9 @@
 
 // Limits on what a caller may send.
 const (
-	MaxKey     = 512 // bytes
-	MaxName    = 64  // bytes, for the name of a business, service or class
-	MaxTimeout = 10 * time.Minute
+	MaxKeyLength  = 512 // bytes
+	MaxNameLength = 64  // bytes, for the name of a business, service or class
+	MaxTimeout    = 10 * time.Minute
 )
 
 // FieldError reports a part of a request that is not in its accepted form or range.
@@ -66,10 +66,10 @@
 
 // Config holds the dependencies and limits of the callers' interface.
 type Config struct {
-	Router    router
-	Addresses addresses
-	Clock     clock
-	Body      int64 // maximum size in bytes of a request's body
+	Router      router
+	Addresses   addresses
+	Clock       clock
+	MaxBodySize int64 // maximum size in bytes of a request's body
 }
 
 type handler struct{ Config }
@@ -101,7 +101,7 @@
 		return r, malformed(err)
 	}
 	r.Class = mtid.Class(in.Header.Get(mtheader.Class))
-	if r.Class == "" || len(r.Class) > MaxName {
+	if r.Class == "" || len(r.Class) > MaxNameLength {
 		return r, malformed(&FieldError{Field: mtheader.Class, Accept: "the name of a class, up to 64 bytes"})
 	}
 	if err := h.readTimeout(in, r); err != nil {
@@ -156,10 +156,10 @@
 	if len(split) == parts {
 		r.Path = "/" + split[parts-1]
 	}
-	if r.Key == "" || len(r.Key) > MaxKey || strings.ContainsRune(string(r.Key), 0) {
+	if r.Key == "" || len(r.Key) > MaxKeyLength || strings.ContainsRune(string(r.Key), 0) {
 		return &FieldError{Field: "key", Accept: "1 to 512 bytes without a zero byte"}
 	}
-	if len(names[0]) > MaxName || len(names[1]) > MaxName {
+	if len(names[0]) > MaxNameLength || len(names[1]) > MaxNameLength {
 		return &FieldError{Field: "path", Accept: "names of up to 64 bytes"}
 	}
 	return nil
@@ -181,12 +181,12 @@
 }
 
 func (h handler) readBody(c echo.Context, r *mtrequest.Request) error {
-	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, h.Body))
+	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, h.MaxBodySize))
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
 		return &mtreply.RefusedError{
 			Cause: mtreply.CauseTooLarge, RetryAfter: noRetry,
-			Detail: fmt.Sprintf("body: accepted is up to %d bytes", h.Body),
+			Detail: fmt.Sprintf("body: accepted is up to %d bytes", h.MaxBodySize),
 		}
 	}
 	if err != nil {
@@ -213,7 +213,7 @@
 	if reply.RetryAfter >= 0 && reply.Outcome == mtreply.NotRun {
 		out.Set("Retry-After", retrySeconds(reply.RetryAfter))
 	}
-	return c.String(Status(reply), reply.Detail)
+	return c.String(HTTPStatus(reply), reply.Detail)
 }
 
 // retrySeconds formats a duration for Retry-After, which counts whole seconds. It
@@ -222,8 +222,8 @@
 	return strconv.FormatInt(int64((d+time.Second-1)/time.Second), 10)
 }
 
-// Status returns the HTTP status of a reply that is not an answer.
-func Status(reply *mtrequest.Reply) int {
+// HTTPStatus returns the HTTP status of a reply that is not an answer.
+func HTTPStatus(reply *mtrequest.Reply) int {
 	if reply.Outcome != mtreply.NotRun {
 		return http.StatusGatewayTimeout
 	}
--- a/io/mtcaller/mtcaller_test.go
+++ b/io/mtcaller/mtcaller_test.go
@@ -51,7 +51,7 @@
 
 func serve(r *recordingRouter, request *http.Request) *httptest.ResponseRecorder {
 	e := echo.New()
-	mtcaller.Register(e, mtcaller.Config{Router: r, Addresses: addressBook{}, Clock: clock{}, Body: bodyLimit})
+	mtcaller.Register(e, mtcaller.Config{Router: r, Addresses: addressBook{}, Clock: clock{}, MaxBodySize: bodyLimit})
 	w := httptest.NewRecorder()
 	e.ServeHTTP(w, request)
 	return w
@@ -162,7 +162,7 @@
 		if r.got == nil {
 			return
 		}
-		assert.Assert(t, r.got.Key != "" && len(r.got.Key) <= mtcaller.MaxKey)
+		assert.Assert(t, r.got.Key != "" && len(r.got.Key) <= mtcaller.MaxKeyLength)
 		assert.Assert(t, r.got.Deadline == 0 || r.got.Deadline.After(1000))
 	})
 }
--- a/io/mtdaemon/listen.go
+++ b/io/mtdaemon/listen.go
@@ -129,10 +129,10 @@
 func (d *Daemon) callers() http.Handler {
 	e := newEcho()
 	mtcaller.Register(e, mtcaller.Config{
-		Router:    mtkernel.MustLookup[*mtrouter.Router](d.kernel, NameRouter),
-		Addresses: addresses{view: mtkernel.MustLookup[*mtview.View](d.kernel, NameView)},
-		Clock:     mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
-		Body:      d.config.Settings.Body,
+		Router:      mtkernel.MustLookup[*mtrouter.Router](d.kernel, NameRouter),
+		Addresses:   addresses{view: mtkernel.MustLookup[*mtview.View](d.kernel, NameView)},
+		Clock:       mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
+		MaxBodySize: d.config.Settings.Body,
 	})
 	return e
 }
--- a/io/mtdaemon/member.go
+++ b/io/mtdaemon/member.go
@@ -140,8 +140,8 @@
 		}
 	})
 	clock := mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock)
-	mtkernel.MustLookup[*mtserver.Pool](d.kernel, NameServers).Grant(func() int64 {
-		return clock.Boot() + int64(duty.Until().Add(-mtowner.Margin).Sub(clock.Now()))
+	mtkernel.MustLookup[*mtserver.Pool](d.kernel, NameServers).SetLeaseEnd(func() int64 {
+		return clock.Boot() + int64(duty.Until().Add(-mtowner.LeaseMargin).Sub(clock.Now()))
 	})
 	return mtkernel.Register(d.kernel, NameRenew, duty, cleanUp)
 }
--- a/io/mtdaemon/mtdaemon.go
+++ b/io/mtdaemon/mtdaemon.go
@@ -223,17 +223,17 @@
 
 func (d *Daemon) addOwner() error {
 	owner, cleanUp := mtowner.New(mtowner.Config{
-		View:    mtkernel.MustLookup[*mtview.View](d.kernel, NameView),
-		Lease:   mtkernel.MustLookup[*mtrenew.Duty](d.kernel, NameRenew),
-		Servers: mtkernel.MustLookup[*mtserver.Pool](d.kernel, NameServers),
-		Clock:   mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
-		Log:     d.config.Log,
-		Poison:  mtkernel.MustLookup[*mtpoison.Watch](d.kernel, NamePoison),
-		Quiet:   d.quiet,
+		View:        mtkernel.MustLookup[*mtview.View](d.kernel, NameView),
+		Lease:       mtkernel.MustLookup[*mtrenew.Duty](d.kernel, NameRenew),
+		Servers:     mtkernel.MustLookup[*mtserver.Pool](d.kernel, NameServers),
+		Clock:       mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
+		Log:         d.config.Log,
+		Poison:      mtkernel.MustLookup[*mtpoison.Watch](d.kernel, NamePoison),
+		OnRangeIdle: d.quiet,
 	})
 	mtkernel.MustLookup[*mtsync.Sync](d.kernel, NameSync).OnChange(func(names []string) {
 		if slices.ContainsFunc(names, func(name string) bool { return strings.HasPrefix(name, mtstore.ShardPrefix) }) {
-			owner.Adopt()
+			owner.SyncOwnedShards()
 		}
 	})
 	return mtkernel.Register(d.kernel, NameOwner, owner, cleanUp)
@@ -265,17 +265,17 @@
 
 func (d *Daemon) addRouter() error {
 	router := mtrouter.New(mtrouter.Config{
-		Zone:   d.config.Settings.Zone,
-		Self:   mtkernel.MustLookup[*mtmember.Member](d.kernel, NameMember).Holder,
-		View:   mtkernel.MustLookup[*mtview.View](d.kernel, NameView),
-		Owner:  mtkernel.MustLookup[*mtowner.Owner](d.kernel, NameOwner),
-		Peers:  mtkernel.MustLookup[*mtrelay.Client](d.kernel, NameRelay),
-		Clock:  mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
-		Retry:  mtretry.NewBudgeted(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		Poison: mtkernel.MustLookup[*mtpoison.Watch](d.kernel, NamePoison),
-		Hint:   mtkernel.MustLookup[*mtsync.Sync](d.kernel, NameSync).Hint,
-		Count:  d.counter("route"),
-		Done:   d.observer(),
+		Zone:           d.config.Settings.Zone,
+		Self:           mtkernel.MustLookup[*mtmember.Member](d.kernel, NameMember).Holder,
+		View:           mtkernel.MustLookup[*mtview.View](d.kernel, NameView),
+		Owner:          mtkernel.MustLookup[*mtowner.Owner](d.kernel, NameOwner),
+		Peers:          mtkernel.MustLookup[*mtrelay.Client](d.kernel, NameRelay),
+		Clock:          mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
+		Retry:          mtretry.NewBudgeted(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		Poison:         mtkernel.MustLookup[*mtpoison.Watch](d.kernel, NamePoison),
+		OnPeerFrontier: mtkernel.MustLookup[*mtsync.Sync](d.kernel, NameSync).Hint,
+		Count:          d.counter("route"),
+		OnDone:         d.observer(),
 	})
 	return mtkernel.Register(d.kernel, NameRouter, router, nil)
 }
--- a/io/mtowner/mtowner.go
+++ b/io/mtowner/mtowner.go
@@ -59,9 +59,10 @@
 	Lost(ref mtid.Ref, server *mtserver.Server)
 }
 
-// Margin is the last part of a lease, in which no request is started: a request must
-// reach the backend server before the lease ends, not just leave the daemon by then.
-const Margin = 50 * time.Millisecond
+// LeaseMargin is the last part of a lease, in which no request is started: a request
+// must reach the backend server before the lease ends, not just leave the daemon by
+// then.
+const LeaseMargin = 50 * time.Millisecond
 
 // leaseCheckInterval is the interval at which running requests are checked against
 // the lease.
@@ -76,9 +77,9 @@
 	Log     *slog.Logger
 	// Poison detects requests that crash backend servers.
 	Poison *iopoison.Watch
-	// Quiet is called when a stopped range has no more requests in flight, from the
-	// goroutine that ended the last one.
-	Quiet func(service mtid.Ref, low, high mtid.Point)
+	// OnRangeIdle is called when a stopped range has no more requests in flight,
+	// from the goroutine that ended the last one.
+	OnRangeIdle func(service mtid.Ref, low, high mtid.Point)
 }
 
 // Owner checks, admits and runs requests for the keys of this daemon.
@@ -121,14 +122,14 @@
 	}
 }
 
-// lookupClass calls Declared with the current view.
+// lookupClass calls LookupClass with the current view.
 func (o *Owner) lookupClass(r *mtrequest.Request) (*mtbundle.Service, *mtbundle.Class, error) {
-	return Declared(o.View.Snapshot(), r)
+	return LookupClass(o.View.Snapshot(), r)
 }
 
-// Declared returns the declarations of a request's service and class in the bundle
-// in force. It fails with a *mtreply.RefusedError.
-func Declared(s *mtview.Snapshot, r *mtrequest.Request) (*mtbundle.Service, *mtbundle.Class, error) {
+// LookupClass returns the declarations of a request's service and class in the
+// bundle in force. It fails with a *mtreply.RefusedError.
+func LookupClass(s *mtview.Snapshot, r *mtrequest.Request) (*mtbundle.Service, *mtbundle.Class, error) {
 	bundle, ok := s.Bundle(r.Service.Business)
 	if !ok {
 		return nil, nil, noService("no bundle of this business is in force")
@@ -200,7 +201,7 @@
 		return nil, &mtreply.RefusedError{Cause: mtreply.CauseNoServer, RetryAfter: time.Second}
 	}
 	g := o.gate(r.Service)
-	g.configure(server.Announced(), r.Service.Business, service)
+	g.configure(server.Announcement(), r.Service.Business, service)
 	end, err := g.Admit(ctx, mtgate.Ticket{
 		Business: r.Service.Business, Class: class.Name, Point: r.Point(), Deadline: r.Deadline, Alone: r.Suspect,
 	})
@@ -287,7 +288,7 @@
 	if shard.Owner != holder {
 		return fence{}, &mtreply.RefusedError{Cause: mtreply.CauseStaleRoute}
 	}
-	until = until.Add(-Margin)
+	until = until.Add(-LeaseMargin)
 	if !now.Before(until) {
 		return fence{}, &mtreply.RefusedError{Cause: mtreply.CauseNoLease, RetryAfter: time.Second}
 	}
@@ -310,7 +311,7 @@
 		defer o.track(&activeRun{holder: f.holder, cancel: cancel})()
 	}
 	boot := o.Clock.Boot()
-	ended := o.Poison.Start(r, server.Announced().Address)
+	ended := o.Poison.Start(r, server.Announcement().Address)
 	reply, err := server.Do(ctx, mtserver.Call{
 		Request:  r,
 		Epoch:    f.epoch,
@@ -357,7 +358,7 @@
 	defer o.mu.Unlock()
 	g := o.gates[ref]
 	if g == nil {
-		g = newServiceGate(o.Clock, func(low, high mtid.Point) { o.Quiet(ref, low, high) })
+		g = newServiceGate(o.Clock, func(low, high mtid.Point) { o.OnRangeIdle(ref, low, high) })
 		o.gates[ref] = g
 	}
 	return g
@@ -387,8 +388,8 @@
 	return m
 }
 
-// Stop holds new requests for a range of a service. Config.Quiet is called once none
-// is in flight.
+// Stop holds new requests for a range of a service. Config.OnRangeIdle is called
+// once none is in flight.
 func (o *Owner) Stop(ref mtid.Ref, low, high mtid.Point) {
 	o.gate(ref).Stop(low, high)
 }
--- a/io/mtowner/recent.go
+++ b/io/mtowner/recent.go
@@ -209,10 +209,10 @@
 	return d.table.Horizon(p)
 }
 
-// Adopt makes the deduplicators cover all shards that this daemon owns. It is called
-// when an assignment has changed, so that a range that arrived by failover is
-// granted as of then and not as of its first request.
-func (o *Owner) Adopt() {
+// SyncOwnedShards makes the deduplicators cover all shards that this daemon owns. It
+// is called when an assignment has changed, so that a range that arrived by failover
+// is granted as of then and not as of its first request.
+func (o *Owner) SyncOwnedShards() {
 	holder, _ := o.Lease.Permit()
 	s := o.View.Snapshot()
 	for _, ref := range s.Services() {
@@ -230,7 +230,7 @@
 	// A range that has received no request yet may not be covered. Without this call
 	// its new owner would get no entries at all, and would reply "unknown" to
 	// callers whose requests have never run.
-	o.Adopt()
+	o.SyncOwnedShards()
 	d := o.deduplicator(ref)
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/io/mtowner/recent_test.go
+++ b/io/mtowner/recent_test.go
@@ -160,7 +160,7 @@
 	t.Cleanup(cleanUpWatch)
 	owner, cleanUp := mtowner.New(mtowner.Config{
 		View: b.view, Lease: b.lease, Servers: pool, Clock: b.clock, Log: log, Poison: watch,
-		Quiet: func(mtid.Ref, mtid.Point, mtid.Point) {},
+		OnRangeIdle: func(mtid.Ref, mtid.Point, mtid.Point) {},
 	})
 	t.Cleanup(cleanUp)
 	b.Owner = owner
@@ -308,7 +308,7 @@
 			b.apply(mtshard.New(dispatch, 0, 2), mtshard.Create{Shards: 1, Among: []mtid.Holder{self}})
 			table := b.apply(mtshard.New(dispatch, 1, 2), mtshard.Create{Shards: 1, Among: []mtid.Holder{other}})
 			b.apply(table, mtshard.Failover{Lost: []mtid.Holder{other}, Among: []mtid.Holder{self}})
-			b.Adopt()
+			b.SyncOwnedShards()
 			r := b.sendRequest(1)
 			r.ID = mtrequest.Mint(b.clock.Wall().Add(-tt.age), [10]byte{1})
 			r.Class, r.Minted = tt.class, tt.minted
--- a/io/mtrelay/mtrelay.go
+++ b/io/mtrelay/mtrelay.go
@@ -32,8 +32,8 @@
 	"magnoliaturn/io/mtconn"
 )
 
-// DeltaLimit is the approximate size in bytes at which a delta is split.
-const DeltaLimit = 256 << 10
+// MaxDeltaSize is the approximate size in bytes at which a delta is split.
+const MaxDeltaSize = 256 << 10
 
 // messageOverhead is the allowance for the parts of a message other than the body,
 // in bytes.
@@ -66,7 +66,7 @@
 // NewClient returns a client and its clean-up function. limit is the maximum body
 // size in bytes.
 func NewClient(creds credentials.TransportCredentials, limit int64) (*Client, func()) {
-	size := int(limit) + messageOverhead + DeltaLimit
+	size := int(limit) + messageOverhead + MaxDeltaSize
 	pool, cleanUp := mtconn.New(
 		grpc.WithTransportCredentials(creds),
 		grpc.WithConnectParams(reconnectParams),
--- a/io/mtrelay/server.go
+++ b/io/mtrelay/server.go
@@ -70,7 +70,7 @@
 
 // Pull implements mtwire.PeerServer.
 func (s *Server) Pull(_ context.Context, w *mtwire.PullRequest) (*mtwire.PullReply, error) {
-	return deltaToWire(s.view.Delta(mtid.Revision(w.GetAfter()), DeltaLimit, w.GetWhole())), nil
+	return deltaToWire(s.view.Delta(mtid.Revision(w.GetAfter()), MaxDeltaSize, w.GetWhole())), nil
 }
 
 func requestToWire(r *mtrequest.Request, frontier mtid.Revision) *mtwire.RelayRequest {
--- a/io/mtrouter/mtrouter.go
+++ b/io/mtrouter/mtrouter.go
@@ -55,13 +55,13 @@
 	Retry mtretry.Policy // guarded by the router's mutex
 	// Poison detects requests that crash backend servers.
 	Poison *iopoison.Watch
-	// Hint is called with the frontier of each relayed reply, so that this
+	// OnPeerFrontier is called with the frontier of each relayed reply, so that this
 	// daemon can pull from a peer whose view is newer.
-	Hint func(address string, frontier mtid.Revision)
+	OnPeerFrontier func(address string, frontier mtid.Revision)
 	// Count adds one to a counter of the router.
 	Count func(name string)
-	// Done is called with the final reply to each request of a declared class.
-	Done func(q *mtrequest.Request, reply *mtrequest.Reply, took time.Duration)
+	// OnDone is called with the final reply to each request of a declared class.
+	OnDone func(q *mtrequest.Request, reply *mtrequest.Reply, took time.Duration)
 }
 
 // Router finds the owner of a request's key, sends the request there and retries it.
@@ -88,7 +88,7 @@
 
 // Route runs a request and returns its final reply.
 func (r *Router) Route(ctx context.Context, q *mtrequest.Request) *mtrequest.Reply {
-	service, class, err := mtowner.Declared(r.View.Snapshot(), q)
+	service, class, err := mtowner.LookupClass(r.View.Snapshot(), q)
 	if err != nil {
 		return mtrequest.FromError(err)
 	}
@@ -106,7 +106,7 @@
 		try = r.sendSpread
 	}
 	reply := r.routeWithRetries(ctx, q, class, service.Kind, try)
-	r.Done(q, reply, r.Clock.Now().Sub(now))
+	r.OnDone(q, reply, r.Clock.Now().Sub(now))
 	return reply
 }
 
@@ -264,6 +264,6 @@
 	if err != nil {
 		return mtrequest.FromError(err)
 	}
-	r.Hint(record.RelayAddress, reply.Frontier)
+	r.OnPeerFrontier(record.RelayAddress, reply.Frontier)
 	return reply
 }
--- a/io/mtrouter/spread_test.go
+++ b/io/mtrouter/spread_test.go
@@ -125,9 +125,9 @@
 	t.Cleanup(cleanUp)
 	r := mtrouter.New(mtrouter.Config{
 		Self: self, Zone: "old-town", View: view, Owner: p, Peers: p, Clock: c, Poison: watch,
-		Retry: mtretry.NewBudgeted(rand.New(rand.NewPCG(1, 2))),
-		Hint:  func(string, mtid.Revision) {}, Count: ignore,
-		Done: func(*mtrequest.Request, *mtrequest.Reply, time.Duration) {},
+		Retry:          mtretry.NewBudgeted(rand.New(rand.NewPCG(1, 2))),
+		OnPeerFrontier: func(string, mtid.Revision) {}, Count: ignore,
+		OnDone: func(*mtrequest.Request, *mtrequest.Reply, time.Duration) {},
 	})
 	return r, p
 }
--- a/io/mtserver/mtserver.go
+++ b/io/mtserver/mtserver.go
@@ -76,8 +76,8 @@
 	}}
 }
 
-// Announced returns the server's last announcement.
-func (s *Server) Announced() mtannounce.Announcement { return s.announcement }
+// Announcement returns the server's last announcement.
+func (s *Server) Announcement() mtannounce.Announcement { return s.announcement }
 
 // Do sends a request exactly once. It fails with a *mtreply.RefusedError if the
 // request was not run, otherwise with a *mtreply.UnknownError.
--- a/io/mtserver/mtserver_test.go
+++ b/io/mtserver/mtserver_test.go
@@ -227,7 +227,7 @@
 // announcement reply tells the server when the lease ends.
 func TestAnnouncementReplyHasLeaseEnd(t *testing.T) {
 	pool := mtserver.NewPool(fixedClock{}, maxReply, slog.New(slog.DiscardHandler), func() {})
-	pool.Grant(func() int64 { return 77 })
+	pool.SetLeaseEnd(func() int64 { return 77 })
 	body, err := json.Marshal(announcement("127.0.0.1:1"))
 	assert.NilError(t, err)
 	request := httptest.NewRequest(http.MethodPost, mtheader.AnnouncePath, bytes.NewReader(body))
--- a/io/mtserver/pool.go
+++ b/io/mtserver/pool.go
@@ -45,10 +45,10 @@
 	return &Pool{clock: c, log: log, limit: limit, servers: make(map[mtid.Ref]poolEntry), onChange: onChange}
 }
 
-// Grant sets the function that returns the time until which the daemon's lease is
-// certain to be valid, in nanoseconds of the boot-time clock. It is called before
+// SetLeaseEnd sets the function that returns the time until which the daemon's lease
+// is certain to be valid, in nanoseconds of the boot-time clock. It is called before
 // the first announcement.
-func (p *Pool) Grant(until func() int64) { p.leaseEnd = until }
+func (p *Pool) SetLeaseEnd(until func() int64) { p.leaseEnd = until }
 
 // faults is the body of the reply to an invalid announcement.
 type faults struct {
