--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -31,7 +31,7 @@
 	flag.Parse()
 	broken := 0
 	for i := range uint64(*runs) {
-		config := soak.Config{Program: *program, Seed: *seed + i, Time: *lasts, VMs: *vms, Zones: *zones, Logs: *logs}
+		config := soak.Config{Program: *program, Seed: *seed + i, FaultPeriod: *lasts, VMs: *vms, Zones: *zones, Logs: *logs}
 		result, err := soak.Run(context.Background(), config)
 		if !report(config.Seed, result, err) {
 			broken++
@@ -50,14 +50,14 @@
 		return false
 	}
 	fmt.Printf("seed %d: %d served, %d refused, %d failed, %d faults injected, recovered in %s\n",
-		seed, result.Served, result.Refused, result.Failed, len(result.Injected), result.Recovered.Round(time.Millisecond))
-	if err == nil && len(result.Faults) == 0 {
+		seed, result.Served, result.Refused, result.Failed, len(result.Injected), result.RecoveryTime.Round(time.Millisecond))
+	if err == nil && len(result.Violations) == 0 {
 		return true
 	}
 	if err != nil {
 		fmt.Println("  ", err)
 	}
-	for _, fault := range result.Faults {
+	for _, fault := range result.Violations {
 		fmt.Println("  broken:", fault)
 	}
 	for _, fault := range result.Injected {
