--- a/io/mtdaemon/admin.go
+++ b/io/mtdaemon/admin.go
@@ -24,16 +24,16 @@
 	"magnoliaturn/io/mttime"
 )
 
-// Names of the services for operators.
+// Names under which the services for operators are registered with the kernel.
 const (
 	NameAdmin   mtkernel.Name = "admin"
 	NameFigures mtkernel.Name = "figures"
 )
 
-// addAdmin opens the listener for operators. It comes before the listener for
-// other daemons, which passes their questions on to it.
+// addAdmin starts the HTTP server for operators. It runs before listen, because
+// the gRPC server for other daemons forwards their admin requests to it.
 func (d *Daemon) addAdmin() error {
-	d.publish()
+	d.publishMetrics()
 	operators, closeOperators, err := d.operators()
 	if err != nil {
 		return err
@@ -41,12 +41,12 @@
 	self := &self{daemon: d}
 	self.ctx, self.cancel = context.WithCancel(context.Background())
 	server := mtadmin.New(mtadmin.Config{
-		View:      liveView{mtkernel.MustLookup[*mtview.View](d.kernel, NameView)},
+		View:      snapshotView{mtkernel.MustLookup[*mtview.View](d.kernel, NameView)},
 		Self:      self,
 		Rollout:   mtrollout.New(mtkernel.MustLookup[mtstore.Store](d.kernel, NameStore), d.Self, d.config.Settings.Roots),
 		Operators: operators,
 		Peers:     dialer{mtkernel.MustLookup[*mtrelay.Client](d.kernel, NameRelay)},
-		Figures:   mtkernel.MustLookup[*figures](d.kernel, NameFigures).All,
+		Figures:   mtkernel.MustLookup[*serviceStats](d.kernel, NameFigures).All,
 		Metrics:   mtkernel.MustLookup[*mtmetric.Metrics](d.kernel, NameMetrics).Handler(),
 		Now:       mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock).Wall,
 		Logger:    d.config.Log,
@@ -62,18 +62,20 @@
 	})
 }
 
-// operators returns who may do what. The settings were checked to name a file
-// wherever the listener can be reached from another VM.
+// operators returns the directory that authenticates and authorizes operators.
+// Without a file, everyone on the loopback interface has all roles: the
+// validation of the settings requires a file if other VMs can reach the listener.
 func (d *Daemon) operators() (*mtoperator.Directory, func(), error) {
 	if d.config.Settings.Operators == "" {
 		return mtoperator.Everyone(), func() {}, nil
 	}
 	return mtoperator.Open(d.config.Settings.Operators, func(err error) {
-		d.config.Log.Error("operators can't be read again", "error", err)
+		d.config.Log.Error("reloading the operators file failed", "error", err)
 	})
 }
 
-// admin returns what the listener for operators shows, nil for plain HTTP.
+// admin returns the TLS configuration of the listener for operators, or nil for
+// plain HTTP.
 func (c *credentialSet) admin() *tls.Config {
 	if c.tls == nil {
 		return nil
@@ -89,13 +91,14 @@
 	return p.relay.Conn(record.RelayAddress)
 }
 
-// self is the daemon as its administration API asks it.
+// self implements mtadmin.Self, the part of the administration API that concerns
+// this daemon.
 type self struct {
-	daemon *Daemon
-	ctx    context.Context // of the drain
-	cancel context.CancelFunc
-	mu     sync.Mutex
-	drains chan struct{} // closed when the drain has ended; nil before it
+	daemon    *Daemon
+	ctx       context.Context // passed to the drain
+	cancel    context.CancelFunc
+	mu        sync.Mutex
+	drainDone chan struct{} // closed when the drain has ended; nil until one starts
 }
 
 // Holder implements mtadmin.Self.
@@ -118,7 +121,7 @@
 // Loads implements mtadmin.Self.
 func (s *self) Loads() []mtadmin.Load {
 	owner := mtkernel.MustLookup[*mtowner.Owner](s.daemon.kernel, NameOwner)
-	rates := mtkernel.MustLookup[*figures](s.daemon.kernel, NameFigures)
+	rates := mtkernel.MustLookup[*serviceStats](s.daemon.kernel, NameFigures)
 	var loads []mtadmin.Load
 	for _, a := range mtkernel.MustLookup[*mtserver.Pool](s.daemon.kernel, NameServers).Announcements() {
 		ref := mtid.Ref{Business: a.Business, Service: a.Service}
@@ -128,16 +131,17 @@
 	return loads
 }
 
-// Drain implements mtadmin.Self. The handing over takes up to leaveTimeout, so
-// it goes on after the answer; its end shows in the assignment.
+// Drain implements mtadmin.Self. It returns at once and hands the shards over in
+// the background, since that takes up to leaveTimeout. Operators see from the
+// assignment when the drain is complete.
 func (s *self) Drain(context.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.drains != nil {
+	if s.drainDone != nil {
 		return nil
 	}
 	done := make(chan struct{})
-	s.drains = done
+	s.drainDone = done
 	go func() {
 		defer close(done)
 		s.daemon.Leave(s.ctx)
@@ -145,13 +149,13 @@
 	return nil
 }
 
-// close ends a drain that is under way, and waits for it.
+// close cancels a running drain and waits until it has returned.
 func (s *self) close() {
 	s.cancel()
 	s.mu.Lock()
-	drains := s.drains
+	drainDone := s.drainDone
 	s.mu.Unlock()
-	if drains != nil {
-		<-drains
+	if drainDone != nil {
+		<-drainDone
 	}
 }
--- a/io/mtdaemon/admin_test.go
+++ b/io/mtdaemon/admin_test.go
@@ -22,7 +22,7 @@
 	return "http://" + record.AdminAddress
 }
 
-// get asks a daemon's administration API.
+// get returns the body of a GET request to a daemon's administration API.
 func (m *member) get(t *testing.T, path string) []byte {
 	t.Helper()
 	response, err := http.Get(m.admin(t) + path)
@@ -33,12 +33,13 @@
 	return body
 }
 
-// An operator asks any daemon where a bundle is in force, and takes another
-// daemon out of service: its shards go, and callers notice nothing.
-func TestOperatorsAskAnyDaemon(t *testing.T) {
-	_, members := fleet(t)
+// An operator asks one daemon on which daemons a bundle is in force, and drains
+// another one through it. The drained daemon hands over all its shards and still
+// routes requests.
+func TestAdminAPIReachesAllDaemonsFromAny(t *testing.T) {
+	_, members := startFleet(t)
 	for _, key := range []string{"room-1", "room-2", "room-3"} {
-		answers(t, members[0], key)
+		waitAnswered(t, members[0], key)
 	}
 	client := mtadmin.NewClient(members[1].admin(t), "", nil)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -57,8 +58,8 @@
 		}
 		return poll.Success()
 	}, poll.WithTimeout(30*time.Second))
-	leaver := members[3].daemon.Self()
-	_, err := client.Drain(t.Context(), leaver.Daemon)
+	leaving := members[3].daemon.Self()
+	_, err := client.Drain(t.Context(), leaving.Daemon)
 	assert.NilError(t, err)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		page, err := client.Assignment(t.Context(), dispatch)
@@ -66,19 +67,20 @@
 			return poll.Error(err)
 		}
 		for _, shard := range page.Items {
-			if shard.Owner == leaver.Daemon {
-				return poll.Continue("%s still owns", leaver)
+			if shard.Owner == leaving.Daemon {
+				return poll.Continue("%s still owns", leaving)
 			}
 		}
 		return poll.Success()
 	}, poll.WithTimeout(30*time.Second))
-	answers(t, members[3], "room-1")
+	waitAnswered(t, members[3], "room-1")
 }
 
-// What an alarm goes by must be there under its name.
-func TestMetricsOfEveryDuty(t *testing.T) {
-	_, members := fleet(t)
-	answers(t, members[0], "room-1")
+// Alerts refer to metrics by name, so a renamed or missing metric disables them
+// without an error.
+func TestMetricsIncludeEveryComponent(t *testing.T) {
+	_, members := startFleet(t)
+	waitAnswered(t, members[0], "room-1")
 	var got map[string]map[string]json.RawMessage
 	var all map[string]json.RawMessage
 	assert.NilError(t, json.Unmarshal(members[0].get(t, "/metrics"), &all))
@@ -106,14 +108,14 @@
 	}
 }
 
-// A request that crashes servers is quarantined, and its senders are refused.
-// The operator asks any daemon which one it is.
-func TestOperatorsSeeTheQuarantine(t *testing.T) {
+// A request that crashes servers is quarantined and refused. Every daemon must
+// report its fingerprint to operators, for the affected business only.
+func TestAdminAPIListsQuarantine(t *testing.T) {
 	store := iostore.NewMemory(time.Now)
-	accept(t, store)
-	members, _ := fragileFleet(t, store, 4, false)
-	answers(t, members[0], "room-1")
-	quarantined(t, members)
+	storeBundle(t, store)
+	members, _ := startCrashingFleet(t, store, 4, false)
+	waitAnswered(t, members[0], "room-1")
+	waitQuarantined(t, members)
 	client := mtadmin.NewClient(members[1].admin(t), "", nil)
 	page, err := client.Quarantine(t.Context(), "ratins")
 	assert.NilError(t, err)
--- a/io/mtdaemon/figures.go
+++ b/io/mtdaemon/figures.go
@@ -22,31 +22,32 @@
 	"magnoliaturn/io/mttime"
 )
 
-// figuresEvery is how often the figures of the services are brought up to date.
-const figuresEvery = time.Second
+// statsInterval is how often the statistics of the services are updated.
+const statsInterval = time.Second
 
-// figures keeps a meter for each service that has an assignment, and the rate
-// at which the backend server beside this daemon ends requests.
-type figures struct {
+// serviceStats holds a meter for each service that has an assignment, and the rate
+// at which the backend server of this daemon completes requests.
+type serviceStats struct {
 	mu     sync.Mutex
 	meters map[mtid.Ref]*mtmetric.Meter
 	rates  map[mtid.Ref]rate
-	loads  map[mtid.Ref]seenLoads
+	loads  map[mtid.Ref]plannedLoads
 }
 
-// seenLoads are the loads of a service's holders, in shares of their slots, as
-// the planner saw them. Only the daemon that plans for the service has them.
-type seenLoads struct {
+// plannedLoads holds the load of each holder of a service, as a fraction of its
+// slots, in the last planning round. Only the daemon that plans for the service
+// has them.
+type plannedLoads struct {
 	at    mtclock.Instant
 	loads map[mtid.Holder]float64
 }
 
-// seenLife is how long such loads are shown: a few rounds of planning. After
-// it another daemon plans for the service.
-const seenLife = 4 * mtplanner.RoundInterval
+// plannedLoadsMaxAge is the age up to which loads are reported: four planning
+// rounds. If they are older, another daemon plans for the service now.
+const plannedLoadsMaxAge = 4 * mtplanner.RoundInterval
 
-// planned takes in what a round of planning was decided from.
-func (f *figures) planned(now mtclock.Instant, ref mtid.Ref, state *mtplan.State) {
+// setPlannedLoads stores the loads on which a planning round was based.
+func (f *serviceStats) setPlannedLoads(now mtclock.Instant, ref mtid.Ref, state *mtplan.State) {
 	loads := make(map[mtid.Holder]float64, len(state.Servers))
 	for _, shard := range state.Shards {
 		if shard.Owner < 0 {
@@ -57,32 +58,34 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.loads[ref] = seenLoads{at: now, loads: loads}
+	f.loads[ref] = plannedLoads{at: now, loads: loads}
 }
 
-// load returns what is known of the holders' loads.
-func (f *figures) load(now mtclock.Instant, ref mtid.Ref) func(mtid.Holder) (float64, bool) {
+// load returns a function that looks up the load of a holder and reports whether
+// it is known.
+func (f *serviceStats) load(now mtclock.Instant, ref mtid.Ref) func(mtid.Holder) (float64, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	seen, ok := f.loads[ref]
-	if !ok || now.Sub(seen.at) > seenLife {
+	planned, ok := f.loads[ref]
+	if !ok || now.Sub(planned.at) > plannedLoadsMaxAge {
 		return func(mtid.Holder) (float64, bool) { return 0, false }
 	}
 	return func(h mtid.Holder) (float64, bool) {
-		v, known := seen.loads[h]
+		v, known := planned.loads[h]
 		return v, known
 	}
 }
 
-// rate is how fast a counter grew between the last two looks at it.
+// rate is the increase of a counter per second between its last two samples.
 type rate struct {
 	count     uint64
 	at        mtclock.Instant
 	perSecond float64
 }
 
-// see takes in a counter of a service.
-func (f *figures) see(ref mtid.Ref, now mtclock.Instant, count uint64) {
+// updateRate updates the rate of a service from the number of requests completed
+// so far. The rate is 0 if the counter was reset.
+func (f *serviceStats) updateRate(ref mtid.Ref, now mtclock.Instant, count uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before, ok := f.rates[ref]
@@ -93,15 +96,15 @@
 	f.rates[ref] = next
 }
 
-// rate returns how many requests of a service end here in a second.
-func (f *figures) rate(ref mtid.Ref) float64 {
+// rate returns how many requests of a service this daemon completes per second.
+func (f *serviceStats) rate(ref mtid.Ref) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.rates[ref].perSecond
 }
 
-// All returns the present figures of every service.
-func (f *figures) All() map[mtid.Ref]mtmetric.Figures {
+// All returns the current statistics of every service.
+func (f *serviceStats) All() map[mtid.Ref]mtmetric.Figures {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := make(map[mtid.Ref]mtmetric.Figures, len(f.meters))
@@ -111,7 +114,7 @@
 	return out
 }
 
-func (f *figures) meter(ref mtid.Ref) *mtmetric.Meter {
+func (f *serviceStats) meter(ref mtid.Ref) *mtmetric.Meter {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	meter, ok := f.meters[ref]
@@ -122,13 +125,13 @@
 	return meter
 }
 
-// addFigures starts the duty that measures the services as this daemon sees
-// them.
-func (d *Daemon) addFigures() error {
-	f := &figures{
+// addServiceStats starts the background task that computes the statistics of all
+// services from this daemon's copy of the live state.
+func (d *Daemon) addServiceStats() error {
+	f := &serviceStats{
 		meters: make(map[mtid.Ref]*mtmetric.Meter),
 		rates:  make(map[mtid.Ref]rate),
-		loads:  make(map[mtid.Ref]seenLoads),
+		loads:  make(map[mtid.Ref]plannedLoads),
 	}
 	mtkernel.MustLookup[*mtmetric.Metrics](d.kernel, NameMetrics).Gauge("figures", "services", func() any {
 		out := make(map[string]mtmetric.Figures)
@@ -137,22 +140,22 @@
 		}
 		return out
 	})
-	return mtkernel.Register(d.kernel, NameFigures, f, mtduty.Every(figuresEvery, func(context.Context) { d.measure(f) }))
+	return mtkernel.Register(d.kernel, NameFigures, f, mtduty.Every(statsInterval, func(context.Context) { d.measure(f) }))
 }
 
-// vars is a service that has counters of its own.
-type vars interface{ Vars() *expvar.Map }
+// varsProvider is implemented by services that maintain their own expvar counters.
+type varsProvider interface{ Vars() *expvar.Map }
 
-// publish shows the counters of the duties that keep their own. It is called
-// once all of them are registered.
-func (d *Daemon) publish() {
+// publishMetrics adds the counters and gauges of the other services to the
+// metrics. It must be called after they are registered.
+func (d *Daemon) publishMetrics() {
 	metrics := mtkernel.MustLookup[*mtmetric.Metrics](d.kernel, NameMetrics)
 	metrics.Publish("renew", mtkernel.MustLookup[*mtrenew.Duty](d.kernel, NameRenew).Vars())
 	metrics.Publish("member", mtkernel.MustLookup[*mtmember.Member](d.kernel, NameMember).Vars())
-	if store, ok := mtkernel.MustLookup[mtstore.Store](d.kernel, NameStore).(vars); ok {
+	if store, ok := mtkernel.MustLookup[mtstore.Store](d.kernel, NameStore).(varsProvider); ok {
 		metrics.Publish("store", store.Vars())
 	}
-	metrics.Gauge("lease", "leftNs", d.leaseLeft)
+	metrics.Gauge("lease", "leftNs", d.leaseRemaining)
 	metrics.Gauge("view", "frontier", func() any { return mtkernel.MustLookup[*mtview.View](d.kernel, NameView).Snapshot().Frontier() })
 	metrics.Gauge("owner", "gates", d.gates)
 	if keys := mtkernel.MustLookup[*credentialSet](d.kernel, NameKeys).tls; keys != nil {
@@ -161,32 +164,33 @@
 	}
 }
 
-// leaseLeft returns for how long this daemon may still serve, negative if it
-// may not.
-func (d *Daemon) leaseLeft() any {
+// leaseRemaining returns the remaining time of this daemon's lease; it is negative
+// if the lease has expired.
+func (d *Daemon) leaseRemaining() any {
 	return mtkernel.MustLookup[*mtrenew.Duty](d.kernel, NameRenew).Until().Sub(mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock).Now())
 }
 
-// gateFigures are the counters of one service's gate.
-type gateFigures struct {
+// gateCounts holds the counters of one service's gate.
+type gateCounts struct {
 	Slots   int `json:"slots"`
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 }
 
 func (d *Daemon) gates() any {
-	out := make(map[string]gateFigures)
+	out := make(map[string]gateCounts)
 	owner := mtkernel.MustLookup[*mtowner.Owner](d.kernel, NameOwner)
 	for _, a := range mtkernel.MustLookup[*mtserver.Pool](d.kernel, NameServers).Announcements() {
 		ref := mtid.Ref{Business: a.Business, Service: a.Service}
 		counts := owner.Counts(ref)
-		out[ref.String()] = gateFigures{Slots: a.Slots, Running: counts.Running, Waiting: counts.Waiting}
+		out[ref.String()] = gateCounts{Slots: a.Slots, Running: counts.Running, Waiting: counts.Waiting}
 	}
 	return out
 }
 
-// measure looks at every service once.
-func (d *Daemon) measure(f *figures) {
+// measure updates the statistics of every service and the completion rates of
+// the services that the local backend server has announced.
+func (d *Daemon) measure(f *serviceStats) {
 	snapshot := mtkernel.MustLookup[*mtview.View](d.kernel, NameView).Snapshot()
 	now := mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock).Now()
 	live := func(h mtid.Holder) bool {
@@ -203,6 +207,6 @@
 		for _, flow := range owner.Counts(ref).Flows {
 			ended += flow.Ended
 		}
-		f.see(ref, now, ended)
+		f.updateRate(ref, now, ended)
 	}
 }
--- a/io/mtdaemon/listen.go
+++ b/io/mtdaemon/listen.go
@@ -33,21 +33,21 @@
 )
 
 const (
-	readTimeout  = 30 * time.Second // for a caller to send a whole request
-	pingEvery    = 10 * time.Second // the shortest interval that a peer may ping at
-	messageSpare = 512 << 10        // of a message between daemons beside its body
-	connections  = 4096             // open at once on one listener
-	streams      = 1024             // requests of one other daemon at once
+	readTimeout     = 30 * time.Second // for reading a whole request of a caller
+	minPingInterval = 10 * time.Second // minimum interval of keepalive pings from a peer
+	messageOverhead = 512 << 10        // size of a message between daemons beyond its body
+	maxConnections  = 4096             // concurrent connections per listener
+	maxStreams      = 1024             // concurrent requests per connection from another daemon
 )
 
-// sockets are a daemon's open TCP addresses. They are opened before anything is
-// told of them, so that a setting may name port 0, and a wrong address shows at
-// the start.
+// sockets holds a daemon's TCP listeners. They are opened before their addresses
+// are published, so that the settings may use port 0 and an invalid address
+// fails at startup.
 type sockets struct {
 	callers, peers, local, admin net.Listener
 }
 
-func (d *Daemon) open() error {
+func (d *Daemon) openSockets() error {
 	s := d.config.Settings
 	opened := &sockets{}
 	for _, one := range []struct {
@@ -77,11 +77,11 @@
 	}
 }
 
-// Addresses are where a daemon listens.
+// Addresses holds the host:port of each listener of a daemon.
 type Addresses struct{ Caller, Relay, Renew, Local, Admin string }
 
-// Addresses returns where this daemon listens, with the ports that were chosen
-// where the settings name port 0.
+// Addresses returns the addresses on which this daemon listens. Where the
+// settings have port 0, they contain the port that the kernel assigned.
 func (d *Daemon) Addresses() Addresses {
 	s := mtkernel.MustLookup[*sockets](d.kernel, NameSockets)
 	return Addresses{
@@ -93,7 +93,8 @@
 	}
 }
 
-// listeners are the ways into a daemon.
+// listeners holds the servers for callers, the local backend server and other
+// daemons.
 type listeners struct {
 	callers *mtlisten.Server
 	local   *mtlisten.Server
@@ -103,7 +104,8 @@
 	stop    chan struct{}
 }
 
-// newEcho returns an echo without its banner, which would go to the output.
+// newEcho returns an echo server that does not print its banner to standard
+// output.
 func newEcho() *echo.Echo {
 	e := echo.New()
 	e.HideBanner = true
@@ -111,14 +113,14 @@
 	return e
 }
 
-// listen serves the sockets of callers, daemons and the backend server.
+// listen starts the servers for callers, other daemons and the backend server.
 func (d *Daemon) listen() error {
 	s := mtkernel.MustLookup[*sockets](d.kernel, NameSockets)
-	options := mtlisten.Options{Connections: connections, Read: readTimeout}
+	options := mtlisten.Options{Connections: maxConnections, Read: readTimeout}
 	l := &listeners{
 		callers: mtlisten.Start(s.callers, d.callers(), options),
 		local:   mtlisten.Start(s.local, d.local(), options),
-		peers:   mtlisten.Limit(s.peers, connections),
+		peers:   mtlisten.Limit(s.peers, maxConnections),
 		grpc:    d.peers(),
 		stop:    make(chan struct{}),
 	}
@@ -137,10 +139,11 @@
 	return e
 }
 
-// addresses finds where callers reach a daemon.
+// addresses resolves a holder to its address for callers.
 type addresses struct{ view *mtview.View }
 
-// CallerAddress returns the address for callers of a live holder, or nothing.
+// CallerAddress returns the address for callers of a holder, or an empty string
+// if the roster has no record of this incarnation of the daemon.
 func (a addresses) CallerAddress(h mtid.Holder) string {
 	record, _, ok := a.view.Snapshot().Record(h.Daemon)
 	if !ok || record.Holder != h {
@@ -162,21 +165,22 @@
 }
 
 func (d *Daemon) peers() *grpc.Server {
-	size := int(d.config.Settings.Body) + messageSpare
+	size := int(d.config.Settings.Body) + messageOverhead
 	server := grpc.NewServer(
 		grpc.Creds(mtkernel.MustLookup[*credentialSet](d.kernel, NameKeys).server()),
 		grpc.MaxRecvMsgSize(size),
 		grpc.MaxSendMsgSize(size),
 		grpc.MaxHeaderListSize(mtlisten.HeaderBytes),
-		grpc.MaxConcurrentStreams(streams),
-		// A client that connects and says nothing would else hold its place for
-		// two minutes, and enough of them would shut the other daemons out.
+		grpc.MaxConcurrentStreams(maxStreams),
+		// The default timeout is two minutes. Clients that connect without
+		// starting a handshake would use up the connection limit for that time
+		// and lock out other daemons.
 		grpc.ConnectionTimeout(mtlisten.HeaderTime),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: pingEvery, PermitWithoutStream: true}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minPingInterval, PermitWithoutStream: true}),
 	)
 	view := mtkernel.MustLookup[*mtview.View](d.kernel, NameView)
-	heard := d.listener()
-	hint := func(frontier mtid.Revision, from mtid.Holder) { heard(from.Daemon, frontier) }
+	onFrontier := d.frontierHint()
+	hint := func(frontier mtid.Revision, from mtid.Holder) { onFrontier(from.Daemon, frontier) }
 	relay := mtrelay.NewServer(mtkernel.MustLookup[*mtowner.Owner](d.kernel, NameOwner), view, mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock), hint)
 	relay.Register(server)
 	mtkernel.MustLookup[*mtmover.Mover](d.kernel, NameMover).Register(server)
@@ -187,18 +191,18 @@
 	return server
 }
 
-// duties runs the listeners under the kernel.
-func (l *listeners) duties(k *mtkernel.Kernel) {
+// addTasks adds the servers to the kernel as tasks.
+func (l *listeners) addTasks(k *mtkernel.Kernel) {
 	interrupt := func(error) { l.close() }
-	k.AddTask(func() error { return l.untilStop(l.callers) }, interrupt)
-	k.AddTask(func() error { return l.untilStop(l.local) }, interrupt)
+	k.AddTask(func() error { return l.waitFailureOrStop(l.callers) }, interrupt)
+	k.AddTask(func() error { return l.waitFailureOrStop(l.local) }, interrupt)
 	k.AddTask(l.servePeers, interrupt)
 }
 
-// untilStop waits for a server to fail or for the stop. After a graceful
-// shutdown of one listener it goes on waiting: a duty that ends would end all
-// others with it, and cut off what they have in flight.
-func (l *listeners) untilStop(server *mtlisten.Server) error {
+// waitFailureOrStop waits until a server fails or all listeners are closed. It
+// does not return when only this server has shut down: the kernel stops all tasks as soon
+// as one returns, which would abort requests in flight on the other listeners.
+func (l *listeners) waitFailureOrStop(server *mtlisten.Server) error {
 	select {
 	case err := <-server.Failed():
 		return err
@@ -217,7 +221,8 @@
 
 func (l *listeners) closeCallers(ctx context.Context) { l.callers.Shutdown(ctx) }
 
-// closePeers lets relayed requests finish, and cuts off at the end of ctx.
+// closePeers waits for relayed requests to finish and aborts those that are
+// still in flight when ctx is done.
 func (l *listeners) closePeers(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
--- a/io/mtdaemon/member.go
+++ b/io/mtdaemon/member.go
@@ -45,16 +45,16 @@
 	return mtkernel.Register[mtstore.Store](d.kernel, NameStore, client, cleanUp)
 }
 
-// credentialSet is what this daemon shows to others, or plain transport where
-// the settings name no keys.
+// credentialSet provides the transport credentials of this daemon. Without keys
+// in the settings, tls is nil and the transport is plaintext.
 type credentialSet struct {
 	tls *mttls.Credentials
 }
 
-// secrets returns what authenticates datagrams, the newest first.
-func (c *credentialSet) secrets() [][]byte {
+// datagramSecrets returns the shared secrets that authenticate datagrams, newest first.
+func (c *credentialSet) datagramSecrets() [][]byte {
 	if c.tls == nil {
-		return [][]byte{plainSecret}
+		return [][]byte{insecureSecret}
 	}
 	return c.tls.SecretBytes()
 }
@@ -73,16 +73,17 @@
 	return credentials.NewTLS(c.tls.Server())
 }
 
-// plainSecret authenticates datagrams of daemons without keys, which run in
-// one process or on loopback only. It keeps out mistakes, not attackers.
-var plainSecret = []byte("magnoliaturn without credentials")
+// insecureSecret authenticates datagrams between daemons without keys, which run in
+// one process or on loopback only. It guards against misconfiguration, not
+// against attackers.
+var insecureSecret = []byte("magnoliaturn without credentials")
 
 func (d *Daemon) addKeys() error {
 	if d.config.Settings.Keys.Certificate == "" {
 		return mtkernel.Register(d.kernel, NameKeys, &credentialSet{}, nil)
 	}
 	opened, cleanUp, err := mttls.Open(d.config.Settings.Keys, func(err error) {
-		d.config.Log.Error("credentials can't be read again", "error", err)
+		d.config.Log.Error("reloading the credentials failed", "error", err)
 	})
 	if err != nil {
 		return err
@@ -90,25 +91,26 @@
 	return mtkernel.Register(d.kernel, NameKeys, &credentialSet{tls: opened}, cleanUp)
 }
 
-// liveView is the copy of the live state in the form that the duties ask for.
-type liveView struct{ *mtview.View }
+// snapshotView adapts the copy of the live state to the interfaces of the services.
+// Each method reads the current snapshot.
+type snapshotView struct{ *mtview.View }
 
-func (v liveView) Roster() []*mtroster.Record { return v.Snapshot().Roster() }
+func (v snapshotView) Roster() []*mtroster.Record { return v.Snapshot().Roster() }
 
-func (v liveView) Record(d mtid.Daemon) (*mtroster.Record, mtid.Version, bool) {
+func (v snapshotView) Record(d mtid.Daemon) (*mtroster.Record, mtid.Version, bool) {
 	return v.Snapshot().Record(d)
 }
 
-func (v liveView) Frontier() mtid.Revision { return v.Snapshot().Frontier() }
+func (v snapshotView) Frontier() mtid.Revision { return v.Snapshot().Frontier() }
 
-func (v liveView) Table(ref mtid.Ref, chunk int) (*mtshard.Table, bool) {
+func (v snapshotView) Table(ref mtid.Ref, chunk int) (*mtshard.Table, bool) {
 	return v.Snapshot().Table(ref, chunk)
 }
 
-func (v liveView) Bundles() []*mtbundle.Bundle { return v.Snapshot().Bundles() }
+func (v snapshotView) Bundles() []*mtbundle.Bundle { return v.Snapshot().Bundles() }
 
-// Tables returns every known chunk of every service.
-func (v liveView) Tables() []*mtshard.Table {
+// Tables returns all chunks of all services that this daemon has received.
+func (v snapshotView) Tables() []*mtshard.Table {
 	var out []*mtshard.Table
 	s := v.Snapshot()
 	for _, ref := range s.Services() {
@@ -125,17 +127,17 @@
 	duty, cleanUp, err := mtrenew.New(mtrenew.Config{
 		Self:    d.config.Settings.Name,
 		Listen:  d.config.Settings.Renew,
-		Secrets: mtkernel.MustLookup[*credentialSet](d.kernel, NameKeys).secrets,
+		Secrets: mtkernel.MustLookup[*credentialSet](d.kernel, NameKeys).datagramSecrets,
 		Clock:   mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
-		View:    liveView{mtkernel.MustLookup[*mtview.View](d.kernel, NameView)},
-		Heard:   d.listener(),
+		View:    snapshotView{mtkernel.MustLookup[*mtview.View](d.kernel, NameView)},
+		Heard:   d.frontierHint(),
 		Log:     d.config.Log,
 	})
 	if err != nil {
 		return err
 	}
 	mtkernel.MustLookup[*mtsync.Sync](d.kernel, NameSync).OnChange(func(names []string) {
-		if slices.ContainsFunc(names, urgent) {
+		if slices.ContainsFunc(names, affectsRouting) {
 			duty.Tell()
 		}
 	})
@@ -146,9 +148,10 @@
 	return mtkernel.Register(d.kernel, NameRenew, duty, cleanUp)
 }
 
-// urgent reports whether callers wait for the change of a value. Records change
-// more often, and only the daemons themselves go by them.
-func urgent(name string) bool {
+// affectsRouting reports whether a change of the value affects the routing of requests,
+// so that peers are notified at once. Roster records change more often and matter
+// to daemons only.
+func affectsRouting(name string) bool {
 	return strings.HasPrefix(name, mtstore.ShardPrefix) || strings.HasPrefix(name, mtstore.BundlePrefix)
 }
 
@@ -161,38 +164,41 @@
 			RelayAddress: at.Relay, RenewAddress: at.Renew, CallerAddress: at.Caller, AdminAddress: at.Admin,
 		},
 		Store: mtkernel.MustLookup[mtstore.Store](d.kernel, NameStore),
-		View:  liveView{mtkernel.MustLookup[*mtview.View](d.kernel, NameView)},
+		View:  snapshotView{mtkernel.MustLookup[*mtview.View](d.kernel, NameView)},
 		Lease: mtkernel.MustLookup[*mtrenew.Duty](d.kernel, NameRenew),
 		Clock: mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
 		Dial: func(address string) (grpc.ClientConnInterface, error) {
 			return relay.Conn(address)
 		},
 		Registered: func(h mtid.Holder) { d.config.Log.Info("registered", "holder", h.String()) },
-		Wrote:      d.wrote,
+		Wrote:      d.applyWrite,
 		Log:        d.config.Log,
 	})
 	return mtkernel.Register(d.kernel, NameMember, member, cleanUp)
 }
 
-// wrote takes in a value that this daemon wrote or read outside a watch.
-func (d *Daemon) wrote(e mtstore.Entry) {
+// applyWrite applies a value that this daemon wrote, or read outside a watch, to its
+// copy of the live state.
+func (d *Daemon) applyWrite(e mtstore.Entry) {
 	item := mtview.Item{Name: e.Name, Version: e.Version, Value: e.Value}
 	if _, err := mtkernel.MustLookup[*mtview.View](d.kernel, NameView).ApplyWrite(item); err != nil {
-		d.config.Log.Debug("value does not follow the known one", "error", err)
+		d.config.Log.Debug("value from the store can't be applied to the live state", "error", err)
 	}
 	mtkernel.MustLookup[*mtsync.Sync](d.kernel, NameSync).Refresh()
 }
 
-// offersChanged is called when a backend server joins, leaves or changes. None
-// can before the listeners are open, which come last.
-func (d *Daemon) offersChanged() {
+// publishOffers publishes the offers of the backend servers after one has joined,
+// left or changed. It needs NameMember, which is registered by then: servers can
+// announce themselves only once the listeners are open, and these start last.
+func (d *Daemon) publishOffers() {
 	mtkernel.MustLookup[*mtmember.Member](d.kernel, NameMember).Offer(mtkernel.MustLookup[*mtserver.Pool](d.kernel, NameServers).Offers())
 }
 
-// enter makes the record say a state, and waits until it does or ctx is done.
-func (d *Daemon) enter(ctx context.Context, state mtroster.State) {
+// enterState sets the state of this daemon's record and waits until the live state
+// contains it or ctx is done.
+func (d *Daemon) enterState(ctx context.Context, state mtroster.State) {
 	mtkernel.MustLookup[*mtmember.Member](d.kernel, NameMember).Enter(state)
-	ticker := time.NewTicker(enterPoll)
+	ticker := time.NewTicker(recordPollInterval)
 	defer ticker.Stop()
 	for {
 		record, _, ok := mtkernel.MustLookup[*mtview.View](d.kernel, NameView).Snapshot().Record(d.config.Settings.Name)
@@ -207,11 +213,11 @@
 	}
 }
 
-// enterPoll is how often a shutdown looks whether its record was written.
-const enterPoll = 20 * time.Millisecond
+// recordPollInterval is how often a shutdown checks whether its record was written.
+const recordPollInterval = 20 * time.Millisecond
 
-// addPlanner starts the duty that plans, and the one that reports to whoever
-// does.
+// addPlanner starts the planner, and the reporter that sends load reports to the
+// daemon that plans for each service.
 func (d *Daemon) addPlanner() error {
 	clock := mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock)
 	config := mtplanner.Config{
@@ -220,15 +226,15 @@
 		Now:        clock.Now,
 		Log:        d.config.Log,
 		ObserveRound: func(ref mtid.Ref, state *mtplan.State) {
-			mtkernel.MustLookup[*figures](d.kernel, NameFigures).planned(clock.Now(), ref, state)
+			mtkernel.MustLookup[*serviceStats](d.kernel, NameFigures).setPlannedLoads(clock.Now(), ref, state)
 		},
 	}
-	view := liveView{mtkernel.MustLookup[*mtview.View](d.kernel, NameView)}
+	view := snapshotView{mtkernel.MustLookup[*mtview.View](d.kernel, NameView)}
 	planner, stopPlanner, err := mtplanner.New(config, view, mtkernel.MustLookup[mtstore.Store](d.kernel, NameStore), mtkernel.MustLookup[*mtmover.Mover](d.kernel, NameMover))
 	if err != nil {
 		return err
 	}
-	link := loadLink{view: view, relay: mtkernel.MustLookup[*mtrelay.Client](d.kernel, NameRelay)}
+	link := reportSender{view: view, relay: mtkernel.MustLookup[*mtrelay.Client](d.kernel, NameRelay)}
 	stopReporter, err := mtplanner.NewReporter(config, view, mtkernel.MustLookup[*mtowner.Owner](d.kernel, NameOwner), link, planner)
 	if err != nil {
 		stopPlanner()
@@ -240,14 +246,14 @@
 	})
 }
 
-// loadLink carries reports of load to the daemon that plans.
-type loadLink struct {
-	view  liveView
+// reportSender sends load reports to the daemon that plans for a service.
+type reportSender struct {
+	view  snapshotView
 	relay *mtrelay.Client
 }
 
 // Report implements mtplanner.ReportSender.
-func (l loadLink) Report(ctx context.Context, to mtid.Holder, report *mtwire.LoadReport) (*mtwire.LoadReply, error) {
+func (l reportSender) Report(ctx context.Context, to mtid.Holder, report *mtwire.LoadReport) (*mtwire.LoadReply, error) {
 	record, _, ok := l.view.Record(to.Daemon)
 	if !ok || record.Holder != to {
 		return nil, &mtreply.RefusedError{Cause: mtreply.CauseUnreachable, Detail: to.String() + " is not in the roster"}
--- a/io/mtdaemon/mtdaemon.go
+++ b/io/mtdaemon/mtdaemon.go
@@ -1,5 +1,5 @@
-// Package mtdaemon puts a daemon together: it registers the services with the
-// micro-kernel in the order in which they need each other, and runs them.
+// Package mtdaemon assembles a daemon: it registers the services with the
+// micro-kernel in the order of their dependencies, and runs them.
 //
 // # Usage
 //
@@ -7,8 +7,8 @@
 //	defer cleanUp()
 //	err = daemon.Run(ctx)
 //
-// When ctx ends, Run shuts down gracefully: no new work is taken, all shards
-// are handed over, what is in flight finishes, and only then the process ends.
+// When ctx is done, Run shuts down gracefully: it accepts no new shards, hands
+// over all shards, and waits for requests in flight before it returns.
 package mtdaemon
 
 import (
@@ -43,7 +43,7 @@
 	"magnoliaturn/io/mttime"
 )
 
-// Names under which the services of a daemon find each other.
+// Names under which the services of a daemon are registered with the kernel.
 const (
 	NameClock   mtkernel.Name = "clock"
 	NameStore   mtkernel.Name = "store"
@@ -67,19 +67,20 @@
 
 const (
 	storeTimeout = 2 * time.Second
-	// leaveTimeout bounds the handing over of shards in a shutdown, and
-	// finishTimeout what is in flight after it.
-	leaveTimeout  = 20 * time.Second
-	finishTimeout = 15 * time.Second
-	goneTimeout   = 3 * time.Second
-	expireEvery   = time.Second
+	// leaveTimeout bounds the handover of shards in a shutdown or drain,
+	// finishTimeout the time after it for requests in flight, and recordTimeout the
+	// final write of the record.
+	leaveTimeout   = 20 * time.Second
+	finishTimeout  = 15 * time.Second
+	recordTimeout  = 3 * time.Second
+	expireInterval = time.Second
 )
 
-// Config is what a daemon is made of.
+// Config configures a daemon.
 type Config struct {
 	Settings *mtsetting.Settings
-	// Store replaces the client of Settings.Store, in examples and tests that
-	// keep everything in one process. It may be nil.
+	// Store replaces the client of Settings.Store in examples and tests that run
+	// in one process. If it is nil, the daemon connects to Settings.Store.
 	Store mtstore.Store
 	Log   *slog.Logger
 }
@@ -90,16 +91,16 @@
 	kernel    *mtkernel.Kernel
 	sequence  atomic.Uint64
 	listeners *listeners
-	stopped   *mtmetric.Times // of shards that were handed over
+	stopTimes *mtmetric.Times // how long ranges were stopped by handovers
 }
 
-// New puts a daemon together, opens its listeners and starts its duties. The
-// clean-up function ends them; Run calls it too.
+// New assembles a daemon, opens its listeners and starts its background tasks.
+// The clean-up function stops them; Run calls it too.
 func New(config Config) (*Daemon, func(), error) {
-	d := &Daemon{config: config, kernel: mtkernel.New(), stopped: mtmetric.NewTimes()}
+	d := &Daemon{config: config, kernel: mtkernel.New(), stopTimes: mtmetric.NewTimes()}
 	steps := []func() error{
 		d.addMetrics, d.addClock, d.addStore, d.addKeys, d.addView, d.addRelay, d.addSync, d.addServers,
-		d.open, d.addRenew, d.addMember, d.addPoison, d.addOwner, d.addMover, d.addRouter, d.addFigures,
+		d.openSockets, d.addRenew, d.addMember, d.addPoison, d.addOwner, d.addMover, d.addRouter, d.addServiceStats,
 		d.addPlanner, d.addAdmin, d.listen,
 	}
 	for _, step := range steps {
@@ -111,46 +112,50 @@
 	return d, d.kernel.Close, nil
 }
 
-// Kernel returns the services, for the administration API and tests.
+// Kernel returns the kernel, in which commands, examples and tests look up the
+// services of the daemon.
 func (d *Daemon) Kernel() *mtkernel.Kernel { return d.kernel }
 
-// Self returns the present life of this daemon; zero while not registered.
+// Self returns the current incarnation of this daemon. It is zero while the
+// daemon is not registered.
 func (d *Daemon) Self() mtid.Holder {
 	return mtkernel.MustLookup[*mtmember.Member](d.kernel, NameMember).Holder()
 }
 
-// Now returns the present instant of this daemon's clock.
+// Now returns the current instant of this daemon's clock.
 func (d *Daemon) Now() mtclock.Instant {
 	return mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock).Now()
 }
 
-// Stamp returns a stamp that no other write carries.
+// Stamp returns a write ID that is unique among the writes of all daemons.
 func (d *Daemon) Stamp() mtroster.WriteID {
 	return mtroster.WriteID{Writer: d.Self(), Sequence: d.sequence.Add(1)}
 }
 
 func (d *Daemon) addMetrics() error {
 	metrics, cleanUp := mtmetric.New()
-	metrics.Gauge("move", "stopped", func() any { return d.stopped.Summary() })
+	metrics.Gauge("move", "stopped", func() any { return d.stopTimes.Summary() })
 	return mtkernel.Register(d.kernel, NameMetrics, metrics, cleanUp)
 }
 
-// counter returns the function by which a duty counts under its own name.
-func (d *Daemon) counter(duty string) func(name string) {
+// counter returns a function that increments a named counter of a component.
+func (d *Daemon) counter(component string) func(name string) {
 	metrics := mtkernel.MustLookup[*mtmetric.Metrics](d.kernel, NameMetrics)
-	return func(name string) { metrics.Counter(duty, name).Add(1) }
+	return func(name string) { metrics.Counter(component, name).Add(1) }
 }
 
-// Stopped returns how long shards took no work while they were handed over.
-func (d *Daemon) Stopped() *mtmetric.Times { return d.stopped }
+// Stopped returns the distribution of how long ranges accepted no requests while
+// they were handed over.
+func (d *Daemon) Stopped() *mtmetric.Times { return d.stopTimes }
 
-// Counter returns the value of a duty's counter.
-func (d *Daemon) Counter(duty, name string) int64 {
-	return mtkernel.MustLookup[*mtmetric.Metrics](d.kernel, NameMetrics).Counter(duty, name).Value()
+// Counter returns the value of a component's counter.
+func (d *Daemon) Counter(component, name string) int64 {
+	return mtkernel.MustLookup[*mtmetric.Metrics](d.kernel, NameMetrics).Counter(component, name).Value()
 }
 
-// observer returns the function that notes what came of a caller's request. It
-// keeps what it needs: the kernel's lookups are not for the path of a request.
+// observer returns a function that records the outcome and times of a caller's
+// request. It looks up the metrics only once, because lookups in the kernel are
+// too slow for the request path.
 func (d *Daemon) observer() func(q *mtrequest.Request, reply *mtrequest.Reply, took time.Duration) {
 	metrics := mtkernel.MustLookup[*mtmetric.Metrics](d.kernel, NameMetrics)
 	return func(q *mtrequest.Request, reply *mtrequest.Reply, took time.Duration) {
@@ -192,14 +197,14 @@
 
 func (d *Daemon) addServers() error {
 	clock := mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock)
-	pool := mtserver.NewPool(clock, d.config.Settings.Body, d.config.Log, d.offersChanged)
-	stop := mtduty.Every(expireEvery, func(context.Context) { pool.Expire(clock.Now()) })
+	pool := mtserver.NewPool(clock, d.config.Settings.Body, d.config.Log, d.publishOffers)
+	stop := mtduty.Every(expireInterval, func(context.Context) { pool.Expire(clock.Now()) })
 	return mtkernel.Register(d.kernel, NameServers, pool, stop)
 }
 
-// listener returns the function that passes on what a datagram or a relayed
-// request says of a peer's copy of the live state.
-func (d *Daemon) listener() func(peer mtid.Daemon, frontier mtid.Revision) {
+// frontierHint returns a function that hands the frontier in a peer's datagram or
+// relayed request to Sync, which pulls from peers with a newer live state.
+func (d *Daemon) frontierHint() func(peer mtid.Daemon, frontier mtid.Revision) {
 	view := mtkernel.MustLookup[*mtview.View](d.kernel, NameView)
 	sync := mtkernel.MustLookup[*mtsync.Sync](d.kernel, NameSync)
 	return func(peer mtid.Daemon, frontier mtid.Revision) {
@@ -229,7 +234,7 @@
 		Clock:   mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
 		Log:     d.config.Log,
 		Poison:  mtkernel.MustLookup[*mtpoison.Detector](d.kernel, NamePoison),
-		Quiet:   d.quiet,
+		Quiet:   d.rangeIdle,
 	})
 	mtkernel.MustLookup[*mtsync.Sync](d.kernel, NameSync).OnChange(func(names []string) {
 		if slices.ContainsFunc(names, func(name string) bool { return strings.HasPrefix(name, mtstore.ShardPrefix) }) {
@@ -239,8 +244,8 @@
 	return mtkernel.Register(d.kernel, NameOwner, owner, cleanUp)
 }
 
-// quiet passes on that a stopped range has nothing in flight.
-func (d *Daemon) quiet(service mtid.Ref, low, high mtid.Point) {
+// rangeIdle notifies the mover that a stopped range has no requests in flight.
+func (d *Daemon) rangeIdle(service mtid.Ref, low, high mtid.Point) {
 	mtkernel.MustLookup[*mtmover.Mover](d.kernel, NameMover).RangeIdle(service, low, high)
 }
 
@@ -257,7 +262,7 @@
 		Clock:          mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
 		Log:            d.config.Log,
 		Count:          d.counter("move"),
-		RecordStopTime: d.stopped.Record,
+		RecordStopTime: d.stopTimes.Record,
 		Refresh:        mtkernel.MustLookup[*mtsync.Sync](d.kernel, NameSync).Refresh,
 	})
 	return mtkernel.Register(d.kernel, NameMover, mover, cleanUp)
@@ -280,8 +285,8 @@
 	return mtkernel.Register(d.kernel, NameRouter, router, nil)
 }
 
-// Run serves until ctx ends and shuts down gracefully then. It returns early
-// with the error of a listener that failed.
+// Run serves until ctx is done, then shuts down gracefully. If a listener fails,
+// Run returns its error without a graceful shutdown.
 func (d *Daemon) Run(ctx context.Context) error {
 	inner, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -294,14 +299,15 @@
 			return nil
 		}
 	}, func(error) { cancel() })
-	d.listeners.duties(d.kernel)
+	d.listeners.addTasks(d.kernel)
 	return d.kernel.Run(inner)
 }
 
-// shutdown hands everything over. Its order matters: callers are served until
-// nothing is owned here; then the listener for callers closes and their last
-// requests finish; then those that others relayed; the record goes last, since
-// peers find this daemon by it.
+// shutdown hands over all shards and closes the listeners. The order matters:
+// callers are served until this daemon owns no shards; then the listener for
+// callers closes and their last requests finish; then requests relayed by other
+// daemons finish. The record is set to Gone last, since peers find this daemon
+// through it.
 func (d *Daemon) shutdown() {
 	d.config.Log.Info("leaving")
 	d.Leave(context.Background())
@@ -310,19 +316,19 @@
 	d.listeners.closeCallers(ctx)
 	mtkernel.MustLookup[*mtowner.Owner](d.kernel, NameOwner).Drain(ctx)
 	d.listeners.closePeers(ctx)
-	goneCtx, cancelGone := context.WithTimeout(context.Background(), goneTimeout)
-	defer cancelGone()
-	d.enter(goneCtx, mtroster.Gone)
+	recordCtx, cancelRecord := context.WithTimeout(context.Background(), recordTimeout)
+	defer cancelRecord()
+	d.enterState(recordCtx, mtroster.Gone)
 	d.config.Log.Info("left")
 }
 
-// Leave makes this daemon take no new shards and hands over those that it has.
-// It is called in a shutdown, and by an operator's drain, after which the
-// daemon goes on as an ingress.
+// Leave stops this daemon from receiving new shards and hands over those that it
+// owns. It is called by a shutdown and by an operator's drain; after a drain the
+// daemon continues as an ingress.
 func (d *Daemon) Leave(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
-	d.enter(ctx, mtroster.Leaving)
+	d.enterState(ctx, mtroster.Leaving)
 	if err := mtkernel.MustLookup[*mtmover.Mover](d.kernel, NameMover).Leave(ctx); err != nil {
 		d.config.Log.Warn("not all shards were handed over", "error", err)
 	}
--- a/io/mtdaemon/mtdaemon_test.go
+++ b/io/mtdaemon/mtdaemon_test.go
@@ -57,7 +57,7 @@
 
 var dispatch = mtid.Ref{Business: "ratins", Service: "dispatch"}
 
-// backend is a backend server that counts the runs of each key.
+// backend is a backend server that counts how often each request ID was run.
 type backend struct {
 	*httptest.Server
 	mu   sync.Mutex
@@ -80,17 +80,17 @@
 
 // member is a daemon with its backend server.
 type member struct {
-	daemon  *mtdaemon.Daemon
-	backend *backend
-	caller  string
-	stop    func() // as SIGTERM does
-	kill    func() // ends it without a word to anyone
-	hush    func() // ends the backend server's announcements
-	done    chan error
+	daemon         *mtdaemon.Daemon
+	backend        *backend
+	caller         string
+	stop           func() // starts a graceful shutdown, as SIGTERM does
+	kill           func() // ends the daemon without a graceful shutdown
+	stopAnnouncing func() // stops the announcements of the backend server
+	done           chan error
 }
 
-// anywhere is an address whose port the kernel chooses.
-const anywhere = "127.0.0.1:0"
+// anyPort is a listen address whose port the operating system chooses.
+const anyPort = "127.0.0.1:0"
 
 func start(t *testing.T, store mtstore.Store, name string, zone mtid.Zone) *member {
 	t.Helper()
@@ -104,8 +104,8 @@
 func startDaemon(t *testing.T, store mtstore.Store, name string, zone mtid.Zone) *member {
 	t.Helper()
 	settings := &mtsetting.Settings{
-		Name: mtid.Daemon(name), Zone: zone, Region: "riga", Caller: anywhere, Relay: anywhere,
-		Renew: anywhere, Local: anywhere, Admin: anywhere, Body: 1 << 16,
+		Name: mtid.Daemon(name), Zone: zone, Region: "riga", Caller: anyPort, Relay: anyPort,
+		Renew: anyPort, Local: anyPort, Admin: anyPort, Body: 1 << 16,
 	}
 	daemon, cleanUp, err := mtdaemon.New(mtdaemon.Config{
 		Settings: settings, Store: store, Log: slog.New(slog.NewTextHandler(t.Output(), nil)).With("daemon", name),
@@ -118,8 +118,8 @@
 		defer close(ended)
 		m.done <- daemon.Run(ctx)
 	}()
-	// Clean-up before cancel: a graceful shutdown would go on after the test,
-	// and log to it.
+	// cleanUp comes before cancel, which would start a graceful shutdown that
+	// outlasts the test and writes to its log.
 	t.Cleanup(func() {
 		cleanUp()
 		<-ended
@@ -128,7 +128,7 @@
 	return m
 }
 
-// announce keeps a backend server announced until the test ends.
+// announce announces a backend server periodically until the test ends.
 func (m *member) announce(t *testing.T, address func() string) {
 	pool, err := mtkernel.Lookup[*mtserver.Pool](m.daemon.Kernel(), mtdaemon.NameServers)
 	assert.NilError(t, err)
@@ -138,11 +138,11 @@
 	}
 	stop := make(chan struct{})
 	done := make(chan struct{})
-	m.hush = sync.OnceFunc(func() {
+	m.stopAnnouncing = sync.OnceFunc(func() {
 		close(stop)
 		<-done
 	})
-	t.Cleanup(m.hush)
+	t.Cleanup(m.stopAnnouncing)
 	go func() {
 		defer close(done)
 		ticker := time.NewTicker(200 * time.Millisecond)
@@ -165,7 +165,7 @@
 	return view
 }
 
-// send sends one request by this daemon.
+// send sends one request through this daemon.
 func (m *member) send(key, class, id string) (*http.Response, string, error) {
 	request, _ := http.NewRequest("POST", "http://"+m.caller+"/v1/ratins/dispatch/"+key, strings.NewReader("tray"))
 	request.Header.Set(mtheader.Class, class)
@@ -181,7 +181,7 @@
 	return response, string(body), err
 }
 
-func accept(t *testing.T, store mtstore.Store) {
+func storeBundle(t *testing.T, store mtstore.Store) {
 	t.Helper()
 	stored := mtbundle.Stored{Business: "ratins", Version: 1, Text: []byte(bundleText)}
 	value, err := stored.Encode()
@@ -190,8 +190,9 @@
 	assert.NilError(t, err)
 }
 
-// answers waits until a key is answered through a daemon.
-func answers(t *testing.T, m *member, key string) {
+// waitAnswered waits until a request for the key, sent through the daemon, is
+// answered.
+func waitAnswered(t *testing.T, m *member, key string) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		response, body, err := m.send(key, "status", "")
@@ -205,9 +206,9 @@
 	}, poll.WithTimeout(30*time.Second), poll.WithDelay(20*time.Millisecond))
 }
 
-func fleet(t *testing.T) (*iostore.Memory, []*member) {
+func startFleet(t *testing.T) (*iostore.Memory, []*member) {
 	store := iostore.NewMemory(time.Now)
-	accept(t, store)
+	storeBundle(t, store)
 	var members []*member
 	for i, zone := range []mtid.Zone{"old-town", "centrs", "kipsala", "airport"} {
 		members = append(members, start(t, store, fmt.Sprintf("d%d", i), zone))
@@ -215,25 +216,26 @@
 	return store, members
 }
 
-// Any daemon is asked for any key; the owner's backend server answers.
+// Requests for each key are sent through each daemon. The owner's backend server
+// must answer all of them.
 func TestAnyDaemonServesAnyKey(t *testing.T) {
-	_, members := fleet(t)
+	_, members := startFleet(t)
 	for _, m := range members {
 		for i := range 8 {
-			answers(t, m, fmt.Sprintf("room-%d", i))
+			waitAnswered(t, m, fmt.Sprintf("room-%d", i))
 		}
 	}
 }
 
-// A daemon is told to stop while callers keep sending. Its shards go to others,
-// and no request that it has taken is cut off or left without an answer.
-func TestShutdownCutsNothingOff(t *testing.T) {
-	_, members := fleet(t)
+// A daemon shuts down while callers keep sending requests. It must hand over all
+// its shards, and no request may fail or go unanswered.
+func TestShutdownFailsNoRequest(t *testing.T) {
+	_, members := startFleet(t)
 	for i := range 12 {
-		answers(t, members[1], fmt.Sprintf("room-%d", i))
+		waitAnswered(t, members[1], fmt.Sprintf("room-%d", i))
 	}
-	leaver := members[0]
-	holder := leaver.daemon.Self()
+	leaving := members[0]
+	holder := leaving.daemon.Self()
 	stopped := make(chan struct{})
 	var lost []string
 	var sending sync.WaitGroup
@@ -250,8 +252,8 @@
 			}
 		}
 	})
-	leaver.stop()
-	assert.NilError(t, <-leaver.done)
+	leaving.stop()
+	assert.NilError(t, <-leaving.done)
 	close(stopped)
 	sending.Wait()
 	assert.Equal(t, strings.Join(lost, "\n"), "")
@@ -260,12 +262,12 @@
 	}
 }
 
-// A caller sends the same payment twice by two daemons. It runs once, and both
-// get the same answer.
+// A caller sends the same payment through two daemons. It must run once, and
+// both replies must be the same.
 func TestResendRunsOnce(t *testing.T) {
-	_, members := fleet(t)
-	answers(t, members[0], "room-1")
-	id := "" // minted on the first try
+	_, members := startFleet(t)
+	waitAnswered(t, members[0], "room-1")
+	id := "" // the daemon generates one for the first attempt
 	response, first, err := members[0].send("room-1", "send", id)
 	assert.NilError(t, err)
 	assert.Equal(t, response.Header.Get(mtheader.Outcome), "answered")
@@ -283,20 +285,21 @@
 	assert.Equal(t, runs, 1)
 }
 
-// A VM is lost without a word. Its keys are served again by others, under a
-// higher epoch, and a resend that the lost owner may have run is not run again.
+// A VM fails without a graceful shutdown. Other daemons must take over its keys
+// under a higher epoch, and a resent request that the lost owner may have run
+// must not run again.
 func TestLostDaemonIsTakenOver(t *testing.T) {
-	store, members := fleet(t)
+	store, members := startFleet(t)
 	for i := range 12 {
-		answers(t, members[1], fmt.Sprintf("room-%d", i))
+		waitAnswered(t, members[1], fmt.Sprintf("room-%d", i))
 	}
 	lost := members[0].daemon.Self()
-	key, epoch := owned(t, members[1], lost)
+	key, epoch := keyOwnedBy(t, members[1], lost)
 	response, _, err := members[1].send(key, "send", "")
 	assert.NilError(t, err)
 	assert.Equal(t, response.Header.Get(mtheader.Outcome), "answered")
 	members[0].kill()
-	answers(t, members[1], key)
+	waitAnswered(t, members[1], key)
 	shard, _ := members[1].view(t).Snapshot().Lookup(dispatch, dispatch.Point(mtid.Key(key)))
 	assert.Assert(t, shard.Owner != lost)
 	assert.Assert(t, shard.Epoch > epoch)
@@ -311,8 +314,8 @@
 	assert.Assert(t, !record.MayHoldLease())
 }
 
-// owned returns a key that holder owns, with its epoch.
-func owned(t *testing.T, m *member, holder mtid.Holder) (string, mtid.Epoch) {
+// keyOwnedBy returns a key that the holder owns and the epoch of its shard.
+func keyOwnedBy(t *testing.T, m *member, holder mtid.Holder) (string, mtid.Epoch) {
 	for i := range 1000 {
 		key := fmt.Sprintf("room-%d", i)
 		if shard, _ := m.view(t).Snapshot().Lookup(dispatch, dispatch.Point(mtid.Key(key))); shard.Owner == holder {
@@ -323,15 +326,15 @@
 	return "", 0
 }
 
-// The platform's store is down for as long as it likes. Owners serve on, since
-// nothing that they need for it hangs on the store.
-func TestStoreOutageStopsNothing(t *testing.T) {
-	store, members := fleet(t)
+// The store is unavailable for a long time. Owners must continue to serve, since
+// neither routing nor the renewal of leases depends on the store.
+func TestRequestsAreServedDuringStoreOutage(t *testing.T) {
+	store, members := startFleet(t)
 	for i := range 12 {
-		answers(t, members[1], fmt.Sprintf("room-%d", i))
+		waitAnswered(t, members[1], fmt.Sprintf("room-%d", i))
 	}
 	store.SetFaults(iostore.Faults{Down: true})
-	// Longer than a lease: what a daemon held by the store would lapse.
+	// Longer than a lease, so that a lease renewed through the store would expire.
 	time.Sleep(2 * mtlease.Length)
 	for i := range 12 {
 		for _, m := range members {
@@ -342,17 +345,17 @@
 	}
 }
 
-// A backend server's process ends while its daemon lives. The first request that
-// finds it gone makes the daemon hand its shards over; without that the keys
-// would be refused until the announcement ran out.
-func TestLostServersKeysMove(t *testing.T) {
-	_, members := fleet(t)
-	answers(t, members[1], "room-1")
+// The process of a backend server ends while its daemon keeps running. The first
+// request that fails to reach it must make the daemon hand over its shards;
+// otherwise the keys would be refused until the announcement expired.
+func TestKeysMoveFromLostServer(t *testing.T) {
+	_, members := startFleet(t)
+	waitAnswered(t, members[1], "room-1")
 	holder := members[0].daemon.Self()
-	key, _ := owned(t, members[1], holder)
-	members[0].hush()
+	key, _ := keyOwnedBy(t, members[1], holder)
+	members[0].stopAnnouncing()
 	members[0].backend.Close()
-	answers(t, members[1], key)
+	waitAnswered(t, members[1], key)
 	shard, _ := members[1].view(t).Snapshot().Lookup(dispatch, dispatch.Point(mtid.Key(key)))
 	assert.Assert(t, shard.Owner != holder)
 }
--- a/io/mtdaemon/poison_test.go
+++ b/io/mtdaemon/poison_test.go
@@ -19,11 +19,11 @@
 	iostore "magnoliaturn/io/mtstore"
 )
 
-// fragile is a backend server that the key "poison" crashes. It comes back at
-// another address, as a restarted process does.
-type fragile struct {
+// crashingServer is a backend server that crashes on a request for the key "poison".
+// Unless its VM crashes with it, it restarts at another address.
+type crashingServer struct {
 	t       *testing.T
-	crashed func() // what else falls with the server; may be nil
+	crashVM func() // ends the daemon on the same VM; nil if only the server crashes
 	mu      sync.Mutex
 	server  *http.Server
 	address string
@@ -31,8 +31,8 @@
 	ran     []string
 }
 
-func newFragile(t *testing.T) *fragile {
-	f := &fragile{t: t}
+func newCrashingServer(t *testing.T) *crashingServer {
+	f := &crashingServer{t: t}
 	f.serve()
 	t.Cleanup(func() {
 		f.mu.Lock()
@@ -42,8 +42,8 @@
 	return f
 }
 
-// serve begins a life of the server.
-func (f *fragile) serve() {
+// serve starts a new incarnation of the server.
+func (f *crashingServer) serve() {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(f.t, err)
 	f.mu.Lock()
@@ -53,13 +53,13 @@
 	go func(s *http.Server) { _ = s.Serve(l) }(f.server)
 }
 
-func (f *fragile) at() string {
+func (f *crashingServer) currentAddress() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.address
 }
 
-func (f *fragile) handle(w http.ResponseWriter, r *http.Request) {
+func (f *crashingServer) handle(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	if r.URL.Path == "/poison" {
 		f.crash()
@@ -73,43 +73,44 @@
 	_, _ = w.Write(body)
 }
 
-func (f *fragile) crash() {
+func (f *crashingServer) crash() {
 	f.mu.Lock()
 	f.crashes++
 	f.mu.Unlock()
-	if f.crashed != nil {
-		// The daemon first: it must not see its server's connections break and
-		// tell others, as it couldn't if the VM were gone.
-		f.crashed()
+	if f.crashVM != nil {
+		// Stop the daemon first: otherwise it would detect the broken connections
+		// to its server and notify other daemons, which a lost VM can't do.
+		f.crashVM()
 	}
 	f.mu.Lock()
 	_ = f.server.Close()
 	f.mu.Unlock()
-	if f.crashed == nil {
+	if f.crashVM == nil {
 		f.serve()
 	}
 }
 
-// fragileFleet is a fleet of daemons with such servers.
-func fragileFleet(t *testing.T, store mtstore.Store, size int, vm bool) ([]*member, []*fragile) {
+// startCrashingFleet starts daemons whose servers crash on the poison request. If
+// vm is true, a crash of a server ends its daemon as well.
+func startCrashingFleet(t *testing.T, store mtstore.Store, size int, vm bool) ([]*member, []*crashingServer) {
 	t.Helper()
 	var members []*member
-	var servers []*fragile
+	var servers []*crashingServer
 	zones := []mtid.Zone{"old-town", "centrs", "kipsala", "airport"}
 	for i := range size {
 		m := startDaemon(t, store, fmt.Sprintf("d%d", i), zones[i%len(zones)])
-		f := newFragile(t)
+		f := newCrashingServer(t)
 		if vm {
-			f.crashed = m.kill
+			f.crashVM = m.kill
 		}
-		m.announce(t, f.at)
+		m.announce(t, f.currentAddress)
 		members = append(members, m)
 		servers = append(servers, f)
 	}
 	return members, servers
 }
 
-func crashes(servers []*fragile) int {
+func totalCrashes(servers []*crashingServer) int {
 	sum := 0
 	for _, f := range servers {
 		f.mu.Lock()
@@ -119,9 +120,9 @@
 	return sum
 }
 
-// quarantined sends the poison request through the members in turn until it is
-// refused as what it is.
-func quarantined(t *testing.T, members []*member) {
+// waitQuarantined sends the poison request through the members in turn until it is
+// refused as quarantined.
+func waitQuarantined(t *testing.T, members []*member) {
 	t.Helper()
 	next := 0
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -138,20 +139,20 @@
 	}, poll.WithTimeout(30*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
-// A status check crashes the server that answers it, and the desk asks again
-// through every daemon in turn. The second server is the last to fall, and the
-// other rooms' requests, in flight all the while, are answered in the end.
+// A request crashes the server that runs it, and the caller retries it through
+// every daemon in turn. No more than two servers may crash. Concurrent requests
+// for other keys must not be quarantined, and must be answered in the end.
 func TestPoisonRequestCrashesTwoServersAtMost(t *testing.T) {
 	store := iostore.NewMemory(time.Now)
-	accept(t, store)
-	members, servers := fragileFleet(t, store, 4, false)
+	storeBundle(t, store)
+	members, servers := startCrashingFleet(t, store, 4, false)
 	for i := range 8 {
-		answers(t, members[0], fmt.Sprintf("room-%d", i))
+		waitAnswered(t, members[0], fmt.Sprintf("room-%d", i))
 	}
 	stop := make(chan struct{})
-	var innocent sync.WaitGroup
+	var unaffected sync.WaitGroup
 	for i := range 4 {
-		innocent.Go(func() {
+		unaffected.Go(func() {
 			for n := 0; ; n++ {
 				select {
 				case <-stop:
@@ -165,45 +166,44 @@
 			}
 		})
 	}
-	quarantined(t, members)
+	waitQuarantined(t, members)
 	close(stop)
-	innocent.Wait()
-	// Once more through each daemon: all of them must know by now.
+	unaffected.Wait()
+	// By now, every daemon must refuse the request.
 	for _, m := range members {
 		response, _, err := m.send("poison", "status", "")
 		assert.NilError(t, err)
 		assert.Equal(t, response.Header.Get(mtheader.Cause), "quarantined")
 	}
-	assert.Equal(t, crashes(servers), 2)
+	assert.Equal(t, totalCrashes(servers), 2)
 	for i := range 8 {
-		answers(t, members[0], fmt.Sprintf("room-%d", i))
+		waitAnswered(t, members[0], fmt.Sprintf("room-%d", i))
 	}
 }
 
-// The same, but each crash takes the whole VM with it, daemon and all. What is
-// known of it then is what the ingress had relayed there.
-func TestPoisonRequestTakesTwoMachinesAtMost(t *testing.T) {
+// Each crash ends the whole VM, including its daemon. The ingress must detect the
+// poison request from the requests that it had relayed to the lost daemons.
+func TestPoisonRequestCrashesTwoVMsAtMost(t *testing.T) {
 	store := iostore.NewMemory(time.Now)
-	accept(t, store)
-	_, servers := fragileFleet(t, store, 5, true)
-	// Two daemons without a backend server, so that callers have somebody to ask
-	// who doesn't fall with it.
+	storeBundle(t, store)
+	_, servers := startCrashingFleet(t, store, 5, true)
+	// Two daemons without a backend server, which the poison request can't crash.
 	ingresses := []*member{startDaemon(t, store, "d5", "centrs"), startDaemon(t, store, "d6", "kipsala")}
-	answers(t, ingresses[0], "room-1")
-	quarantined(t, ingresses)
+	waitAnswered(t, ingresses[0], "room-1")
+	waitQuarantined(t, ingresses)
 	for _, m := range ingresses {
 		response, _, err := m.send("poison", "status", "")
 		assert.NilError(t, err)
 		assert.Equal(t, response.Header.Get(mtheader.Cause), "quarantined")
 	}
-	assert.Equal(t, crashes(servers), 2)
+	assert.Equal(t, totalCrashes(servers), 2)
 }
 
-// The desk asks the owner's own daemon, as the reply's Request-Owner invites it
-// to, and each crash takes that whole VM. No ingress is left that knows of it.
-// With the identifier of the first try, the second VM is the last; without any,
-// the third is.
-func TestPoisonRequestStraightToItsOwner(t *testing.T) {
+// The caller sends the request to the daemon of the key's owner, which it knows
+// from the Request-Owner header, and each crash ends that whole VM. No ingress
+// remains that has relayed the request. If retries have the identifier of the
+// first attempt, two VMs crash; without an identifier, three do.
+func TestPoisonRequestSentDirectlyToOwner(t *testing.T) {
 	tests := []struct {
 		name string
 		id   string
@@ -215,14 +215,14 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			store := iostore.NewMemory(time.Now)
-			accept(t, store)
-			members, servers := fragileFleet(t, store, 6, true)
-			answers(t, members[0], "room-1")
+			storeBundle(t, store)
+			members, servers := startCrashingFleet(t, store, 6, true)
+			waitAnswered(t, members[0], "room-1")
 			point := dispatch.Point("poison")
 			poll.WaitOn(t, func(poll.LogT) poll.Result {
-				owner, alive := owning(t, members, servers, point)
+				owner, running := findOwner(t, members, servers, point)
 				if owner == nil {
-					return poll.Continue("%d of the members live", alive)
+					return poll.Continue("none of the %d running members owns the key", running)
 				}
 				response, body, err := owner.send("poison", "status", tt.id)
 				if err != nil {
@@ -233,26 +233,27 @@
 				}
 				return poll.Success()
 			}, poll.WithTimeout(30*time.Second), poll.WithDelay(5*time.Millisecond))
-			assert.Equal(t, crashes(servers), tt.want)
+			assert.Equal(t, totalCrashes(servers), tt.want)
 		})
 	}
 }
 
-// owning returns the live member that owns a point by its own view.
-func owning(t *testing.T, members []*member, servers []*fragile, point mtid.Point) (*member, int) {
-	alive := 0
+// findOwner returns the running member that owns the point according to its own
+// copy of the live state, and the number of running members.
+func findOwner(t *testing.T, members []*member, servers []*crashingServer, point mtid.Point) (*member, int) {
+	running := 0
 	for i, m := range members {
 		servers[i].mu.Lock()
-		gone := servers[i].crashes > 0
+		crashed := servers[i].crashes > 0
 		servers[i].mu.Unlock()
-		if gone {
+		if crashed {
 			continue
 		}
-		alive++
+		running++
 		shard, ok := m.view(t).Snapshot().Lookup(dispatch, point)
 		if ok && shard.Owner == m.daemon.Self() {
-			return m, alive
+			return m, running
 		}
 	}
-	return nil, alive
+	return nil, running
 }
