--- a/io/mtduty/mtduty.go
+++ b/io/mtduty/mtduty.go
@@ -1,5 +1,5 @@
-// Package mtduty holds the two things that most duties begin with: doing a step
-// at a steady pace until stopped, and pausing in a way that a stop ends.
+// Package mtduty provides helpers for background tasks: running a step
+// periodically until it is stopped, and sleeping until a context is done.
 //
 // # Usage
 //
@@ -17,19 +17,20 @@
 	"time"
 )
 
-// Every starts a goroutine that calls step once in each period, never twice at
-// a time; a step that outlasts the period delays the next one. The returned
-// function ends the duty: it cancels the step's context and waits for the step
-// to return. It may be called more than once.
+// Every starts a goroutine that calls step once per period. Calls never overlap: a
+// step that takes longer than the period delays the next one. The returned
+// function stops the task: it cancels the context of the step and waits until the
+// step has returned. It may be called more than once.
 func Every(period time.Duration, step func(ctx context.Context)) func() {
 	return EveryOr(period, nil, step)
 }
 
-// EveryOr is Every, with a step also whenever wake has something.
+// EveryOr is like Every, but also calls step whenever it receives from
+// wake.
 func EveryOr(period time.Duration, wake <-chan struct{}, step func(ctx context.Context)) func() {
 	ctx, cancel := context.WithCancel(context.Background())
-	var duty sync.WaitGroup
-	duty.Go(func() {
+	var task sync.WaitGroup
+	task.Go(func() {
 		ticker := time.NewTicker(period)
 		defer ticker.Stop()
 		for {
@@ -39,8 +40,8 @@
 			case <-ticker.C:
 			case <-wake:
 			}
-			// The stop may be ready as well, and select draws then: without this
-			// look a step would begin after it.
+			// If ctx is done as well, select chooses at random. Without this
+			// check, a step could start after the stop.
 			if ctx.Err() == nil {
 				step(ctx)
 			}
@@ -48,11 +49,11 @@
 	})
 	return func() {
 		cancel()
-		duty.Wait()
+		task.Wait()
 	}
 }
 
-// Sleep pauses for d and returns true, or returns false as soon as ctx is done.
+// Sleep waits for d and returns true, or returns false as soon as ctx is done.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/io/mtduty/mtduty_test.go
+++ b/io/mtduty/mtduty_test.go
@@ -10,45 +10,45 @@
 	"magnoliaturn/io/mtduty"
 )
 
-// A daemon stops while a step waits for a call that would take a minute. The
-// stop must end the step and return only then: what the step uses is closed
-// right after.
-func TestStopEndsTheStep(t *testing.T) {
-	begun := make(chan struct{})
-	ended := false
+// A task is stopped while its step waits for a call that takes a minute. Stop must
+// cancel the step and return only after the step has, because the caller then
+// closes the resources that the step uses.
+func TestStopCancelsStepAndWaits(t *testing.T) {
+	started := make(chan struct{})
+	returned := false
 	stop := mtduty.Every(time.Millisecond, func(ctx context.Context) {
-		close(begun)
+		close(started)
 		mtduty.Sleep(ctx, time.Minute)
-		ended = true
+		returned = true
 	})
-	<-begun
+	<-started
 	stop()
-	assert.Assert(t, ended)
+	assert.Assert(t, returned)
 	stop()
 }
 
-// A daemon is stopped just as the next step is due. The step's tick and the stop
-// are ready at the same time, and a step that begins after the stop meets what
-// has been closed already: a former version let it begin in half of the cases.
-func TestNoStepBeginsAfterTheStop(t *testing.T) {
+// A task is stopped just as its next step is due, so that the tick and the stop
+// are ready at the same time. A step that starts after the stop would use closed
+// resources; without the check in the loop, it did so in half of the cases.
+func TestNoStepStartsAfterStop(t *testing.T) {
 	for range 200 {
-		begun := make(chan struct{}, 1)
+		started := make(chan struct{}, 1)
 		steps := 0
 		stop := mtduty.Every(time.Microsecond, func(ctx context.Context) {
 			steps++
 			select {
-			case begun <- struct{}{}:
+			case started <- struct{}{}:
 			default:
 			}
 			<-ctx.Done()
 		})
-		<-begun
+		<-started
 		stop()
 		assert.Equal(t, steps, 1)
 	}
 }
 
-func TestSleepEndsWithItsContext(t *testing.T) {
+func TestSleepReturnsWhenContextIsDone(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	assert.Assert(t, mtduty.Sleep(ctx, time.Microsecond))
 	cancel()
--- a/io/mtmetric/async.go
+++ b/io/mtmetric/async.go
@@ -11,21 +11,21 @@
 	"magnoliaturn/core/mtring"
 )
 
-// asyncLines is how many lines wait for a slow reader. At the rate that the
-// limits of repeated messages allow, they are some seconds' worth; what comes
-// beyond is dropped and counted.
-const asyncLines = 4096
+// maxBufferedLines is how many lines are buffered for a slow reader. At the rate that
+// the limits for repeated messages allow, this covers several seconds; further
+// lines are dropped and counted.
+const maxBufferedLines = 4096
 
-// flushTimeout bounds how long the clean-up waits for a reader that has stalled.
+// flushTimeout bounds how long the clean-up waits for a stalled reader.
 const flushTimeout = 300 * time.Millisecond
 
-// Async returns a writer that never blocks: lines go through a bounded ring to
-// the goroutine that writes them to w. A reader of the logs that stalls would
-// else stall every request that logs something. Lines that found the ring full
-// are counted in a line of their own once there is room again. The clean-up
-// writes what waits, but not for longer than a moment.
+// Async returns a writer that never blocks: lines pass through a bounded ring
+// buffer to a goroutine that writes them to w. Without it, a stalled reader of
+// the logs would block every request that writes a log line. Lines are dropped
+// when the buffer is full, and their number is logged once w accepts lines again.
+// The clean-up function writes the buffered lines, for at most 300 ms.
 func Async(w io.Writer) (io.Writer, func()) {
-	a := &async{ring: mtring.New[[]byte](asyncLines)}
+	a := &async{ring: mtring.New[[]byte](maxBufferedLines)}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -54,14 +54,15 @@
 	})
 }
 
-// async is the writer of Async.
+// async implements the writer that Async returns.
 type async struct {
 	ring    *mtring.Ring[[]byte]
 	dropped atomic.Int64
-	failed  atomic.Int64 // lines that the reader did not take
+	failed  atomic.Int64 // lines for which the underlying writer returned an error
 }
 
-// Write implements io.Writer. A handler writes each line at once.
+// Write implements io.Writer. Each call must contain one whole line, as the
+// handlers of log/slog do.
 func (a *async) Write(line []byte) (int, error) {
 	if !a.ring.Put(append([]byte(nil), line...)) {
 		a.dropped.Add(1)
@@ -82,7 +83,7 @@
 		Failed  int64  `json:"failed"`
 	}{"WARN", "log lines were left out", dropped, failed})
 	if err != nil {
-		return // four plain fields always encode
+		return // can't happen: the fields are strings and integers
 	}
 	if _, err := w.Write(append(line, '\n')); err != nil {
 		a.failed.Add(failed)
--- a/io/mtmetric/async_test.go
+++ b/io/mtmetric/async_test.go
@@ -11,30 +11,30 @@
 	"magnoliaturn/io/mtmetric"
 )
 
-// stalled is a reader of the logs that takes nothing until it is told to.
+// stalled is a writer that blocks until its gate is closed.
 type stalled struct {
-	gate chan struct{}
-	mu   sync.Mutex
-	got  bytes.Buffer
+	unblock chan struct{}
+	mu      sync.Mutex
+	written bytes.Buffer
 }
 
 func (s *stalled) Write(p []byte) (int, error) {
-	<-s.gate
+	<-s.unblock
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got.Write(p)
+	return s.written.Write(p)
 }
 
 func (s *stalled) text() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got.String()
+	return s.written.String()
 }
 
-// Whoever reads the logs stalls, and requests that log a line stalled with it.
-// Lines that find no room are dropped and counted instead.
-func TestAStalledReaderBlocksNothing(t *testing.T) {
-	reader := &stalled{gate: make(chan struct{})}
+// A stalled reader of the logs must not block requests that write log lines.
+// Lines are dropped and counted when the buffer is full.
+func TestStalledReaderDoesNotBlockWrites(t *testing.T) {
+	reader := &stalled{unblock: make(chan struct{})}
 	w, flush := mtmetric.Async(reader)
 	const lines = 10_000
 	for range lines {
@@ -42,20 +42,20 @@
 		assert.NilError(t, err)
 		assert.Equal(t, n, 5)
 	}
-	close(reader.gate)
+	close(reader.unblock)
 	_, err := w.Write([]byte("last\n"))
 	assert.NilError(t, err)
 	flush()
 	text := reader.text()
-	assert.Assert(t, strings.Contains(text, `"msg":"log lines were left out"`), "nothing was counted")
+	assert.Assert(t, strings.Contains(text, `"msg":"log lines were left out"`), "dropped lines were not reported")
 	assert.Assert(t, strings.Count(text, "line\n") < lines)
 }
 
-// A reader that never comes back does not hold up the end of the process either.
-func TestTheCleanUpDoesNotWaitForAStalledReader(*testing.T) {
-	reader := &stalled{gate: make(chan struct{})}
+// A reader of the logs that stays stalled must not delay the exit of the process.
+func TestCleanUpDoesNotWaitForStalledReader(*testing.T) {
+	reader := &stalled{unblock: make(chan struct{})}
 	w, flush := mtmetric.Async(reader)
 	_, _ = w.Write([]byte("line\n"))
 	flush()
-	close(reader.gate)
+	close(reader.unblock)
 }
--- a/io/mtmetric/figure.go
+++ b/io/mtmetric/figure.go
@@ -10,95 +10,97 @@
 	"magnoliaturn/core/mtshard"
 )
 
-// Figures are the three figures that businesses go by, live for one service as
-// this daemon sees it. Shares are of the service's ring, and so of its keys,
-// since keys are spread over the ring by hash.
+// Figures holds the balance, churn and unavailability of the keys of one
+// service, computed from this daemon's copy of the live state. A share of keys is
+// measured as a share of the service's ring, since keys are hashed onto the ring.
 type Figures struct {
 	Owners int `json:"owners"` // holders that own a shard
 	Shards int `json:"shards"`
-	// KeyImbalance is the largest owner's share of the keys over the mean; 1
-	// is even.
+	// KeyImbalance is the largest share of the keys of any owner, divided by the
+	// mean; 1 is perfectly even.
 	KeyImbalance float64 `json:"keyImbalance"`
-	// LoadImbalance is the same for the load, over the owners whose load is
-	// known; 0 if none is.
+	// LoadImbalance is the highest load divided by the mean, over the owners
+	// whose load is known; 0 if none is.
 	LoadImbalance float64 `json:"loadImbalance"`
-	// Churn is the share of the keys that changed owner since the start, summed
-	// over all changes.
+	// Churn is the share of the keys that changed owner, summed over all changes
+	// since the start.
 	Churn float64 `json:"churn"`
-	// Unavailable is how long the average key had no live owner since the
-	// start.
+	// Unavailable is the time without a live owner since the start, averaged over
+	// all keys.
 	Unavailable time.Duration `json:"unavailableNs"`
-	// Orphaned is the share of the keys whose owner is not live now.
+	// Orphaned is the share of the keys whose owner is not live at present.
 	Orphaned float64 `json:"orphaned"`
 }
 
-// Meter keeps the figures of one service. One duty calls Observe, any may call
-// Figures.
+// Meter computes the statistics of one service. Observe is called by one
+// background task; Figures may be called from any goroutine.
 type Meter struct {
-	mu     sync.Mutex
-	now    Figures
-	last   mtclock.Instant
-	begun  bool
-	chunks map[int]*chunkView
+	mu      sync.Mutex
+	stats   Figures
+	last    mtclock.Instant
+	started bool
+	chunks  map[int]*chunkView
 }
 
-// chunkView is what was made of one version of a chunk, so that an unchanged
-// chunk costs nothing.
+// chunkView caches the shares computed from one version of a chunk, so that an
+// unchanged chunk is not processed again.
 type chunkView struct {
 	table  *mtshard.Table
 	shares map[mtid.Holder]float64
 }
 
-// NewMeter returns a meter that has seen nothing.
+// NewMeter returns a meter without observations.
 func NewMeter() *Meter { return &Meter{chunks: make(map[int]*chunkView)} }
 
-// Observe takes in the present assignment. It is called about once a second.
-// live reports whether a holder may serve; load returns a holder's load and
-// whether it is known. tables holds the service's chunks; nil ones are skipped.
+// Observe updates the statistics from the current assignment. It is called about
+// once a second. live reports whether a holder may serve; load returns a holder's
+// load and whether it is known. tables holds the service's chunks; nil chunks are
+// skipped.
 func (m *Meter) Observe(now mtclock.Instant, tables []*mtshard.Table, live func(mtid.Holder) bool, load func(mtid.Holder) (float64, bool)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	// What was orphaned at the last look stayed so until this one.
-	if m.begun {
-		m.now.Unavailable += time.Duration(m.now.Orphaned * float64(now.Sub(m.last)))
+	// Assume that keys orphaned at the previous observation remained so until now.
+	if m.started {
+		m.stats.Unavailable += time.Duration(m.stats.Orphaned * float64(now.Sub(m.last)))
 	}
-	m.begun, m.last = true, now
-	m.now.Shards = 0
+	m.started, m.last = true, now
+	m.stats.Shards = 0
 	shares := make(map[mtid.Holder]float64)
 	for _, table := range tables {
 		if table == nil {
 			continue
 		}
-		m.now.Shards += len(table.Shards)
-		for holder, share := range m.look(table).shares {
+		m.stats.Shards += len(table.Shards)
+		for holder, share := range m.chunk(table).shares {
 			shares[holder] += share
 		}
 	}
-	m.now.Owners = len(shares)
-	m.now.KeyImbalance = imbalance(shares)
-	m.now.LoadImbalance = imbalance(loads(shares, load))
-	m.now.Orphaned = 0
+	m.stats.Owners = len(shares)
+	m.stats.KeyImbalance = imbalance(shares)
+	m.stats.LoadImbalance = imbalance(loads(shares, load))
+	m.stats.Orphaned = 0
 	for holder, share := range shares {
 		if !live(holder) {
-			m.now.Orphaned += share
+			m.stats.Orphaned += share
 		}
 	}
 }
 
-// look returns the view of a chunk, and counts the churn of a new version.
-func (m *Meter) look(table *mtshard.Table) *chunkView {
+// chunk returns the cached view of a chunk. If the version is new, it computes
+// the view and adds the churn since the previous version.
+func (m *Meter) chunk(table *mtshard.Table) *chunkView {
 	before := m.chunks[table.Chunk]
 	if before != nil && before.table.Version == table.Version && before.table.Chunks == table.Chunks {
 		return before
 	}
 	view := &chunkView{table: table, shares: make(map[mtid.Holder]float64)}
-	for _, part := range cut(table, table) {
+	for _, part := range overlay(table, table) {
 		view.shares[part.now] += part.share
 	}
 	if before != nil && before.table.Chunks == table.Chunks {
-		for _, part := range cut(before.table, table) {
+		for _, part := range overlay(before.table, table) {
 			if part.before != part.now {
-				m.now.Churn += part.share
+				m.stats.Churn += part.share
 			}
 		}
 	}
@@ -106,14 +108,16 @@
 	return view
 }
 
-// part is a range of the ring with one owner before and one now.
+// part is a range of the ring that has a single owner in both versions of a
+// chunk.
 type part struct {
 	before, now mtid.Holder
 	share       float64
 }
 
-// cut lays two versions of a chunk over each other.
-func cut(before, now *mtshard.Table) []part {
+// overlay splits a chunk at the shard boundaries of both versions and returns the
+// owners of each part.
+func overlay(before, now *mtshard.Table) []part {
 	var parts []part
 	low := mtshard.ChunkLow(now.Chunk, now.Chunks)
 	for i, j := 0, 0; i < len(before.Shards) && j < len(now.Shards); {
@@ -156,22 +160,22 @@
 	return out
 }
 
-// imbalance returns the largest value over the mean, or 0 if there is nothing.
+// imbalance returns the largest value divided by the mean, or 0 if the sum is 0.
 func imbalance(values map[mtid.Holder]float64) float64 {
-	var sum, most float64
+	var sum, largest float64
 	for _, v := range values {
 		sum += v
-		most = max(most, v)
+		largest = max(largest, v)
 	}
 	if sum == 0 {
 		return 0
 	}
-	return most / (sum / float64(len(values)))
+	return largest / (sum / float64(len(values)))
 }
 
-// Figures returns the present figures.
+// Figures returns the statistics as of the last call of Observe.
 func (m *Meter) Figures() Figures {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.now
+	return m.stats
 }
--- a/io/mtmetric/histogram.go
+++ b/io/mtmetric/histogram.go
@@ -13,42 +13,44 @@
 	"magnoliaturn/core/mtreply"
 )
 
-// Resolution of the histograms: microseconds up to the longest timeout that a
-// bundle may give, within one per cent.
+// The histograms record microseconds up to 5 minutes, the longest timeout that a
+// bundle may set, with 2 significant digits (an error of at most 1 %).
 const (
-	unit    = time.Microsecond
-	highest = int64(5 * time.Minute / unit)
-	digits  = 2
+	resolution        = time.Microsecond
+	maxValue          = int64(5 * time.Minute / resolution)
+	significantDigits = 2
 )
 
-// MaxSeries bounds the series of one daemon. Bundles name far fewer; the bound
-// keeps a fault elsewhere from turning callers' words into memory.
+// MaxSeries limits the number of series in one daemon. Bundles define far fewer;
+// the limit bounds memory if a bug lets callers choose the names of series.
 const MaxSeries = 2048
 
-// Measure says which time a series measures.
+// Measure identifies the duration that a series records.
 type Measure string
 
-// The measures. Total is what the caller waited for; the others are parts.
+// Durations of a request. Total is how long the caller waited for the reply; the
+// others are parts of it.
 const (
 	Total  Measure = "total"
-	Queue  Measure = "queue"  // waiting at the owner's gate
-	Relay  Measure = "relay"  // between ingress and owner, both ways
-	Server Measure = "server" // at the backend server
+	Queue  Measure = "queue"  // time in the queue of the owner's gate
+	Relay  Measure = "relay"  // time between ingress and owner, in both directions
+	Server Measure = "server" // time at the backend server
 )
 
-// Sample is one request that has ended. Parts that are zero are not recorded.
+// Sample describes one completed request. Durations other than Total are not
+// recorded if they are zero.
 type Sample struct {
 	Service mtid.Ref
 	Class   mtid.Class
 	Outcome mtreply.Outcome
-	Cause   mtreply.Cause // empty for an answered one
+	Cause   mtreply.Cause // empty if the request was answered
 	Total   time.Duration
 	Queue   time.Duration
 	Relay   time.Duration
 	Server  time.Duration
 }
 
-// Series names one histogram.
+// Series identifies one histogram.
 type Series struct {
 	Service mtid.Ref
 	Class   mtid.Class
@@ -56,14 +58,14 @@
 	Measure Measure
 }
 
-// Summary is a histogram in a few numbers.
+// Summary holds the count, mean and quantiles of one histogram.
 type Summary struct {
 	Business mtid.Business   `json:"business"`
 	Service  mtid.Service    `json:"service"`
 	Class    mtid.Class      `json:"class"`
 	Outcome  mtreply.Outcome `json:"outcome"`
 	Measure  Measure         `json:"measure"`
-	Count    int64           `json:"count"` // within the windows
+	Count    int64           `json:"count"` // in the retained windows
 	Mean     time.Duration   `json:"meanNs"`
 	P50      time.Duration   `json:"p50Ns"`
 	P90      time.Duration   `json:"p90Ns"`
@@ -72,7 +74,7 @@
 	Max      time.Duration   `json:"maxNs"`
 }
 
-// Refusals counts requests of one class that were not answered, by cause,
+// Refusals counts the requests of one class that were not answered for one cause
 // since the start.
 type Refusals struct {
 	Business mtid.Business   `json:"business"`
@@ -83,48 +85,49 @@
 	Count    int64           `json:"count"`
 }
 
-// Summaries is what is shown of the histograms.
+// Summaries is the JSON form of all histograms and refusal counts.
 type Summaries struct {
 	Classes  []Summary  `json:"classes"`
 	Refusals []Refusals `json:"refusals"`
-	Dropped  int64      `json:"dropped"` // samples past MaxSeries
+	Dropped  int64      `json:"dropped"` // samples dropped because of MaxSeries
 }
 
-// Histograms hold the times of requests by series. The zero value is not
-// usable.
+// Histograms records the durations of requests by series. The zero value is not
+// usable; call NewHistograms.
 type Histograms struct {
-	mu      sync.Mutex // guards all below; held for map work only
-	groups  map[groupName]*group
+	mu      sync.Mutex // guards the fields below; held for map operations only
+	groups  map[groupKey]*group
 	dropped int64
 }
 
-// groupName names what a sample belongs to.
-type groupName struct {
+// groupKey is the key of a group.
+type groupKey struct {
 	service mtid.Ref
 	class   mtid.Class
 	outcome mtreply.Outcome
 }
 
-// group is everything kept of one class and outcome. It has a lock of its own,
-// so that classes don't wait for each other, and a sample costs one lookup.
+// group holds the histograms and refusal counts of one class and outcome. Each
+// group has its own lock, so that classes don't block each other; recording a
+// sample takes one lookup.
 type group struct {
 	mu       sync.Mutex
 	times    [len(measures)]*windows // nil until used
 	refusals map[mtreply.Cause]int64
 }
 
-// measures are the histograms of a group, in the order of group.times.
+// measures lists the histograms of a group in the order of group.times.
 var measures = [...]Measure{Total, Queue, Relay, Server}
 
 // NewHistograms returns empty histograms.
 func NewHistograms() *Histograms {
-	return &Histograms{groups: make(map[groupName]*group)}
+	return &Histograms{groups: make(map[groupKey]*group)}
 }
 
-// Record adds a sample. It is called once for each request and is safe for
-// concurrent use.
+// Record adds a sample. It is called once per request and is safe for concurrent
+// use.
 func (h *Histograms) Record(s Sample) {
-	g := h.find(groupName{s.Service, s.Class, s.Outcome})
+	g := h.find(groupKey{s.Service, s.Class, s.Outcome})
 	if g == nil {
 		return
 	}
@@ -144,19 +147,20 @@
 	g.refusals[s.Cause]++
 }
 
-// windows is one series over the last windows, the present one first. A daemon has some
-// tens of series, so each holds a histogram only for windows in which it had samples.
+// windows holds the histograms of one series, one for each retained window, the
+// current window first. A daemon has several tens of series, so a histogram is
+// allocated only for windows that have samples.
 type windows [Kept]*hdrhistogram.Histogram
 
 func (w *windows) record(d time.Duration) {
 	if w[0] == nil {
-		w[0] = hdrhistogram.New(1, highest, digits)
+		w[0] = hdrhistogram.New(1, maxValue, significantDigits)
 	}
-	// The value is clamped to the range, so recording can't fail.
-	_ = w[0].RecordValue(min(max(int64(d/unit), 1), highest))
+	// RecordValue fails only for values out of range, and the value is clamped.
+	_ = w[0].RecordValue(min(max(int64(d/resolution), 1), maxValue))
 }
 
-// rotate begins a window, in place of the oldest.
+// rotate starts a new window and reuses the histogram of the oldest one.
 func (w *windows) rotate() {
 	oldest := w[Kept-1]
 	copy(w[1:], w[:Kept-1])
@@ -166,9 +170,9 @@
 	w[0] = oldest
 }
 
-// merge returns all windows in one histogram.
+// merge returns a new histogram with the samples of all windows.
 func (w *windows) merge() *hdrhistogram.Histogram {
-	merged := hdrhistogram.New(1, highest, digits)
+	merged := hdrhistogram.New(1, maxValue, significantDigits)
 	for _, h := range w {
 		if h != nil {
 			merged.Merge(h)
@@ -184,8 +188,9 @@
 	g.times[i].record(d)
 }
 
-// find returns the group, made on first use, or nil past the bound.
-func (h *Histograms) find(name groupName) *group {
+// find returns the group with the given name. It creates the group on first use,
+// and returns nil if that would exceed MaxSeries.
+func (h *Histograms) find(name groupKey) *group {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if g, ok := h.groups[name]; ok {
@@ -200,7 +205,8 @@
 	return g
 }
 
-// Rotate drops the oldest window. Metrics calls it once a Window.
+// Rotate starts a new window and drops the oldest one. Metrics calls it once per
+// Window.
 func (h *Histograms) Rotate() {
 	for _, g := range h.all() {
 		g.mu.Lock()
@@ -213,19 +219,20 @@
 	}
 }
 
-// all returns the present groups, so that no lock is held while each is read.
-func (h *Histograms) all() map[groupName]*group {
+// all returns a copy of the map of groups, so that h.mu is not held while the
+// groups are read.
+func (h *Histograms) all() map[groupKey]*group {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return maps.Clone(h.groups)
 }
 
-// Merged returns the histogram of a series over the kept windows, in
-// microseconds; it is empty for an unknown series. The caller may merge those
-// of several daemons.
+// Merged returns a histogram in microseconds with the samples of a series in all
+// retained windows. It is empty for an unknown series. The caller may merge the
+// histograms of several daemons.
 func (h *Histograms) Merged(name Series) *hdrhistogram.Histogram {
-	empty := hdrhistogram.New(1, highest, digits)
-	g, ok := h.all()[groupName{name.Service, name.Class, name.Outcome}]
+	empty := hdrhistogram.New(1, maxValue, significantDigits)
+	g, ok := h.all()[groupKey{name.Service, name.Class, name.Outcome}]
 	if !ok {
 		return empty
 	}
@@ -238,8 +245,8 @@
 	return g.times[i].merge()
 }
 
-// Summaries returns every series that has samples in the kept windows, and the
-// refusals, both in a fixed order.
+// Summaries returns a summary of every series that has samples in the retained
+// windows, and the refusal counts, both in sorted order.
 func (h *Histograms) Summaries() Summaries {
 	out := Summaries{Classes: []Summary{}, Refusals: []Refusals{}}
 	for name, g := range h.all() {
@@ -262,7 +269,7 @@
 	return out
 }
 
-func (g *group) summaries(name groupName) []Summary {
+func (g *group) summaries(name groupKey) []Summary {
 	var out []Summary
 	for i, times := range g.times {
 		if times == nil {
@@ -275,7 +282,7 @@
 	return out
 }
 
-func (g *group) refused(name groupName) []Refusals {
+func (g *group) refused(name groupKey) []Refusals {
 	var out []Refusals
 	for cause, n := range g.refusals {
 		out = append(out, Refusals{name.service.Business, name.service.Service, name.class, name.outcome, cause, n})
@@ -284,7 +291,7 @@
 }
 
 func summarize(name Series, h *hdrhistogram.Histogram) Summary {
-	at := func(percent float64) time.Duration { return time.Duration(h.ValueAtPercentile(percent)) * unit }
+	at := func(percent float64) time.Duration { return time.Duration(h.ValueAtPercentile(percent)) * resolution }
 	return Summary{
 		Business: name.Service.Business,
 		Service:  name.Service.Service,
@@ -292,11 +299,11 @@
 		Outcome:  name.Outcome,
 		Measure:  name.Measure,
 		Count:    h.TotalCount(),
-		Mean:     time.Duration(h.Mean() * float64(unit)),
+		Mean:     time.Duration(h.Mean() * float64(resolution)),
 		P50:      at(50),
 		P90:      at(90),
 		P99:      at(99),
 		P999:     at(99.9),
-		Max:      time.Duration(h.Max()) * unit,
+		Max:      time.Duration(h.Max()) * resolution,
 	}
 }
--- a/io/mtmetric/log.go
+++ b/io/mtmetric/log.go
@@ -8,42 +8,45 @@
 	"time"
 )
 
-// Bounds of repeated log lines: of each message, Repeats lines in a Quiet time
-// are written, and the next one after it tells how many were left out.
+// Limits for repeated log messages: at most Repeats lines with the same message
+// are written in a Quiet time. The next line after it has the attribute
+// "repeats" with the number of lines that were omitted.
 const (
 	Repeats = 5
 	Quiet   = 10 * time.Second
 )
 
-// Audit is the level of what operators did. No line of it is left out, however
-// many there are; the listener for operators limits how many there can be.
+// Audit is the level of log lines about actions of operators. They are never
+// omitted; the listener for operators limits their rate.
 const Audit = slog.LevelInfo + 2
 
-// Sum is the level of regular sums, one line a duty and second at most. None of
-// them is left out: lines of single requests are under load.
+// Sum is the level of periodic summaries, at most one line per component
+// and second. They are never omitted, unlike lines about single requests under
+// load.
 const Sum = slog.LevelInfo + 1
 
-// maxMessages bounds the messages that are told apart. Messages are constants
-// of the program; the bound holds even where one is not.
+// maxMessages bounds how many messages are tracked. Messages should be constants
+// of the program; the limit bounds memory even if one is not.
 const maxMessages = 1024
 
-// Logger returns a logger that writes JSON lines to w, from level on. A store
-// outage would otherwise write the same line a thousand times a second on every
-// VM.
+// Logger returns a logger that writes JSON lines of the given level and above to
+// w and limits repeated messages. Without the limit, a store outage would write
+// the same line a thousand times a second on every VM.
 func Logger(w io.Writer, level slog.Level) *slog.Logger {
 	return slog.New(Limit(slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level})))
 }
 
-// Limit returns a handler that passes records on to next, but rates the
-// repeats of a message. It goes by the records' own times.
+// Limit returns a handler that passes records to next and omits those that
+// repeat a message too often. It measures intervals by the times of the records.
 func Limit(next slog.Handler) slog.Handler {
-	return &limited{next: next, seen: &seen{messages: make(map[message]*repeat)}}
+	return &limited{next: next, messageCounts: &messageCounts{messages: make(map[message]*repeatCount)}}
 }
 
-// limited is a handler; those derived from it share what was seen.
+// limited is the handler that Limit returns. Handlers derived from it with
+// WithAttrs or WithGroup share the counts of messages.
 type limited struct {
-	next slog.Handler
-	seen *seen
+	next          slog.Handler
+	messageCounts *messageCounts
 }
 
 type message struct {
@@ -51,15 +54,15 @@
 	text  string
 }
 
-type repeat struct {
-	since   time.Time
+type repeatCount struct {
+	start   time.Time
 	written int
-	left    int
+	omitted int
 }
 
-type seen struct {
+type messageCounts struct {
 	mu       sync.Mutex
-	messages map[message]*repeat
+	messages map[message]*repeatCount
 }
 
 // Enabled implements slog.Handler.
@@ -72,30 +75,30 @@
 	if r.Level == Audit || r.Level == Sum {
 		return l.next.Handle(ctx, r)
 	}
-	write, left := l.seen.admit(r.Time, message{level: r.Level, text: r.Message})
+	write, omitted := l.messageCounts.admit(r.Time, message{level: r.Level, text: r.Message})
 	if !write {
 		return nil
 	}
-	if left > 0 {
+	if omitted > 0 {
 		r = r.Clone()
-		r.AddAttrs(slog.Int("repeats", left))
+		r.AddAttrs(slog.Int("repeats", omitted))
 	}
 	return l.next.Handle(ctx, r)
 }
 
 // WithAttrs implements slog.Handler.
 func (l *limited) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &limited{next: l.next.WithAttrs(attrs), seen: l.seen}
+	return &limited{next: l.next.WithAttrs(attrs), messageCounts: l.messageCounts}
 }
 
 // WithGroup implements slog.Handler.
 func (l *limited) WithGroup(name string) slog.Handler {
-	return &limited{next: l.next.WithGroup(name), seen: l.seen}
+	return &limited{next: l.next.WithGroup(name), messageCounts: l.messageCounts}
 }
 
-// admit reports whether a line is written, and how many like it were left out
-// before.
-func (s *seen) admit(now time.Time, m message) (write bool, left int) {
+// admit reports whether to write a line, and how many lines with the same message
+// were omitted before it.
+func (s *messageCounts) admit(now time.Time, m message) (write bool, omitted int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r, ok := s.messages[m]
@@ -103,19 +106,20 @@
 		if len(s.messages) >= maxMessages {
 			clear(s.messages)
 		}
-		s.messages[m] = &repeat{since: now, written: 1}
+		s.messages[m] = &repeatCount{start: now, written: 1}
 		return true, 0
 	}
-	// A clock that was set back must not silence a message for long.
-	if age := now.Sub(r.since); age >= Quiet || age < 0 {
-		left = r.left
-		*r = repeat{since: now, written: 1}
-		return true, left
+	// If the clock was set back, the age is negative; start a new interval, since
+	// the message would otherwise be omitted until the clock catches up.
+	if age := now.Sub(r.start); age >= Quiet || age < 0 {
+		omitted = r.omitted
+		*r = repeatCount{start: now, written: 1}
+		return true, omitted
 	}
 	if r.written < Repeats {
 		r.written++
 		return true, 0
 	}
-	r.left++
+	r.omitted++
 	return false, 0
 }
--- a/io/mtmetric/mtmetric.go
+++ b/io/mtmetric/mtmetric.go
@@ -1,6 +1,6 @@
-// Package mtmetric counts and measures what a daemon does: expvar counters per
-// duty, histograms of requests per business and class, live figures of each
-// service, and a logger that doesn't repeat itself without end.
+// Package mtmetric provides the metrics and logging of a daemon: expvar counters
+// per component, latency histograms per business and class, live statistics of
+// each service, and a logger that limits repeated messages.
 //
 // # Usage
 //
@@ -10,11 +10,11 @@
 //	retries.Add(1)
 //	metrics.Gauge("renew", "ring", func() any { return ring.Counts() })
 //	metrics.Record(mtmetric.Sample{Service: ref, Class: "send", Outcome: mtreply.Answered, Total: elapsed})
-//	handler := metrics.Handler() // all of it in JSON, in the form of expvar
+//	handler := metrics.Handler() // all metrics in JSON, in the format of expvar
 //
-// A Metrics belongs to one daemon, so that several daemons can live in one
-// process of a test; nothing is published in expvar's process-wide list. All
-// methods are safe for concurrent use.
+// Each daemon has its own Metrics and nothing is published in expvar's global
+// map, so that tests can run several daemons in one process. All methods are safe
+// for concurrent use.
 package mtmetric
 
 import (
@@ -29,22 +29,22 @@
 	"magnoliaturn/io/mtduty"
 )
 
-// Window is how long samples are gathered before the oldest ones are dropped;
-// Kept windows are merged into what is shown: the last 40 to 60 seconds.
+// Window is how long one histogram collects samples. The summaries merge the last
+// Kept windows, so that they cover the last 40 to 60 seconds.
 const (
 	Window = 20 * time.Second
 	Kept   = 3
 )
 
-// Metrics holds all figures of one daemon.
+// Metrics holds the counters, gauges and histograms of one daemon.
 type Metrics struct {
 	root       expvar.Map
-	mu         sync.Mutex // guards the making of duties' maps
+	mu         sync.Mutex // makes lookup and creation of maps and counters atomic
 	histograms *Histograms
 }
 
-// New returns empty metrics, and begins to rotate the windows of the
-// histograms.
+// New returns empty metrics and starts rotating the windows of the histograms.
+// The returned function stops the rotation.
 func New() (*Metrics, func()) {
 	m := &Metrics{histograms: NewHistograms()}
 	m.root.Set("requests", expvar.Func(func() any { return m.histograms.Summaries() }))
@@ -53,10 +53,10 @@
 	return m, mtduty.Every(Window, func(context.Context) { m.histograms.Rotate() })
 }
 
-// Counter returns the counter of a duty, and makes it on first use. Callers
-// keep the result: the lookup is not for the path of a request.
-func (m *Metrics) Counter(duty, name string) *expvar.Int {
-	group := m.duty(duty)
+// Counter returns a counter of a component and creates it on first use. Callers
+// should store the result, since the lookup is too slow for the request path.
+func (m *Metrics) Counter(component, name string) *expvar.Int {
+	group := m.component(component)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if found, ok := group.Get(name).(*expvar.Int); ok {
@@ -67,11 +67,11 @@
 	return counter
 }
 
-// Counters returns a group of counters that are told apart by a word, such as
-// the cause of a refusal: group.Add(word, 1). The words must come from a
-// bounded set, never from a caller.
-func (m *Metrics) Counters(duty, name string) *expvar.Map {
-	group := m.duty(duty)
+// Counters returns a group of counters with one label, such as the cause of a
+// refusal: counters.Add(label, 1). Labels must come from a bounded set, never from
+// the input of a caller.
+func (m *Metrics) Counters(component, name string) *expvar.Map {
+	group := m.component(component)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if found, ok := group.Get(name).(*expvar.Map); ok {
@@ -82,20 +82,21 @@
 	return counters
 }
 
-// Gauge shows what read returns whenever somebody looks. read is called from
-// other goroutines, and its result is shown in JSON.
-func (m *Metrics) Gauge(duty, name string, read func() any) {
-	m.duty(duty).Set(name, expvar.Func(read))
+// Gauge adds a gauge whose value read returns each time the metrics are read. read
+// is called from other goroutines, and its result is encoded as JSON.
+func (m *Metrics) Gauge(component, name string, read func() any) {
+	m.component(component).Set(name, expvar.Func(read))
 }
 
-// Publish shows a duty's own counters as a whole, under the duty's name.
-func (m *Metrics) Publish(duty string, counters expvar.Var) {
+// Publish adds the expvar counters that a component maintains itself, under the
+// component's name.
+func (m *Metrics) Publish(component string, counters expvar.Var) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.root.Set(duty, counters)
+	m.root.Set(component, counters)
 }
 
-func (m *Metrics) duty(name string) *expvar.Map {
+func (m *Metrics) component(name string) *expvar.Map {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if found, ok := m.root.Get(name).(*expvar.Map); ok {
@@ -112,20 +113,21 @@
 // Histograms returns the histograms, for reports.
 func (m *Metrics) Histograms() *Histograms { return m.histograms }
 
-// Handler answers with all figures in JSON.
+// Handler returns an HTTP handler that replies with all metrics in JSON.
 func (m *Metrics) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json; charset=utf-8")
-		_, _ = w.Write([]byte(m.root.String())) // the asker may have gone
+		_, _ = w.Write([]byte(m.root.String())) // the client may have disconnected
 	})
 }
 
-// Do calls f with each duty's name and its figures as JSON, for the status page.
+// Do calls f with the name of each component and its metrics as JSON, for the
+// status page.
 func (m *Metrics) Do(f func(name string, value json.RawMessage)) {
 	m.root.Do(func(kv expvar.KeyValue) { f(kv.Key, json.RawMessage(kv.Value.String())) })
 }
 
-// memory returns the few figures of the Go runtime that alarms watch.
+// memory returns the memory statistics of the Go runtime that alerts are based on.
 func memory() any {
 	var s runtime.MemStats
 	runtime.ReadMemStats(&s)
--- a/io/mtmetric/mtmetric_test.go
+++ b/io/mtmetric/mtmetric_test.go
@@ -40,14 +40,14 @@
 	assert.Equal(t, answered.Measure, mtmetric.Total)
 	assert.Equal(t, answered.Outcome, mtreply.Answered)
 	assert.Equal(t, answered.Count, int64(100))
-	near(t, answered.P50.Seconds(), 0.050, 0.01)
-	near(t, answered.P99.Seconds(), 0.099, 0.01)
+	assertNear(t, answered.P50.Seconds(), 0.050, 0.01)
+	assertNear(t, answered.P99.Seconds(), 0.099, 0.01)
 	assert.DeepEqual(t, got.Refusals, []mtmetric.Refusals{
 		{Business: "ratins", Service: "dispatch", Class: "send", Outcome: mtreply.NotRun, Cause: mtreply.CauseShed, Count: 1},
 	})
 }
 
-func near(t *testing.T, got, want, share float64) {
+func assertNear(t *testing.T, got, want, share float64) {
 	t.Helper()
 	assert.Assert(t, math.Abs(got-want) <= share*want, "got %v, want %v", got, want)
 }
@@ -67,9 +67,9 @@
 	assert.Equal(t, len(h.Summaries().Classes), 0)
 }
 
-// Values outside the range must still be counted: a hung request is the one
-// that an operator looks for.
-func TestOutOfRange(t *testing.T) {
+// Durations outside the range of the histogram must be counted: they include hung
+// requests, which operators need to see.
+func TestOutOfRangeDurationsAreCounted(t *testing.T) {
 	h := mtmetric.NewHistograms()
 	h.Record(mtmetric.Sample{Service: dispatch, Class: "send", Outcome: mtreply.Unknown, Total: time.Hour})
 	h.Record(mtmetric.Sample{Service: dispatch, Class: "send", Outcome: mtreply.Unknown, Total: -time.Second})
@@ -78,16 +78,16 @@
 
 func TestSeriesAreBounded(t *testing.T) {
 	h := mtmetric.NewHistograms()
-	const most = mtmetric.MaxSeries / 4 // classes; each has four measures
-	for i := range most + 5 {
+	const maxClasses = mtmetric.MaxSeries / 4 // each class has four measures
+	for i := range maxClasses + 5 {
 		h.Record(mtmetric.Sample{Service: dispatch, Class: mtid.Class(fmt.Sprint(i)), Outcome: mtreply.Answered, Total: 1})
 	}
 	got := h.Summaries()
-	assert.Equal(t, len(got.Classes), most)
+	assert.Equal(t, len(got.Classes), maxClasses)
 	assert.Equal(t, got.Dropped, int64(5))
 }
 
-func TestHandlerShowsEverything(t *testing.T) {
+func TestHandlerIncludesAllMetrics(t *testing.T) {
 	m, cleanUp := mtmetric.New()
 	defer cleanUp()
 	var wait sync.WaitGroup
@@ -100,9 +100,9 @@
 	}
 	wait.Wait()
 	m.Gauge("renew", "waiting", func() any { return 7 })
-	own := new(expvar.Map).Init()
-	own.Add("reads", 3)
-	m.Publish("store", own)
+	published := new(expvar.Map).Init()
+	published.Add("reads", 3)
+	m.Publish("store", published)
 	recorder := httptest.NewRecorder()
 	m.Handler().ServeHTTP(recorder, httptest.NewRequest("GET", "/", nil))
 	var got struct {
@@ -160,28 +160,28 @@
 	got := m.Figures()
 	assert.Equal(t, got.Owners, 2)
 	assert.Equal(t, got.Shards, 4)
-	near(t, got.KeyImbalance, 1.5, 1e-9)
-	near(t, got.LoadImbalance, 1.5, 1e-9)
+	assertNear(t, got.KeyImbalance, 1.5, 1e-9)
+	assertNear(t, got.LoadImbalance, 1.5, 1e-9)
 	assert.Equal(t, got.Churn, 0.0)
 
-	// A quarter of the keys has no live owner for two seconds, then moves.
+	// A quarter of the keys has no live owner for two seconds, then changes owner.
 	live[b] = false
 	m.Observe(at(time.Second), []*mtshard.Table{table}, isLive, load)
-	near(t, m.Figures().Orphaned, 0.25, 1e-9)
+	assertNear(t, m.Figures().Orphaned, 0.25, 1e-9)
 	table, err = table.Apply(mtroster.WriteID{}, mtshard.Failover{Lost: []mtid.Holder{b}, Survivors: []mtid.Holder{a}})
 	assert.NilError(t, err)
 	m.Observe(at(3*time.Second), []*mtshard.Table{table}, isLive, load)
 	got = m.Figures()
-	near(t, got.Churn, 0.25, 1e-9)
-	near(t, got.Unavailable.Seconds(), 0.5, 1e-9)
+	assertNear(t, got.Churn, 0.25, 1e-9)
+	assertNear(t, got.Unavailable.Seconds(), 0.5, 1e-9)
 	assert.Equal(t, got.Orphaned, 0.0)
 	assert.Equal(t, got.Owners, 1)
 
-	// A split moves no key.
+	// A split does not change the owner of any key.
 	table, err = table.Apply(mtroster.WriteID{}, mtshard.Split{Point: 5})
 	assert.NilError(t, err)
 	m.Observe(at(4*time.Second), []*mtshard.Table{table}, isLive, load)
-	near(t, m.Figures().Churn, 0.25, 1e-9)
+	assertNear(t, m.Figures().Churn, 0.25, 1e-9)
 }
 
 func BenchmarkRecord(b *testing.B) {
--- a/io/mtmetric/times.go
+++ b/io/mtmetric/times.go
@@ -7,27 +7,29 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Times is the distribution of one duration since the start of the process. It
-// is safe for concurrent use.
+// Times is a histogram of one kind of duration since the start of the process.
+// It is safe for concurrent use.
 type Times struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram
 }
 
-// NewTimes returns an empty distribution.
+// NewTimes returns an empty histogram.
 func NewTimes() *Times {
-	return &Times{histogram: hdrhistogram.New(1, highest, digits)}
+	return &Times{histogram: hdrhistogram.New(1, maxValue, significantDigits)}
 }
 
-// Record adds a duration. One above five minutes counts as five.
+// Record adds a duration. Durations above five minutes are recorded as five
+// minutes.
 func (t *Times) Record(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	// It fails only for values out of bounds, which min and max rule out.
-	_ = t.histogram.RecordValue(min(max(int64(d/unit), 1), highest))
+	// RecordValue fails only for values out of range, and the value is clamped.
+	_ = t.histogram.RecordValue(min(max(int64(d/resolution), 1), maxValue))
 }
 
-// TimesSummary is a distribution in four figures, in microseconds.
+// TimesSummary holds the count of a Times and its median, 99th percentile
+// and maximum in microseconds.
 type TimesSummary struct {
 	Count    int64 `json:"count"`
 	P50      int64 `json:"p50_us"`
@@ -35,7 +37,7 @@
 	Greatest int64 `json:"max_us"`
 }
 
-// Summary returns the figures of what was recorded so far.
+// Summary summarizes the durations recorded so far.
 func (t *Times) Summary() TimesSummary {
 	const median, high = 50, 99
 	t.mu.Lock()
@@ -48,8 +50,8 @@
 	}
 }
 
-// Merge adds what another distribution recorded, so that the figures of several
-// daemons can be summed up.
+// Merge adds the durations recorded by another histogram, so that several daemons
+// can be summarized together.
 func (t *Times) Merge(other *Times) {
 	other.mu.Lock()
 	defer other.mu.Unlock()
--- a/io/mttime/boot_linux.go
+++ b/io/mttime/boot_linux.go
@@ -2,8 +2,8 @@
 
 import "golang.org/x/sys/unix"
 
-// boot returns nanoseconds since boot, suspended time included. The call can't
-// fail for this clock on any kernel that Go supports.
+// boot returns the nanoseconds since boot, including time in suspend. The call
+// does not fail for this clock on any kernel that Go supports.
 func boot() int64 {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/io/mttime/mttime.go
+++ b/io/mttime/mttime.go
@@ -1,16 +1,17 @@
-// Package mttime reads the clocks of the VM for the duties: the instants that
-// decisions are given, the raw boot-time clock that backend servers share, and
-// wall time for ages that are compared across VMs.
+// Package mttime reads the clocks of the VM: instants for time-based decisions,
+// the raw boot-time clock that the daemon shares with backend servers, and wall
+// time for ages that are compared across VMs.
 //
 // # Usage
 //
 //	clock := mttime.New()
 //	now := clock.Now()
 //
-// There are two instants, for two kinds of decision. Now never runs slow: it is
-// for whoever must stop in time, such as the holder of a lease. Steady never
-// runs ahead of the monotonic clock: it is for whoever must wait long enough,
-// such as a witness. Instants of the two must not be compared with each other.
+// There are two kinds of instant. Now never runs slow: use it for code that must
+// stop in time, such as the holder of a lease. Steady never runs ahead of the
+// monotonic clock: use it for code that must wait long enough, such as a witness.
+// The two have different origins and rates, so their instants must not be
+// compared with each other.
 //
 // All methods are safe for concurrent use.
 package mttime
@@ -22,7 +23,8 @@
 	"magnoliaturn/core/mtclock"
 )
 
-// Clock reads the clocks of this VM.
+// Clock provides instants and times from the monotonic, boot-time and wall clocks
+// of this VM.
 type Clock struct {
 	origin time.Time // carries a monotonic reading
 
@@ -30,15 +32,16 @@
 	fusion mtclock.FusedClock
 }
 
-// New returns a clock. One is made per process, so that its instants compare.
+// New returns a clock. A process should have only one, since the instants of
+// different clocks can't be compared.
 func New() *Clock {
 	c := &Clock{origin: time.Now()}
 	c.Now()
 	return c
 }
 
-// Now returns the present instant by the fastest of monotonic, boot-time and
-// wall clock. It is called for each request.
+// Now returns the current instant according to the fastest of the monotonic,
+// boot-time and wall clocks. It is called for each request.
 func (c *Clock) Now() mtclock.Instant {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -50,15 +53,15 @@
 	})
 }
 
-// Steady returns the present instant by the monotonic clock alone, from an
-// origin of its own.
+// Steady returns the current instant according to the monotonic clock only. Its
+// origin differs from that of Now.
 func (c *Clock) Steady() mtclock.Instant {
 	return mtclock.Instant(time.Since(c.origin))
 }
 
-// Boot returns the raw boot-time clock in nanoseconds, which every process of
-// the VM shares.
+// Boot returns the raw boot-time clock in nanoseconds. All processes of the VM
+// read the same value.
 func (c *Clock) Boot() int64 { return boot() }
 
-// Wall returns wall time.
+// Wall returns the current wall time, for ages that are compared across VMs.
 func (c *Clock) Wall() time.Time { return time.Now() }
