--- a/cmd/capacity/moves.go
+++ b/cmd/capacity/moves.go
@@ -89,7 +89,7 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, padding, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(w, "asked\trefused\tmoved\tstopped p50 ms\tp99 ms\tlongest ms\t")
 	_, _ = fmt.Fprintf(w, "%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t\n", c.moves, refused, after.Count-before.Summary().Count,
-		milli(after.P50), milli(after.P99), milli(after.Greatest))
+		milli(after.P50), milli(after.P99), milli(after.Max))
 	if err := w.Flush(); err != nil {
 		return err
 	}
@@ -144,10 +144,10 @@
 }
 
 // stopped sums up what all daemons recorded.
-func stopped(f *mtfleet.Fleet) *mtmetric.Times {
-	all := mtmetric.NewTimes()
+func stopped(f *mtfleet.Fleet) *mtmetric.Durations {
+	all := mtmetric.NewDurations()
 	for _, d := range f.Daemons() {
-		all.Merge(d.Stopped())
+		all.Merge(d.StopTimes())
 	}
 	return all
 }
--- a/io/mtadmin/document.go
+++ b/io/mtadmin/document.go
@@ -130,11 +130,11 @@
 
 // StatusDocument is what a daemon says of itself.
 type StatusDocument struct {
-	Daemon      mtid.Daemon                    `json:"daemon"`
-	Incarnation mtid.Incarnation               `json:"incarnation"`
-	Frontier    mtid.Revision                  `json:"frontier"`
-	Bundles     map[mtid.Business]mtid.Version `json:"bundles"`
-	Services    map[string]mtmetric.Figures    `json:"services,omitempty"`
+	Daemon      mtid.Daemon                      `json:"daemon"`
+	Incarnation mtid.Incarnation                 `json:"incarnation"`
+	Frontier    mtid.Revision                    `json:"frontier"`
+	Bundles     map[mtid.Business]mtid.Version   `json:"bundles"`
+	Services    map[string]mtmetric.ServiceStats `json:"services,omitempty"`
 }
 
 // DrainDocument says that a daemon has begun to leave.
--- a/io/mtadmin/mtadmin.go
+++ b/io/mtadmin/mtadmin.go
@@ -107,9 +107,9 @@
 	Self      Self
 	Rollout   *mtrollout.Rollout
 	Operators *mtoperator.Directory
-	Peers     Dialer                               // nil: only this daemon is asked
-	Figures   func() map[mtid.Ref]mtmetric.Figures // nil: none are shown
-	Metrics   http.Handler                         // nil: none are shown
+	Peers     Dialer                                    // nil: only this daemon is asked
+	Figures   func() map[mtid.Ref]mtmetric.ServiceStats // nil: none are shown
+	Metrics   http.Handler                              // nil: none are shown
 	Now       func() time.Time
 	Logger    *slog.Logger
 	Rate      float64 // requests a second of one client address; 0: DefaultRate
@@ -230,7 +230,7 @@
 			defer cancel()
 			c.SetRequest(c.Request().WithContext(ctx))
 			if !basic {
-				s.config.Logger.Log(ctx, mtmetric.Audit, "operator acts", "operator", operator.Name, "role", role, "path", c.Request().URL.Path)
+				s.config.Logger.Log(ctx, mtmetric.LevelAudit, "operator acts", "operator", operator.Name, "role", role, "path", c.Request().URL.Path)
 			}
 			return handle(c, operator)
 		}
--- a/io/mtadmin/mtadmin_test.go
+++ b/io/mtadmin/mtadmin_test.go
@@ -150,8 +150,8 @@
 		server := mtadmin.New(mtadmin.Config{
 			View: d, Self: d, Peers: d, Operators: directory,
 			Rollout: mtrollout.New(f.store, d.Holder, nil),
-			Figures: func() map[mtid.Ref]mtmetric.Figures {
-				return map[mtid.Ref]mtmetric.Figures{dispatch: {KeyImbalance: 1.25}}
+			Figures: func() map[mtid.Ref]mtmetric.ServiceStats {
+				return map[mtid.Ref]mtmetric.ServiceStats{dispatch: {KeyImbalance: 1.25}}
 			},
 			Now:    func() time.Time { return time.UnixMilli(1_700_000_000_000) },
 			Rate:   rate,
--- a/io/mtadmin/page.go
+++ b/io/mtadmin/page.go
@@ -98,8 +98,8 @@
 }
 
 // figures returns the figures of the services that the operator may view.
-func (s *Server) figures(o *mtoperator.Operator) map[string]mtmetric.Figures {
-	out := make(map[string]mtmetric.Figures)
+func (s *Server) figures(o *mtoperator.Operator) map[string]mtmetric.ServiceStats {
+	out := make(map[string]mtmetric.ServiceStats)
 	if s.config.Figures == nil {
 		return out
 	}
@@ -131,7 +131,7 @@
 	return out
 }
 
-func inWords(figures map[string]mtmetric.Figures, ref string) string {
+func inWords(figures map[string]mtmetric.ServiceStats, ref string) string {
 	f, ok := figures[ref]
 	if !ok {
 		return ""
--- a/io/mtdaemon/figures.go
+++ b/io/mtdaemon/figures.go
@@ -104,12 +104,12 @@
 }
 
 // All returns the current statistics of every service.
-func (f *serviceStats) All() map[mtid.Ref]mtmetric.Figures {
+func (f *serviceStats) All() map[mtid.Ref]mtmetric.ServiceStats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := make(map[mtid.Ref]mtmetric.Figures, len(f.meters))
+	out := make(map[mtid.Ref]mtmetric.ServiceStats, len(f.meters))
 	for ref, meter := range f.meters {
-		out[ref] = meter.Figures()
+		out[ref] = meter.Stats()
 	}
 	return out
 }
@@ -134,7 +134,7 @@
 		loads:  make(map[mtid.Ref]plannedLoads),
 	}
 	mtkernel.MustLookup[*mtmetric.Metrics](d.kernel, NameMetrics).Gauge("figures", "services", func() any {
-		out := make(map[string]mtmetric.Figures)
+		out := make(map[string]mtmetric.ServiceStats)
 		for ref, figure := range f.All() {
 			out[ref.String()] = figure
 		}
--- a/io/mtdaemon/member.go
+++ b/io/mtdaemon/member.go
@@ -222,7 +222,7 @@
 	clock := mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock)
 	config := mtplanner.Config{
 		Self:       d.Self,
-		NewWriteID: d.Stamp,
+		NewWriteID: d.NewWriteID,
 		Now:        clock.Now,
 		Log:        d.config.Log,
 		ObserveRound: func(ref mtid.Ref, state *mtplan.State) {
--- a/io/mtdaemon/mtdaemon.go
+++ b/io/mtdaemon/mtdaemon.go
@@ -91,13 +91,13 @@
 	kernel    *mtkernel.Kernel
 	sequence  atomic.Uint64
 	listeners *listeners
-	stopTimes *mtmetric.Times // how long ranges were stopped by handovers
+	stopTimes *mtmetric.Durations // how long ranges were stopped by handovers
 }
 
 // New assembles a daemon, opens its listeners and starts its background tasks.
 // The clean-up function stops them; Run calls it too.
 func New(config Config) (*Daemon, func(), error) {
-	d := &Daemon{config: config, kernel: mtkernel.New(), stopTimes: mtmetric.NewTimes()}
+	d := &Daemon{config: config, kernel: mtkernel.New(), stopTimes: mtmetric.NewDurations()}
 	steps := []func() error{
 		d.addMetrics, d.addClock, d.addStore, d.addKeys, d.addView, d.addRelay, d.addSync, d.addServers,
 		d.openSockets, d.addRenew, d.addMember, d.addPoison, d.addOwner, d.addMover, d.addRouter, d.addServiceStats,
@@ -127,8 +127,8 @@
 	return mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock).Now()
 }
 
-// Stamp returns a write ID that is unique among the writes of all daemons.
-func (d *Daemon) Stamp() mtroster.WriteID {
+// NewWriteID returns a write ID that is unique among the writes of all daemons.
+func (d *Daemon) NewWriteID() mtroster.WriteID {
 	return mtroster.WriteID{Writer: d.Self(), Sequence: d.sequence.Add(1)}
 }
 
@@ -144,9 +144,9 @@
 	return func(name string) { metrics.Counter(component, name).Add(1) }
 }
 
-// Stopped returns the distribution of how long ranges accepted no requests while
+// StopTimes returns the distribution of how long ranges accepted no requests while
 // they were handed over.
-func (d *Daemon) Stopped() *mtmetric.Times { return d.stopTimes }
+func (d *Daemon) StopTimes() *mtmetric.Durations { return d.stopTimes }
 
 // Counter returns the value of a component's counter.
 func (d *Daemon) Counter(component, name string) int64 {
@@ -252,7 +252,7 @@
 func (d *Daemon) addMover() error {
 	mover, cleanUp := mtmover.New(mtmover.Config{
 		Self:           d.Self,
-		NewWriteID:     d.Stamp,
+		NewWriteID:     d.NewWriteID,
 		View:           mtkernel.MustLookup[*mtview.View](d.kernel, NameView),
 		Store:          mtkernel.MustLookup[mtstore.Store](d.kernel, NameStore),
 		Gates:          mtkernel.MustLookup[*mtowner.Owner](d.kernel, NameOwner),
--- a/io/mtduty/mtduty.go
+++ b/io/mtduty/mtduty.go
@@ -22,12 +22,12 @@
 // function stops the task: it cancels the context of the step and waits until the
 // step has returned. It may be called more than once.
 func Every(period time.Duration, step func(ctx context.Context)) func() {
-	return EveryOr(period, nil, step)
+	return EveryOrOnSignal(period, nil, step)
 }
 
-// EveryOr is like Every, but also calls step whenever it receives from
+// EveryOrOnSignal is like Every, but also calls step whenever it receives from
 // wake.
-func EveryOr(period time.Duration, wake <-chan struct{}, step func(ctx context.Context)) func() {
+func EveryOrOnSignal(period time.Duration, wake <-chan struct{}, step func(ctx context.Context)) func() {
 	ctx, cancel := context.WithCancel(context.Background())
 	var task sync.WaitGroup
 	task.Go(func() {
--- a/io/mtgrant/mtgrant.go
+++ b/io/mtgrant/mtgrant.go
@@ -199,7 +199,7 @@
 			Directory: config.Directory, Store: config.Store, Log: config.Log, NotifyOwner: config.NotifyOwner,
 		})
 	}
-	stopReconcile := mtduty.EveryOr(reconcilePeriod, g.wake, g.reconcile)
+	stopReconcile := mtduty.EveryOrOnSignal(reconcilePeriod, g.wake, g.reconcile)
 	stopTakeover := mtduty.Every(takeoverPeriod, g.assignKeys)
 	stopBalance := mtduty.Every(balancePeriod, g.balance)
 	return g, func() {
--- a/io/mtmesh/tally.go
+++ b/io/mtmesh/tally.go
@@ -91,7 +91,7 @@
 	if len(counts) == 0 && load.Running == 0 && moved == 0 && len(calls) == 0 {
 		return
 	}
-	r.log.Log(context.Background(), mtmetric.Sum, "second", "service", string(r.service), "ends", counts,
+	r.log.Log(context.Background(), mtmetric.LevelSummary, "second", "service", string(r.service), "ends", counts,
 		"running", load.Running, "waiting", load.Waiting, "slots", load.Slots, "pace", load.ServiceTime.String(),
 		"demand", load.Demand, "moved", moved, "store", calls)
 }
--- a/io/mtmetric/figure.go
+++ b/io/mtmetric/figure.go
@@ -10,10 +10,10 @@
 	"magnoliaturn/core/mtshard"
 )
 
-// Figures holds the balance, churn and unavailability of the keys of one
+// ServiceStats holds the balance, churn and unavailability of the keys of one
 // service, computed from this daemon's copy of the live state. A share of keys is
 // measured as a share of the service's ring, since keys are hashed onto the ring.
-type Figures struct {
+type ServiceStats struct {
 	Owners int `json:"owners"` // holders that own a shard
 	Shards int `json:"shards"`
 	// KeyImbalance is the largest share of the keys of any owner, divided by the
@@ -33,10 +33,10 @@
 }
 
 // Meter computes the statistics of one service. Observe is called by one
-// background task; Figures may be called from any goroutine.
+// background task; Stats may be called from any goroutine.
 type Meter struct {
 	mu      sync.Mutex
-	stats   Figures
+	stats   ServiceStats
 	last    mtclock.Instant
 	started bool
 	chunks  map[int]*chunkView
@@ -173,8 +173,8 @@
 	return largest / (sum / float64(len(values)))
 }
 
-// Figures returns the statistics as of the last call of Observe.
-func (m *Meter) Figures() Figures {
+// Stats returns the statistics as of the last call of Observe.
+func (m *Meter) Stats() ServiceStats {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.stats
--- a/io/mtmetric/histogram.go
+++ b/io/mtmetric/histogram.go
@@ -150,7 +150,7 @@
 // windows holds the histograms of one series, one for each retained window, the
 // current window first. A daemon has several tens of series, so a histogram is
 // allocated only for windows that have samples.
-type windows [Kept]*hdrhistogram.Histogram
+type windows [WindowCount]*hdrhistogram.Histogram
 
 func (w *windows) record(d time.Duration) {
 	if w[0] == nil {
@@ -162,8 +162,8 @@
 
 // rotate starts a new window and reuses the histogram of the oldest one.
 func (w *windows) rotate() {
-	oldest := w[Kept-1]
-	copy(w[1:], w[:Kept-1])
+	oldest := w[WindowCount-1]
+	copy(w[1:], w[:WindowCount-1])
 	if oldest != nil {
 		oldest.Reset()
 	}
--- a/io/mtmetric/log.go
+++ b/io/mtmetric/log.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// Limits for repeated log messages: at most Repeats lines with the same message
-// are written in a Quiet time. The next line after it has the attribute
+// Limits for repeated log messages: at most MaxRepeats lines with the same message
+// are written in one RepeatInterval. The next line after it has the attribute
 // "repeats" with the number of lines that were omitted.
 const (
-	Repeats = 5
-	Quiet   = 10 * time.Second
+	MaxRepeats     = 5
+	RepeatInterval = 10 * time.Second
 )
 
-// Audit is the level of log lines about actions of operators. They are never
+// LevelAudit is the level of log lines about actions of operators. They are never
 // omitted; the listener for operators limits their rate.
-const Audit = slog.LevelInfo + 2
+const LevelAudit = slog.LevelInfo + 2
 
-// Sum is the level of periodic summaries, at most one line per component
+// LevelSummary is the level of periodic summaries, at most one line per component
 // and second. They are never omitted, unlike lines about single requests under
 // load.
-const Sum = slog.LevelInfo + 1
+const LevelSummary = slog.LevelInfo + 1
 
 // maxMessages bounds how many messages are tracked. Messages should be constants
 // of the program; the limit bounds memory even if one is not.
@@ -33,16 +33,16 @@
 // w and limits repeated messages. Without the limit, a store outage would write
 // the same line a thousand times a second on every VM.
 func Logger(w io.Writer, level slog.Level) *slog.Logger {
-	return slog.New(Limit(slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level})))
+	return slog.New(LimitRepeats(slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level})))
 }
 
-// Limit returns a handler that passes records to next and omits those that
+// LimitRepeats returns a handler that passes records to next and omits those that
 // repeat a message too often. It measures intervals by the times of the records.
-func Limit(next slog.Handler) slog.Handler {
+func LimitRepeats(next slog.Handler) slog.Handler {
 	return &limited{next: next, messageCounts: &messageCounts{messages: make(map[message]*repeatCount)}}
 }
 
-// limited is the handler that Limit returns. Handlers derived from it with
+// limited is the handler that LimitRepeats returns. Handlers derived from it with
 // WithAttrs or WithGroup share the counts of messages.
 type limited struct {
 	next          slog.Handler
@@ -72,7 +72,7 @@
 
 // Handle implements slog.Handler.
 func (l *limited) Handle(ctx context.Context, r slog.Record) error {
-	if r.Level == Audit || r.Level == Sum {
+	if r.Level == LevelAudit || r.Level == LevelSummary {
 		return l.next.Handle(ctx, r)
 	}
 	write, omitted := l.messageCounts.admit(r.Time, message{level: r.Level, text: r.Message})
@@ -111,12 +111,12 @@
 	}
 	// If the clock was set back, the age is negative; start a new interval, since
 	// the message would otherwise be omitted until the clock catches up.
-	if age := now.Sub(r.start); age >= Quiet || age < 0 {
+	if age := now.Sub(r.start); age >= RepeatInterval || age < 0 {
 		omitted = r.omitted
 		*r = repeatCount{start: now, written: 1}
 		return true, omitted
 	}
-	if r.written < Repeats {
+	if r.written < MaxRepeats {
 		r.written++
 		return true, 0
 	}
--- a/io/mtmetric/mtmetric.go
+++ b/io/mtmetric/mtmetric.go
@@ -30,10 +30,10 @@
 )
 
 // Window is how long one histogram collects samples. The summaries merge the last
-// Kept windows, so that they cover the last 40 to 60 seconds.
+// WindowCount windows, so that they cover the last 40 to 60 seconds.
 const (
-	Window = 20 * time.Second
-	Kept   = 3
+	Window      = 20 * time.Second
+	WindowCount = 3
 )
 
 // Metrics holds the counters, gauges and histograms of one daemon.
--- a/io/mtmetric/mtmetric_test.go
+++ b/io/mtmetric/mtmetric_test.go
@@ -55,13 +55,13 @@
 func TestWindowsDropOldSamples(t *testing.T) {
 	h := mtmetric.NewHistograms()
 	name := mtmetric.Series{Service: dispatch, Class: "send", Outcome: mtreply.Answered, Measure: mtmetric.Total}
-	for i := range mtmetric.Kept {
+	for i := range mtmetric.WindowCount {
 		h.Record(mtmetric.Sample{Service: dispatch, Class: "send", Outcome: mtreply.Answered, Total: time.Second})
 		assert.Equal(t, h.Merged(name).TotalCount(), int64(i+1))
 		h.Rotate()
 	}
-	assert.Equal(t, h.Merged(name).TotalCount(), int64(mtmetric.Kept-1))
-	for range mtmetric.Kept {
+	assert.Equal(t, h.Merged(name).TotalCount(), int64(mtmetric.WindowCount-1))
+	for range mtmetric.WindowCount {
 		h.Rotate()
 	}
 	assert.Equal(t, len(h.Summaries().Classes), 0)
@@ -124,7 +124,7 @@
 
 func TestLogLimitsRepeats(t *testing.T) {
 	var out bytes.Buffer
-	handler := mtmetric.Limit(slog.NewJSONHandler(&out, nil))
+	handler := mtmetric.LimitRepeats(slog.NewJSONHandler(&out, nil))
 	at := time.UnixMilli(0)
 	log := func(after time.Duration, text string) {
 		assert.NilError(t, handler.WithAttrs([]slog.Attr{slog.Int("shard", 1)}).Handle(t.Context(), slog.NewRecord(at.Add(after), slog.LevelWarn, text, 0)))
@@ -133,13 +133,13 @@
 		log(time.Duration(i)*time.Millisecond, "store down")
 	}
 	log(time.Second, "another")
-	assert.Equal(t, strings.Count(out.String(), "store down"), mtmetric.Repeats)
+	assert.Equal(t, strings.Count(out.String(), "store down"), mtmetric.MaxRepeats)
 	assert.Equal(t, strings.Count(out.String(), "another"), 1)
 	for range 50 {
-		assert.NilError(t, handler.Handle(t.Context(), slog.NewRecord(at, mtmetric.Audit, "operator acts", 0)))
+		assert.NilError(t, handler.Handle(t.Context(), slog.NewRecord(at, mtmetric.LevelAudit, "operator acts", 0)))
 	}
 	assert.Equal(t, strings.Count(out.String(), "operator acts"), 50)
-	log(mtmetric.Quiet, "store down")
+	log(mtmetric.RepeatInterval, "store down")
 	assert.Assert(t, strings.Contains(out.String(), `"repeats":45`), out.String())
 }
 
@@ -157,7 +157,7 @@
 
 	m := mtmetric.NewMeter()
 	m.Observe(at(0), []*mtshard.Table{table, nil}, isLive, load)
-	got := m.Figures()
+	got := m.Stats()
 	assert.Equal(t, got.Owners, 2)
 	assert.Equal(t, got.Shards, 4)
 	assertNear(t, got.KeyImbalance, 1.5, 1e-9)
@@ -167,11 +167,11 @@
 	// A quarter of the keys has no live owner for two seconds, then changes owner.
 	live[b] = false
 	m.Observe(at(time.Second), []*mtshard.Table{table}, isLive, load)
-	assertNear(t, m.Figures().Orphaned, 0.25, 1e-9)
+	assertNear(t, m.Stats().Orphaned, 0.25, 1e-9)
 	table, err = table.Apply(mtroster.WriteID{}, mtshard.Failover{Lost: []mtid.Holder{b}, Survivors: []mtid.Holder{a}})
 	assert.NilError(t, err)
 	m.Observe(at(3*time.Second), []*mtshard.Table{table}, isLive, load)
-	got = m.Figures()
+	got = m.Stats()
 	assertNear(t, got.Churn, 0.25, 1e-9)
 	assertNear(t, got.Unavailable.Seconds(), 0.5, 1e-9)
 	assert.Equal(t, got.Orphaned, 0.0)
@@ -181,7 +181,7 @@
 	table, err = table.Apply(mtroster.WriteID{}, mtshard.Split{Point: 5})
 	assert.NilError(t, err)
 	m.Observe(at(4*time.Second), []*mtshard.Table{table}, isLive, load)
-	assertNear(t, m.Figures().Churn, 0.25, 1e-9)
+	assertNear(t, m.Stats().Churn, 0.25, 1e-9)
 }
 
 func BenchmarkRecord(b *testing.B) {
