--- a/io/mtcommand/accept.go
+++ b/io/mtcommand/accept.go
@@ -27,7 +27,7 @@
 			if err != nil {
 				return err
 			}
-			d, err := named(ctx, client, args)
+			d, err := resolveDraft(ctx, client, args)
 			if err != nil {
 				return err
 			}
@@ -45,10 +45,11 @@
 	}
 }
 
-// forcePoll is the pause between two looks at where a bundle is in force.
-const forcePoll = 25 * time.Millisecond
+// forcePollInterval is the delay between two queries for the daemons' versions.
+const forcePollInterval = 25 * time.Millisecond
 
-// SlowError says that a bundle is accepted, but not in force everywhere yet.
+// SlowError reports that an accepted bundle was not in force at every live
+// daemon when the wait ended.
 type SlowError struct {
 	Behind []mtid.Daemon
 	Wait   time.Duration
@@ -59,15 +60,15 @@
 	return fmt.Sprintf("accepted, but not in force after %s at: %v", e.Wait, e.Behind)
 }
 
-// awaitForce waits until every live daemon goes by the bundle or a newer one,
-// and prints how long that took from when the acceptance was asked for.
+// awaitForce waits until every live daemon applies the bundle or a newer one and
+// prints the time since began, when the acceptance was requested.
 func (c *console) awaitForce(ctx context.Context, client *mtadmin.Client, d mtadmin.BundleDocument, began time.Time, wait time.Duration) error {
 	for {
 		page, err := client.Force(ctx, d.Business)
-		if err != nil && !passing(err) {
+		if err != nil && !isTransient(err) {
 			return err
 		}
-		behind := behindOf(page.Items, d.Version)
+		behind := daemonsBehind(page.Items, d.Version)
 		took := time.Since(began)
 		if err == nil && len(behind) == 0 {
 			fmt.Fprintf(c.errs, "in force at %d daemons after %s\n", len(page.Items), took.Round(time.Millisecond))
@@ -79,20 +80,20 @@
 		select {
 		case <-ctx.Done():
 			return &SlowError{Behind: behind, Wait: took}
-		case <-time.After(forcePoll):
+		case <-time.After(forcePollInterval):
 		}
 	}
 }
 
-// passing reports whether an error is over soon: the daemon limits its clients,
-// or is busy.
-func passing(err error) bool {
+// isTransient reports whether a daemon rejected a request only for the moment,
+// because of a rate limit or because something it depends on is unavailable.
+func isTransient(err error) bool {
 	var p *mtadmin.Problem
-	return errors.As(err, &p) && exitOf(p) == ExitUnavailable
+	return errors.As(err, &p) && exitStatusOf(p) == ExitUnavailable
 }
 
-// behindOf returns the daemons that go by an older version, or gave no answer.
-func behindOf(documents []mtadmin.ForceDocument, version mtid.Version) []mtid.Daemon {
+// daemonsBehind returns the daemons that apply an older version or did not answer.
+func daemonsBehind(documents []mtadmin.ForceDocument, version mtid.Version) []mtid.Daemon {
 	var behind []mtid.Daemon
 	for _, d := range documents {
 		if d.Version < version {
--- a/io/mtcommand/bundle.go
+++ b/io/mtcommand/bundle.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// parseFile reads and checks a bundle's file.
+// parseFile reads and validates a bundle file and also returns its text.
 func parseFile(file string) (*mtbundle.Bundle, []byte, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -60,7 +60,7 @@
 		help:    "Compares the fields of two files with their defaults filled in. Comments and\nthe order of lines play no part.",
 		example: "magnoliaturn bundle diff ratins-1.ini ratins-2.ini",
 		run: func(_ context.Context, args []string) error {
-			if err := need(args, 2, 2, "OLD NEW"); err != nil {
+			if err := checkArgCount(args, 2, 2, "OLD NEW"); err != nil {
 				return err
 			}
 			before, _, err := parseFile(args[0])
--- a/io/mtcommand/connect.go
+++ b/io/mtcommand/connect.go
@@ -14,14 +14,14 @@
 	"magnoliaturn/io/mttls"
 )
 
-// Variables of the environment that flags default to.
+// Environment variables that supply the defaults of flags.
 const (
 	envAPI       = "MAGNOLIATURN_API"
 	envToken     = "MAGNOLIATURN_TOKEN_FILE"
 	envAuthority = "MAGNOLIATURN_AUTHORITY"
 )
 
-// connection are the flags of commands that ask a daemon.
+// connection holds the flags of commands that call a daemon.
 type connection struct {
 	api       string
 	token     string
@@ -34,11 +34,11 @@
 	f.StringVar(&c.authority, "authority", os.Getenv(envAuthority), "file with the authority's certificates; also "+envAuthority)
 }
 
-// run returns the function of a command that needs so many arguments, written as
-// usage, and a client of the administration API.
+// run returns a command's run function. It checks that there are low to high
+// arguments and calls do with a client of the administration API.
 func (c *connection) run(low, high int, usage string, do func(ctx context.Context, client *mtadmin.Client, args []string) error) func(context.Context, []string) error {
 	return func(ctx context.Context, args []string) error {
-		if err := need(args, low, high, usage); err != nil {
+		if err := checkArgCount(args, low, high, usage); err != nil {
 			return err
 		}
 		client, err := c.client()
@@ -49,8 +49,8 @@
 	}
 }
 
-// client returns a client for what the flags say. A token goes over TLS only,
-// or to this machine.
+// client returns a client configured by the flags. It refuses to send a token
+// without TLS except to a loopback address.
 func (c *connection) client() (*mtadmin.Client, error) {
 	base, err := url.Parse(c.api)
 	if err != nil || base.Host == "" || (base.Scheme != "http" && base.Scheme != "https") {
@@ -89,8 +89,8 @@
 	return &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: pool}, nil
 }
 
-// refOf reads "business/service".
-func refOf(text string) (mtid.Ref, error) {
+// parseRef parses "business/service".
+func parseRef(text string) (mtid.Ref, error) {
 	business, service, ok := strings.Cut(text, "/")
 	if !ok || business == "" || service == "" {
 		return mtid.Ref{}, &UsageError{Reason: "a service is written BUSINESS/SERVICE, not " + text}
--- a/io/mtcommand/force.go
+++ b/io/mtcommand/force.go
@@ -12,7 +12,7 @@
 	"magnoliaturn/io/mtadmin"
 )
 
-// showBundle prints one bundle without its text.
+// showBundle prints one bundle, leaving out its text.
 func (c *console) showBundle(d mtadmin.BundleDocument) {
 	d.Text = ""
 	c.show(d, bundleHeading, bundleRows([]mtadmin.BundleDocument{d}))
@@ -47,7 +47,7 @@
 	return s
 }
 
-// shownBundle is the JSON form of "bundle show".
+// shownBundle is the JSON output of "bundle show".
 type shownBundle struct {
 	InForce *mtadmin.BundleDocument  `json:"inForce"`
 	Drafts  []mtadmin.BundleDocument `json:"drafts"`
@@ -72,7 +72,7 @@
 			if text || former > 0 {
 				return c.showText(ctx, client, business, mtid.Version(former), text)
 			}
-			return c.showForce(ctx, client, business)
+			return c.showStatus(ctx, client, business)
 		}),
 	}
 }
@@ -96,22 +96,23 @@
 	return nil
 }
 
-// showForce shows what the store holds and what the daemons go by. In an outage
-// of the store the second is all that there is, and what operators look for.
-func (c *console) showForce(ctx context.Context, client *mtadmin.Client, business mtid.Business) error {
+// showStatus prints the bundle in force, the open proposals and the version that
+// each daemon applies. While the store is unavailable it prints the daemons'
+// versions only, which operators need most during an outage.
+func (c *console) showStatus(ctx context.Context, client *mtadmin.Client, business mtid.Business) error {
 	var shown shownBundle
 	inForce, err := client.Bundle(ctx, business)
 	switch {
 	case err == nil:
 		inForce.Text = ""
 		shown.InForce = &inForce
-	case passing(err):
+	case isTransient(err):
 		fmt.Fprintln(c.errs, err.Error())
 	case !isMissing(err):
 		return err
 	}
 	drafts, err := client.Drafts(ctx, business)
-	if err != nil && !passing(err) {
+	if err != nil && !isTransient(err) {
 		return err
 	}
 	force, err := client.Force(ctx, business)
@@ -123,11 +124,11 @@
 	if shown.InForce != nil {
 		bundles = append(bundles, inForce)
 	}
-	c.showParts(shown, bundleRows(append(bundles, drafts.Items...)), force.Items)
+	c.showBundleStatus(shown, bundleRows(append(bundles, drafts.Items...)), force.Items)
 	return nil
 }
 
-func (c *console) showParts(shown shownBundle, bundles [][]string, force []mtadmin.ForceDocument) {
+func (c *console) showBundleStatus(shown shownBundle, bundles [][]string, force []mtadmin.ForceDocument) {
 	if c.json {
 		c.show(shown, nil, nil)
 		return
--- a/io/mtcommand/keygen.go
+++ b/io/mtcommand/keygen.go
@@ -24,13 +24,13 @@
 	}
 }
 
-// made is the JSON form of what keygen made.
-type made struct {
+// keygenResult is the JSON output of the keygen subcommands.
+type keygenResult struct {
 	Files  []string `json:"files"`
-	Public string   `json:"public,omitempty"` // what goes into a bundle or a file of operators
+	Public string   `json:"public,omitempty"` // public key for a bundle, or token hash for the operators file
 }
 
-func (c *console) showMade(m made, note string) {
+func (c *console) showKeygenResult(m keygenResult, note string) {
 	rows := [][]string{{strings.Join(m.Files, " ")}}
 	if note != "" {
 		rows = append(rows, []string{note})
@@ -44,14 +44,14 @@
 		help:    "Writes authority.crt, which every daemon and operator holds, and authority.key,\nwhich stays off every VM.",
 		example: "magnoliaturn keygen authority keys",
 		run: func(_ context.Context, args []string) error {
-			if err := need(args, 1, 1, "DIRECTORY"); err != nil {
+			if err := checkArgCount(args, 1, 1, "DIRECTORY"); err != nil {
 				return err
 			}
 			certificate, key := filepath.Join(args[0], "authority.crt"), filepath.Join(args[0], "authority.key")
 			if err := mttls.MakeAuthority(time.Now(), certificate, key); err != nil {
 				return err
 			}
-			c.showMade(made{Files: []string{certificate, key}}, "")
+			c.showKeygenResult(keygenResult{Files: []string{certificate, key}}, "")
 			return nil
 		},
 	}
@@ -69,7 +69,7 @@
 			f.StringVar(&authorityKey, "authority-key", "", "the authority's key; DIRECTORY/authority.key if absent")
 		},
 		run: func(_ context.Context, args []string) error {
-			if err := need(args, 2, 2, "-ip IP[,IP...] NAME DIRECTORY"); err != nil {
+			if err := checkArgCount(args, 2, 2, "-ip IP[,IP...] NAME DIRECTORY"); err != nil {
 				return err
 			}
 			if err := checkName(args[0]); err != nil {
@@ -93,13 +93,13 @@
 			if err := mttls.MakeCertificate(time.Now(), pair, args[0], addresses, certificate, key); err != nil {
 				return err
 			}
-			c.showMade(made{Files: []string{certificate, key}}, "")
+			c.showKeygenResult(keygenResult{Files: []string{certificate, key}}, "")
 			return nil
 		},
 	}
 }
 
-// checkName keeps a name from leading out of the directory.
+// checkName rejects names that, used as a file name, would leave the directory.
 func checkName(name string) error {
 	if !mtini.IsName(name) {
 		return &UsageError{Reason: "a name has lower-case letters, digits, dots and hyphens only"}
@@ -125,14 +125,14 @@
 		help:    "Writes datagram.secret, which all daemons share.",
 		example: "magnoliaturn keygen secret keys",
 		run: func(_ context.Context, args []string) error {
-			if err := need(args, 1, 1, "DIRECTORY"); err != nil {
+			if err := checkArgCount(args, 1, 1, "DIRECTORY"); err != nil {
 				return err
 			}
 			file := filepath.Join(args[0], "datagram.secret")
 			if err := mttls.MakeSecret(file); err != nil {
 				return err
 			}
-			c.showMade(made{Files: []string{file}}, "")
+			c.showKeygenResult(keygenResult{Files: []string{file}}, "")
 			return nil
 		},
 	}
@@ -144,7 +144,7 @@
 		help:    "Writes NAME.key, which only the signer holds, and prints the lines with the\npublic key that go into the bundle.",
 		example: "magnoliaturn keygen signer janis keys",
 		run: func(_ context.Context, args []string) error {
-			if err := need(args, 2, 2, "NAME DIRECTORY"); err != nil {
+			if err := checkArgCount(args, 2, 2, "NAME DIRECTORY"); err != nil {
 				return err
 			}
 			if err := checkName(args[0]); err != nil {
@@ -155,7 +155,7 @@
 			if err != nil {
 				return err
 			}
-			c.showMade(made{Files: []string{file}, Public: public}, "[signer "+args[0]+"]\nkey = "+public)
+			c.showKeygenResult(keygenResult{Files: []string{file}, Public: public}, "[signer "+args[0]+"]\nkey = "+public)
 			return nil
 		},
 	}
@@ -167,7 +167,7 @@
 		help:    "Writes NAME.token, which only the operator holds, and prints the lines with its\nhash that go into the daemons' operators file.",
 		example: "magnoliaturn keygen token ilze keys",
 		run: func(_ context.Context, args []string) error {
-			if err := need(args, 2, 2, "NAME DIRECTORY"); err != nil {
+			if err := checkArgCount(args, 2, 2, "NAME DIRECTORY"); err != nil {
 				return err
 			}
 			if err := checkName(args[0]); err != nil {
@@ -178,7 +178,7 @@
 			if err != nil {
 				return err
 			}
-			c.showMade(made{Files: []string{file}, Public: hash}, "[operator "+args[0]+"]\ntoken-sha256 = "+hash)
+			c.showKeygenResult(keygenResult{Files: []string{file}, Public: hash}, "[operator "+args[0]+"]\ntoken-sha256 = "+hash)
 			return nil
 		},
 	}
--- a/io/mtcommand/mtcommand.go
+++ b/io/mtcommand/mtcommand.go
@@ -1,5 +1,5 @@
-// Package mtcommand holds the operators' commands of the program: check,
-// bundle, show, drain, keygen and version.
+// Package mtcommand implements the operator subcommands of the magnoliaturn
+// program: check, bundle, show, drain, keygen and version.
 //
 // # Usage
 //
@@ -7,20 +7,21 @@
 //	mtcommand.Register(commander, os.Stdout, os.Stderr)
 //	os.Exit(int(commander.Execute(ctx)))
 //
-// Commands that ask a daemon take its address, the operator's token and the
-// authority from flags or from the environment (MAGNOLIATURN_API,
+// Commands that call a daemon read its address, the operator's token and the
+// certificate authority from flags or from the environment (MAGNOLIATURN_API,
 // MAGNOLIATURN_TOKEN_FILE, MAGNOLIATURN_AUTHORITY). They print a table for
-// people, and JSON with -json for programs.
+// people or, with -json, JSON for programs.
 //
 // # Exit codes
 //
-//	0  done
-//	1  failed for another reason
-//	2  wrong usage: flags or arguments
-//	3  refused: faults, a conflict, a missing role or signature; nothing was done
-//	4  outcome not known: repeat the same command to find out
-//	5  not available now: nothing was done, try again later; or accepted and not
-//	   in force everywhere within -wait
+//	0  success
+//	1  failed for a reason not listed below
+//	2  invalid flags or arguments
+//	3  refused because of faults, a conflict, or a missing role or signature;
+//	   nothing was changed
+//	4  outcome unknown: repeat the same command to find out
+//	5  unavailable: nothing was changed, try again later; or a bundle was accepted
+//	   but not in force everywhere within -wait
 package mtcommand
 
 import (
@@ -40,27 +41,27 @@
 	"magnoliaturn/io/mtadmin"
 )
 
-// The exit codes past those of the library (0, 1 and 2).
+// Exit codes in addition to those of the subcommands library (0, 1 and 2).
 const (
 	ExitRefused     subcommands.ExitStatus = 3
 	ExitDoubt       subcommands.ExitStatus = 4
 	ExitUnavailable subcommands.ExitStatus = 5
 )
 
-// UsageError says that a command was called in a wrong way.
+// UsageError reports invalid flags or arguments.
 type UsageError struct{ Reason string }
 
 // Error implements error.
 func (e *UsageError) Error() string { return e.Reason }
 
-// RefusedError says that what was asked for was not done.
+// RefusedError reports that a command was rejected before it changed anything.
 type RefusedError struct{ Reason string }
 
 // Error implements error.
 func (e *RefusedError) Error() string { return e.Reason }
 
-// Register adds the commands to commander. Results go to out, errors to
-// errors.
+// Register adds the commands to commander. They write results to out and
+// errors to errs.
 func Register(commander *subcommands.Commander, out, errs io.Writer) {
 	c := &console{out: out, errs: errs}
 	for _, cmd := range []*command{
@@ -70,14 +71,14 @@
 	}
 }
 
-// console is where a command writes.
+// console formats results and errors and writes them to the output streams.
 type console struct {
 	out, errs io.Writer
 	json      bool
 }
 
-// command is one subcommand; it implements subcommands.Command. It has either
-// a run function or children.
+// command implements subcommands.Command. It has either a run function or
+// children.
 type command struct {
 	console  *console
 	name     string
@@ -137,7 +138,7 @@
 	return commander.Execute(ctx)
 }
 
-// exit prints what went wrong and returns the code for it.
+// exit prints err, if any, and returns the matching exit code.
 func (c *console) exit(err error) subcommands.ExitStatus {
 	if err == nil {
 		return subcommands.ExitSuccess
@@ -161,12 +162,14 @@
 	case errors.As(err, &lost):
 		return ExitDoubt
 	case errors.As(err, &problem):
-		return exitOf(problem)
+		return exitStatusOf(problem)
 	}
 	return subcommands.ExitFailure
 }
 
-func exitOf(p *mtadmin.Problem) subcommands.ExitStatus {
+// exitStatusOf maps a problem document to an exit code. 503, 429 and 502 mean
+// that nothing was changed and the command can be retried.
+func exitStatusOf(p *mtadmin.Problem) subcommands.ExitStatus {
 	switch {
 	case p.Reason() == mtadmin.ReasonDoubt:
 		return ExitDoubt
@@ -178,7 +181,8 @@
 	return subcommands.ExitFailure
 }
 
-// explain prints an error: a table for people, the problem itself as JSON.
+// explain prints err as text or, with -json, its problem document or faults as
+// JSON.
 func (c *console) explain(err error) {
 	var faults mtini.Faults
 	var problem *mtadmin.Problem
@@ -200,10 +204,11 @@
 func (c *console) encode(w io.Writer, v any) {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
-	_ = encoder.Encode(v) // the reader may have closed its end
+	_ = encoder.Encode(v) // fails if the reader closed the pipe
 }
 
-// show prints v as JSON, or as a table with a heading.
+// show prints v as JSON with -json, and otherwise rows as a table with an
+// optional heading.
 func (c *console) show(v any, heading []string, rows [][]string) {
 	if c.json {
 		c.encode(c.out, v)
@@ -216,11 +221,11 @@
 	for _, row := range rows {
 		fmt.Fprintln(w, strings.Join(row, "\t"))
 	}
-	_ = w.Flush() // the reader may have closed its end
+	_ = w.Flush() // fails if the reader closed the pipe
 }
 
-// need checks the number of arguments.
-func need(args []string, low, high int, usage string) error {
+// checkArgCount returns a *UsageError unless there are low to high arguments.
+func checkArgCount(args []string, low, high int, usage string) error {
 	if len(args) < low || len(args) > high {
 		return &UsageError{Reason: "wrong number of arguments, expected: " + usage}
 	}
--- a/io/mtcommand/mtcommand_test.go
+++ b/io/mtcommand/mtcommand_test.go
@@ -20,7 +20,7 @@
 	"magnoliaturn/io/mtcommand"
 )
 
-// run runs the program's commands and returns what they print.
+// run runs one command of the program and returns its exit code and output.
 func run(t *testing.T, args ...string) (status subcommands.ExitStatus, out, errs string) {
 	t.Helper()
 	var stdout, stderr bytes.Buffer
@@ -55,25 +55,25 @@
 		prints string
 	}{
 		{"check", []string{"bundle", "check", sample, "../../examples/bundles/bundesamt.ini"}, 0, "no mistakes"},
-		{"check a bad one", []string{"bundle", "check", sample, bad}, mtcommand.ExitRefused, bad + ":2: [bundle] version"},
-		{"check nothing", []string{"bundle", "check"}, subcommands.ExitUsageError, "FILE"},
-		{"check a missing one", []string{"bundle", "check", "/nowhere.ini"}, mtcommand.ExitRefused, "/nowhere.ini"},
+		{"check an invalid file", []string{"bundle", "check", sample, bad}, mtcommand.ExitRefused, bad + ":2: [bundle] version"},
+		{"check without arguments", []string{"bundle", "check"}, subcommands.ExitUsageError, "FILE"},
+		{"check a missing file", []string{"bundle", "check", "/nowhere.ini"}, mtcommand.ExitRefused, "/nowhere.ini"},
 		{"diff", []string{"bundle", "diff", sample, newer}, 0, "[class dispatch send] timeout  3s   2s"},
 		{"settings", []string{"check", bad}, mtcommand.ExitRefused, "[daemon] name"},
-		{"no command", []string{"bundle", "burn"}, subcommands.ExitUsageError, "burn"},
+		{"unknown subcommand", []string{"bundle", "burn"}, subcommands.ExitUsageError, "burn"},
 		{"unknown flag", []string{"show", "roster", "-x"}, subcommands.ExitUsageError, "-x"},
-		{"no address", []string{"show", "roster"}, subcommands.ExitUsageError, "MAGNOLIATURN_API"},
-		{"token in the clear", []string{"show", "roster", "-api", "http://10.0.0.1:1", "-token-file", bad}, subcommands.ExitUsageError, "https"},
-		{"bad service", []string{"show", "owner", "-api", "http://127.0.0.1:1", "ratins", "k"}, subcommands.ExitUsageError, "BUSINESS/SERVICE"},
-		{"nobody answers", []string{"show", "roster", "-api", "http://127.0.0.1:1"}, mtcommand.ExitDoubt, "no answer"},
+		{"no API address", []string{"show", "roster"}, subcommands.ExitUsageError, "MAGNOLIATURN_API"},
+		{"token without TLS", []string{"show", "roster", "-api", "http://10.0.0.1:1", "-token-file", bad}, subcommands.ExitUsageError, "https"},
+		{"service without business", []string{"show", "owner", "-api", "http://127.0.0.1:1", "ratins", "k"}, subcommands.ExitUsageError, "BUSINESS/SERVICE"},
+		{"connection refused", []string{"show", "roster", "-api", "http://127.0.0.1:1"}, mtcommand.ExitDoubt, "no answer"},
 		{"version", []string{"version"}, 0, "magnoliaturn"},
-		{"name with a path", []string{"keygen", "signer", "../x", t.TempDir()}, subcommands.ExitUsageError, "name"},
+		{"path as a name", []string{"keygen", "signer", "../x", t.TempDir()}, subcommands.ExitUsageError, "name"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			status, out, errs := run(t, test.args...)
 			assert.Equal(t, status, test.status, out+errs)
-			if test.name == "no command" {
+			if test.name == "unknown subcommand" {
 				return
 			}
 			assert.Assert(t, strings.Contains(out+errs, test.prints), "%s%s", out, errs)
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestJSON(t *testing.T) {
+func TestJSONOutput(t *testing.T) {
 	bad := write(t, "bad.ini", "[bundle]\nversion = x\n")
 	status, out, errs := run(t, "bundle", "check", "-json", bad)
 	assert.Equal(t, status, mtcommand.ExitRefused)
@@ -94,7 +94,8 @@
 	assert.Assert(t, json.Valid([]byte(out)))
 }
 
-// Programs go by the exit code: it must say whether something was done.
+// Scripts rely on the exit code to tell a refused command from one that may have
+// taken effect.
 func TestExitCodes(t *testing.T) {
 	var status int
 	var body string
@@ -127,13 +128,13 @@
 			assert.Equal(t, got, test.want)
 		})
 	}
-	// Something else listens at the address.
+	// A server that is not a daemon answers at the address.
 	status, body = 200, "<html>"
 	got, _, _ := run(t, "drain", "-api", server.URL, "d1")
 	assert.Equal(t, got, mtcommand.ExitDoubt)
 }
 
-func TestEveryCommandHasHelpAndAnExample(t *testing.T) {
+func TestHelpShowsExampleOfEveryCommand(t *testing.T) {
 	commands := map[string][]string{
 		"check": nil, "drain": nil, "version": nil,
 		"bundle": {"check", "diff", "propose", "sign", "accept", "show", "history"},
@@ -150,7 +151,9 @@
 	}
 }
 
-func TestKeygenMakesWhatDaemonsNeed(t *testing.T) {
+// The check command accepts settings with the files and lines that keygen made,
+// and keygen does not overwrite an existing file.
+func TestKeygenOutputPassesCheck(t *testing.T) {
 	dir := t.TempDir()
 	for _, args := range [][]string{
 		{"keygen", "authority", dir},
--- a/io/mtcommand/propose.go
+++ b/io/mtcommand/propose.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// proposal returns the text to propose: a file's, or a former version's.
+// proposal returns the text to propose: that of a file or, for a rollback, that
+// of a previous version under the next version number.
 func proposal(ctx context.Context, client *mtadmin.Client, arg string, rollback mtid.Version) (mtid.Business, []byte, error) {
 	if rollback == 0 {
 		b, text, err := parseFile(arg)
@@ -60,11 +61,12 @@
 	return business, mtbundle.Renumber([]byte(former.Text), inForce.Version+1), nil
 }
 
-// draft finds the open proposal that BUSINESS VERSION [DIGEST] means. A digest
-// may be cut short; it is needed where several proposals are open.
-func draft(ctx context.Context, client *mtadmin.Client, args []string) (mtadmin.BundleDocument, error) {
+// findDraft returns the open proposal that the arguments BUSINESS VERSION
+// [DIGEST] identify. A prefix of the digest is enough; it is required if several
+// proposals of the version are open.
+func findDraft(ctx context.Context, client *mtadmin.Client, args []string) (mtadmin.BundleDocument, error) {
 	var none mtadmin.BundleDocument
-	if err := need(args, 2, 3, "BUSINESS VERSION [DIGEST]"); err != nil {
+	if err := checkArgCount(args, 2, 3, "BUSINESS VERSION [DIGEST]"); err != nil {
 		return none, err
 	}
 	version, err := strconv.ParseUint(args[1], 10, 63)
@@ -87,34 +89,35 @@
 		}
 	}
 	if len(found) > 1 {
-		return none, &RefusedError{Reason: "several proposals are open, name one by its digest:\n" + digests(found)}
+		return none, &RefusedError{Reason: "several proposals are open, name one by its digest:\n" + listDigests(found)}
 	}
 	if len(found) == 1 {
 		return client.Draft(ctx, business, found[0].Version, found[0].Digest)
 	}
-	// It may be in force by now, if this command is repeated.
+	// When a command is repeated, its proposal may already be in force.
 	inForce, err := client.Bundle(ctx, business)
 	if err == nil && inForce.Version == mtid.Version(version) && prefix != "" && strings.HasPrefix(inForce.Digest, prefix) {
 		return inForce, nil
 	}
-	return none, &RefusedError{Reason: fmt.Sprintf("%s has no open proposal of version %d %s%s", business, version, prefix, winner(inForce, err))}
+	return none, &RefusedError{Reason: fmt.Sprintf("%s has no open proposal of version %d %s%s", business, version, prefix, describeInForce(inForce, err))}
 }
 
-// named is draft, but believes a whole digest without looking it up: the daemon
-// then says which bundle won, and a repeated command finds its own in force.
-func named(ctx context.Context, client *mtadmin.Client, args []string) (mtadmin.BundleDocument, error) {
+// resolveDraft is like findDraft but does not look up a full digest. The daemon's
+// answer to the acceptance then names the bundle that took the version, or
+// confirms that this one is already in force if the command is repeated.
+func resolveDraft(ctx context.Context, client *mtadmin.Client, args []string) (mtadmin.BundleDocument, error) {
 	if len(args) == 3 && len(args[2]) == digestLength {
 		if version, err := strconv.ParseUint(args[1], 10, 63); err == nil {
 			return mtadmin.BundleDocument{Business: mtid.Business(args[0]), Version: mtid.Version(version), Digest: args[2]}, nil
 		}
 	}
-	return draft(ctx, client, args)
+	return findDraft(ctx, client, args)
 }
 
-// digestLength is the length of a whole digest in hex.
+// digestLength is the length of a full digest in hex digits.
 const digestLength = 2 * len(mtbundle.Digest{})
 
-func digests(found []mtadmin.BundleDocument) string {
+func listDigests(found []mtadmin.BundleDocument) string {
 	var lines []string
 	for _, d := range found {
 		lines = append(lines, d.Digest+" by "+d.Proposer)
@@ -122,8 +125,9 @@
 	return strings.Join(lines, "\n")
 }
 
-// winner says which bundle is in force, for an operator who lost a race.
-func winner(d mtadmin.BundleDocument, err error) string {
+// describeInForce returns the end of an error message that names the bundle in
+// force, for an operator whose proposal lost the race for the version.
+func describeInForce(d mtadmin.BundleDocument, err error) string {
 	if err != nil {
 		return ""
 	}
@@ -154,13 +158,13 @@
 			if err != nil {
 				return err
 			}
-			d, err := draft(ctx, client, args)
+			d, err := findDraft(ctx, client, args)
 			if err != nil {
 				return err
 			}
 			digest := mtbundle.DigestOf(d.Business, d.Version, []byte(d.Text))
-			// A daemon that was tampered with could show one text and name
-			// another's digest. What is signed is the text that was shown.
+			// A compromised daemon could send one text with the digest of
+			// another. Only the digest of the text shown is signed.
 			if digest.String() != d.Digest {
 				return &RefusedError{Reason: "the daemon's digest does not fit the text that it sent; nothing was signed"}
 			}
@@ -178,7 +182,7 @@
 	}
 }
 
-// preview shows a signer what a proposal changes.
+// preview prints the fields that a proposal changes in the bundle in force.
 func (c *console) preview(ctx context.Context, client *mtadmin.Client, d mtadmin.BundleDocument) error {
 	after, faults := mtbundle.Parse(d.Digest, []byte(d.Text))
 	if err := faults.Err(); err != nil {
--- a/io/mtcommand/show.go
+++ b/io/mtcommand/show.go
@@ -34,7 +34,7 @@
 		example: "magnoliaturn show owner ratins/dispatch hotel-7/room-214",
 		flags:   at.flags,
 		run: at.run(2, 2, "BUSINESS/SERVICE KEY", func(ctx context.Context, client *mtadmin.Client, args []string) error {
-			ref, err := refOf(args[0])
+			ref, err := parseRef(args[0])
 			if err != nil {
 				return err
 			}
@@ -43,14 +43,14 @@
 				return err
 			}
 			c.show(d, []string{"KEY", "OWNER", "EPOCH", "SHARD", "LIVE", "CALLER"}, [][]string{{
-				string(d.Key), life(d.Shard.Owner, d.Shard.Incarnation), fmt.Sprint(d.Shard.Epoch), d.Shard.Low, yesNo(d.Live), dash(d.Caller),
+				string(d.Key), formatHolder(d.Shard.Owner, d.Shard.Incarnation), fmt.Sprint(d.Shard.Epoch), d.Shard.Low, yesNo(d.Live), dash(d.Caller),
 			}})
 			return nil
 		}),
 	}
 }
 
-func life(d mtid.Daemon, i mtid.Incarnation) string {
+func formatHolder(d mtid.Daemon, i mtid.Incarnation) string {
 	return mtid.Holder{Daemon: d, Incarnation: i}.String()
 }
 
@@ -76,8 +76,8 @@
 			var rows [][]string
 			for _, d := range page.Items {
 				rows = append(rows, []string{
-					life(d.Daemon, d.Incarnation), string(d.Zone), string(d.Region), d.State, yesNo(d.Live),
-					offers(d.Offers), dash(strings.Join(d.Witnesses, ",")),
+					formatHolder(d.Daemon, d.Incarnation), string(d.Zone), string(d.Region), d.State, yesNo(d.Live),
+					formatOffers(d.Offers), dash(strings.Join(d.Witnesses, ",")),
 				})
 			}
 			c.show(page.Items, []string{"DAEMON", "ZONE", "REGION", "STATE", "LIVE", "SERVERS", "WITNESSES"}, rows)
@@ -86,7 +86,7 @@
 	}
 }
 
-func offers(documents []mtadmin.OfferDocument) string {
+func formatOffers(documents []mtadmin.OfferDocument) string {
 	var words []string
 	for _, o := range documents {
 		words = append(words, fmt.Sprintf("%s/%s:%d", o.Business, o.Service, o.Slots))
@@ -102,7 +102,7 @@
 		example: "magnoliaturn show assignment ratins/dispatch",
 		flags:   at.flags,
 		run: at.run(1, 1, "BUSINESS/SERVICE", func(ctx context.Context, client *mtadmin.Client, args []string) error {
-			ref, err := refOf(args[0])
+			ref, err := parseRef(args[0])
 			if err != nil {
 				return err
 			}
@@ -112,7 +112,7 @@
 			}
 			var rows [][]string
 			for _, d := range page.Items {
-				rows = append(rows, []string{d.Low, life(d.Owner, d.Incarnation), fmt.Sprint(d.Epoch), strconv.Itoa(d.Chunk), version(d.Version)})
+				rows = append(rows, []string{d.Low, formatHolder(d.Owner, d.Incarnation), fmt.Sprint(d.Epoch), strconv.Itoa(d.Chunk), version(d.Version)})
 			}
 			c.show(page.Items, []string{"SHARD", "OWNER", "EPOCH", "CHUNK", "VERSION"}, rows)
 			return nil
@@ -169,7 +169,7 @@
 		help:    "Names every mistake of a settings file and of the files that it names.\nExits with 3 if there is one.",
 		example: "magnoliaturn check daemon.ini",
 		run: func(_ context.Context, args []string) error {
-			if err := need(args, 1, 1, "FILE"); err != nil {
+			if err := checkArgCount(args, 1, 1, "FILE"); err != nil {
 				return err
 			}
 			settings, faults := mtsetting.Load(args[0])
@@ -185,7 +185,7 @@
 	}
 }
 
-// checkOperators checks the file of operators, if the settings name one.
+// checkOperators validates the operators file if the settings name one.
 func checkOperators(file string) error {
 	if file == "" {
 		return nil
@@ -198,7 +198,7 @@
 	return faults.Err()
 }
 
-// build is the JSON form of "version".
+// build is the JSON output of "version".
 type build struct {
 	Version  string `json:"version"`
 	Revision string `json:"revision"`
