--- a/io/mtsetting/load.go
+++ b/io/mtsetting/load.go
@@ -16,7 +16,7 @@
 	"magnoliaturn/core/mtini"
 )
 
-// Faults are all mistakes of a settings file.
+// Faults lists every invalid or missing field of a settings file.
 type Faults = mtini.Faults
 
 // Bounds and defaults of settings.
@@ -25,24 +25,26 @@
 	maxBody     = 64 << 20
 	defaultBody = 1 << 20
 	maxFile     = 1 << 20
-	// SecretSize is the length of the shared secret for datagrams, in bytes.
+	// SecretSize is the length in bytes of the secret that daemons share to
+	// authenticate datagrams.
 	SecretSize = 32
 )
 
-// Load reads and checks a settings file and the files that it names. It is
-// called once at start, and by "check".
+// Load reads and validates a settings file and the files that it refers to. It
+// is called once at start and by the "check" command.
 func Load(file string) (*Settings, Faults) { return load(file, Parse) }
 
-// load reads a settings file and parses its text.
+// load reads a file and passes its text to parse.
 func load[T any](file string, parse func(file string, text []byte) (*T, Faults)) (*T, Faults) {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return nil, Faults{{File: file, Field: "file", Value: file, Accept: "a file that can be read: " + reason(err)}}
+		return nil, Faults{{File: file, Field: "file", Value: file, Accept: "a file that can be read: " + innermostReason(err)}}
 	}
 	return parse(file, text)
 }
 
-// Parse checks the text of a settings file and the files that it names.
+// Parse parses the text of a settings file and validates the files that it
+// refers to. Relative file names are resolved against the directory of file.
 func Parse(file string, text []byte) (*Settings, Faults) {
 	f := mtini.Read(file, text)
 	f.CheckKinds(map[string]int{"daemon": 0, "listen": 0, "store": 0, "peers": 0, "keys": 0, "operators": 0, "root": 1})
@@ -60,7 +62,7 @@
 	return s, nil
 }
 
-// loader carries what the steps of one Parse share.
+// loader holds the state that the steps of one Parse call share.
 type loader struct {
 	file *mtini.File
 	dir  string
@@ -72,7 +74,7 @@
 	s.Zone = mtid.Zone(daemon.Name("zone"))
 	s.Region = mtid.Region(daemon.Name("region"))
 	s.Body = int64(daemon.Int("body", defaultBody, minBody, maxBody))
-	// Choice has refused every other word, so the level always reads.
+	// Choice accepts only valid level names, so unmarshaling can't fail.
 	_ = s.Log.UnmarshalText([]byte(daemon.Choice("log", "info", "debug", "warn", "error")))
 	if peers, ok := l.file.OptionalSection("peers"); ok {
 		s.Seeds = peers.Addresses("seeds")
@@ -86,17 +88,18 @@
 	s.Renew = listen.Address("renew")
 	s.Local = listen.Address("local")
 	s.Admin = listen.Address("admin")
-	l.distinct(listen, s)
+	l.checkDistinctAddresses(listen, s)
 	for name, address := range map[string]string{"caller": s.Caller, "relay": s.Relay, "renew": s.Renew, "admin": s.Admin} {
-		// Others reach these addresses by the number written here.
+		// Other hosts connect to exactly this address.
 		if at, err := netip.ParseAddrPort(address); err == nil && at.Addr().IsUnspecified() {
 			listen.AddFault(name, address, "the IP of this VM that others connect to, not the unspecified one")
 		}
 	}
 }
 
-// distinct refuses one TCP address for two listeners; renew is UDP.
-func (l *loader) distinct(listen *mtini.Section, s *Settings) {
+// checkDistinctAddresses rejects two listeners on the same TCP address. The renew
+// listener uses UDP and may share one.
+func (l *loader) checkDistinctAddresses(listen *mtini.Section, s *Settings) {
 	taken := make(map[string]string)
 	for _, at := range []struct{ name, address string }{
 		{"caller", s.Caller}, {"relay", s.Relay}, {"local", s.Local}, {"admin", s.Admin},
@@ -124,26 +127,26 @@
 func (l *loader) keys(s *Settings) {
 	keys, ok := l.file.OptionalSection("keys")
 	if !ok {
-		l.plain(s)
+		l.checkLoopback(s)
 		return
 	}
 	s.Keys = Keys{
-		Certificate: l.named(keys, "certificate"),
-		Key:         l.named(keys, "key"),
-		Authority:   l.named(keys, "authority"),
-		Secret:      l.named(keys, "secret"),
+		Certificate: l.filePath(keys, "certificate"),
+		Key:         l.filePath(keys, "key"),
+		Authority:   l.filePath(keys, "authority"),
+		Secret:      l.filePath(keys, "secret"),
 	}
-	certificate := l.content(keys, "certificate", s.Keys.Certificate)
-	key := l.content(keys, "key", s.Keys.Key)
+	certificate := l.readFile(keys, "certificate", s.Keys.Certificate)
+	key := l.readFile(keys, "key", s.Keys.Key)
 	if certificate != nil && key != nil {
 		if _, err := tls.X509KeyPair(certificate, key); err != nil {
-			keys.AddFault("certificate", s.Keys.Certificate, "a PEM certificate that fits the key: "+reason(err))
+			keys.AddFault("certificate", s.Keys.Certificate, "a PEM certificate that fits the key: "+innermostReason(err))
 		}
 	}
-	if pem := l.content(keys, "authority", s.Keys.Authority); pem != nil && !x509.NewCertPool().AppendCertsFromPEM(pem) {
+	if pem := l.readFile(keys, "authority", s.Keys.Authority); pem != nil && !x509.NewCertPool().AppendCertsFromPEM(pem) {
 		keys.AddFault("authority", s.Keys.Authority, "PEM certificates of the authority")
 	}
-	if text := l.content(keys, "secret", s.Keys.Secret); text != nil {
+	if text := l.readFile(keys, "secret", s.Keys.Secret); text != nil {
 		for _, line := range strings.Fields(string(text)) {
 			if secret, err := hex.DecodeString(line); err != nil || len(secret) != SecretSize {
 				keys.AddFault("secret", s.Keys.Secret, fmt.Sprintf("lines of %d bytes in hex, the newest first", SecretSize))
@@ -153,8 +156,9 @@
 	}
 }
 
-// plain accepts transport without keys between processes of one machine only.
-func (l *loader) plain(s *Settings) {
+// checkLoopback rejects addresses other than loopback ones, since transport is
+// unencrypted without keys.
+func (l *loader) checkLoopback(s *Settings) {
 	listen := l.file.RequiredSection("listen")
 	for name, address := range map[string]string{"caller": s.Caller, "relay": s.Relay, "renew": s.Renew, "admin": s.Admin} {
 		at, err := netip.ParseAddrPort(address)
@@ -166,8 +170,8 @@
 
 func (l *loader) operators(s *Settings) {
 	if section, ok := l.file.OptionalSection("operators"); ok {
-		s.Operators = l.named(section, "file")
-		l.content(section, "file", s.Operators)
+		s.Operators = l.filePath(section, "file")
+		l.readFile(section, "file", s.Operators)
 		return
 	}
 	listen := l.file.RequiredSection("listen")
@@ -180,8 +184,8 @@
 	s.Roots = make(map[mtid.Business]mtbundle.Authority)
 	for _, root := range l.file.SectionsOfKind("root", 1) {
 		authority := mtbundle.Authority{Needed: root.Int("signatures", 1, 1, mtbundle.MaxSigners)}
-		file := l.named(root, "signers")
-		text := l.content(root, "signers", file)
+		file := l.filePath(root, "signers")
+		text := l.readFile(root, "signers", file)
 		if text == nil {
 			continue
 		}
@@ -197,8 +201,9 @@
 	}
 }
 
-// named returns the file that a required field names.
-func (l *loader) named(s *mtini.Section, name string) string {
+// filePath returns the file name in a required field, resolved against the
+// directory of the settings file.
+func (l *loader) filePath(s *mtini.Section, name string) string {
 	v := s.Required(name, "the name of a file")
 	if v == "" || filepath.IsAbs(v) {
 		return v
@@ -206,19 +211,20 @@
 	return filepath.Join(l.dir, v)
 }
 
-// content returns what a named file holds, or nil with a fault.
-func (l *loader) content(s *mtini.Section, name, file string) []byte {
+// readFile returns the content of the file that a field refers to. It returns nil
+// if the field is empty, or adds a fault if the file is unusable.
+func (l *loader) readFile(s *mtini.Section, name, file string) []byte {
 	if file == "" {
 		return nil
 	}
-	// A pipe or device would keep the start waiting, or never end.
+	// Reading a pipe or device could block the start or never reach the end.
 	if info, err := os.Stat(file); err == nil && (!info.Mode().IsRegular() || info.Size() > maxFile) {
 		s.AddFault(name, file, fmt.Sprintf("a regular file of up to %d bytes", maxFile))
 		return nil
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
-		s.AddFault(name, file, "a file that can be read: "+reason(err))
+		s.AddFault(name, file, "a file that can be read: "+innermostReason(err))
 		return nil
 	}
 	if len(text) == 0 {
@@ -228,9 +234,9 @@
 	return text
 }
 
-// reason returns the innermost text of err, which never holds a file's
-// content.
-func reason(err error) string {
+// innermostReason returns the text of err after its last colon, which never
+// contains file content.
+func innermostReason(err error) string {
 	text := err.Error()
 	if i := strings.LastIndex(text, ": "); i >= 0 {
 		return text[i+2:]
--- a/io/mtsetting/load_test.go
+++ b/io/mtsetting/load_test.go
@@ -16,7 +16,7 @@
 	"magnoliaturn/io/mttls"
 )
 
-// local is a complete file without keys.
+// local is a complete settings file without a [keys] section.
 const local = `[daemon]
 name = d1
 zone = old-town
@@ -31,7 +31,7 @@
 url = http://127.0.0.1:2380
 `
 
-// installKeys makes what the sample files name.
+// installKeys creates the files that the sample settings refer to.
 func installKeys(t *testing.T, dir string, business mtid.Business, address string) {
 	t.Helper()
 	keys := filepath.Join(dir, "keys")
@@ -52,7 +52,7 @@
 	assert.NilError(t, os.WriteFile(keys+"/operators.ini", []byte("[operator one]\n"), 0o600))
 }
 
-func TestSamplesLoad(t *testing.T) {
+func TestLoadSamples(t *testing.T) {
 	tests := []struct {
 		file     string
 		business mtid.Business
@@ -88,7 +88,7 @@
 	assert.Equal(t, s.Body, int64(1<<20))
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRejectsInvalidFields(t *testing.T) {
 	tests := []struct {
 		name     string
 		old, new string
@@ -99,17 +99,17 @@
 		{"no port", "127.0.0.1:8080", "127.0.0.1", "[listen] caller"},
 		{"port zero", "127.0.0.1:8080", "127.0.0.1:0", "[listen] caller"},
 		{"unspecified", "127.0.0.1:8080", "0.0.0.0:8080", "[listen] caller"},
-		{"twice", "127.0.0.1:8080", "127.0.0.1:8083", "[listen] admin"},
-		{"open without keys", "relay = 127.0.0.1", "relay = 10.0.0.1", "[listen] relay"},
-		{"open without operators", "admin = 127.0.0.1", "admin = 10.0.0.1", "[listen] admin"},
+		{"duplicate address", "127.0.0.1:8080", "127.0.0.1:8083", "[listen] admin"},
+		{"not loopback without keys", "relay = 127.0.0.1", "relay = 10.0.0.1", "[listen] relay"},
+		{"not loopback without operators", "admin = 127.0.0.1", "admin = 10.0.0.1", "[listen] admin"},
 		{"store scheme", "http://127", "ftp://127", "[store] url"},
-		{"body", "zone =", "body = 5\nzone =", "[daemon] body"},
-		{"unknown", "zone =", "zonne = x\nzone =", "[daemon] zonne"},
+		{"body too small", "zone =", "body = 5\nzone =", "[daemon] body"},
+		{"unknown field", "zone =", "zonne = x\nzone =", "[daemon] zonne"},
 		{"missing keys", "[store]", "[keys]\nkey = /nowhere/k\n[store]", "[keys] certificate"},
 		{"missing secret", "[store]", "[keys]\nsecret = /nowhere/s\n[store]", "[keys] secret"},
 		{"missing operators", "[store]", "[operators]\nfile = /nowhere/o\n[store]", "[operators] file"},
 		{"missing root", "[store]", "[root ratins]\nsigners = /nowhere/r\n[store]", "[root ratins] signers"},
-		{"seed", "[store]", "[peers]\nseeds = 127.0.0.1:1, here\n[store]", "[peers] seeds"},
+		{"invalid seed", "[store]", "[peers]\nseeds = 127.0.0.1:1, here\n[store]", "[peers] seeds"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/io/mtsetting/mesh.go
+++ b/io/mtsetting/mesh.go
@@ -14,31 +14,31 @@
 	"magnoliaturn/core/mtzone"
 )
 
-// Mesh are the settings of a daemon that stands beside a backend server on a
-// platform that keeps everything else in its store.
+// Mesh holds the settings of a daemon that runs next to a backend server on a
+// platform that keeps all other configuration in its store.
 type Mesh struct {
 	Name    mtid.Daemon
 	Zone    mtid.Zone
-	Link    mtbackend.Bandwidth
-	Service mtid.Service // of the backend server
-	Host    string       // address of the VM, without port
-	Server  string       // address of the backend server
-	Callers string       // where callers on this VM send requests
-	Ready   string       // where the platform asks for readiness
-	Beats   string       // where the backend server sends its beats
-	Peers   string       // where other daemons send calls
-	Metrics string       // where figures are read
-	Store   string       // address of the platform's store
-	Hold    time.Duration
-	Drain   time.Duration
-	Grace   time.Duration
-	Config  time.Duration // within which a configuration has to be in force
-	Close   time.Duration // within which a zone that is taken out of service gets no new work
-	// Warmup is by how much the rate of a cold server may be exceeded.
+	Link    mtbackend.Bandwidth // of the VM's network link
+	Service mtid.Service        // of the backend server
+	Host    string              // IP address of the VM
+	Server  string              // host:port of the backend server
+	Callers string              // listen address for requests of callers on this VM
+	Ready   string              // listen address for the platform's readiness checks
+	Beats   string              // listen address for heartbeats of the backend server
+	Peers   string              // listen address for calls of other daemons
+	Metrics string              // listen address for metrics
+	Store   string              // host:port of the platform's store
+	Hold    time.Duration       // upper bound of how long a key grant lasts
+	Drain   time.Duration       // how long new requests may still reach a draining server
+	Grace   time.Duration       // from the request to stop until the process is killed
+	Config  time.Duration       // time within which a configuration must be in force
+	Close   time.Duration       // time within which a zone taken out of service gets no new work
+	// Warmup bounds how far the rate of a cold server may be exceeded.
 	Warmup mtbackend.Allowance
 }
 
-// Bounds and defaults of the times. The platform names its own.
+// Bounds of the durations, and defaults for those that the platform does not set.
 const (
 	minTime      = 100 * time.Millisecond
 	maxTime      = 10 * time.Minute
@@ -48,16 +48,17 @@
 	minConfig    = time.Second
 )
 
-// Bounds of the VM's own link, in Mbit/s. Only the order among VMs counts.
+// Default and upper bound of the VM's link bandwidth, in Mbit/s. Only the order
+// among VMs matters.
 const (
 	defaultLink = 1000
 	maxLink     = 1_000_000
 )
 
-// LoadMesh reads and checks a settings file of a Mesh.
+// LoadMesh reads and validates a settings file for a Mesh.
 func LoadMesh(file string) (*Mesh, Faults) { return load(file, ParseMesh) }
 
-// ParseMesh checks the text of a settings file of a Mesh.
+// ParseMesh parses and validates the text of a settings file for a Mesh.
 func ParseMesh(file string, text []byte) (*Mesh, Faults) {
 	f := mtini.Read(file, text)
 	f.CheckKinds(map[string]int{"daemon": 0, "listen": 0, "store": 0, "times": 0, "warmup": 0})
@@ -67,13 +68,13 @@
 	s.Zone = mtid.Zone(daemon.Name("zone"))
 	s.Service = mtid.Service(daemon.Name("service"))
 	s.Link = mtbackend.Bandwidth(daemon.Float("link", defaultLink, 0, maxLink))
-	s.Host = host(daemon)
+	s.Host = parseHost(daemon)
 	s.Server = daemon.Address("server")
 	listen := f.RequiredSection("listen")
 	s.Callers = listen.Address("callers")
 	s.Ready = listen.Address("ready")
 	s.Beats = listen.Address("beats")
-	s.ports(listen)
+	s.parsePorts(listen)
 	s.Store = f.RequiredSection("store").Address("address")
 	times := f.RequiredSection("times")
 	s.Hold = times.Duration("hold", defaultHold, minTime, maxTime)
@@ -91,14 +92,14 @@
 	return s, nil
 }
 
-// Bounds of how far the rate of a cold server may be exceeded.
+// Upper bounds of Mesh.Warmup.
 const (
 	maxFactor = 100
 	maxExtra  = 10_000
 )
 
-// host returns the address of the VM.
-func host(s *mtini.Section) string {
+// parseHost returns the IP address in the host field.
+func parseHost(s *mtini.Section) string {
 	v := s.Text("host", "")
 	if _, err := netip.ParseAddr(v); err != nil {
 		s.AddFault("host", v, "the IP of this VM")
@@ -106,8 +107,9 @@
 	return v
 }
 
-// ports takes the first ports of the range for other daemons and for figures.
-func (s *Mesh) ports(listen *mtini.Section) {
+// parsePorts assigns the first port of the range to calls of other daemons and
+// the second to metrics.
+func (s *Mesh) parsePorts(listen *mtini.Section) {
 	v := listen.Text("ports", "")
 	low, high, ok := strings.Cut(v, ",")
 	from, errLow := strconv.ParseUint(strings.TrimSpace(low), 10, 16)
--- a/io/mtsetting/mesh_test.go
+++ b/io/mtsetting/mesh_test.go
@@ -41,7 +41,7 @@
 extra = 8
 `
 
-func TestMeshSettings(t *testing.T) {
+func TestParseMesh(t *testing.T) {
 	got, faults := mtsetting.ParseMesh("daemon.ini", []byte(meshText))
 	assert.Equal(t, len(faults), 0, "%v", faults)
 	assert.DeepEqual(t, got, &mtsetting.Mesh{
@@ -53,8 +53,8 @@
 	})
 }
 
-// Every mistake is named at once, with what would be accepted.
-func TestMeshSettingsNameEveryFault(t *testing.T) {
+// All invalid fields are reported together, each with the accepted values.
+func TestParseMeshReportsAllFaults(t *testing.T) {
 	text := strings.NewReplacer(
 		"host = 10.1.0.38", "host = here",
 		"server = 10.1.0.38:8145", "server = 8145",
@@ -71,9 +71,9 @@
 	assert.DeepEqual(t, fields, []string{"[daemon] host", "[daemon] server", "[listen] ports", "[times] hold", "[times] misspelt"})
 }
 
-// The template that the platform fills in and the settings that are read name the
-// same fields.
-func TestTheTemplateNamesTheFieldsThatAreRead(t *testing.T) {
+// The settings template that the platform fills in has exactly the fields that
+// ParseMesh reads.
+func TestTemplateFieldsMatchParseMesh(t *testing.T) {
 	template, err := os.ReadFile("../../deploy/daemon.ini")
 	assert.NilError(t, err)
 	filled := strings.NewReplacer(
@@ -91,8 +91,9 @@
 	assert.DeepEqual(t, got, want)
 }
 
-// A platform that names no bounds of warm-up and of zones leaves their fields out.
-func TestMeshSettingsWithoutWarmup(t *testing.T) {
+// A platform that sets no limits for warm-up and zone drains omits their fields.
+// Defaults apply.
+func TestParseMeshWithoutWarmup(t *testing.T) {
 	text := strings.NewReplacer("close = 4s\n", "", "factor = 1.5\nextra = 8\n", "").Replace(meshText)
 	got, faults := mtsetting.ParseMesh("daemon.ini", []byte(text))
 	assert.Equal(t, len(faults), 0, "%v", faults)
