--- a/examples/breakfast/main.go
+++ b/examples/breakfast/main.go
@@ -1,9 +1,10 @@
-// Command breakfast shows placement at work: dispatch of the Riga deployment,
-// five servers in one process, gets a load in which a few rooms ask for most of
-// everything. Every five seconds it prints what each server bears, how far the
-// busiest is above the mean, and how many shards there are. The planner splits
-// and moves shards until the load is even. It ends with 0 only if the audit of
-// everything sent finds no broken promise.
+// Command breakfast demonstrates load balancing by shard placement. It runs the
+// dispatch service of the Riga deployment with five servers in one process and
+// sends a load in which a few hotel rooms receive most of the requests. Every five
+// seconds it prints the load of each server, the ratio of the highest load to the
+// mean, and the number of shards. The planner splits and moves shards until the
+// load is balanced. The exit code is 0 only if the audit of all requests finds no
+// violated guarantee.
 //
 // # Usage
 //
@@ -28,15 +29,15 @@
 )
 
 const (
-	length = 60 * time.Second
-	every  = 5 * time.Second
-	zipf   = 1.05
+	loadDuration   = 60 * time.Second
+	reportInterval = 5 * time.Second
+	zipfExponent   = 1.05
 )
 
 var dispatch = mtid.Ref{Business: "ratins", Service: "dispatch"}
 
 func main() {
-	// The stand-ins say when a daemon does not listen yet, which is no news here.
+	// The simulated servers log failed connections until their daemon listens.
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	if err := run(context.Background()); err != nil {
 		fmt.Fprintln(os.Stderr, "breakfast:", err)
@@ -68,13 +69,13 @@
 	defer cleanUp()
 	done := make(chan error, 1)
 	go func() {
-		summary, err := fleet.Send(ctx, s, length, zipf)
+		summary, err := fleet.Send(ctx, s, loadDuration, zipfExponent)
 		if err == nil {
 			err = summary.Print(os.Stdout)
 		}
 		done <- err
 	}()
-	ticker := time.NewTicker(every)
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	begin := time.Now()
 	for {
@@ -85,19 +86,19 @@
 			}
 			return fleet.Audit(os.Stdout)
 		case <-ticker.C:
-			if err := show(fleet, time.Since(begin)); err != nil {
+			if err := printLoads(fleet, time.Since(begin)); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-// show prints one line about the load of each server.
-func show(fleet *mtfleet.Fleet, after time.Duration) error {
+// printLoads prints one line with the load of each server.
+func printLoads(fleet *mtfleet.Fleet, elapsed time.Duration) error {
 	total, highest := 0.0, 0.0
 	line := ""
 	for _, d := range fleet.Daemons() {
-		load, err := load(d)
+		load, err := busySlots(d)
 		if err != nil {
 			return err
 		}
@@ -115,12 +116,12 @@
 		versions += table.Version
 	}
 	mean := total / float64(len(fleet.Daemons()))
-	fmt.Printf("%3.0f s  slots in use:%s  max/mean %.2f  shards %d  versions %d\n", after.Seconds(), line, highest/max(mean, 0.001), shards, versions)
+	fmt.Printf("%3.0f s  slots in use:%s  max/mean %.2f  shards %d  versions %d\n", elapsed.Seconds(), line, highest/max(mean, 0.001), shards, versions)
 	return nil
 }
 
-// load returns the slots that a daemon's keys keep busy.
-func load(d *mtdaemon.Daemon) (float64, error) {
+// busySlots returns the number of slots in use by the keys that a daemon owns.
+func busySlots(d *mtdaemon.Daemon) (float64, error) {
 	owner, err := mtkernel.Lookup[*mtowner.Owner](d.Kernel(), mtdaemon.NameOwner)
 	if err != nil {
 		return 0, err
--- a/examples/bundles/bundles.go
+++ b/examples/bundles/bundles.go
@@ -1,5 +1,5 @@
 // Package bundles embeds the sample bundles of both deployments, so that the
-// examples run from any folder.
+// examples run from any working directory.
 //
 // # Usage
 //
--- a/examples/hotel/main.go
+++ b/examples/hotel/main.go
@@ -1,7 +1,8 @@
-// Command hotel runs the hotel robots of Riga in one process: four availability
-// zones, five dispatch servers and six of mapsvc. Callers send status checks,
-// send orders and floor-plan reads through every daemon while a shard moves and
-// a VM is lost. It ends with 0 only if its own audit finds no broken promise.
+// Command hotel runs the hotel robot deployment of Riga in one process, with four
+// availability zones, five dispatch servers and six mapsvc servers. Callers send
+// status checks, send orders and floor plan reads through every daemon while a
+// shard moves and a VM is killed. The exit code is 0 only if the audit finds no
+// violated guarantee.
 //
 // # Usage
 //
@@ -22,7 +23,7 @@
 )
 
 func main() {
-	// The stand-ins say when a daemon does not listen yet, which is no news here.
+	// The simulated servers log failed connections until their daemon listens.
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	err := mtfleet.Run(context.Background(), mtfleet.Deployment{
 		Business: "ratins",
--- a/examples/loans/main.go
+++ b/examples/loans/main.go
@@ -1,8 +1,8 @@
-// Command loans runs the machinery loans of Bern in one process: three
-// availability zones, four loan-desk servers and five of machinery-registry.
-// Callers send balance lookups, payments, valuations, collateral checks and
-// archive lookups through every daemon while a shard moves and a VM is lost. It
-// ends with 0 only if its own audit finds no broken promise.
+// Command loans runs the machinery loan deployment of Bern in one process, with
+// three availability zones, four loan-desk servers and five machinery-registry
+// servers. Callers send balance lookups, payments, valuations, collateral checks
+// and archive lookups through every daemon while a shard moves and a VM is killed.
+// The exit code is 0 only if the audit finds no violated guarantee.
 //
 // # Usage
 //
@@ -23,7 +23,7 @@
 )
 
 func main() {
-	// The stand-ins say when a daemon does not listen yet, which is no news here.
+	// The simulated servers log failed connections until their daemon listens.
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	err := mtfleet.Run(context.Background(), mtfleet.Deployment{
 		Business: "bundesamt",
--- a/examples/operator/fleet.go
+++ b/examples/operator/fleet.go
@@ -23,31 +23,31 @@
 	"magnoliaturn/io/mtstore"
 )
 
-// announceEvery is how often a backend server announces itself.
-const announceEvery = 500 * time.Millisecond
+// announceInterval is the interval at which backend servers announce themselves.
+const announceInterval = 500 * time.Millisecond
 
-// firstPort and lastPort bound the ports of the daemons. They lie below those that the
-// system hands out by itself, to listeners that name no port and to outgoing connections:
-// one of these was gone again before the daemon listened there, beside other programs.
+// firstPort and lastPort bound the ports of the daemons. The range lies below the system's
+// ephemeral ports, which it assigns to outgoing connections and to listeners without a
+// fixed port: another program could take such a port between its check and the daemon's start.
 const (
 	firstPort = 20000
 	lastPort  = 32000
 )
 
-// given counts the ports that were looked at, from a start drawn by lot: no two addresses
-// of one tour are alike, and hardly any of two tours at the same time.
-var given = func() *atomic.Uint32 {
+// portCounter numbers the ports tried, from a random start. Addresses within one run are distinct,
+// and concurrent runs rarely try the same ones.
+var portCounter = func() *atomic.Uint32 {
 	var n atomic.Uint32
 	n.Store(rand.Uint32N(lastPort - firstPort))
 	return &n
 }()
 
-// freeAddress returns a loopback address that was free a moment ago.
+// freeAddress returns a loopback address that was free when checked.
 func freeAddress() (string, error) {
 	var err error
 	for range lastPort - firstPort {
 		var listener net.Listener
-		port := firstPort + int(given.Add(1)%(lastPort-firstPort))
+		port := firstPort + int(portCounter.Add(1)%(lastPort-firstPort))
 		address := net.JoinHostPort("127.0.0.1", strconv.Itoa(port))
 		if listener, err = net.Listen("tcp", address); err == nil {
 			return address, listener.Close()
@@ -56,39 +56,40 @@
 	return "", err
 }
 
-// member is a VM: a daemon and the backend server beside it.
-type member struct {
+// vm is a VM that runs a daemon and a backend server.
+type vm struct {
 	settings *mtsetting.Settings
 	stop     func()
 }
 
-// startMember starts both. The stop function ends them at once: with nobody
-// left to hand over to, a graceful end would wait in vain.
-func startMember(settings *mtsetting.Settings, store *mtstore.Memory) (*member, error) {
+// startVM starts a daemon and its backend server. The stop function ends them
+// immediately: once no other daemon is left to take the shards, a graceful shutdown
+// would only wait for its timeout.
+func startVM(settings *mtsetting.Settings, store *mtstore.Memory) (*vm, error) {
 	daemon, cleanUp, err := mtdaemon.New(mtdaemon.Config{Settings: settings, Store: store, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	var duties sync.WaitGroup
-	duties.Go(func() { _ = daemon.Run(ctx) })
+	var tasks sync.WaitGroup
+	tasks.Go(func() { _ = daemon.Run(ctx) })
 	stopServer, err := startServer(settings.Local)
 	if err != nil {
 		cleanUp()
-		duties.Wait()
+		tasks.Wait()
 		cancel()
 		return nil, err
 	}
-	return &member{settings: settings, stop: func() {
+	return &vm{settings: settings, stop: func() {
 		cleanUp()
-		duties.Wait()
+		tasks.Wait()
 		cancel()
 		stopServer()
 	}}, nil
 }
 
-// startServer starts a stand-in for a backend server, which announces itself to
-// the daemon on its VM until it is stopped.
+// startServer starts a simulated backend server, which announces itself to the
+// daemon on its VM until the returned function stops it.
 func startServer(local string) (func(), error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -99,13 +100,13 @@
 		_, _ = io.WriteString(w, "robot on its way to "+r.URL.Path)
 	})}
 	ctx, cancel := context.WithCancel(context.Background())
-	var duties sync.WaitGroup
-	duties.Go(func() { _ = server.Serve(listener) })
-	duties.Go(func() { announce(ctx, local, listener.Addr().String()) })
+	var tasks sync.WaitGroup
+	tasks.Go(func() { _ = server.Serve(listener) })
+	tasks.Go(func() { announce(ctx, local, listener.Addr().String()) })
 	return func() {
 		cancel()
 		_ = server.Close()
-		duties.Wait()
+		tasks.Wait()
 	}, nil
 }
 
@@ -117,7 +118,7 @@
 	if err != nil {
 		return
 	}
-	ticker := time.NewTicker(announceEvery)
+	ticker := time.NewTicker(announceInterval)
 	defer ticker.Stop()
 	for {
 		response, err := http.Post("http://"+local+mtheader.AnnouncePath, "application/json", bytes.NewReader(body))
@@ -132,11 +133,10 @@
 	}
 }
 
-// callers send status checks until they are stopped, and count what they are
-// told.
+// callers sends status checks until stopped and counts the reported outcomes.
 type callers struct {
 	answered atomic.Int64
-	refused  atomic.Int64 // proved not run
+	notRun   atomic.Int64 // rejected with proof that the request did not run
 	unknown  atomic.Int64
 	stop     func()
 }
@@ -144,10 +144,10 @@
 func startCallers(address string) *callers {
 	c := &callers{}
 	ctx, cancel := context.WithCancel(context.Background())
-	var duties sync.WaitGroup
+	var tasks sync.WaitGroup
 	const senders = 4
 	for i := range senders {
-		duties.Go(func() {
+		tasks.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
 				c.count(send(address, fmt.Sprintf("hotel-%d", (i+n)%50)))
 			}
@@ -155,7 +155,7 @@
 	}
 	c.stop = func() {
 		cancel()
-		duties.Wait()
+		tasks.Wait()
 	}
 	return c
 }
@@ -165,13 +165,14 @@
 	case mtreply.Answered:
 		c.answered.Add(1)
 	case mtreply.NotRun:
-		c.refused.Add(1)
+		c.notRun.Add(1)
 	default:
 		c.unknown.Add(1)
 	}
 }
 
-// send sends one status check and returns what the caller is told.
+// send sends one status check and returns the outcome in the reply. A request
+// without a complete reply has the outcome Unknown.
 func send(address, key string) mtreply.Outcome {
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+mtheader.Prefix+"/ratins/dispatch/"+key, nil)
 	if err != nil {
--- a/examples/operator/fleet_test.go
+++ b/examples/operator/fleet_test.go
@@ -10,13 +10,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// The tour looks for free addresses and starts daemons there a moment later. It took a port
-// that the system hands out by itself, another program was given it in between, and the
-// daemon could not listen. No port of the tour is one of those.
-func TestFreeAddressesAreNotHandedOut(t *testing.T) {
+// Between the check of an address and the daemon's start, the system may assign an
+// ephemeral port to another program, and the daemon then fails to listen. freeAddress
+// returns no ephemeral port.
+func TestFreeAddressIsNotEphemeral(t *testing.T) {
 	text, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	if err != nil {
-		t.Skip("the system does not tell which ports it hands out")
+		t.Skip("the range of ephemeral ports is not readable")
 	}
 	var first, last int
 	_, err = fmt.Sscan(string(text), &first, &last)
--- a/examples/operator/main.go
+++ b/examples/operator/main.go
@@ -1,16 +1,15 @@
-// Command operator goes the way of a new operator in one process: it makes
-// credentials, has a faulty bundle refused, puts a good one in force, loses a
-// race for the next version and takes a daemon out of service while callers
-// keep sending.
+// Command operator demonstrates the operator commands in one process: it creates
+// credentials, proposes an invalid bundle, puts a valid one in force, lets two
+// operators compete for the next version, rolls back, and drains a daemon while
+// callers keep sending.
 //
 // # Usage
 //
 //	go run ./examples/operator
 //
-// It runs four daemons on loopback addresses with TLS, a stand-in for the
-// platform's store in memory, and four stand-ins for backend servers. The
-// commands that it prints are those of the program magnoliaturn, run in this
-// process.
+// It runs four daemons on loopback addresses with TLS, an in-memory replacement
+// of the platform's store, and four simulated backend servers. The commands that it
+// prints are those of the magnoliaturn program and run in this process.
 package main
 
 import (
--- a/examples/operator/main_test.go
+++ b/examples/operator/main_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A new operator follows the example step by step. Each step checks the exit
-// codes that it names; the output must show what was promised.
+// Every step of the example checks the exit codes of its commands. The output must
+// contain the key results of all steps.
 func TestTour(t *testing.T) {
 	var out bytes.Buffer
 	err := run(t.Context(), &out, t.TempDir())
--- a/examples/operator/run.go
+++ b/examples/operator/run.go
@@ -17,23 +17,23 @@
 	"magnoliaturn/io/mtstore"
 )
 
-// Bounds of the waits of this example.
+// Timeout and interval for polling a condition.
 const (
-	patience  = 30 * time.Second
-	pollEvery = 100 * time.Millisecond
+	waitTimeout  = 30 * time.Second
+	pollInterval = 100 * time.Millisecond
 )
 
-const size = 4
+const daemonCount = 4
 
-var zones = [size]mtid.Zone{"old-town", "centrs", "kipsala", "airport"}
+var zones = [daemonCount]mtid.Zone{"old-town", "centrs", "kipsala", "airport"}
 
-// WaitError says that something did not come about in time.
+// WaitError reports that a condition was not met before the timeout.
 type WaitError struct{ What string }
 
 // Error implements error.
 func (e *WaitError) Error() string { return "waited in vain for " + e.What }
 
-// LostError says that callers were left without a truthful answer.
+// LostError reports that callers got no definite outcome for some requests.
 type LostError struct{ Unknown int64 }
 
 // Error implements error.
@@ -41,20 +41,20 @@
 	return fmt.Sprintf("%d requests ended with an unknown outcome", e.Unknown)
 }
 
-// tour is one run of the example.
+// tour is one run of the example and the deployment that it sets up.
 type tour struct {
 	*shell
 	store   *mtstore.Memory
-	members []*member
+	vms     []*vm
 	signers string // the [signer] sections of bundles
 }
 
-// run goes the whole way. dir is an empty directory for its files.
+// run executes all steps of the example. dir is an empty directory for its files.
 func run(ctx context.Context, out io.Writer, dir string) error {
 	t := &tour{shell: &shell{out: out, dir: dir}, store: mtstore.NewMemory(time.Now)}
 	defer t.stop()
 	for _, step := range []func(context.Context) error{
-		t.keygen, t.start, t.refused, t.inForce, t.race, t.rollback, t.drain,
+		t.keygen, t.start, t.proposeInvalid, t.rollOut, t.race, t.rollback, t.drain,
 	} {
 		if err := step(ctx); err != nil {
 			return err
@@ -64,7 +64,7 @@
 }
 
 func (t *tour) stop() {
-	for _, m := range t.members {
+	for _, m := range t.vms {
 		m.stop()
 	}
 }
@@ -79,10 +79,9 @@
 	return nil
 }
 
-// keygen makes the credentials: of the daemons, of two signers and of two
-// operators.
+// keygen creates the credentials of the daemons, two signers and two operators.
 func (t *tour) keygen(ctx context.Context) error {
-	t.say("Credentials of the daemons")
+	t.heading("Credentials of the daemons")
 	t.authority = t.file("authority.crt")
 	err := t.steps(ctx,
 		[]string{"keygen", "authority", t.dir},
@@ -92,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	t.say("Two people who propose, sign and accept")
+	t.heading("Two people who propose, sign and accept")
 	var operators string
 	for _, name := range []string{"ilze", "janis"} {
 		signer, err := t.run(ctx, subcommands.ExitSuccess, "keygen", "signer", name, t.dir)
@@ -117,11 +116,11 @@
 	return rest
 }
 
-// start checks the settings and starts the fleet.
+// start checks the settings, starts all daemons and waits until they are live.
 func (t *tour) start(ctx context.Context) error {
-	t.say("Settings of the daemons, checked before the start")
+	t.heading("Settings of the daemons, checked before the start")
 	var all []*mtsetting.Settings
-	for i := range size {
+	for i := range daemonCount {
 		settings, err := t.settings(ctx, i, all)
 		if err != nil {
 			return err
@@ -129,27 +128,28 @@
 		all = append(all, settings)
 	}
 	for _, settings := range all {
-		m, err := startMember(settings, t.store)
+		m, err := startVM(settings, t.store)
 		if err != nil {
 			return err
 		}
-		t.members = append(t.members, m)
+		t.vms = append(t.vms, m)
 	}
 	t.api = "https://" + all[0].Admin
-	return t.wait(ctx, "all daemons in the roster", func() (bool, error) {
+	return t.waitFor(ctx, "all daemons in the roster", func() (bool, error) {
 		var roster []mtadmin.DaemonDocument
-		err := t.ask(ctx, &roster, 2, "show", "roster")
+		err := t.runJSON(ctx, &roster, 2, "show", "roster")
 		live := 0
 		for _, d := range roster {
 			if d.Live && len(d.Offers) > 0 {
 				live++
 			}
 		}
-		return live == size, err
+		return live == daemonCount, err
 	})
 }
 
-// settings writes and loads the settings of daemon i.
+// settings writes, checks and loads the settings of daemon i. Daemons after the
+// first use the first as seed peer.
 func (t *tour) settings(ctx context.Context, i int, before []*mtsetting.Settings) (*mtsetting.Settings, error) {
 	var addresses [4]string
 	for n := range addresses {
@@ -196,7 +196,8 @@
 	return settings, faults.Err()
 }
 
-// bundle returns a bundle's text. note makes texts differ.
+// bundle returns the text of a bundle. Texts with different notes have different
+// digests.
 func (t *tour) bundle(version int, timeout, note string) string {
 	return fmt.Sprintf(`# %s
 [bundle]
@@ -216,9 +217,9 @@
 `, note, version, t.signers, timeout)
 }
 
-// refused shows a bundle with mistakes.
-func (t *tour) refused(ctx context.Context) error {
-	t.say("A bundle with mistakes: all are named at once, and nothing is proposed")
+// proposeInvalid proposes an invalid bundle, which must be refused.
+func (t *tour) proposeInvalid(ctx context.Context) error {
+	t.heading("A bundle with mistakes: all are named at once, and nothing is proposed")
 	text := strings.NewReplacer("kind      = keyed", "kind = sharded", "shards    = 16", "shards = none").
 		Replace(t.bundle(1, "never", "with mistakes"))
 	if err := t.write("bad.ini", text); err != nil {
@@ -228,9 +229,10 @@
 	return err
 }
 
-// inForce brings a bundle from its proposal to force everywhere.
-func (t *tour) inForce(ctx context.Context) error {
-	t.say("The bundle mended: proposed by ilze, who can't sign it off alone")
+// rollOut proposes, signs and accepts a bundle, and waits until it is in force at all
+// daemons. Signing and accepting without a second signer must be refused.
+func (t *tour) rollOut(ctx context.Context) error {
+	t.heading("The bundle mended: proposed by ilze, who can't sign it off alone")
 	if err := t.write("ratins-1.ini", t.bundle(1, "2s", "first")); err != nil {
 		return err
 	}
@@ -244,7 +246,7 @@
 	if _, err = t.run(ctx, mtcommand.ExitRefused, t.as("ilze", 2, "bundle", "accept", "ratins", "1")...); err != nil {
 		return err
 	}
-	t.say("Signed off by janis, and accepted")
+	t.heading("Signed off by janis, and accepted")
 	err = t.steps(ctx,
 		t.as("janis", 2, "bundle", "sign", "-signer", "janis", "-key", t.file("janis.key"), "ratins", "1"),
 		t.as("ilze", 2, "bundle", "accept", "ratins", "1"),
@@ -252,32 +254,34 @@
 	if err != nil {
 		return err
 	}
-	return t.everywhere(ctx, 1)
+	return t.awaitInForce(ctx, 1)
 }
 
-// everywhere waits until a version is in force at all daemons.
-func (t *tour) everywhere(ctx context.Context, version mtid.Version) error {
-	began := time.Now()
-	err := t.wait(ctx, "the bundle in force everywhere", func() (bool, error) {
+// awaitInForce waits until a version is in force at all daemons and prints the time
+// that it took.
+func (t *tour) awaitInForce(ctx context.Context, version mtid.Version) error {
+	started := time.Now()
+	err := t.waitFor(ctx, "the bundle in force everywhere", func() (bool, error) {
 		var shown struct{ Daemons []mtadmin.ForceDocument }
-		err := t.ask(ctx, &shown, 2, "bundle", "show", "ratins")
+		err := t.runJSON(ctx, &shown, 2, "bundle", "show", "ratins")
 		for _, d := range shown.Daemons {
 			if d.Version != version {
 				return false, err
 			}
 		}
-		return len(shown.Daemons) == size, err
+		return len(shown.Daemons) == daemonCount, err
 	})
 	if err != nil {
 		return err
 	}
-	t.say("Seen in force everywhere %s after the answer to the acceptance", time.Since(began).Round(time.Millisecond))
+	t.heading("Seen in force everywhere %s after the answer to the acceptance", time.Since(started).Round(time.Millisecond))
 	return t.steps(ctx, t.as("ilze", 2, "bundle", "show", "ratins"))
 }
 
-// race lets two operators prepare version 2.
+// race lets two operators propose different bundles as version 2. The second
+// acceptance must be refused.
 func (t *tour) race(ctx context.Context) error {
-	t.say("Ilze and Janis prepare version 2 at the same time, and sign each other's off")
+	t.heading("Ilze and Janis prepare version 2 at the same time, and sign each other's off")
 	other := map[string]string{"ilze": "janis", "janis": "ilze"}
 	digests := map[string]string{}
 	for i, name := range []string{"ilze", "janis"} {
@@ -299,19 +303,19 @@
 			return err
 		}
 	}
-	t.say("Ilze accepts first; Janis is told who won, and nothing of his is in force")
+	t.heading("Ilze accepts first; Janis is told who won, and nothing of his is in force")
 	if err := t.steps(ctx, t.as("ilze", 2, "bundle", "accept", "ratins", "2", digests["ilze"])); err != nil {
 		return err
 	}
 	if _, err := t.run(ctx, mtcommand.ExitRefused, t.as("janis", 2, "bundle", "accept", "ratins", "2", digests["janis"])...); err != nil {
 		return err
 	}
-	return t.everywhere(ctx, 2)
+	return t.awaitInForce(ctx, 2)
 }
 
-// rollback puts the text of version 1 in force again, as version 3.
+// rollback puts the text of version 1 in force again as version 3.
 func (t *tour) rollback(ctx context.Context) error {
-	t.say("A rollback is a new, higher version with the former text")
+	t.heading("A rollback is a new, higher version with the former text")
 	err := t.steps(ctx,
 		t.as("ilze", 2, "bundle", "propose", "-rollback", "1", "ratins"),
 		t.as("janis", 2, "bundle", "sign", "-signer", "janis", "-key", t.file("janis.key"), "ratins", "3"),
@@ -321,13 +325,14 @@
 	if err != nil {
 		return err
 	}
-	return t.everywhere(ctx, 3)
+	return t.awaitInForce(ctx, 3)
 }
 
-// drain takes a daemon out of service while callers send.
+// drain drains a daemon while callers send. No request may end with an unknown
+// outcome.
 func (t *tour) drain(ctx context.Context) error {
-	caller := t.members[0].settings.Caller
-	err := t.wait(ctx, "an answer for every key", func() (bool, error) {
+	caller := t.vms[0].settings.Caller
+	err := t.waitFor(ctx, "an answer for every key", func() (bool, error) {
 		for i := range 50 {
 			if send(caller, fmt.Sprintf("hotel-%d", i)) != "answered" {
 				return false, nil
@@ -338,23 +343,23 @@
 	if err != nil {
 		return err
 	}
-	leaver := t.members[size-1].settings.Name
-	t.say("%s is taken out of service while callers keep sending", leaver)
+	drained := t.vms[daemonCount-1].settings.Name
+	t.heading("%s is taken out of service while callers keep sending", drained)
 	err = t.steps(ctx, t.as("ilze", 2, "show", "owner", "ratins/dispatch", "hotel-7"), t.as("ilze", 2, "show", "roster"))
 	if err != nil {
 		return err
 	}
 	sending := startCallers(caller)
 	defer sending.stop()
-	if err := t.steps(ctx, t.as("ilze", 1, "drain", string(leaver))); err != nil {
+	if err := t.steps(ctx, t.as("ilze", 1, "drain", string(drained))); err != nil {
 		return err
 	}
-	began := time.Now()
-	err = t.wait(ctx, "the drained daemon to own nothing", func() (bool, error) {
+	started := time.Now()
+	err = t.waitFor(ctx, "the drained daemon to own nothing", func() (bool, error) {
 		var shards []mtadmin.ShardDocument
-		err := t.ask(ctx, &shards, 2, "show", "assignment", "ratins/dispatch")
+		err := t.runJSON(ctx, &shards, 2, "show", "assignment", "ratins/dispatch")
 		for _, shard := range shards {
-			if shard.Owner == leaver {
+			if shard.Owner == drained {
 				return false, err
 			}
 		}
@@ -363,30 +368,30 @@
 	if err != nil {
 		return err
 	}
-	took := time.Since(began).Round(pollEvery)
+	took := time.Since(started).Round(pollInterval)
 	sending.stop()
-	t.say("It owns nothing after %s; callers meanwhile: %d answered, %d not run, %d unknown",
-		took, sending.answered.Load(), sending.refused.Load(), sending.unknown.Load())
+	t.heading("It owns nothing after %s; callers meanwhile: %d answered, %d not run, %d unknown",
+		took, sending.answered.Load(), sending.notRun.Load(), sending.unknown.Load())
 	if n := sending.unknown.Load(); n > 0 {
 		return &LostError{Unknown: n}
 	}
 	return t.steps(ctx, t.as("ilze", 2, "show", "roster"))
 }
 
-// ask runs a command with -json, without printing, and reads what it prints.
-func (t *tour) ask(ctx context.Context, into any, words int, args ...string) error {
+// runJSON runs a command with -json without printing it and decodes its output.
+func (t *tour) runJSON(ctx context.Context, into any, words int, args ...string) error {
 	command := t.as("ilze", words, args...)
 	command = append(command[:words:words], append([]string{"-json"}, command[words:]...)...)
-	out, err := t.quiet(ctx, command...)
+	out, err := t.runSilently(ctx, command...)
 	if err != nil {
 		return err
 	}
 	return json.Unmarshal([]byte(out), into)
 }
 
-// wait polls until done. A command that fails meanwhile is tried again.
-func (t *tour) wait(ctx context.Context, what string, done func() (bool, error)) error {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// waitFor polls until done reports true, and retries when it returns an error.
+func (t *tour) waitFor(ctx context.Context, what string, done func() (bool, error)) error {
+	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
 	var last error
 	for {
@@ -401,7 +406,7 @@
 				return last
 			}
 			return &WaitError{What: what}
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/examples/operator/shell.go
+++ b/examples/operator/shell.go
@@ -15,16 +15,16 @@
 	"magnoliaturn/io/mtcommand"
 )
 
-// shell runs the program's commands in this process, as operators would type
-// them, and prints both.
+// shell runs commands of the program in this process and prints them, as operators
+// would type them, with their output.
 type shell struct {
 	out       io.Writer
 	dir       string
-	api       string // of the daemon that is asked
+	api       string // URL of the administration API to call
 	authority string
 }
 
-// ExitError says that a command ended otherwise than it should have.
+// ExitError reports that a command returned an unexpected exit code.
 type ExitError struct {
 	Command string
 	Got     subcommands.ExitStatus
@@ -37,18 +37,18 @@
 	return fmt.Sprintf("%s: exit code %d, not %d\n%s", e.Command, e.Got, e.Want, e.Printed)
 }
 
-// say prints what comes next.
-func (s *shell) say(format string, args ...any) {
+// heading prints a heading that describes the next step.
+func (s *shell) heading(format string, args ...any) {
 	fmt.Fprintf(s.out, "\n# "+format+"\n", args...)
 }
 
-// run runs a command, prints it with what it prints, and checks its exit code.
+// run runs a command, prints it with its output, and checks its exit code.
 func (s *shell) run(ctx context.Context, want subcommands.ExitStatus, args ...string) (string, error) {
 	return s.execute(ctx, want, true, args...)
 }
 
-// quiet runs a command that polls, without printing.
-func (s *shell) quiet(ctx context.Context, args ...string) (string, error) {
+// runSilently runs a command without printing it, for polling.
+func (s *shell) runSilently(ctx context.Context, args ...string) (string, error) {
 	return s.execute(ctx, subcommands.ExitSuccess, false, args...)
 }
 
@@ -74,8 +74,8 @@
 	return out.String(), nil
 }
 
-// as returns a command with the flags of an operator in it, after its first
-// words.
+// as inserts the flags that identify an operator after the given number of leading
+// arguments, which name the command.
 func (s *shell) as(operator string, words int, args ...string) []string {
 	command := append([]string{}, args[:words]...)
 	command = append(command, "-api", s.api, "-token-file", s.file(operator+".token"), "-authority", s.authority)
@@ -84,7 +84,7 @@
 
 func (s *shell) file(name string) string { return filepath.Join(s.dir, name) }
 
-// write writes a file of the example's directory.
+// write writes a file in the example's directory.
 func (s *shell) write(name, text string) error {
 	return os.WriteFile(s.file(name), []byte(text), 0o600)
 }
--- a/io/mtfleet/mtfleet.go
+++ b/io/mtfleet/mtfleet.go
@@ -1,12 +1,12 @@
-// Package mtfleet runs a whole deployment in one process for the examples: a
-// store stand-in, daemons with their backend-server stand-ins, callers, and the
-// audit that joins what all of them wrote down.
+// Package mtfleet runs a whole deployment in one process for the examples: an
+// in-memory store, daemons with simulated backend servers, load generators, and
+// an audit of the journals that servers and callers write.
 //
 // # Usage
 //
 //	err := mtfleet.Run(ctx, mtfleet.Deployment{...}, os.Stdout)
 //
-// Run fails with an *AuditError if a promise was broken.
+// Run returns an *AuditError if the audit finds a violated guarantee.
 package mtfleet
 
 import (
@@ -31,18 +31,19 @@
 	iostore "magnoliaturn/io/mtstore"
 )
 
-// Deployment is what an example runs.
+// Deployment describes the services, zones and load that an example runs.
 type Deployment struct {
 	Business mtid.Business
 	Bundle   []byte
 	Region   mtid.Region
 	Zones    []mtid.Zone
 	Services []Service
-	// Length is how long callers send, the moment of each event included.
+	// Length is how long callers send. The shard move and the loss of a VM fall
+	// within it.
 	Length time.Duration
 }
 
-// Service is one service of a deployment.
+// Service describes the servers and the load of one service.
 type Service struct {
 	Name        mtid.Service
 	Instances   int
@@ -55,14 +56,14 @@
 }
 
 const (
-	bodyLimit   = 1 << 20
-	readyWithin = 30 * time.Second
-	readyPoll   = 20 * time.Millisecond
-	openCalls   = 4096
-	loadSeed    = 7
+	bodyLimit         = 1 << 20
+	readyTimeout      = 30 * time.Second
+	readyPollInterval = 20 * time.Millisecond
+	maxOpenCalls      = 4096
+	loadSeed          = 7
 )
 
-// AuditError says that a promise was broken while an example ran.
+// AuditError reports that guarantees were violated while an example ran.
 type AuditError struct{ Findings int }
 
 // Error implements error.
@@ -70,7 +71,7 @@
 	return fmt.Sprintf("the audit found %d broken promises", e.Findings)
 }
 
-// ReadyError says that a deployment did not come up.
+// ReadyError reports that a service got no shards within the start timeout.
 type ReadyError struct{ Service mtid.Ref }
 
 // Error implements error.
@@ -78,7 +79,7 @@
 	return "no shards of " + e.Service.String() + " were assigned in time"
 }
 
-// node is a VM: a daemon with the backend server beside it.
+// node is a VM that runs a daemon and a backend server.
 type node struct {
 	name    mtid.Daemon
 	service Service
@@ -86,38 +87,38 @@
 	caller  string
 	stop    func()
 	done    chan error
-	lose    func() // daemon and server end without a word
-	lost    bool
+	kill    func() // ends daemon and server without a graceful shutdown
+	killed  bool
 }
 
-// Fleet is a deployment that is up. Its methods are called from one goroutine.
+// Fleet is a running deployment. Its methods must be called from one goroutine.
 type Fleet struct {
 	Deployment
-	store  *iostore.Memory
-	nodes  []*node
-	events bytes.Buffer
-	calls  bytes.Buffer
-	server *mtstandin.Journal[mtaudit.Event]
-	caller *mtstandin.Journal[mtaudit.Call]
-	marks  []mtaudit.Mark
-	clean  []func()
+	store         *iostore.Memory
+	nodes         []*node
+	events        bytes.Buffer
+	calls         bytes.Buffer
+	serverJournal *mtstandin.Journal[mtaudit.Event]
+	callerJournal *mtstandin.Journal[mtaudit.Call]
+	marks         []mtaudit.Mark
+	cleanUps      []func()
 }
 
-// New brings a deployment up and returns it with its clean-up function, once
-// every daemon knows the owner of every key. It fails with a *ReadyError, or
-// with the error of what could not be started.
+// New starts a deployment, waits until every daemon knows the owner of every key
+// and returns the fleet with its clean-up function. It returns a *ReadyError if
+// that takes too long, or the error of the component that did not start.
 func New(d Deployment) (*Fleet, func(), error) {
 	f := &Fleet{Deployment: d, store: iostore.NewMemory(time.Now)}
-	f.server = mtstandin.NewJournal[mtaudit.Event](&f.events)
-	f.caller = mtstandin.NewJournal[mtaudit.Call](&f.calls)
-	if err := f.up(); err != nil {
+	f.serverJournal = mtstandin.NewJournal[mtaudit.Event](&f.events)
+	f.callerJournal = mtstandin.NewJournal[mtaudit.Call](&f.calls)
+	if err := f.start(); err != nil {
 		f.close()
 		return nil, nil, err
 	}
 	return f, f.close, nil
 }
 
-// Daemons returns the daemons in the order of their start.
+// Daemons returns all daemons, including killed ones, in start order.
 func (f *Fleet) Daemons() []*mtdaemon.Daemon {
 	var out []*mtdaemon.Daemon
 	for _, n := range f.nodes {
@@ -126,33 +127,34 @@
 	return out
 }
 
-// Living returns the daemons that were not lost.
+// Living returns the daemons that were not killed.
 func (f *Fleet) Living() []*mtdaemon.Daemon {
 	var out []*mtdaemon.Daemon
 	for _, n := range f.nodes {
-		if !n.lost {
+		if !n.killed {
 			out = append(out, n.daemon)
 		}
 	}
 	return out
 }
 
-// Lose ends VMs, daemon and server, all at once and without a word to anyone.
-func (f *Fleet) Lose(places ...int) {
-	var losing sync.WaitGroup
-	for _, i := range places {
-		f.nodes[i].lost = true
-		losing.Go(f.nodes[i].lose)
+// Lose ends the daemon and server of the VMs with these indexes at the same time
+// and without a graceful shutdown.
+func (f *Fleet) Lose(indexes ...int) {
+	var group sync.WaitGroup
+	for _, i := range indexes {
+		f.nodes[i].killed = true
+		group.Go(f.nodes[i].kill)
 	}
-	losing.Wait()
+	group.Wait()
 }
 
-// Store returns the store stand-in.
+// Store returns the in-memory store of the daemons.
 func (f *Fleet) Store() *iostore.Memory { return f.store }
 
 func (f *Fleet) close() {
-	for i := len(f.clean) - 1; i >= 0; i-- {
-		f.clean[i]()
+	for i := len(f.cleanUps) - 1; i >= 0; i-- {
+		f.cleanUps[i]()
 	}
 }
 
@@ -160,28 +162,28 @@
 	f.marks = append(f.marks, mtaudit.Mark{Name: name, At: time.Now()})
 }
 
-// up starts everything and waits until each service has its shards.
-func (f *Fleet) up() error {
-	if err := f.accept(); err != nil {
+// start starts everything and waits until each service has its shards.
+func (f *Fleet) start() error {
+	if err := f.acceptBundle(); err != nil {
 		return err
 	}
 	for _, s := range f.Services {
 		for i := range s.Instances {
-			if err := f.add(s, i); err != nil {
+			if err := f.addNode(s, i); err != nil {
 				return err
 			}
 		}
 	}
 	for _, s := range f.Services {
-		if err := f.ready(s); err != nil {
+		if err := f.awaitShards(s); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// accept puts the bundle in force.
-func (f *Fleet) accept() error {
+// acceptBundle puts the bundle in force.
+func (f *Fleet) acceptBundle() error {
 	stored := mtbundle.Stored{Business: f.Business, Version: 1, Text: f.Bundle, Accepted: time.Now()}
 	value, err := stored.Encode()
 	if err != nil {
@@ -191,20 +193,21 @@
 	return err
 }
 
-// anywhere is an address of the loopback whose port the kernel chooses.
-const anywhere = "127.0.0.1:0"
+// ephemeralAddress is a loopback address whose port the kernel chooses.
+const ephemeralAddress = "127.0.0.1:0"
 
-func (f *Fleet) settings(name mtid.Daemon, zone mtid.Zone) *mtsetting.Settings {
+func (f *Fleet) newSettings(name mtid.Daemon, zone mtid.Zone) *mtsetting.Settings {
 	return &mtsetting.Settings{
 		Name: name, Zone: zone, Region: f.Region, Body: bodyLimit, Log: slog.LevelWarn,
-		Caller: anywhere, Relay: anywhere, Renew: anywhere, Local: anywhere, Admin: anywhere,
+		Caller: ephemeralAddress, Relay: ephemeralAddress, Renew: ephemeralAddress, Local: ephemeralAddress, Admin: ephemeralAddress,
 	}
 }
 
-// add starts one VM's daemon and server. Instances go round the zones.
-func (f *Fleet) add(s Service, i int) error {
+// addNode starts the daemon and the server of one VM. Instances are placed in the
+// zones in turn.
+func (f *Fleet) addNode(s Service, i int) error {
 	n := &node{name: mtid.Daemon(fmt.Sprintf("%s-%d", s.Name, i+1)), service: s, done: make(chan error, 1)}
-	settings := f.settings(n.name, f.Zones[i%len(f.Zones)])
+	settings := f.newSettings(n.name, f.Zones[i%len(f.Zones)])
 	daemon, cleanUp, err := mtdaemon.New(mtdaemon.Config{
 		Settings: settings, Store: f.store, Log: slog.New(slog.DiscardHandler),
 	})
@@ -215,23 +218,24 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n.stop = cancel
 	go func() { n.done <- daemon.Run(ctx) }()
-	loseServer, err := f.serve(n, daemon.Addresses().Local)
+	killServer, err := f.startServer(n, daemon.Addresses().Local)
 	if err != nil {
 		cancel()
 		return err
 	}
-	n.lose = sync.OnceFunc(func() {
-		loseServer()
+	n.kill = sync.OnceFunc(func() {
+		killServer()
 		cleanUp()
 	})
 	f.nodes = append(f.nodes, n)
-	f.clean = append(f.clean, cancel, n.lose)
+	f.cleanUps = append(f.cleanUps, cancel, n.kill)
 	return nil
 }
 
-// serve starts the backend server of a node and returns what ends it at once.
-func (f *Fleet) serve(n *node, local string) (func(), error) {
-	listener, err := net.Listen("tcp", anywhere)
+// startServer starts the backend server of a node and returns a function that
+// kills it.
+func (f *Fleet) startServer(n *node, local string) (func(), error) {
+	listener, err := net.Listen("tcp", ephemeralAddress)
 	if err != nil {
 		return nil, err
 	}
@@ -240,7 +244,7 @@
 		Address: listener.Addr().String(), Daemon: "http://" + local,
 		Slots: n.service.Slots, Connections: n.service.Connections, Epochs: true, Deadlines: true,
 		Time: n.service.Time, ColdFactor: 1, Reply: 64, Seed: uint64(len(f.nodes) + 1),
-	}, f.server, func() {})
+	}, f.serverJournal, func() {})
 	if err != nil {
 		return nil, err
 	}
@@ -252,22 +256,22 @@
 	}, nil
 }
 
-// ready waits until every daemon knows all shards of a service.
-func (f *Fleet) ready(s Service) error {
+// awaitShards waits until every daemon knows all shards of a service.
+func (f *Fleet) awaitShards(s Service) error {
 	ref := mtid.Ref{Business: f.Business, Service: s.Name}
-	deadline := time.Now().Add(readyWithin)
+	deadline := time.Now().Add(readyTimeout)
 	for _, n := range f.nodes {
-		for !known(n, ref) {
+		for !hasAllShards(n, ref) {
 			if time.Now().After(deadline) {
 				return &ReadyError{Service: ref}
 			}
-			time.Sleep(readyPoll)
+			time.Sleep(readyPollInterval)
 		}
 	}
 	return nil
 }
 
-func known(n *node, ref mtid.Ref) bool {
+func hasAllShards(n *node, ref mtid.Ref) bool {
 	view, err := mtkernel.Lookup[*mtview.View](n.daemon.Kernel(), mtdaemon.NameView)
 	if err != nil {
 		return false
--- a/io/mtfleet/run.go
+++ b/io/mtfleet/run.go
@@ -18,9 +18,9 @@
 	"magnoliaturn/io/mtstandin"
 )
 
-// Run brings a deployment up, sends load through every daemon, moves a shard,
-// loses a VM, shuts everything down and prints what became of all requests. It
-// fails with an *AuditError if a promise was broken.
+// Run starts a deployment, sends load through every daemon, moves a shard, kills
+// a VM, shuts everything down and prints the outcomes of all requests. It returns
+// an *AuditError if the audit finds a violated guarantee.
 func Run(ctx context.Context, d Deployment, out io.Writer) error {
 	f, cleanUp, err := New(d)
 	if err != nil {
@@ -42,8 +42,9 @@
 	return f.Audit(out)
 }
 
-// Send sends one service's load through every daemon for a time, keys by a Zipf
-// law if zipf is above 1, and returns what became of it.
+// Send sends one service's load through every daemon for the given time and
+// returns a summary of the outcomes. Keys follow a Zipf distribution if zipf is
+// above 1.
 func (f *Fleet) Send(ctx context.Context, s Service, length time.Duration, zipf float64) (mtstandin.Summary, error) {
 	var targets []string
 	for _, n := range f.nodes {
@@ -51,8 +52,8 @@
 	}
 	load, cleanUp, err := mtstandin.NewLoad(mtstandin.LoadSetting{
 		Service: mtid.Ref{Business: f.Business, Service: s.Name}, Targets: targets,
-		Rate: s.Rate, Duration: length, Keys: s.Keys, Zipf: zipf, Classes: s.Classes, Tries: 1, Open: openCalls, Seed: loadSeed,
-	}, f.caller, nil)
+		Rate: s.Rate, Duration: length, Keys: s.Keys, Zipf: zipf, Classes: s.Classes, Tries: 1, Open: maxOpenCalls, Seed: loadSeed,
+	}, f.callerJournal, nil)
 	if err != nil {
 		return mtstandin.Summary{}, err
 	}
@@ -60,23 +61,24 @@
 	return load.Run(ctx), nil
 }
 
-// load sends all services' loads while a shard moves and a VM is lost.
+// load sends the load of all services while a shard moves and a VM is killed.
 func (f *Fleet) load(ctx context.Context, out io.Writer) ([]mtstandin.Summary, error) {
 	summaries := make([]mtstandin.Summary, len(f.Services))
-	var sending errgroup.Group
+	var group errgroup.Group
 	for i, s := range f.Services {
-		sending.Go(func() error {
+		group.Go(func() error {
 			var err error
 			summaries[i], err = f.Send(ctx, s, f.Length, 0)
 			return err
 		})
 	}
-	f.disturb(ctx, out)
-	return summaries, sending.Wait()
+	f.moveAndKill(ctx, out)
+	return summaries, group.Wait()
 }
 
-// disturb moves a shard after a third of the run and loses a VM after two.
-func (f *Fleet) disturb(ctx context.Context, out io.Writer) {
+// moveAndKill moves a shard after one third of the run and kills a VM after two
+// thirds.
+func (f *Fleet) moveAndKill(ctx context.Context, out io.Writer) {
 	const parts = 3
 	time.Sleep(f.Length / parts)
 	f.mark("move")
@@ -89,7 +91,7 @@
 }
 
 // move moves one shard of the first service from its first instance to the
-// second, as a planner would.
+// second, using the mover as the planner does.
 func (f *Fleet) move(ctx context.Context) error {
 	ref := mtid.Ref{Business: f.Business, Service: f.Services[0].Name}
 	from, to := f.nodes[0].daemon.Self(), f.nodes[1].daemon.Self()
@@ -109,20 +111,21 @@
 	return nil
 }
 
-// shutdown stops every daemon that is left, gracefully and one at a time, the
-// way an upgrade does.
+// shutdown stops the remaining daemons gracefully and one at a time, like a
+// rolling upgrade.
 func (f *Fleet) shutdown() {
 	f.mark("shutdown")
 	for _, n := range f.nodes {
-		if !n.lost {
+		if !n.killed {
 			n.stop()
 			<-n.done
 		}
 	}
 }
 
-// Audit joins the journals and prints the report. It is called once, at the end.
-// It fails with an *AuditError if a promise was broken.
+// Audit audits the journals of servers and callers and prints the report. It must
+// be called once, at the end. It returns an *AuditError if a guarantee was
+// violated.
 func (f *Fleet) Audit(out io.Writer) error {
 	events, err := mtstandin.ReadJournal[mtaudit.Event](&f.events)
 	if err != nil {
@@ -136,7 +139,7 @@
 	_, _ = fmt.Fprintf(out, "\naudit: %d runs, %d calls, %d findings\n", report.Runs, report.Calls, len(report.Findings))
 	for _, p := range report.Phases {
 		_, _ = fmt.Fprintf(out, "  %-14s a key was unavailable for at least %s, at most %s (%s)\n",
-			p.Name, p.Longest.AtLeast.Round(time.Millisecond), p.Longest.AtMost.Round(time.Millisecond), counts(p))
+			p.Name, p.Longest.AtLeast.Round(time.Millisecond), p.Longest.AtMost.Round(time.Millisecond), formatCounts(p))
 	}
 	for _, f := range report.Findings {
 		_, _ = fmt.Fprintln(out, " ", f)
@@ -147,8 +150,8 @@
 	return nil
 }
 
-// counts lists how the calls of a phase ended.
-func counts(p mtaudit.Phase) string {
+// formatCounts formats the number of calls of a phase by outcome and cause.
+func formatCounts(p mtaudit.Phase) string {
 	var parts []string
 	for _, c := range p.Counts {
 		parts = append(parts, strings.TrimSpace(fmt.Sprintf("%d %s %s", c.Calls, c.Outcome, c.Cause)))
