--- a/cmd/capacity/loss.go
+++ b/cmd/capacity/loss.go
@@ -114,7 +114,7 @@
 		lost[f.Daemons()[i].Self()] = true
 	}
 	begin := time.Now()
-	f.Lose(places...)
+	f.Kill(places...)
 	for {
 		if recovered(f, lost) {
 			return time.Since(begin), nil
@@ -129,7 +129,7 @@
 // recovered reports whether no daemon left knows a lost one as an owner.
 func recovered(f *mtfleet.Fleet, lost map[mtid.Holder]bool) bool {
 	ref := mtid.Ref{Business: business, Service: "dispatch"}
-	for _, d := range f.Living() {
+	for _, d := range f.Running() {
 		view, err := mtkernel.Lookup[*mtview.View](d.Kernel(), mtdaemon.NameView)
 		must(err)
 		for _, table := range view.Snapshot().Tables(ref) {
--- a/examples/hotel/main.go
+++ b/examples/hotel/main.go
@@ -30,7 +30,7 @@
 		Bundle:   bundles.Ratins,
 		Region:   "riga",
 		Zones:    []mtid.Zone{"old-town", "centrs", "kipsala", "airport"},
-		Length:   9 * time.Second,
+		Duration: 9 * time.Second,
 		Services: []mtfleet.Service{
 			{
 				Name: "dispatch", Instances: 5, Slots: 12, Connections: 130, Rate: 300, Keys: 40,
--- a/examples/loans/main.go
+++ b/examples/loans/main.go
@@ -30,7 +30,7 @@
 		Bundle:   bundles.Bundesamt,
 		Region:   "bern",
 		Zones:    []mtid.Zone{"bern-a", "bern-b", "bern-c"},
-		Length:   9 * time.Second,
+		Duration: 9 * time.Second,
 		Services: []mtfleet.Service{
 			{
 				Name: "loan-desk", Instances: 4, Slots: 9, Connections: 110, Rate: 250, Keys: 60,
--- a/examples/operator/run.go
+++ b/examples/operator/run.go
@@ -33,11 +33,11 @@
 // Error implements error.
 func (e *WaitError) Error() string { return "waited in vain for " + e.What }
 
-// LostError reports that callers got no definite outcome for some requests.
-type LostError struct{ Unknown int64 }
+// UnknownOutcomeError reports that callers got no definite outcome for some requests.
+type UnknownOutcomeError struct{ Unknown int64 }
 
 // Error implements error.
-func (e *LostError) Error() string {
+func (e *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("%d requests ended with an unknown outcome", e.Unknown)
 }
 
@@ -373,7 +373,7 @@
 	t.heading("It owns nothing after %s; callers meanwhile: %d answered, %d not run, %d unknown",
 		took, sending.answered.Load(), sending.notRun.Load(), sending.unknown.Load())
 	if n := sending.unknown.Load(); n > 0 {
-		return &LostError{Unknown: n}
+		return &UnknownOutcomeError{Unknown: n}
 	}
 	return t.steps(ctx, t.as("ilze", 2, "show", "roster"))
 }
--- a/io/mtcommand/accept.go
+++ b/io/mtcommand/accept.go
@@ -48,15 +48,15 @@
 // forcePollInterval is the delay between two queries for the daemons' versions.
 const forcePollInterval = 25 * time.Millisecond
 
-// SlowError reports that an accepted bundle was not in force at every live
+// NotInForceError reports that an accepted bundle was not in force at every live
 // daemon when the wait ended.
-type SlowError struct {
+type NotInForceError struct {
 	Behind []mtid.Daemon
 	Wait   time.Duration
 }
 
 // Error implements error.
-func (e *SlowError) Error() string {
+func (e *NotInForceError) Error() string {
 	return fmt.Sprintf("accepted, but not in force after %s at: %v", e.Wait, e.Behind)
 }
 
@@ -75,11 +75,11 @@
 			return nil
 		}
 		if took > wait {
-			return &SlowError{Behind: behind, Wait: wait}
+			return &NotInForceError{Behind: behind, Wait: wait}
 		}
 		select {
 		case <-ctx.Done():
-			return &SlowError{Behind: behind, Wait: took}
+			return &NotInForceError{Behind: behind, Wait: took}
 		case <-time.After(forcePollInterval):
 		}
 	}
--- a/io/mtcommand/mtcommand.go
+++ b/io/mtcommand/mtcommand.go
@@ -44,7 +44,7 @@
 // Exit codes in addition to those of the subcommands library (0, 1 and 2).
 const (
 	ExitRefused     subcommands.ExitStatus = 3
-	ExitDoubt       subcommands.ExitStatus = 4
+	ExitUnknown     subcommands.ExitStatus = 4
 	ExitUnavailable subcommands.ExitStatus = 5
 )
 
@@ -150,7 +150,7 @@
 		faults  mtini.Faults
 		lost    *mtadmin.LostError
 		problem *mtadmin.Problem
-		slow    *SlowError
+		slow    *NotInForceError
 	)
 	switch {
 	case errors.As(err, &slow):
@@ -160,7 +160,7 @@
 	case errors.As(err, &refused), errors.As(err, &faults):
 		return ExitRefused
 	case errors.As(err, &lost):
-		return ExitDoubt
+		return ExitUnknown
 	case errors.As(err, &problem):
 		return exitStatusOf(problem)
 	}
@@ -172,7 +172,7 @@
 func exitStatusOf(p *mtadmin.Problem) subcommands.ExitStatus {
 	switch {
 	case p.Reason() == mtadmin.ReasonDoubt:
-		return ExitDoubt
+		return ExitUnknown
 	case p.Status == http.StatusServiceUnavailable, p.Status == http.StatusTooManyRequests, p.Status == http.StatusBadGateway:
 		return ExitUnavailable
 	case p.Status < http.StatusInternalServerError:
--- a/io/mtcommand/mtcommand_test.go
+++ b/io/mtcommand/mtcommand_test.go
@@ -65,7 +65,7 @@
 		{"no API address", []string{"show", "roster"}, subcommands.ExitUsageError, "MAGNOLIATURN_API"},
 		{"token without TLS", []string{"show", "roster", "-api", "http://10.0.0.1:1", "-token-file", bad}, subcommands.ExitUsageError, "https"},
 		{"service without business", []string{"show", "owner", "-api", "http://127.0.0.1:1", "ratins", "k"}, subcommands.ExitUsageError, "BUSINESS/SERVICE"},
-		{"connection refused", []string{"show", "roster", "-api", "http://127.0.0.1:1"}, mtcommand.ExitDoubt, "no answer"},
+		{"connection refused", []string{"show", "roster", "-api", "http://127.0.0.1:1"}, mtcommand.ExitUnknown, "no answer"},
 		{"version", []string{"version"}, 0, "magnoliaturn"},
 		{"path as a name", []string{"keygen", "signer", "../x", t.TempDir()}, subcommands.ExitUsageError, "name"},
 	}
@@ -113,7 +113,7 @@
 		{mtadmin.ReasonRole, 403, mtcommand.ExitRefused},
 		{mtadmin.ReasonIdentity, 401, mtcommand.ExitRefused},
 		{mtadmin.ReasonMissing, 404, mtcommand.ExitRefused},
-		{mtadmin.ReasonDoubt, 504, mtcommand.ExitDoubt},
+		{mtadmin.ReasonDoubt, 504, mtcommand.ExitUnknown},
 		{mtadmin.ReasonStore, 503, mtcommand.ExitUnavailable},
 		{mtadmin.ReasonLimited, 429, mtcommand.ExitUnavailable},
 		{mtadmin.ReasonInternal, 500, subcommands.ExitFailure},
@@ -131,7 +131,7 @@
 	// A server that is not a daemon answers at the address.
 	status, body = 200, "<html>"
 	got, _, _ := run(t, "drain", "-api", server.URL, "d1")
-	assert.Equal(t, got, mtcommand.ExitDoubt)
+	assert.Equal(t, got, mtcommand.ExitUnknown)
 }
 
 func TestHelpShowsExampleOfEveryCommand(t *testing.T) {
--- a/io/mtdaemon/listen.go
+++ b/io/mtdaemon/listen.go
@@ -132,7 +132,7 @@
 		Router:    mtkernel.MustLookup[*mtrouter.Router](d.kernel, NameRouter),
 		Addresses: addresses{view: mtkernel.MustLookup[*mtview.View](d.kernel, NameView)},
 		Clock:     mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
-		Body:      d.config.Settings.Body,
+		Body:      d.config.Settings.MaxBodyBytes,
 	})
 	return e
 }
@@ -162,7 +162,7 @@
 }
 
 func (d *Daemon) peers() *grpc.Server {
-	size := int(d.config.Settings.Body) + messageSpare
+	size := int(d.config.Settings.MaxBodyBytes) + messageSpare
 	server := grpc.NewServer(
 		grpc.Creds(mtkernel.MustLookup[*credentialSet](d.kernel, NameKeys).server()),
 		grpc.MaxRecvMsgSize(size),
--- a/io/mtdaemon/mtdaemon.go
+++ b/io/mtdaemon/mtdaemon.go
@@ -172,7 +172,7 @@
 }
 
 func (d *Daemon) addRelay() error {
-	client, cleanUp := mtrelay.NewClient(mtkernel.MustLookup[*credentialSet](d.kernel, NameKeys).client(), d.config.Settings.Body)
+	client, cleanUp := mtrelay.NewClient(mtkernel.MustLookup[*credentialSet](d.kernel, NameKeys).client(), d.config.Settings.MaxBodyBytes)
 	return mtkernel.Register(d.kernel, NameRelay, client, cleanUp)
 }
 
@@ -192,7 +192,7 @@
 
 func (d *Daemon) addServers() error {
 	clock := mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock)
-	pool := mtserver.NewPool(clock, d.config.Settings.Body, d.config.Log, d.offersChanged)
+	pool := mtserver.NewPool(clock, d.config.Settings.MaxBodyBytes, d.config.Log, d.offersChanged)
 	stop := mtduty.Every(expireEvery, func(context.Context) { pool.Expire(clock.Now()) })
 	return mtkernel.Register(d.kernel, NameServers, pool, stop)
 }
--- a/io/mtdaemon/mtdaemon_test.go
+++ b/io/mtdaemon/mtdaemon_test.go
@@ -105,7 +105,7 @@
 	t.Helper()
 	settings := &mtsetting.Settings{
 		Name: mtid.Daemon(name), Zone: zone, Region: "riga", Caller: anywhere, Relay: anywhere,
-		Renew: anywhere, Local: anywhere, Admin: anywhere, Body: 1 << 16,
+		Renew: anywhere, Local: anywhere, Admin: anywhere, MaxBodyBytes: 1 << 16,
 	}
 	daemon, cleanUp, err := mtdaemon.New(mtdaemon.Config{
 		Settings: settings, Store: store, Log: slog.New(slog.NewTextHandler(t.Output(), nil)).With("daemon", name),
--- a/io/mtfleet/mtfleet.go
+++ b/io/mtfleet/mtfleet.go
@@ -38,9 +38,9 @@
 	Region   mtid.Region
 	Zones    []mtid.Zone
 	Services []Service
-	// Length is how long callers send. The shard move and the loss of a VM fall
+	// Duration is how long callers send. The shard move and the loss of a VM fall
 	// within it.
-	Length time.Duration
+	Duration time.Duration
 }
 
 // Service describes the servers and the load of one service.
@@ -127,8 +127,8 @@
 	return out
 }
 
-// Living returns the daemons that were not killed.
-func (f *Fleet) Living() []*mtdaemon.Daemon {
+// Running returns the daemons that were not killed.
+func (f *Fleet) Running() []*mtdaemon.Daemon {
 	var out []*mtdaemon.Daemon
 	for _, n := range f.nodes {
 		if !n.killed {
@@ -138,9 +138,9 @@
 	return out
 }
 
-// Lose ends the daemon and server of the VMs with these indexes at the same time
+// Kill ends the daemon and server of the VMs with these indexes at the same time
 // and without a graceful shutdown.
-func (f *Fleet) Lose(indexes ...int) {
+func (f *Fleet) Kill(indexes ...int) {
 	var group sync.WaitGroup
 	for _, i := range indexes {
 		f.nodes[i].killed = true
@@ -198,7 +198,7 @@
 
 func (f *Fleet) newSettings(name mtid.Daemon, zone mtid.Zone) *mtsetting.Settings {
 	return &mtsetting.Settings{
-		Name: name, Zone: zone, Region: f.Region, Body: bodyLimit, Log: slog.LevelWarn,
+		Name: name, Zone: zone, Region: f.Region, MaxBodyBytes: bodyLimit, Log: slog.LevelWarn,
 		Caller: ephemeralAddress, Relay: ephemeralAddress, Renew: ephemeralAddress, Local: ephemeralAddress, Admin: ephemeralAddress,
 	}
 }
--- a/io/mtfleet/run.go
+++ b/io/mtfleet/run.go
@@ -68,7 +68,7 @@
 	for i, s := range f.Services {
 		group.Go(func() error {
 			var err error
-			summaries[i], err = f.Send(ctx, s, f.Length, 0)
+			summaries[i], err = f.Send(ctx, s, f.Duration, 0)
 			return err
 		})
 	}
@@ -80,14 +80,14 @@
 // thirds.
 func (f *Fleet) moveAndKill(ctx context.Context, out io.Writer) {
 	const parts = 3
-	time.Sleep(f.Length / parts)
+	time.Sleep(f.Duration / parts)
 	f.mark("move")
 	if err := f.move(ctx); err != nil {
 		_, _ = fmt.Fprintln(out, "the shard was not moved:", err)
 	}
-	time.Sleep(f.Length / parts)
+	time.Sleep(f.Duration / parts)
 	f.mark("loss of a VM")
-	f.Lose(0)
+	f.Kill(0)
 }
 
 // move moves one shard of the first service from its first instance to the
--- a/io/mtsetting/load.go
+++ b/io/mtsetting/load.go
@@ -73,7 +73,7 @@
 	s.Name = mtid.Daemon(daemon.Name("name"))
 	s.Zone = mtid.Zone(daemon.Name("zone"))
 	s.Region = mtid.Region(daemon.Name("region"))
-	s.Body = int64(daemon.Int("body", defaultBody, minBody, maxBody))
+	s.MaxBodyBytes = int64(daemon.Int("body", defaultBody, minBody, maxBody))
 	// Choice accepts only valid level names, so unmarshaling can't fail.
 	_ = s.Log.UnmarshalText([]byte(daemon.Choice("log", "info", "debug", "warn", "error")))
 	if peers, ok := l.file.OptionalSection("peers"); ok {
--- a/io/mtsetting/load_test.go
+++ b/io/mtsetting/load_test.go
@@ -85,7 +85,7 @@
 	assert.NilError(t, faults.Err())
 	assert.Equal(t, s.Name, mtid.Daemon("d1"))
 	assert.Equal(t, s.Admin, "127.0.0.1:8083")
-	assert.Equal(t, s.Body, int64(1<<20))
+	assert.Equal(t, s.MaxBodyBytes, int64(1<<20))
 }
 
 func TestParseRejectsInvalidFields(t *testing.T) {
--- a/io/mtsetting/mesh.go
+++ b/io/mtsetting/mesh.go
@@ -17,23 +17,23 @@
 // Mesh holds the settings of a daemon that runs next to a backend server on a
 // platform that keeps all other configuration in its store.
 type Mesh struct {
-	Name    mtid.Daemon
-	Zone    mtid.Zone
-	Link    mtbackend.Bandwidth // of the VM's network link
-	Service mtid.Service        // of the backend server
-	Host    string              // IP address of the VM
-	Server  string              // host:port of the backend server
-	Callers string              // listen address for requests of callers on this VM
-	Ready   string              // listen address for the platform's readiness checks
-	Beats   string              // listen address for heartbeats of the backend server
-	Peers   string              // listen address for calls of other daemons
-	Metrics string              // listen address for metrics
-	Store   string              // host:port of the platform's store
-	Hold    time.Duration       // upper bound of how long a key grant lasts
-	Drain   time.Duration       // how long new requests may still reach a draining server
-	Grace   time.Duration       // from the request to stop until the process is killed
-	Config  time.Duration       // time within which a configuration must be in force
-	Close   time.Duration       // time within which a zone taken out of service gets no new work
+	Name            mtid.Daemon
+	Zone            mtid.Zone
+	Link            mtbackend.Bandwidth // of the VM's network link
+	Service         mtid.Service        // of the backend server
+	Host            string              // IP address of the VM
+	Server          string              // host:port of the backend server
+	Callers         string              // listen address for requests of callers on this VM
+	Ready           string              // listen address for the platform's readiness checks
+	Heartbeats      string              // listen address for heartbeats of the backend server
+	Peers           string              // listen address for calls of other daemons
+	Metrics         string              // listen address for metrics
+	Store           string              // host:port of the platform's store
+	GrantDuration   time.Duration       // upper bound of how long a key grant lasts
+	Drain           time.Duration       // how long new requests may still reach a draining server
+	Grace           time.Duration       // from the request to stop until the process is killed
+	ConfigDeadline  time.Duration       // time within which a configuration must be in force
+	ZoneOutDeadline time.Duration       // time within which a zone taken out of service gets no new work
 	// Warmup bounds how far the rate of a cold server may be exceeded.
 	Warmup mtbackend.Allowance
 }
@@ -73,15 +73,15 @@
 	listen := f.RequiredSection("listen")
 	s.Callers = listen.Address("callers")
 	s.Ready = listen.Address("ready")
-	s.Beats = listen.Address("beats")
+	s.Heartbeats = listen.Address("beats")
 	s.parsePorts(listen)
 	s.Store = f.RequiredSection("store").Address("address")
 	times := f.RequiredSection("times")
-	s.Hold = times.Duration("hold", defaultHold, minTime, maxTime)
+	s.GrantDuration = times.Duration("hold", defaultHold, minTime, maxTime)
 	s.Drain = times.Duration("drain", defaultDrain, minTime, maxTime)
 	s.Grace = times.Duration("grace", defaultGrace, minTime, maxTime)
-	s.Config = times.Duration("config", mtroute.DefaultPropagationLimit, minConfig, maxTime)
-	s.Close = times.Duration("close", mtzone.DefaultCloseTime, minConfig, maxTime)
+	s.ConfigDeadline = times.Duration("config", mtroute.DefaultPropagationLimit, minConfig, maxTime)
+	s.ZoneOutDeadline = times.Duration("close", mtzone.DefaultCloseTime, minConfig, maxTime)
 	if warmup, ok := f.OptionalSection("warmup"); ok {
 		s.Warmup.Factor = warmup.Float("factor", 1, 1, maxFactor)
 		s.Warmup.Extra = warmup.Float("extra", 0, 0, maxExtra)
--- a/io/mtsetting/mesh_test.go
+++ b/io/mtsetting/mesh_test.go
@@ -46,10 +46,10 @@
 	assert.Equal(t, len(faults), 0, "%v", faults)
 	assert.DeepEqual(t, got, &mtsetting.Mesh{
 		Name: "vm-1", Zone: "old-town", Link: 200, Service: "maps", Host: "10.1.0.38", Server: "10.1.0.38:8145",
-		Callers: "10.1.0.38:8147", Ready: "10.1.0.38:8141", Beats: "10.1.0.38:8144",
+		Callers: "10.1.0.38:8147", Ready: "10.1.0.38:8141", Heartbeats: "10.1.0.38:8144",
 		Peers: "10.1.0.38:7380", Metrics: "10.1.0.38:7381", Store: "10.200.1.7:8142",
-		Hold: 10 * time.Second, Drain: 2500 * time.Millisecond, Grace: 6 * time.Second, Config: 3 * time.Second,
-		Close: 4 * time.Second, Warmup: mtbackend.Allowance{Factor: 1.5, Extra: 8},
+		GrantDuration: 10 * time.Second, Drain: 2500 * time.Millisecond, Grace: 6 * time.Second, ConfigDeadline: 3 * time.Second,
+		ZoneOutDeadline: 4 * time.Second, Warmup: mtbackend.Allowance{Factor: 1.5, Extra: 8},
 	})
 }
 
@@ -97,6 +97,6 @@
 	text := strings.NewReplacer("close = 4s\n", "", "factor = 1.5\nextra = 8\n", "").Replace(meshText)
 	got, faults := mtsetting.ParseMesh("daemon.ini", []byte(text))
 	assert.Equal(t, len(faults), 0, "%v", faults)
-	assert.Equal(t, got.Close, 5*time.Second)
+	assert.Equal(t, got.ZoneOutDeadline, 5*time.Second)
 	assert.Equal(t, got.Warmup.Limit(10), 9)
 }
--- a/io/mtsetting/mtsetting.go
+++ b/io/mtsetting/mtsetting.go
@@ -28,15 +28,15 @@
 	Region mtid.Region
 	// Addresses to listen on, as host:port. Those that others connect to must be
 	// IP addresses that other VMs can reach.
-	Caller string   // HTTP for callers
-	Relay  string   // gRPC for daemons
-	Renew  string   // UDP for daemons
-	Local  string   // HTTP for the backend server on this VM
-	Admin  string   // HTTP for operators
-	Store  string   // base URL of the platform's store
-	Seeds  []string // relay addresses of the daemons to contact first
-	Keys   Keys
-	Body   int64 // maximum body size of a request or reply, in bytes
+	Caller       string   // HTTP for callers
+	Relay        string   // gRPC for daemons
+	Renew        string   // UDP for daemons
+	Local        string   // HTTP for the backend server on this VM
+	Admin        string   // HTTP for operators
+	Store        string   // base URL of the platform's store
+	Seeds        []string // relay addresses of the daemons to contact first
+	Keys         Keys
+	MaxBodyBytes int64 // maximum body size of a request or reply, in bytes
 	// Operators is the file with operator tokens and roles. Without one, the
 	// administration API must listen on a loopback address and grants every
 	// client all roles.
