--- a/io/mtdaemon/listen.go
+++ b/io/mtdaemon/listen.go
@@ -134,7 +134,7 @@
 		Router:      mtkernel.MustLookup[*mtrouter.Router](d.kernel, NameRouter),
 		Addresses:   addresses{view: mtkernel.MustLookup[*mtview.View](d.kernel, NameView)},
 		Clock:       mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
-		MaxBodySize: d.config.Settings.Body,
+		MaxBodySize: d.config.Settings.MaxBodyBytes,
 	})
 	return e
 }
@@ -165,7 +165,7 @@
 }
 
 func (d *Daemon) peers() *grpc.Server {
-	size := int(d.config.Settings.Body) + messageOverhead
+	size := int(d.config.Settings.MaxBodyBytes) + messageOverhead
 	server := grpc.NewServer(
 		grpc.Creds(mtkernel.MustLookup[*credentialSet](d.kernel, NameKeys).server()),
 		grpc.MaxRecvMsgSize(size),
--- a/io/mtsetting/mesh_test.go
+++ b/io/mtsetting/mesh_test.go
@@ -41,20 +41,20 @@
 extra = 8
 `
 
-func TestMeshSettings(t *testing.T) {
+func TestParseMesh(t *testing.T) {
 	got, faults := mtsetting.ParseMesh("daemon.ini", []byte(meshText))
 	assert.Equal(t, len(faults), 0, "%v", faults)
 	assert.DeepEqual(t, got, &mtsetting.Mesh{
 		Name: "vm-1", Zone: "old-town", Link: 200, Service: "maps", Host: "10.1.0.38", Server: "10.1.0.38:8145",
-		Callers: "10.1.0.38:8147", Ready: "10.1.0.38:8141", Beats: "10.1.0.38:8144",
+		Callers: "10.1.0.38:8147", Ready: "10.1.0.38:8141", Heartbeats: "10.1.0.38:8144",
 		Peers: "10.1.0.38:7380", Metrics: "10.1.0.38:7381", Store: "10.200.1.7:8142",
-		Hold: 10 * time.Second, Drain: 2500 * time.Millisecond, Grace: 6 * time.Second, Config: 3 * time.Second,
-		Close: 4 * time.Second, Warmup: mtbackend.Allowance{Factor: 1.5, Extra: 8},
+		GrantDuration: 10 * time.Second, Drain: 2500 * time.Millisecond, Grace: 6 * time.Second, ConfigDeadline: 3 * time.Second,
+		ZoneOutDeadline: 4 * time.Second, Warmup: mtbackend.Allowance{Factor: 1.5, Extra: 8},
 	})
 }
 
-// Every mistake is named at once, with what would be accepted.
-func TestMeshSettingsNameEveryFault(t *testing.T) {
+// All invalid fields are reported together, each with the accepted values.
+func TestParseMeshReportsAllFaults(t *testing.T) {
 	text := strings.NewReplacer(
 		"host = 10.1.0.38", "host = here",
 		"server = 10.1.0.38:8145", "server = 8145",
@@ -71,9 +71,9 @@
 	assert.DeepEqual(t, fields, []string{"[daemon] host", "[daemon] server", "[listen] ports", "[times] hold", "[times] misspelt"})
 }
 
-// The template that the platform fills in and the settings that are read name the
-// same fields.
-func TestTheTemplateNamesTheFieldsThatAreRead(t *testing.T) {
+// The settings template that the platform fills in has exactly the fields that
+// ParseMesh reads.
+func TestTemplateFieldsMatchParseMesh(t *testing.T) {
 	template, err := os.ReadFile("../../deploy/daemon.ini")
 	assert.NilError(t, err)
 	filled := strings.NewReplacer(
@@ -91,11 +91,12 @@
 	assert.DeepEqual(t, got, want)
 }
 
-// A platform that names no bounds of warm-up and of zones leaves their fields out.
-func TestMeshSettingsWithoutWarmup(t *testing.T) {
+// A platform that sets no limits for warm-up and zone drains omits their fields.
+// Defaults apply.
+func TestParseMeshWithoutWarmup(t *testing.T) {
 	text := strings.NewReplacer("close = 4s\n", "", "factor = 1.5\nextra = 8\n", "").Replace(meshText)
 	got, faults := mtsetting.ParseMesh("daemon.ini", []byte(text))
 	assert.Equal(t, len(faults), 0, "%v", faults)
-	assert.Equal(t, got.Close, 5*time.Second)
+	assert.Equal(t, got.ZoneOutDeadline, 5*time.Second)
 	assert.Equal(t, got.Warmup.Limit(10), 9)
 }
