--- a/cmd/magnoliaturn/explain.go
+++ b/cmd/magnoliaturn/explain.go
@@ -11,7 +11,7 @@
 	"magnoliaturn/io/mtexplain"
 )
 
-// explainCommand prints the story of one request.
+// explainCommand prints the log lines of several daemons about one request.
 type explainCommand struct{}
 
 // Name implements subcommands.Command.
--- a/cmd/magnoliaturn/losses.go
+++ b/cmd/magnoliaturn/losses.go
@@ -12,7 +12,7 @@
 	"magnoliaturn/io/mtloss"
 )
 
-// lossesCommand prints what requests were lost to.
+// lossesCommand prints how many requests were lost and why.
 type lossesCommand struct{}
 
 // Name implements subcommands.Command.
@@ -64,7 +64,7 @@
 }
 
 // openLogs opens log files for reading; - is standard input. The clean-up function
-// closes them.
+// closes the files and is valid even if openLogs fails.
 func openLogs(names []string) (logs []io.Reader, cleanUp func(), err error) {
 	var files []*os.File
 	cleanUp = func() {
--- a/cmd/magnoliaturn/main.go
+++ b/cmd/magnoliaturn/main.go
@@ -1,13 +1,13 @@
-// Command magnoliaturn is the router's one program: the daemon that runs beside
-// each backend server, and the tools of operators.
+// Command magnoliaturn is the only binary of the router: it contains the daemon that
+// runs next to each backend server and the operators' tools.
 //
 // # Usage
 //
 //	magnoliaturn serve -settings daemon.ini
 //	magnoliaturn help
 //
-// Exit codes: 0 done, 1 failed, 2 wrong usage; 3 refused, 4 outcome not known
-// and 5 not available, see package mtcommand.
+// Exit codes: 0 success, 1 failure, 2 wrong usage, 3 refused, 4 outcome unknown,
+// 5 unavailable; see package mtcommand.
 package main
 
 import (
@@ -32,15 +32,15 @@
 	os.Exit(int(subcommands.Execute(context.Background())))
 }
 
-// grouped is a command with the heading that help lists it under.
-type grouped struct {
+// groupedCommand is a command with the heading under which help lists it.
+type groupedCommand struct {
 	subcommands.Command
 	group string
 }
 
-// commands returns all commands of the program.
-func commands() []grouped {
-	return []grouped{
+// commands returns the commands of the daemon and those that read its logs.
+func commands() []groupedCommand {
+	return []groupedCommand{
 		{&serveCommand{}, "daemon"},
 		{&platform.Command{}, "daemon"},
 		{&explainCommand{}, "tools"},
--- a/cmd/magnoliaturn/serve.go
+++ b/cmd/magnoliaturn/serve.go
@@ -15,7 +15,7 @@
 	"magnoliaturn/io/mtsetting"
 )
 
-// serveCommand runs one daemon until it is told to stop.
+// serveCommand runs one daemon until SIGTERM or an interrupt.
 type serveCommand struct {
 	settings string
 }
@@ -55,7 +55,7 @@
 	defer stop()
 	daemon, cleanUp, err := mtdaemon.New(mtdaemon.Config{Settings: settings, Log: log})
 	if err != nil {
-		log.Error("daemon can't start", "error", err)
+		log.Error("daemon failed to start", "error", err)
 		return subcommands.ExitFailure
 	}
 	defer cleanUp()
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,13 +1,13 @@
 // Command soak runs the real program as processes under random faults and checks
-// what callers and backend servers see; see package platform/soak.
+// the results that callers and backend servers observe; see package platform/soak.
 //
 // # Usage
 //
 //	go build -o target/magnoliaturn ./cmd/magnoliaturn
 //	go run ./cmd/soak -program target/magnoliaturn -seed 1 -runs 10 -time 20s
 //
-// It exits with 1 if a promise was broken or the fleet did not recover, and
-// prints the seed and the faults of that run.
+// It exits with 1 if a guarantee was violated or the fleet did not recover, and
+// prints the seed, the violations and the injected faults of that run.
 package main
 
 import (
@@ -24,26 +24,27 @@
 	program := flag.String("program", "target/magnoliaturn", "the built program")
 	seed := flag.Uint64("seed", uint64(time.Now().UnixNano())%1_000_000, "the first seed")
 	runs := flag.Int("runs", 1, "how many seeds, one after the other")
-	lasts := flag.Duration("time", 20*time.Second, "how long faults are injected in each run")
+	faultPeriod := flag.Duration("time", 20*time.Second, "how long faults are injected in each run")
 	vms := flag.Int("vms", 6, "how many VMs")
 	logs := flag.String("logs", "", "directory for the logs of the daemons")
 	zones := flag.Bool("zones", true, "take zones out of service, with servers that are cold")
 	flag.Parse()
-	broken := 0
+	failed := 0
 	for i := range uint64(*runs) {
-		config := soak.Config{Program: *program, Seed: *seed + i, FaultPeriod: *lasts, VMs: *vms, Zones: *zones, Logs: *logs}
+		config := soak.Config{Program: *program, Seed: *seed + i, FaultPeriod: *faultPeriod, VMs: *vms, Zones: *zones, Logs: *logs}
 		result, err := soak.Run(context.Background(), config)
 		if !report(config.Seed, result, err) {
-			broken++
+			failed++
 		}
 	}
-	fmt.Printf("%d of %d runs broken\n", broken, *runs)
-	if broken > 0 {
+	fmt.Printf("%d of %d runs broken\n", failed, *runs)
+	if failed > 0 {
 		os.Exit(1)
 	}
 }
 
-// report prints what came of a run and reports whether all promises held.
+// report prints the result of a run and reports whether it passed: the fleet
+// recovered and no guarantee was violated.
 func report(seed uint64, result *soak.Result, err error) bool {
 	if result == nil {
 		fmt.Printf("seed %d: %v\n", seed, err)
@@ -57,8 +58,8 @@
 	if err != nil {
 		fmt.Println("  ", err)
 	}
-	for _, fault := range result.Violations {
-		fmt.Println("  broken:", fault)
+	for _, violation := range result.Violations {
+		fmt.Println("  broken:", violation)
 	}
 	for _, fault := range result.Injected {
 		fmt.Println("  injected:", fault)
--- a/io/mtexplain/mtexplain.go
+++ b/io/mtexplain/mtexplain.go
@@ -1,11 +1,11 @@
-// Package mtexplain tells the story of one request from the logs of several
-// daemons.
+// Package mtexplain reconstructs the history of one request from the logs of
+// several daemons.
 //
-// It reads lines of JSON as the daemons write them, whatever stands before the
-// JSON on a line (a time, the name of a VM), keeps those that name the request
-// or one that is nested in it, and orders them by time. Beside them it shows
-// what each daemon that had to do with the request last came to believe before:
-// its configuration, the assignment and the state of its server.
+// It reads the daemons' JSON log lines, ignoring any prefix before the JSON (a
+// time, the name of a VM), selects those with the ID of the request or of a
+// nested request, and sorts them by time. For each daemon with a selected line
+// it also shows the state the daemon had logged before the request: its
+// configuration, the assignment and the state of its server.
 //
 // # Usage
 //
@@ -23,43 +23,45 @@
 	"time"
 )
 
-// maxLine bounds a line of a log, in bytes.
+// maxLine is the maximum length of a log line, in bytes.
 const maxLine = 1 << 20
 
-// Line is one line of a log.
+// Line is one parsed log line of a daemon.
 type Line struct {
 	Time    time.Time
 	Daemon  string
 	Message string
-	Fields  map[string]any // less those above
+	Fields  map[string]any // without the time, daemon, message and level
 }
 
-// Story is what the logs hold of one request.
+// Story holds the log lines about one request, sorted by time.
 type Story struct {
 	ID    string
 	Lines []Line
-	// Beliefs are the last lines before the request's first one by which the
-	// daemons concerned changed what they go by.
+	// Beliefs are the last state changes that the daemons involved logged
+	// before the first line of the request, one per daemon and message.
 	Beliefs []Line
 }
 
-// beliefs are the messages by which a daemon changes what it goes by.
-var beliefs = map[string]bool{
+// stateMessages are the log messages that report a change of the state a daemon
+// bases its decisions on.
+var stateMessages = map[string]bool{
 	"configuration in force": true, "assignment": true, "server state": true, "own record written": true,
 	"own record can't be kept": true, "own record stands again": true, "watch failed": true, "watch works again": true,
 	"starting": true, "stopping": true,
 }
 
-// Read reads the logs. It fails with the error of a reader.
+// Read collects the lines about the request with the given ID from the logs. It
+// fails with the error of a reader.
 func Read(id string, logs ...io.Reader) (*Story, error) {
 	s := &Story{ID: id}
-	var believed []Line
+	var stateLines []Line
 	err := Each(func(line Line) {
 		switch {
-		case s.concerns(line):
+		case s.matches(line):
 			s.Lines = append(s.Lines, line)
-		case beliefs[line.Message]:
-			believed = append(believed, line)
+		case stateMessages[line.Message]:
+			stateLines = append(stateLines, line)
 		}
 	}, logs...)
 	if err != nil {
@@ -67,19 +69,19 @@
 	}
 	byTime := func(a, b Line) int { return a.Time.Compare(b.Time) }
 	slices.SortStableFunc(s.Lines, byTime)
-	slices.SortStableFunc(believed, byTime)
-	s.Beliefs = s.before(believed)
+	slices.SortStableFunc(stateLines, byTime)
+	s.Beliefs = s.lastBefore(stateLines)
 	return s, nil
 }
 
-// Each calls do for each line of the logs that a daemon wrote. It fails with the
-// error of a reader.
+// Each calls do for each daemon log line in logs and ignores all other lines. It
+// fails with the error of a reader.
 func Each(do func(Line), logs ...io.Reader) error {
 	for _, log := range logs {
 		scanner := bufio.NewScanner(log)
 		scanner.Buffer(nil, maxLine)
 		for scanner.Scan() {
-			if line, ok := parse(scanner.Text()); ok {
+			if line, ok := parseLine(scanner.Text()); ok {
 				do(line)
 			}
 		}
@@ -90,8 +92,8 @@
 	return nil
 }
 
-// parse reads a line; what is no line of a daemon is passed over.
-func parse(text string) (Line, bool) {
+// parseLine parses a log line. It returns false for a line that no daemon wrote.
+func parseLine(text string) (Line, bool) {
 	start := strings.IndexByte(text, '{')
 	if start < 0 {
 		return Line{}, false
@@ -115,24 +117,25 @@
 	return line, true
 }
 
-// concerns reports whether a line names the request, or one nested in it.
-func (s *Story) concerns(l Line) bool {
+// matches reports whether a line has the ID of the request or of a nested one.
+func (s *Story) matches(l Line) bool {
 	id, _ := l.Fields["id"].(string)
 	return id == s.ID || strings.HasPrefix(id, s.ID+".")
 }
 
-// before returns the last line of each kind and daemon before the story begins.
-func (s *Story) before(believed []Line) []Line {
+// lastBefore returns the last state line per message and daemon before the first
+// line of the request, for the daemons that logged something about it.
+func (s *Story) lastBefore(stateLines []Line) []Line {
 	if len(s.Lines) == 0 {
 		return nil
 	}
-	concerned := map[string]bool{}
+	involved := map[string]bool{}
 	for _, l := range s.Lines {
-		concerned[l.Daemon] = true
+		involved[l.Daemon] = true
 	}
 	last := map[string]Line{}
-	for _, l := range believed {
-		if concerned[l.Daemon] && !l.Time.After(s.Lines[0].Time) {
+	for _, l := range stateLines {
+		if involved[l.Daemon] && !l.Time.After(s.Lines[0].Time) {
 			last[l.Daemon+" "+l.Message] = l
 		}
 	}
@@ -144,7 +147,8 @@
 	return out
 }
 
-// Print writes the story, with times relative to the request's first line.
+// Print writes the lines of the request and the state before it, with times
+// relative to the first line of the request.
 func (s *Story) Print(w io.Writer) error {
 	if len(s.Lines) == 0 {
 		_, err := fmt.Fprintf(w, "no line of request %s: it was answered, or its line was left out under load\n", s.ID)
@@ -170,7 +174,7 @@
 	return nil
 }
 
-// print writes one line, its fields in the order of their names.
+// print writes one line with its fields sorted by name.
 func (l Line) print(w io.Writer, first time.Time) error {
 	names := make([]string, 0, len(l.Fields))
 	for name := range l.Fields {
--- a/io/mtexplain/mtexplain_test.go
+++ b/io/mtexplain/mtexplain_test.go
@@ -22,7 +22,7 @@
 {"time":"2026-01-01T00:00:03Z","level":"INFO","msg":"server state","daemon":"c","to":"ready"}
 `
 
-func TestTheStoryOfARequest(t *testing.T) {
+func TestPrintShowsLinesOfSeveralDaemons(t *testing.T) {
 	story, err := mtexplain.Read("7", strings.NewReader(first), strings.NewReader(second))
 	assert.NilError(t, err)
 	var out strings.Builder
@@ -36,7 +36,7 @@
 `)
 }
 
-func TestARequestThatNoLineNames(t *testing.T) {
+func TestPrintWithoutMatchingLines(t *testing.T) {
 	story, err := mtexplain.Read("9", strings.NewReader(first))
 	assert.NilError(t, err)
 	var out strings.Builder
--- a/io/mtloss/mtloss.go
+++ b/io/mtloss/mtloss.go
@@ -1,18 +1,19 @@
-// Package mtloss tells from the logs of several daemons what requests were lost to:
-// by second, by route and by cause, with the measures of the users' brief beside it.
+// Package mtloss summarizes from the logs of several daemons why requests were lost,
+// by second, route and cause, together with the imbalance, churn and unavailability
+// that the users' brief asks for.
 //
-// It reads the lines in which each daemon sums up a second. They hold every request,
-// where lines of single requests are left out under load.
+// It reads the line that each daemon logs once a second. These lines count every
+// request, while lines about single requests are dropped under load.
 //
 // # Usage
 //
 //	losses, err := mtloss.Read(readers...)
 //	err = losses.Print(os.Stdout)
 //
-// Imbalance is the busiest server's running and waiting requests as a multiple of
-// the mean of its service, averaged over seconds; churn is the keys that changed
-// hands; keys count as unavailable where a request found no owner, no grant, or a
-// daemon that could not be reached.
+// Imbalance is the running and waiting requests per slot of the busiest server as a
+// multiple of the mean of its service, averaged over seconds. Churn is the number of
+// keys that changed owner. A key counts as unavailable for each request that found no
+// owner, no grant or an unreachable daemon.
 package mtloss
 
 import (
@@ -29,13 +30,13 @@
 	"magnoliaturn/io/mtexplain"
 )
 
-// Message is that of the lines which are read.
+// Message is the log message of the per-second lines.
 const Message = "second"
 
-// inTime is the end that is no loss.
+// inTime is the end of a request that was answered in time; all others are losses.
 const inTime = "in time"
 
-// unavailable are the causes by which the owner of a key was not to be had.
+// unavailable are the causes of requests that did not reach an owner of their key.
 var unavailable = []string{
 	string(mtreply.CauseNoOwner), string(mtreply.CauseNoLease), string(mtreply.CauseStaleRoute),
 	string(mtreply.CauseMoving), string(mtreply.CauseUnreachable),
@@ -44,22 +45,23 @@
 // Ends counts requests by how they ended.
 type Ends map[string]int
 
-// Second is what happened in one second, on all VMs.
+// Second sums up one second over all VMs.
 type Second struct {
 	At    time.Time
 	Ends  Ends
-	Moved int
-	// busy is the load of each server of a service.
+	Moved int // keys that changed owner
+	// busy holds the load per slot of each server, by service.
 	busy map[string][]float64
 }
 
-// Losses are what the logs hold.
+// Losses holds the request counts read from the logs, by second and by route.
 type Losses struct {
 	Seconds []*Second
 	Routes  map[string]Ends
 }
 
-// Read reads the logs. It fails with the error of a reader.
+// Read sums up the per-second lines of the logs. It fails with the error of a
+// reader.
 func Read(logs ...io.Reader) (*Losses, error) {
 	l := &Losses{Routes: make(map[string]Ends)}
 	seconds := make(map[time.Time]*Second)
@@ -75,7 +77,7 @@
 	return l, nil
 }
 
-// add takes in one daemon's line of a second.
+// add adds the line that one daemon logged for a second.
 func (l *Losses) add(seconds map[time.Time]*Second, line mtexplain.Line) {
 	at := line.Time.Truncate(time.Second)
 	second, ok := seconds[at]
@@ -108,13 +110,13 @@
 	return ends
 }
 
-// number returns a number of a log line, or zero.
+// number returns the value of a numeric log field, or 0 if v is not a number.
 func number(v any) float64 {
 	n, _ := v.(float64)
 	return n
 }
 
-// total returns all ends.
+// total returns the number of requests.
 func (e Ends) total() int {
 	n := 0
 	for _, count := range e {
@@ -123,7 +125,7 @@
 	return n
 }
 
-// Unavailable returns how many requests found the owner of their key not to be had.
+// Unavailable returns how many requests did not reach an owner of their key.
 func (e Ends) Unavailable() int {
 	n := 0
 	for end, count := range e {
@@ -134,8 +136,8 @@
 	return n
 }
 
-// lost returns the ends but the one that is no loss, the most frequent first.
-func (e Ends) lost() string {
+// losses lists the causes of lost requests with their counts, most frequent first.
+func (e Ends) losses() string {
 	names := slices.Collect(maps.Keys(e))
 	slices.SortFunc(names, func(a, b string) int { return cmp.Or(cmp.Compare(e[b], e[a]), cmp.Compare(a, b)) })
 	var parts []string
@@ -147,8 +149,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// Imbalance returns how many times the mean of its service the busiest server had,
-// the mean of all services; 0 if nothing ran.
+// Imbalance returns the load of the busiest server as a multiple of the mean of its
+// service, averaged over services, or 0 if nothing ran.
 func (s *Second) Imbalance() float64 {
 	sum, n := 0.0, 0
 	for _, loads := range s.busy {
@@ -167,28 +169,28 @@
 	return sum / float64(n)
 }
 
-// Print writes the tables.
+// Print writes one table by second and one by route.
 func (l *Losses) Print(w io.Writer) error {
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	row := func(format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) } // Flush returns the error
 	row("second\tasked\tin time\timbalance\tmoved\tunavailable\tlost to\n")
 	all, moved, imbalance := make(Ends), 0, 0.0
 	for i, s := range l.Seconds {
-		row("%d\t%d\t%.3f\t%.2f\t%d\t%d\t%s\n", i, s.Ends.total(), s.Ends.share(), s.Imbalance(), s.Moved, s.Ends.Unavailable(), s.Ends.lost())
+		row("%d\t%d\t%.3f\t%.2f\t%d\t%d\t%s\n", i, s.Ends.total(), s.Ends.inTimeShare(), s.Imbalance(), s.Moved, s.Ends.Unavailable(), s.Ends.losses())
 		for end, n := range s.Ends {
 			all[end] += n
 		}
 		moved += s.Moved
 		imbalance += s.Imbalance() / float64(len(l.Seconds))
 	}
-	row("all\t%d\t%.3f\t%.2f\t%d\t%d\t%s\n", all.total(), all.share(), imbalance, moved, all.Unavailable(), all.lost())
+	row("all\t%d\t%.3f\t%.2f\t%d\t%d\t%s\n", all.total(), all.inTimeShare(), imbalance, moved, all.Unavailable(), all.losses())
 	row("\nroute\tasked\tin time\tlost to\n")
 	for _, name := range slices.Sorted(maps.Keys(l.Routes)) {
 		ends := l.Routes[name]
-		row("%s\t%d\t%.3f\t%s\n", name, ends.total(), ends.share(), ends.lost())
+		row("%s\t%d\t%.3f\t%s\n", name, ends.total(), ends.inTimeShare(), ends.losses())
 	}
 	return out.Flush()
 }
 
-// share returns the part of the requests that were answered in time.
-func (e Ends) share() float64 { return float64(e[inTime]) / float64(max(e.total(), 1)) }
+// inTimeShare returns the fraction of requests that were answered in time.
+func (e Ends) inTimeShare() float64 { return float64(e[inTime]) / float64(max(e.total(), 1)) }
--- a/io/mtloss/mtloss_test.go
+++ b/io/mtloss/mtloss_test.go
@@ -18,9 +18,9 @@
 const second = `{"time":"2026-01-01T00:00:01.9Z","level":"INFO+1","msg":"second","daemon":"b","service":"maps","ends":{"desk":{"late":5,"in time":5}},"running":3,"waiting":0,"slots":9,"moved":0}
 `
 
-// Half of the requests of a bad second were lost on several VMs. One table tells to
-// what, and how load and keys were spread meanwhile.
-func TestLossesOfSeveralDaemons(t *testing.T) {
+// Requests lost in the same second on several VMs must be summed up in one row, with
+// their causes, the imbalance of the load and the keys that changed owner.
+func TestPrintSumsUpSeveralDaemons(t *testing.T) {
 	losses, err := mtloss.Read(strings.NewReader(first), strings.NewReader(second))
 	assert.NilError(t, err)
 	var out strings.Builder
