--- a/cmd/standin/audit.go
+++ b/cmd/standin/audit.go
@@ -16,7 +16,8 @@
 	"magnoliaturn/io/mtstandin"
 )
 
-// auditCommand judges a run.
+// auditCommand checks the journals of servers against the records of callers and
+// prints every contradiction.
 type auditCommand struct {
 	journals string
 	records  string
@@ -89,8 +90,8 @@
 	return in, nil
 }
 
-// readAll returns the records of every file that the pattern names. No file at
-// all is an error: an audit of nothing would find nothing.
+// readAll returns the records of all files that match the pattern. It fails if no
+// file matches, because an audit without input would report no findings.
 func readAll[T any](name, pattern string) ([]T, error) {
 	files, err := filepath.Glob(pattern)
 	if err != nil || len(files) == 0 {
@@ -107,7 +108,7 @@
 	return all, nil
 }
 
-// FileError says which file can't be read.
+// FileError reports a file that could not be read.
 type FileError struct {
 	Name string
 	Err  error
@@ -116,7 +117,7 @@
 // Error implements error.
 func (e *FileError) Error() string { return e.Name + ": " + e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of opening or decoding the file.
 func (e *FileError) Unwrap() error { return e.Err }
 
 func readFile[T any](name string) ([]T, error) {
@@ -152,5 +153,5 @@
 	}
 }
 
-// round leaves what matters of a duration.
+// round rounds a duration to the precision that the report shows.
 func round(d time.Duration) time.Duration { return d.Round(100 * time.Microsecond) }
--- a/cmd/standin/bundle.go
+++ b/cmd/standin/bundle.go
@@ -14,10 +14,10 @@
 	iostore "magnoliaturn/io/mtstore"
 )
 
-// storeTimeout bounds the one write of the bundle command.
+// storeTimeout limits the single store write of the bundle command.
 const storeTimeout = 5 * time.Second
 
-// bundleCommand writes a first bundle into a store stand-in.
+// bundleCommand writes the first bundle of a business to a store stand-in.
 type bundleCommand struct {
 	store string
 	file  string
--- a/cmd/standin/load.go
+++ b/cmd/standin/load.go
@@ -15,7 +15,7 @@
 	"magnoliaturn/io/mtstandin"
 )
 
-// loadCommand sends requests at a fixed rate.
+// loadCommand sends requests at a fixed rate and records their outcomes.
 type loadCommand struct {
 	setting mtstandin.LoadSetting
 	service string
@@ -99,13 +99,13 @@
 	return records.Err()
 }
 
-// The kinds of class in the -classes flag.
+// The request kinds accepted in the -classes flag.
 const (
 	kindOnce       = "once"
 	kindIdempotent = "idempotent"
 )
 
-// parseClasses reads the -classes flag.
+// parseClasses parses the -classes flag. It fails with a *FlagError.
 func parseClasses(text string) ([]mtstandin.LoadClass, error) {
 	const form = "name:once|idempotent:weight:timeout:body"
 	var classes []mtstandin.LoadClass
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,6 +1,6 @@
-// Command standin holds the small programs that take the place of what is
-// around the system in tests: the platform's store, backend servers, callers
-// that load it, and the audit that judges a run. See docs/STANDINS.md.
+// Command standin provides the test programs that replace the system's
+// environment: the platform's store, backend servers, callers that generate
+// load, and an audit that checks the results of a run. See docs/STANDINS.md.
 //
 // # Usage
 //
@@ -43,7 +43,7 @@
 	os.Exit(int(subcommands.Execute(ctx)))
 }
 
-// FlagError says that a flag is outside its accepted range.
+// FlagError reports a flag whose value is not accepted.
 type FlagError struct {
 	Flag   string
 	Value  string
@@ -55,13 +55,13 @@
 	return fmt.Sprintf("flag -%s is %q, accepted: %s", e.Flag, e.Value, e.Accept)
 }
 
-// fail reports an error and returns the status of a failed command.
+// fail prints an error and returns the exit status of a failed command.
 func fail(err error) subcommands.ExitStatus {
 	_, _ = fmt.Fprintln(os.Stderr, "standin:", err)
 	return subcommands.ExitFailure
 }
 
-// parseService reads "business/service".
+// parseService parses a service given as "business/service".
 func parseService(text string) (mtid.Ref, error) {
 	business, service, ok := strings.Cut(text, "/")
 	if !ok || business == "" || service == "" {
@@ -70,11 +70,11 @@
 	return mtid.Ref{Business: mtid.Business(business), Service: mtid.Service(service)}, nil
 }
 
-// stopTimeout is how long a stand-in waits for open requests when it stops.
+// stopTimeout is how long a stopping stand-in waits for open requests to finish.
 const stopTimeout = 5 * time.Second
 
-// listenAndServe serves handler at address until ctx ends, and then lets open
-// requests come to their end.
+// listenAndServe serves handler at address until ctx ends, then waits up to
+// stopTimeout for open requests to finish.
 func listenAndServe(ctx context.Context, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -84,9 +84,9 @@
 	stopped := make(chan error, 1)
 	go func() {
 		<-ctx.Done()
-		limited, cancel := context.WithTimeout(context.Background(), stopTimeout)
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 		defer cancel()
-		stopped <- server.Shutdown(limited)
+		stopped <- server.Shutdown(shutdownCtx)
 	}()
 	slog.Info("listening", "address", listener.Addr().String())
 	if err := server.Serve(listener); err != http.ErrServerClosed {
@@ -95,14 +95,15 @@
 	return <-stopped
 }
 
-// serveDebug serves profiles and counters at address, if there is one.
+// serveDebug serves profiles and counters at address in the background; an empty
+// address disables it.
 func serveDebug(address string) {
 	if address == "" {
 		return
 	}
 	go func() {
 		if err := http.ListenAndServe(address, nil); err != nil {
-			slog.Error("debug listener", "error", err)
+			slog.Error("debug listener failed", "error", err)
 		}
 	}()
 }
--- a/cmd/standin/main_test.go
+++ b/cmd/standin/main_test.go
@@ -35,8 +35,9 @@
 	}
 }
 
-// An audit of no files would find nothing and look like a clean one.
-func TestAuditOfNothingFails(t *testing.T) {
+// An audit whose patterns match no files would report no findings and look like a
+// passed one, so it must fail.
+func TestAuditWithoutFilesFails(t *testing.T) {
 	c := auditCommand{journals: t.TempDir() + "/*", records: t.TempDir() + "/*"}
 	_, err := c.input()
 	var fault *FlagError
--- a/cmd/standin/server.go
+++ b/cmd/standin/server.go
@@ -15,13 +15,13 @@
 	"magnoliaturn/io/mtstandin"
 )
 
-// exitCrashed is the status of a server that a request crashed.
+// exitCrashed is the exit status of a server crashed by a poison request.
 const exitCrashed = 70
 
-// drainPoll is how often a draining server looks whether it is idle.
+// drainPoll is how often a draining server checks whether it is idle.
 const drainPoll = 50 * time.Millisecond
 
-// serverCommand runs a backend server.
+// serverCommand runs a stand-in for a backend server.
 type serverCommand struct {
 	setting mtstandin.ServerSetting
 	listen  string
@@ -89,8 +89,8 @@
 	if c.setting.Name == "" {
 		c.setting.Name = c.listen
 	}
-	// A server that is started again counts its runs from one, so that each
-	// life needs a name of its own in the journal.
+	// A restarted server counts its runs from one again, so each incarnation
+	// needs a unique name in the journal.
 	c.setting.Name = fmt.Sprintf("%s@%d", c.setting.Name, time.Now().UnixMilli())
 	to, closeJournal, err := openAppend(c.journal)
 	if err != nil {
@@ -118,7 +118,7 @@
 	return journal.Err()
 }
 
-// waitIdle returns once the server had nothing to do for the linger time.
+// waitIdle returns once the server has been idle for the linger time.
 func waitIdle(server *mtstandin.Server, linger time.Duration) {
 	slog.Info("draining")
 	for idle := time.Duration(0); idle < linger; idle += drainPoll {
@@ -129,7 +129,8 @@
 	}
 }
 
-// openAppend opens a journal without a buffer of its own.
+// openAppend opens a file for unbuffered appending. An empty name discards what is
+// written.
 func openAppend(name string) (io.Writer, func(), error) {
 	const permissions = 0o644
 	if name == "" {
--- a/cmd/standin/store.go
+++ b/cmd/standin/store.go
@@ -11,7 +11,7 @@
 	"magnoliaturn/io/mtstore"
 )
 
-// storeCommand serves an in-memory store.
+// storeCommand serves an in-memory stand-in for the platform's store.
 type storeCommand struct {
 	listen string
 	debug  string
