--- a/io/mtstandin/announce.go
+++ b/io/mtstandin/announce.go
@@ -14,16 +14,20 @@
 	"magnoliaturn/core/mtheader"
 )
 
-// announcePeriod is how often a server announces itself.
+// announcePeriod is the announcement interval of a server that does not track grants,
+// and the timeout of each announcement.
 const announcePeriod = time.Second
 
-// StatusError says that the daemon did not take an announcement.
+// StatusError reports that the daemon rejected an announcement.
 type StatusError struct{ Status string }
 
 // Error implements error.
-func (e *StatusError) Error() string { return "stand-in: the daemon answered " + e.Status }
+func (e *StatusError) Error() string {
+	return "stand-in: the daemon rejected the announcement: " + e.Status
+}
 
-// announce starts the announcements and returns their end.
+// announce starts the periodic announcements and returns a function that stops them
+// and waits until they have stopped.
 func (s *Server) announce() func() {
 	if s.setting.Daemon == "" {
 		return func() {}
@@ -36,16 +40,16 @@
 		defer client.CloseIdleConnections()
 		tick := time.NewTicker(s.period())
 		defer tick.Stop()
-		heard := true
+		accepted := true
 		for {
 			err := s.announceOnce(ctx, client)
-			if (err == nil) != heard && ctx.Err() == nil {
-				heard = err == nil
-				slog.Info("announcements", "server", s.setting.Name, "heard", heard, "error", err)
+			if (err == nil) != accepted && ctx.Err() == nil {
+				accepted = err == nil
+				slog.Info("announcements", "server", s.setting.Name, "heard", accepted, "error", err)
 			}
 			select {
 			case <-tick.C:
-			case <-s.changed:
+			case <-s.announceNow:
 			case <-ctx.Done():
 				return
 			}
@@ -57,7 +61,8 @@
 	}
 }
 
-// announceOnce tells the daemon of the server once.
+// announceOnce sends one announcement and applies the lease end in the daemon's
+// reply.
 func (s *Server) announceOnce(ctx context.Context, client *http.Client) error {
 	a := s.setting.announcement()
 	a.State = s.state()
@@ -77,8 +82,8 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	_, _ = io.Copy(io.Discard, response.Body)
-	if until, err := strconv.ParseInt(response.Header.Get(mtheader.ServeUntil), 10, 64); err == nil {
-		s.granted(until)
+	if leaseEnd, err := strconv.ParseInt(response.Header.Get(mtheader.ServeUntil), 10, 64); err == nil {
+		s.extendLease(leaseEnd)
 	}
 	if response.StatusCode >= http.StatusMultipleChoices {
 		return &StatusError{Status: response.Status}
@@ -86,7 +91,7 @@
 	return nil
 }
 
-// period returns how often the server announces itself.
+// period returns the announcement interval.
 func (s *Server) period() time.Duration {
 	if s.setting.Grants {
 		return mtannounce.GrantAnnounceInterval
@@ -95,7 +100,7 @@
 }
 
 func (s *Server) state() mtannounce.State {
-	if s.drain.Load() {
+	if s.draining.Load() {
 		return mtannounce.Draining
 	}
 	if s.cold() {
@@ -104,7 +109,7 @@
 	return mtannounce.Ready
 }
 
-// load returns the share of slots in use, or what the server is set to claim.
+// load returns the fraction of slots in use, or the configured fixed load.
 func (s *Server) load() float64 {
 	if s.setting.FixedLoad {
 		return s.setting.Load
--- a/io/mtstandin/journal.go
+++ b/io/mtstandin/journal.go
@@ -8,23 +8,23 @@
 	"sync"
 )
 
-// Journal writes records as JSON lines, each by one write, so that the lines
-// of a process that is killed are whole but perhaps for the last. It is safe
-// for concurrent use.
+// Journal writes records as JSON lines, each in a single write, so that only the
+// last line can be incomplete if the process is killed. It is safe for concurrent
+// use.
 type Journal[T any] struct {
 	mu  sync.Mutex
 	to  io.Writer
 	err error
 }
 
-// NewJournal returns a journal that writes to to, which must not be buffered:
-// a line has to outlive the process.
+// NewJournal returns a journal that writes to to, which must be unbuffered: lines
+// already written must survive if the process is killed.
 func NewJournal[T any](to io.Writer) *Journal[T] {
 	return &Journal[T]{to: to}
 }
 
-// Write adds a record. A failure is kept for Err, and all later records are
-// dropped: a journal with a gap would prove false things.
+// Write appends a record. After a failure, which Err returns, all later records are
+// dropped: an audit would draw wrong conclusions from a journal with a gap.
 func (j *Journal[T]) Write(record T) {
 	line, err := json.Marshal(record)
 	j.mu.Lock()
@@ -37,14 +37,14 @@
 	}
 }
 
-// Err returns the first failure of the journal.
+// Err returns the first error of Write, or nil.
 func (j *Journal[T]) Err() error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.err
 }
 
-// LineError says which line of a journal can't be read.
+// LineError reports a journal line that could not be read or decoded.
 type LineError struct {
 	Line int
 	Err  error
@@ -53,11 +53,11 @@
 // Error implements error.
 func (e *LineError) Error() string { return fmt.Sprintf("journal: line %d: %v", e.Line, e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of the reader or of the JSON decoder.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// ReadJournal returns the records of a journal. A last line without its end
-// was cut off with its process and is passed over. It fails with a *LineError.
+// ReadJournal returns the records of a journal. A last line without a newline is
+// ignored: its process was killed while writing it. It fails with a *LineError.
 func ReadJournal[T any](from io.Reader) ([]T, error) {
 	var records []T
 	lines := bufio.NewReader(from)
--- a/io/mtstandin/load.go
+++ b/io/mtstandin/load.go
@@ -24,48 +24,48 @@
 	"magnoliaturn/core/mtreply"
 )
 
-// CauseUnsent is the cause that a load records for a request which it could
-// not send at its time, since too many were open already.
+// CauseUnsent is the cause that a load records for a request that it did not send
+// because too many requests were open at its scheduled time.
 const CauseUnsent mtreply.Cause = "unsent"
 
-// The load's limits.
+// Limits of a load.
 const (
-	slack    = 500 * time.Millisecond // that a caller waits past its timeout
-	idle     = 1024                   // connections kept open to each target
-	resend   = 50 * time.Millisecond  // between two tries, unless the reply says more or nobody listened
-	maxWait  = 2 * time.Second        // between two tries, whatever the reply says
-	maxReply = MaxBody
+	timeoutSlack  = 500 * time.Millisecond // how long a caller waits past its timeout
+	maxIdleConns  = 1024                   // idle connections kept open per target
+	retryDelay    = 50 * time.Millisecond  // between tries, if there is no Retry-After and the target was reachable
+	maxRetryDelay = 2 * time.Second        // upper limit of Retry-After
+	maxReply      = MaxBody
 )
 
-// LoadClass is one kind of request of a load.
+// LoadClass configures one class of requests of a load.
 type LoadClass struct {
 	Name       mtid.Class
 	Idempotent bool
-	Weight     float64 // share of the requests, relative to the other classes
+	Weight     float64 // fraction of the requests, relative to the other classes
 	Timeout    time.Duration
-	Body       int // length of the request's body, bytes; zero is a GET
+	Body       int // length of the request body in bytes; 0 sends a GET
 }
 
-// LoadSetting says what a load sends.
+// LoadSetting configures the requests of a load.
 type LoadSetting struct {
 	Service mtid.Ref
-	Targets []string // base URLs, asked in turn
-	// Direct sends to backend servers, past the daemons.
+	Targets []string // base URLs, used in turn
+	// Direct means that the targets are backend servers rather than daemons.
 	Direct   bool
 	Rate     float64 // requests a second
 	Duration time.Duration
 	Keys     uint64
-	// Zipf is the exponent of the keys' popularity, above 1; zero asks for
-	// all keys alike.
+	// Zipf is the exponent of the keys' popularity, above 1; 0 draws keys
+	// uniformly.
 	Zipf    float64
 	Classes []LoadClass
-	Rest    string // of the path, after the key
-	// Tries is how often a request is sent at most. It is sent again after
-	// "not run", and after an unknown outcome if it is idempotent or Resend is
-	// set, with the same identifier.
+	Rest    string // rest of the path, after the key
+	// Tries is the maximum number of times a request is sent. It is retried with
+	// the same identifier if it was not run, and also after an unknown outcome if
+	// it is idempotent or Resend is set.
 	Tries  int
 	Resend bool
-	Open   int // requests that may be open at once
+	Open   int // maximum number of open requests
 	Seed   uint64
 }
 
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// Load sends requests at a fixed rate.
+// Load sends requests at a fixed rate and records their outcomes.
 type Load struct {
 	setting LoadSetting
 	records *Journal[mtaudit.Call]
@@ -108,14 +108,14 @@
 	tally   *tally
 }
 
-// NewLoad returns a load whose requests are recorded in records. The clean-up
-// closes idle connections. It fails with a *SettingError.
+// NewLoad returns a load that records its requests in records. The clean-up
+// function closes idle connections. It fails with a *SettingError.
 func NewLoad(setting LoadSetting, records *Journal[mtaudit.Call], secure *tls.Config) (*Load, func(), error) {
 	if err := setting.check(); err != nil {
 		return nil, nil, err
 	}
 	transport := &http.Transport{
-		MaxIdleConns: idle * len(setting.Targets), MaxIdleConnsPerHost: idle,
+		MaxIdleConns: maxIdleConns * len(setting.Targets), MaxIdleConnsPerHost: maxIdleConns,
 		DisableCompression: true, TLSClientConfig: secure,
 	}
 	l := &Load{
@@ -131,17 +131,17 @@
 	return l, transport.CloseIdleConnections, nil
 }
 
-// order is one request of the schedule, drawn by the one goroutine that keeps
-// it, so that a seed gives the same requests whatever the answers are.
-type order struct {
+// scheduledRequest is one request of the schedule. A single goroutine draws them
+// all, so that a seed yields the same requests regardless of the replies.
+type scheduledRequest struct {
 	number  uint64
 	planned time.Time
 	key     mtid.Key
 	class   *LoadClass
 }
 
-// Run sends the load until its duration is over or ctx ends, waits for what is
-// open, and returns what became of it. It is called once.
+// Run sends the load until its duration has passed or ctx ends, waits for open
+// requests and returns a summary. It must be called only once.
 func (l *Load) Run(ctx context.Context) Summary {
 	period := time.Duration(float64(time.Second) / l.setting.Rate)
 	count := uint64(l.setting.Duration / period)
@@ -157,7 +157,7 @@
 			break
 		}
 		if open.Load() >= int64(l.setting.Open) {
-			l.unsent(o)
+			l.recordUnsent(o)
 			continue
 		}
 		open.Add(1)
@@ -170,8 +170,8 @@
 	return l.tally.summary(time.Since(start))
 }
 
-func (l *Load) draw(n uint64, planned time.Time) order {
-	o := order{number: n, planned: planned, class: l.drawClass()}
+func (l *Load) draw(n uint64, planned time.Time) scheduledRequest {
+	o := scheduledRequest{number: n, planned: planned, class: l.drawClass()}
 	at := uint64(0)
 	if l.zipf != nil {
 		at = l.zipf.Uint64()
@@ -193,8 +193,8 @@
 	return &l.setting.Classes[len(l.setting.Classes)-1]
 }
 
-// record returns the part of a record that all tries of an order share.
-func (l *Load) record(o order) mtaudit.Call {
+// record returns the fields of the record that all tries of a request share.
+func (l *Load) record(o scheduledRequest) mtaudit.Call {
 	return mtaudit.Call{
 		ID: mtaudit.ID(uuid.Must(uuid.NewV7()).String()), Business: l.setting.Service.Business,
 		Service: l.setting.Service.Service, Key: o.key, Class: o.class.Name, Idempotent: o.class.Idempotent,
@@ -202,8 +202,8 @@
 	}
 }
 
-// unsent records a request that the load had no room to send.
-func (l *Load) unsent(o order) {
+// recordUnsent records a request that was not sent because too many were open.
+func (l *Load) recordUnsent(o scheduledRequest) {
 	c := l.record(o)
 	now := time.Now()
 	c.Try, c.Sent, c.Ended = 1, now, now
@@ -212,20 +212,20 @@
 	l.tally.add(c)
 }
 
-// perform sends one request, as often as the settings allow.
-func (l *Load) perform(ctx context.Context, o order) {
+// perform sends one request and retries it as the settings allow.
+func (l *Load) perform(ctx context.Context, o scheduledRequest) {
 	base := l.record(o)
 	body := make([]byte, o.class.Body)
 	copy(body, base.ID)
 	base.Ask = mtaudit.DigestOf(body)
-	until := o.planned.Add(o.class.Timeout)
+	deadline := o.planned.Add(o.class.Timeout)
 	for try := 1; ; try++ {
 		c := base
 		c.Try = try
 		c.Via = l.setting.Targets[(o.number+uint64(try)-1)%uint64(len(l.setting.Targets))]
-		wait := l.send(ctx, &c, o, until, body)
+		wait := l.send(ctx, &c, o, deadline, body)
 		l.records.Write(c)
-		if !l.again(c, time.Now().Add(wait), until) || ctx.Err() != nil {
+		if !l.shouldRetry(c, time.Now().Add(wait), deadline) || ctx.Err() != nil {
 			l.tally.add(c)
 			return
 		}
@@ -233,9 +233,9 @@
 	}
 }
 
-// again reports whether a request is sent once more, at that time.
-func (l *Load) again(c mtaudit.Call, at, until time.Time) bool {
-	if c.Try >= l.setting.Tries || !at.Before(until) {
+// shouldRetry reports whether a request is to be sent again at the given time.
+func (l *Load) shouldRetry(c mtaudit.Call, at, deadline time.Time) bool {
+	if c.Try >= l.setting.Tries || !at.Before(deadline) {
 		return false
 	}
 	switch c.Outcome {
@@ -247,39 +247,39 @@
 	return false
 }
 
-// send makes one try, fills in its record, and returns how long to wait before
-// the next one.
-func (l *Load) send(ctx context.Context, c *mtaudit.Call, o order, until time.Time, body []byte) time.Duration {
+// send makes one try, fills in its record and returns the delay before the next
+// try.
+func (l *Load) send(ctx context.Context, c *mtaudit.Call, o scheduledRequest, deadline time.Time, body []byte) time.Duration {
 	c.Sent = time.Now()
-	ctx, cancel := context.WithDeadline(ctx, until.Add(slack))
+	ctx, cancel := context.WithDeadline(ctx, deadline.Add(timeoutSlack))
 	defer cancel()
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	request, err := l.request(ctx, c, o, until, body)
+	request, err := l.newRequest(ctx, c, o, deadline, body)
 	if err != nil {
 		c.Ended, c.Outcome, c.Cause = time.Now(), mtreply.NotRun, mtreply.CauseMalformed
-		return resend
+		return retryDelay
 	}
 	response, err := l.client.Do(request)
 	if err != nil {
 		c.Ended = time.Now()
-		c.Outcome, c.Cause = lost(err, connected.Load())
+		c.Outcome, c.Cause = outcomeWithoutReply(err, connected.Load())
 		if c.Cause == mtreply.CauseUnreachable {
-			return 0 // the next target is another daemon
+			return 0 // retry at once: the next target is another daemon
 		}
-		return resend
+		return retryDelay
 	}
 	defer func() { _ = response.Body.Close() }()
 	reply, err := io.ReadAll(io.LimitReader(response.Body, maxReply))
 	c.Ended = time.Now()
-	l.read(c, response, reply, err)
+	l.recordReply(c, response, reply, err)
 	return retryAfter(response)
 }
 
-// request puts a try into HTTP.
-func (l *Load) request(ctx context.Context, c *mtaudit.Call, o order, until time.Time, body []byte) (*http.Request, error) {
+// newRequest builds the HTTP request of a try.
+func (l *Load) newRequest(ctx context.Context, c *mtaudit.Call, o scheduledRequest, deadline time.Time, body []byte) (*http.Request, error) {
 	path := "/" + url.PathEscape(string(c.Key)) + "/" + l.setting.Rest
 	if !l.setting.Direct {
 		path = mtheader.Prefix + "/" + l.setting.Service.String() + path
@@ -298,13 +298,13 @@
 		return request, nil
 	}
 	request.Header.Set(mtheader.Key, string(c.ID))
-	request.Header.Set(mtheader.Timeout, max(until.Sub(c.Sent), time.Millisecond).Round(time.Microsecond).String())
+	request.Header.Set(mtheader.Timeout, max(deadline.Sub(c.Sent), time.Millisecond).Round(time.Microsecond).String())
 	return request, nil
 }
 
-// read takes a reply apart. What does not say what became of the request
-// leaves it unknown.
-func (l *Load) read(c *mtaudit.Call, response *http.Response, reply []byte, err error) {
+// recordReply copies a reply into the record of its try. The outcome is unknown if
+// the reply is incomplete or states none.
+func (l *Load) recordReply(c *mtaudit.Call, response *http.Response, reply []byte, err error) {
 	c.Status = response.StatusCode
 	c.Owner = response.Header.Get(mtheader.Owner)
 	c.ReplyID = mtaudit.ID(response.Header.Get(mtheader.ID))
@@ -325,9 +325,9 @@
 	}
 }
 
-// lost returns what is known of a try without an answer: if it never had a
-// connection, no byte of it was sent.
-func lost(err error, connected bool) (mtreply.Outcome, mtreply.Cause) {
+// outcomeWithoutReply classifies a try that received no reply. Without a connection
+// nothing was sent, so the request was not run.
+func outcomeWithoutReply(err error, connected bool) (mtreply.Outcome, mtreply.Cause) {
 	if !connected {
 		return mtreply.NotRun, mtreply.CauseUnreachable
 	}
@@ -337,11 +337,12 @@
 	return mtreply.Unknown, mtreply.CauseLost
 }
 
-// retryAfter returns how long the reply asks a caller to wait.
+// retryAfter returns the delay of the Retry-After header, at most maxRetryDelay, or
+// retryDelay if the header is missing or invalid.
 func retryAfter(response *http.Response) time.Duration {
 	seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 	if err != nil || !(seconds > 0) {
-		return resend
+		return retryDelay
 	}
-	return min(time.Duration(seconds*float64(time.Second)), maxWait)
+	return min(time.Duration(seconds*float64(time.Second)), maxRetryDelay)
 }
--- a/io/mtstandin/load_test.go
+++ b/io/mtstandin/load_test.go
@@ -16,7 +16,7 @@
 	"magnoliaturn/io/mtstandin"
 )
 
-// due is how many requests a load of these settings sends.
+// due is the number of requests that a load with loadSetting schedules.
 const due = 50
 
 func loadSetting(targets ...string) mtstandin.LoadSetting {
@@ -32,7 +32,7 @@
 
 func runLoad(t *testing.T, s mtstandin.LoadSetting) (mtstandin.Summary, []mtaudit.Call) {
 	t.Helper()
-	written := &paper{}
+	written := &journalBuffer{}
 	load, cleanUp, err := mtstandin.NewLoad(s, mtstandin.NewJournal[mtaudit.Call](written), nil)
 	assert.NilError(t, err)
 	t.Cleanup(cleanUp)
@@ -40,7 +40,7 @@
 	return summary, read[mtaudit.Call](t, written)
 }
 
-func TestLoadAgainstServersPassesTheAudit(t *testing.T) {
+func TestLoadOnServerPassesAudit(t *testing.T) {
 	url, _, written := start(t, setting())
 	s := loadSetting(url)
 	s.Direct = true
@@ -54,7 +54,7 @@
 	assert.DeepEqual(t, report.Phases[0].Counts, []mtaudit.Count{{Outcome: mtreply.Answered, Calls: due}})
 }
 
-func TestLoadDrawsTheSameFromASeed(t *testing.T) {
+func TestSeedDeterminesRequests(t *testing.T) {
 	draw := func() map[string]int {
 		s := loadSetting("http://127.0.0.1:1")
 		_, calls := runLoad(t, s)
@@ -67,9 +67,9 @@
 	assert.DeepEqual(t, draw(), draw())
 }
 
-// What a load writes down must never say more than it knows, or the audit would
-// blame the system for the load's mistake.
-func TestLoadRecordsWhatItWasTold(t *testing.T) {
+// A load must not record a more definite outcome than the reply states, or the audit
+// would report faults that the system does not have.
+func TestLoadRecordsOutcomeOfReply(t *testing.T) {
 	tests := []struct {
 		name    string
 		reply   func(w http.ResponseWriter)
@@ -107,7 +107,7 @@
 			}
 		})
 	}
-	t.Run("nobody listens", func(t *testing.T) {
+	t.Run("no listener", func(t *testing.T) {
 		_, calls := runLoad(t, loadSetting("http://127.0.0.1:1"))
 		for _, c := range calls {
 			assert.Equal(t, c.Outcome, mtreply.NotRun)
@@ -116,14 +116,14 @@
 	})
 }
 
-// A load that sent a payment again after an unknown outcome, without being
-// told to, would double it by itself.
-func TestLoadSendsAgainOnlyAsItIsTold(t *testing.T) {
+// A load that retried a non-idempotent request after an unknown outcome without
+// Resend could run it twice, and the audit would report this as a fault of the system.
+func TestLoadRetriesByOutcomeAndSettings(t *testing.T) {
 	tests := []struct {
-		name   string
-		told   mtreply.Outcome
-		resend bool
-		tries  map[mtid.Class]int
+		name    string
+		outcome mtreply.Outcome
+		resend  bool
+		tries   map[mtid.Class]int
 	}{
 		{"not run", mtreply.NotRun, false, map[mtid.Class]int{"send": 3, "status": 3}},
 		{"unknown", mtreply.Unknown, false, map[mtid.Class]int{"send": 1, "status": 3}},
@@ -133,7 +133,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			daemon := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-				w.Header().Set(mtheader.Outcome, string(tt.told))
+				w.Header().Set(mtheader.Outcome, string(tt.outcome))
 			}))
 			defer daemon.Close()
 			s := loadSetting(daemon.URL)
@@ -152,9 +152,9 @@
 	}
 }
 
-// The system stalls. A load that waited for it would send less and measure
-// nothing; this one records every request that was due.
-func TestLoadDoesNotWaitForAStalledSystem(t *testing.T) {
+// A load that waited for a stalled system would send fewer requests and hide the
+// stall from the latencies. Every scheduled request must be recorded.
+func TestLoadRecordsAllRequestsOfAStalledSystem(t *testing.T) {
 	stalled := make(chan struct{})
 	daemon := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
@@ -174,10 +174,10 @@
 	assert.DeepEqual(t, counts, map[mtreply.Cause]int{mtreply.CauseTimeout: 20, mtstandin.CauseUnsent: due - 20})
 }
 
-func TestNewLoadRefusesSettings(t *testing.T) {
+func TestNewLoadRejectsInvalidSettings(t *testing.T) {
 	tests := []struct {
-		field string
-		spoil func(s *mtstandin.LoadSetting)
+		field      string
+		invalidate func(s *mtstandin.LoadSetting)
 	}{
 		{"targets", func(s *mtstandin.LoadSetting) { s.Targets = nil }},
 		{"rate", func(s *mtstandin.LoadSetting) { s.Rate = 0 }},
@@ -191,7 +191,7 @@
 	for _, tt := range tests {
 		t.Run(tt.field, func(t *testing.T) {
 			s := loadSetting("http://127.0.0.1:1")
-			tt.spoil(&s)
+			tt.invalidate(&s)
 			_, _, err := mtstandin.NewLoad(s, nil, nil)
 			assert.ErrorContains(t, err, tt.field)
 		})
--- a/io/mtstandin/mtstandin.go
+++ b/io/mtstandin/mtstandin.go
@@ -1,13 +1,13 @@
-// Package mtstandin holds the small programs that take the place of what is
-// around the system: backend servers, and callers that load it. What both write
-// down is judged by core/mtaudit.
+// Package mtstandin implements stand-ins for the system's environment: backend
+// servers, callers that generate load, and a store. core/mtaudit checks the
+// journals of the servers against the records of the callers.
 //
 // A Server announces itself to its daemon every second, runs requests in slots
 // with a service time drawn from a distribution, honours epochs, deadlines and
-// cancellation as it is told to, and journals each run before it begins and
-// after it ends. A Load sends requests at a fixed rate whatever becomes of the
-// earlier ones, and measures from when each was due, so that a stall of the
-// system shows in every request that it held up.
+// cancellation as configured, and journals each run before it begins and after it
+// ends. A Load sends requests at a fixed rate regardless of the outcome of earlier
+// ones and measures latency from the scheduled send time, so that a stall of the
+// system shows in every request that it delayed.
 //
 // # Usage
 //
@@ -26,7 +26,7 @@
 	"time"
 )
 
-// SettingError says that a setting is outside its accepted range.
+// SettingError reports a setting whose value is not accepted.
 type SettingError struct {
 	Field  string
 	Value  string
@@ -41,14 +41,14 @@
 // Shape is the distribution of a service time around its mean.
 type Shape string
 
-// The shapes of service time.
+// The supported shapes of the service time.
 const (
 	Fixed       Shape = "fixed"
 	Exponential Shape = "exponential"
-	LogNormal   Shape = "lognormal" // with a sigma of one: a long tail
+	LogNormal   Shape = "lognormal" // sigma 1, a long tail
 )
 
-// ServiceTime says how long a server works on a request.
+// ServiceTime is the distribution of the time that a server spends on a request.
 type ServiceTime struct {
 	Shape Shape
 	Mean  time.Duration
@@ -66,31 +66,31 @@
 	return nil
 }
 
-// draw returns a service time from a source of randomness.
+// draw returns a random service time.
 func (s ServiceTime) draw(source *rand.Rand) time.Duration {
 	mean := float64(s.Mean)
 	switch s.Shape {
 	case Exponential:
 		return time.Duration(source.ExpFloat64() * mean)
 	case LogNormal:
-		// exp(N(0,1)) has a mean of exp(1/2).
+		// exp(N(0,1)) has mean exp(1/2).
 		return time.Duration(math.Exp(source.NormFloat64()-0.5) * mean)
 	}
 	return s.Mean
 }
 
-// dice is a seeded source of randomness that goroutines share.
-type dice struct {
+// sharedRand is a seeded random source that is safe for concurrent use.
+type sharedRand struct {
 	mu     sync.Mutex
 	source *rand.Rand
 }
 
-func newDice(seed uint64) *dice {
-	return &dice{source: rand.New(rand.NewPCG(seed, seed))}
+func newSharedRand(seed uint64) *sharedRand {
+	return &sharedRand{source: rand.New(rand.NewPCG(seed, seed))}
 }
 
-func (d *dice) draw(s ServiceTime) time.Duration {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return s.draw(d.source)
+func (r *sharedRand) draw(s ServiceTime) time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return s.draw(r.source)
 }
--- a/io/mtstandin/revisions.go
+++ b/io/mtstandin/revisions.go
@@ -13,100 +13,102 @@
 	"magnoliaturn/core/mtstore"
 )
 
-// Revisions is a guarded store in memory: its versions are revisions of the whole
-// store, and it forgets its history when it is told to. Leases run out by the
-// clock whenever something is asked of it.
+// Revisions is an in-memory store with conditional writes, for tests. Versions are
+// revisions of the whole store, and Compact discards the history. Leases that are
+// over by the clock are ended at the next call.
 //
 // It is safe for concurrent use.
 type Revisions struct {
 	clock func() time.Time
 
-	mu        sync.Mutex
-	revision  uint64
-	items     map[string]revised
-	deleted   map[string]uint64 // revision of the deletion
-	leases    map[mtstore.LeaseID]held
-	granted   uint64
-	forgotten uint64 // history up to it is gone
-	deaf      bool
-	fault     func(op, name string) error
-	lost      func(op, name string) error
-	changed   chan struct{}
+	mu           sync.Mutex
+	revision     uint64
+	items        map[string]item
+	deleted      map[string]uint64 // revision of the deletion, by name
+	leases       map[mtstore.LeaseID]leaseState
+	granted      uint64
+	compacted    uint64 // the history up to this revision is discarded
+	watchesMuted bool
+	failBefore   func(op, name string) error
+	failAfter    func(op, name string) error
+	changed      chan struct{}
 }
 
-type revised struct {
+type item struct {
 	value    []byte
 	revision uint64
 	lease    mtstore.LeaseID
 }
 
-type held struct {
+type leaseState struct {
 	ttl   time.Duration
 	until time.Time
 }
 
-// NewRevisions returns an empty store that goes by the clock.
+// NewRevisions returns an empty store whose leases end by the given clock.
 func NewRevisions(clock func() time.Time) *Revisions {
 	return &Revisions{
-		clock: clock, revision: 1, items: make(map[string]revised), deleted: make(map[string]uint64),
-		leases: make(map[mtstore.LeaseID]held), changed: make(chan struct{}),
+		clock: clock, revision: 1, items: make(map[string]item), deleted: make(map[string]uint64),
+		leases: make(map[mtstore.LeaseID]leaseState), changed: make(chan struct{}),
 	}
 }
 
-// Fail makes calls fail before they do anything: with what f returns, if that is
-// not nil. A nil f ends it.
+// Fail makes calls fail, before they have any effect, with the error that f returns
+// if it is not nil. A nil f makes calls succeed again.
 func (s *Revisions) Fail(f func(op, name string) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fault = f
-	s.wake()
+	s.failBefore = f
+	s.notifyWatchers()
 }
 
-// Failing reports whether a call would fail now, for servers that speak a
-// protocol over the store.
+// Failing reports whether Fail makes calls fail now, for servers that put a network
+// protocol in front of the store.
 func (s *Revisions) Failing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.failure("any", "") != nil
 }
 
-// Lose makes calls fail after they have done their work.
+// Lose makes swaps fail with the error that f returns after they have taken effect,
+// as when the reply is lost. A nil f ends it.
 func (s *Revisions) Lose(f func(op, name string) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lost = f
+	s.failAfter = f
 }
 
-// Deafen makes watches hear nothing, or hear again.
-func (s *Revisions) Deafen(deaf bool) {
+// Deafen makes watches that continue from a revision report no changes while muted is
+// true. Watches that start with a full read still return it.
+func (s *Revisions) Deafen(muted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deaf = deaf
-	s.wake()
+	s.watchesMuted = muted
+	s.notifyWatchers()
 }
 
-// Compact forgets the history.
+// Compact discards the history: watches from an earlier revision fail.
 func (s *Revisions) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgotten = s.revision
-	s.wake()
+	s.compacted = s.revision
+	s.notifyWatchers()
 }
 
-// Put writes a name whatever stands there, as an operator does.
+// Put writes a name unconditionally, as an operator may.
 func (s *Revisions) Put(name string, value []byte) mtid.Version {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.put(name, value, "")
 }
 
-// Delete takes a name away whatever stands there, as another writer may. A lease that
-// it was written under goes on.
+// Delete removes a name unconditionally, as another writer may. The lease it was
+// written under continues.
 func (s *Revisions) Delete(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remove(name)
-	s.wake()
+	s.notifyWatchers()
 }
 
 // Get implements mtstore.Store.
@@ -153,8 +155,8 @@
 		}
 	}
 	version := s.put(name, value, lease)
-	if s.lost != nil {
-		if err := s.lost("swap", name); err != nil {
+	if s.failAfter != nil {
+		if err := s.failAfter("swap", name); err != nil {
 			return 0, err
 		}
 	}
@@ -166,7 +168,7 @@
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	for {
-		changes, changed, err := s.look(prefix, uint64(after))
+		changes, changed, err := s.changesAfter(prefix, uint64(after))
 		if err != nil || after == 0 || len(changes.Entries) > 0 {
 			return changes, err
 		}
@@ -178,19 +180,19 @@
 	}
 }
 
-// look returns what has changed under the prefix, and what is closed at the next
-// change.
-func (s *Revisions) look(prefix string, after uint64) (mtstore.Changes, <-chan struct{}, error) {
+// changesAfter returns the changes under the prefix after a revision, and a channel
+// that is closed at the next change.
+func (s *Revisions) changesAfter(prefix string, after uint64) (mtstore.Changes, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
 	if err := s.failure("watch", prefix); err != nil {
 		return mtstore.Changes{}, nil, err
 	}
-	if after != 0 && after < s.forgotten {
+	if after != 0 && after < s.compacted {
 		return mtstore.Changes{}, nil, &mtstore.CompactedError{After: mtid.Revision(after)}
 	}
-	if s.deaf && after != 0 {
+	if s.watchesMuted && after != 0 {
 		return mtstore.Changes{Revision: mtid.Revision(after)}, s.changed, nil
 	}
 	changes := mtstore.Changes{Revision: mtid.Revision(s.revision)}
@@ -218,7 +220,7 @@
 	}
 	s.granted++
 	id := mtstore.LeaseID(strconv.FormatUint(s.granted, 10))
-	s.leases[id] = held{ttl: ttl, until: s.clock().Add(ttl)}
+	s.leases[id] = leaseState{ttl: ttl, until: s.clock().Add(ttl)}
 	return id, nil
 }
 
@@ -246,20 +248,20 @@
 	if err := s.failure("end", string(lease)); err != nil {
 		return err
 	}
-	s.drop(lease)
+	s.endLease(lease)
 	return nil
 }
 
-// Lapse ends all leases, as an outage may.
+// Lapse ends all leases at once, as an outage of the store may.
 func (s *Revisions) Lapse() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range s.leases {
-		s.drop(id)
+		s.endLease(id)
 	}
 }
 
-// Expire ends the leases whose time is over. A watcher that waits hears of it.
+// Expire ends the leases that are over by the clock and notifies waiting watchers.
 func (s *Revisions) Expire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -267,17 +269,17 @@
 }
 
 func (s *Revisions) failure(op, name string) error {
-	if s.fault == nil {
+	if s.failBefore == nil {
 		return nil
 	}
-	return s.fault(op, name)
+	return s.failBefore(op, name)
 }
 
 func (s *Revisions) put(name string, value []byte, lease mtstore.LeaseID) mtid.Version {
 	s.revision++
-	s.items[name] = revised{value: slices.Clone(value), revision: s.revision, lease: lease}
+	s.items[name] = item{value: slices.Clone(value), revision: s.revision, lease: lease}
 	delete(s.deleted, name)
-	s.wake()
+	s.notifyWatchers()
 	return mtid.Version(s.revision)
 }
 
@@ -285,20 +287,20 @@
 	now := s.clock()
 	for id, l := range s.leases {
 		if !now.Before(l.until) {
-			s.drop(id)
+			s.endLease(id)
 		}
 	}
 }
 
-// drop ends a lease with everything that was written under it.
-func (s *Revisions) drop(lease mtstore.LeaseID) {
+// endLease ends a lease and deletes all entries written under it.
+func (s *Revisions) endLease(lease mtstore.LeaseID) {
 	delete(s.leases, lease)
 	for name, i := range s.items {
 		if i.lease == lease {
 			s.remove(name)
 		}
 	}
-	s.wake()
+	s.notifyWatchers()
 }
 
 func (s *Revisions) remove(name string) {
@@ -307,12 +309,12 @@
 	s.deleted[name] = s.revision
 }
 
-func (s *Revisions) wake() {
+func (s *Revisions) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (i revised) entry(name string) mtstore.Entry {
+func (i item) entry(name string) mtstore.Entry {
 	return mtstore.Entry{Name: name, Value: slices.Clone(i.value), Version: mtid.Version(i.revision), Revision: mtid.Revision(i.revision)}
 }
 
--- a/io/mtstandin/server.go
+++ b/io/mtstandin/server.go
@@ -22,17 +22,17 @@
 	"magnoliaturn/io/mttime"
 )
 
-// MaxBody is the largest body of a request that a server reads, in bytes.
+// MaxBody is the maximum size of a request body that a server accepts, in bytes.
 const MaxBody = 16 << 20
 
-// ServerSetting says what a server stand-in is and how it behaves.
+// ServerSetting configures the identity and the behaviour of a server stand-in.
 type ServerSetting struct {
-	Name    string // of this life of the server, as journaled
+	Name    string // in the journal, unique per incarnation
 	Service mtid.Ref
-	Address string // that callers of the server connect to, host:port
-	Daemon  string // base URL of the daemon to announce to; empty for none
-	// Slots and Connections are announced; more than Slots requests at once
-	// wait, or are refused if Shed is set.
+	Address string // where the server is reached, host:port
+	Daemon  string // base URL of the daemon to announce to; empty disables announcements
+	// Slots and Connections are announced. Requests beyond Slots wait, or are
+	// refused if Shed is set.
 	Slots       int
 	Connections int
 	Shed        bool
@@ -40,14 +40,14 @@
 	Deadlines   bool // honour start-by times and deadlines
 	Grants      bool // cancel keyed runs when the daemon's lease ends
 	Time        ServiceTime
-	// A server that starts cold multiplies its service time by ColdFactor for
-	// the length of Cold.
+	// Cold is how long after its start the server is cold; its service time is
+	// multiplied by ColdFactor meanwhile.
 	Cold       time.Duration
 	ColdFactor float64
 	Reply      int    // length of a reply, bytes
-	Crash      string // the rest of a path that crashes the server; empty for none
+	Crash      string // path after the key that crashes the server; empty disables it
 	Load       float64
-	FixedLoad  bool // announce Load whatever the load is
+	FixedLoad  bool // announce Load instead of the measured load
 	Seed       uint64
 }
 
@@ -73,29 +73,29 @@
 	}
 }
 
-// Server takes the place of a backend server. It is an http.Handler and safe
-// for concurrent use.
+// Server is a stand-in for a backend server. It is an http.Handler and safe for
+// concurrent use.
 type Server struct {
-	setting ServerSetting
-	journal *Journal[mtaudit.Event]
-	crash   func()
-	clock   *mttime.Clock
-	started mtclock.Instant
-	slots   chan struct{}
-	dice    *dice
-	runs    atomic.Uint64
-	busy    atomic.Int64
-	drain   atomic.Bool
-	until   atomic.Int64  // boot-time clock: up to when the daemon's lease is certain
-	changed chan struct{} // asks for an announcement ahead of time
+	setting     ServerSetting
+	journal     *Journal[mtaudit.Event]
+	crash       func()
+	clock       *mttime.Clock
+	started     mtclock.Instant
+	slots       chan struct{}
+	random      *sharedRand
+	runs        atomic.Uint64
+	busy        atomic.Int64
+	draining    atomic.Bool
+	leaseEnd    atomic.Int64  // boot-time clock: until when the daemon's lease is known to hold
+	announceNow chan struct{} // triggers an announcement before the next tick
 
 	mu     sync.Mutex
-	epochs map[mtid.Key]mtid.Epoch // the highest seen
+	epochs map[mtid.Key]mtid.Epoch // highest seen per key
 }
 
-// NewServer returns a server and starts its announcements. crash is called for
-// a request that crashes the server, and must not return. The clean-up ends
-// the announcements. It fails with a *SettingError or a *mtannounce.FieldError.
+// NewServer returns a server and starts its announcements. crash is called when a
+// request crashes the server and must not return. The clean-up function stops the
+// announcements. It fails with a *SettingError or a *mtannounce.FieldError.
 func NewServer(setting ServerSetting, journal *Journal[mtaudit.Event], crash func()) (*Server, func(), error) {
 	if err := setting.check(); err != nil {
 		return nil, nil, err
@@ -103,18 +103,18 @@
 	clock := mttime.New()
 	s := &Server{
 		setting: setting, journal: journal, crash: crash, clock: clock, started: clock.Now(),
-		slots: make(chan struct{}, setting.Slots), dice: newDice(setting.Seed),
-		changed: make(chan struct{}, 1), epochs: make(map[mtid.Key]mtid.Epoch),
+		slots: make(chan struct{}, setting.Slots), random: newSharedRand(setting.Seed),
+		announceNow: make(chan struct{}, 1), epochs: make(map[mtid.Key]mtid.Epoch),
 	}
 	return s, s.announce(), nil
 }
 
-// Drain makes the server ask for no new work. It goes on answering what it
-// gets: it is for the daemon to send no more.
+// Drain makes the server announce that it is draining. It still runs the requests
+// it receives: the daemon is responsible for sending no more.
 func (s *Server) Drain() {
-	s.drain.Store(true)
+	s.draining.Store(true)
 	select {
-	case s.changed <- struct{}{}:
+	case s.announceNow <- struct{}{}:
 	default:
 	}
 }
@@ -122,8 +122,8 @@
 // Busy returns how many requests are running or waiting for a slot.
 func (s *Server) Busy() int { return int(s.busy.Load()) }
 
-// ask is a request as the server reads it.
-type ask struct {
+// incomingRequest is the parsed form of a request.
+type incomingRequest struct {
 	id       string
 	key      mtid.Key
 	rest     string
@@ -134,19 +134,20 @@
 	digest   mtaudit.Digest
 }
 
-// ServeHTTP runs one request.
+// ServeHTTP runs a request, or refuses it if it is malformed, finds no slot or must
+// not begin.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.busy.Add(1)
 	defer s.busy.Add(-1)
-	a, detail := readAsk(r)
+	a, detail := readRequest(r)
 	w.Header().Set(mtheader.ID, a.id)
 	if detail != "" {
 		refuse(w, http.StatusBadRequest, mtreply.CauseMalformed, detail)
 		return
 	}
-	ctx, cancel := s.bound(r.Context(), a)
+	ctx, cancel := s.withDeadline(r.Context(), a)
 	defer cancel()
-	if !s.take(ctx) {
+	if !s.acquireSlot(ctx) {
 		refuse(w, http.StatusServiceUnavailable, mtreply.CauseShed, "no slot is free")
 		return
 	}
@@ -158,8 +159,8 @@
 	s.run(ctx, w, a)
 }
 
-// run journals and works on an admitted request, and replies.
-func (s *Server) run(ctx context.Context, w http.ResponseWriter, a ask) {
+// run executes an admitted request, journals its begin and end, and replies.
+func (s *Server) run(ctx context.Context, w http.ResponseWriter, a incomingRequest) {
 	event := mtaudit.Event{
 		Kind: mtaudit.Begin, At: time.Now(), Server: s.setting.Name, Run: s.runs.Add(1), ID: mtaudit.ID(a.id),
 		Business: s.setting.Service.Business, Service: s.setting.Service.Service, Key: a.key, Class: a.class,
@@ -169,11 +170,11 @@
 	if s.setting.Crash != "" && a.rest == s.setting.Crash {
 		s.crash()
 	}
-	whole := s.work(ctx, a.epoch)
+	completed := s.work(ctx, a.epoch)
 	event.Kind, event.At = mtaudit.End, time.Now()
-	if !whole {
+	if !completed {
 		s.journal.Write(event)
-		// Any reply would be an answer. There is none, so the connection is cut.
+		// Any reply would count as an answer, so the connection is closed without one.
 		panic(http.ErrAbortHandler)
 	}
 	body := s.reply(a, event.Run)
@@ -184,26 +185,26 @@
 	_, _ = w.Write(body)
 }
 
-// work spends the service time, and reports whether it came to its end before
-// the caller went away, the deadline passed or the daemon's lease ended.
+// work waits for the service time. It returns false if the caller disconnected, the
+// deadline passed or the daemon's lease ended first.
 func (s *Server) work(ctx context.Context, epoch mtid.Epoch) bool {
-	d := s.dice.draw(s.setting.Time)
+	d := s.random.draw(s.setting.Time)
 	if s.cold() {
 		d = time.Duration(float64(d) * s.setting.ColdFactor)
 	}
-	bound := s.setting.Grants && epoch != 0
+	leased := s.setting.Grants && epoch != 0
 	end := s.clock.Boot() + int64(d)
 	for {
 		now := s.clock.Boot()
-		if bound && now >= s.until.Load() {
+		if leased && now >= s.leaseEnd.Load() {
 			return false
 		}
 		if now >= end {
 			return ctx.Err() == nil
 		}
 		wait := end - now
-		if bound {
-			wait = min(wait, s.until.Load()-now)
+		if leased {
+			wait = min(wait, s.leaseEnd.Load()-now)
 		}
 		if pause(ctx, time.Duration(wait)) != nil {
 			return false
@@ -211,7 +212,7 @@
 	}
 }
 
-// pause waits for d, or returns the context's error.
+// pause waits for d and returns the error of ctx if ctx ends first.
 func pause(ctx context.Context, d time.Duration) error {
 	if !mtduty.Sleep(ctx, d) {
 		return ctx.Err()
@@ -219,26 +220,27 @@
 	return nil
 }
 
-// granted moves on the time up to which the daemon's lease is certain.
-func (s *Server) granted(until int64) {
+// extendLease records a later end of the daemon's lease and ignores an earlier one.
+func (s *Server) extendLease(leaseEnd int64) {
 	for {
-		old := s.until.Load()
-		if until <= old || s.until.CompareAndSwap(old, until) {
+		old := s.leaseEnd.Load()
+		if leaseEnd <= old || s.leaseEnd.CompareAndSwap(old, leaseEnd) {
 			return
 		}
 	}
 }
 
-// bound ends the context at the request's deadline.
-func (s *Server) bound(ctx context.Context, a ask) (context.Context, context.CancelFunc) {
+// withDeadline limits ctx to the deadline of the request.
+func (s *Server) withDeadline(ctx context.Context, a incomingRequest) (context.Context, context.CancelFunc) {
 	if !s.setting.Deadlines || a.deadline == 0 {
 		return ctx, func() {}
 	}
 	return context.WithTimeout(ctx, time.Duration(a.deadline-s.clock.Boot()))
 }
 
-// take waits for a slot.
-func (s *Server) take(ctx context.Context) bool {
+// acquireSlot waits for a slot. It returns false if ctx ends first, or at once if the
+// server sheds and no slot is free.
+func (s *Server) acquireSlot(ctx context.Context) bool {
 	select {
 	case s.slots <- struct{}{}:
 		return true
@@ -255,10 +257,11 @@
 	}
 }
 
-// admit decides whether a request that has a slot may begin. It is asked last
-// of all: a request that waited past its start-by time belongs to an owner
-// whose lease may have ended meanwhile, and another may have begun on the key.
-func (s *Server) admit(a ask) mtreply.Cause {
+// admit returns why a request that holds a slot must not begin, or "". It is the
+// last check before the run: the lease of the owner that sent the request may have
+// ended while it waited past its start-by time, and a new owner may already serve
+// the key.
+func (s *Server) admit(a incomingRequest) mtreply.Cause {
 	if s.setting.Deadlines {
 		now := s.clock.Boot()
 		if a.startBy != 0 && now > a.startBy {
@@ -268,7 +271,7 @@
 			return mtreply.CauseExpired
 		}
 	}
-	s.granted(a.startBy)
+	s.extendLease(a.startBy)
 	if !s.setting.Epochs {
 		return ""
 	}
@@ -285,8 +288,8 @@
 	return s.clock.Now().Sub(s.started) < s.setting.Cold
 }
 
-// reply returns a body that no other run shares.
-func (s *Server) reply(a ask, run uint64) []byte {
+// reply returns a body that is unique to the run.
+func (s *Server) reply(a incomingRequest, run uint64) []byte {
 	head := fmt.Sprintf("request %s key %q class %s run %d at %s\n", a.id, a.key, a.class, run, s.setting.Name)
 	if len(head) >= s.setting.Reply {
 		return []byte(head)
@@ -295,9 +298,9 @@
 	return []byte(strings.Repeat(head, repeats))[:s.setting.Reply]
 }
 
-// readAsk reads a request, and says what is malformed about it.
-func readAsk(r *http.Request) (ask, string) {
-	a := ask{id: r.Header.Get(mtheader.ID), class: mtid.Class(r.Header.Get(mtheader.Class))}
+// readRequest parses a request. It returns a non-empty detail if it is malformed.
+func readRequest(r *http.Request) (incomingRequest, string) {
+	a := incomingRequest{id: r.Header.Get(mtheader.ID), class: mtid.Class(r.Header.Get(mtheader.Class))}
 	if a.id == "" {
 		return a, mtheader.ID + " is absent"
 	}
@@ -331,7 +334,7 @@
 	return a, ""
 }
 
-// refuse says that the request was not run.
+// refuse replies that the request was not run.
 func refuse(w http.ResponseWriter, status int, cause mtreply.Cause, detail string) {
 	w.Header().Set(mtheader.Outcome, string(mtreply.NotRun))
 	w.Header().Set(mtheader.Cause, string(cause))
--- a/io/mtstandin/server_test.go
+++ b/io/mtstandin/server_test.go
@@ -28,23 +28,23 @@
 
 var dispatch = mtid.Ref{Business: "ratins", Service: "dispatch"}
 
-// paper is a journal that can be read while it is written.
-type paper struct {
+// journalBuffer is the output of a journal that can be read while it is written.
+type journalBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (p *paper) Write(line []byte) (int, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.text.Write(line)
+func (b *journalBuffer) Write(line []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.Write(line)
 }
 
-func read[T any](t *testing.T, p *paper) []T {
+func read[T any](t *testing.T, b *journalBuffer) []T {
 	t.Helper()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	records, err := mtstandin.ReadJournal[T](bytes.NewReader(p.text.Bytes()))
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	records, err := mtstandin.ReadJournal[T](bytes.NewReader(b.text.Bytes()))
 	assert.NilError(t, err)
 	return records
 }
@@ -56,10 +56,11 @@
 	}
 }
 
-// start runs a server whose crash cuts the connection, in place of the process.
-func start(t *testing.T, s mtstandin.ServerSetting) (string, *mtstandin.Server, *paper) {
+// start runs a server whose crash closes the connection instead of ending the
+// process.
+func start(t *testing.T, s mtstandin.ServerSetting) (string, *mtstandin.Server, *journalBuffer) {
 	t.Helper()
-	written := &paper{}
+	written := &journalBuffer{}
 	journal := mtstandin.NewJournal[mtaudit.Event](written)
 	server, cleanUp, err := mtstandin.NewServer(s, journal, func() { panic(http.ErrAbortHandler) })
 	assert.NilError(t, err)
@@ -86,7 +87,7 @@
 	return response, string(body), err
 }
 
-func TestServerRefusesWhatItMustNotBegin(t *testing.T) {
+func TestServerRefusesInvalidRequests(t *testing.T) {
 	now := mttime.New().Boot()
 	past, future := strconv.FormatInt(now-1, 10), strconv.FormatInt(now+int64(time.Hour), 10)
 	tests := []struct {
@@ -95,7 +96,7 @@
 		headers map[string]string
 		cause   mtreply.Cause // empty if it runs
 	}{
-		{"in order", "/k/run", map[string]string{mtheader.ID: "r", mtheader.Epoch: "2", mtheader.StartBy: future, mtheader.Deadline: future}, ""},
+		{"valid", "/k/run", map[string]string{mtheader.ID: "r", mtheader.Epoch: "2", mtheader.StartBy: future, mtheader.Deadline: future}, ""},
 		{"same epoch", "/k/run", map[string]string{mtheader.ID: "r", mtheader.Epoch: "2"}, ""},
 		{"old epoch", "/k/run", map[string]string{mtheader.ID: "r", mtheader.Epoch: "1"}, mtreply.CauseFenced},
 		{"old epoch of another key", "/k2/run", map[string]string{mtheader.ID: "r", mtheader.Epoch: "1"}, ""},
@@ -103,7 +104,7 @@
 		{"after its deadline", "/k/run", map[string]string{mtheader.ID: "r", mtheader.Epoch: "2", mtheader.Deadline: past}, mtreply.CauseExpired},
 		{"no identifier", "/k/run", map[string]string{}, mtreply.CauseMalformed},
 		{"no key", "/", map[string]string{mtheader.ID: "r"}, mtreply.CauseMalformed},
-		{"epoch that is no number", "/k/run", map[string]string{mtheader.ID: "r", mtheader.Epoch: "x"}, mtreply.CauseMalformed},
+		{"epoch is not a number", "/k/run", map[string]string{mtheader.ID: "r", mtheader.Epoch: "x"}, mtreply.CauseMalformed},
 	}
 	url, _, written := start(t, setting())
 	for _, tt := range tests {
@@ -125,7 +126,7 @@
 	}
 }
 
-func TestServerJournalsWhatItSends(t *testing.T) {
+func TestServerJournalsRequestAndReply(t *testing.T) {
 	url, _, written := start(t, setting())
 	headers := map[string]string{mtheader.ID: "r", mtheader.Epoch: "2", mtheader.Class: "send"}
 	_, body, err := send(t.Context(), url+"/room%2F7/run/now", headers)
@@ -141,7 +142,7 @@
 	assert.Equal(t, events[1].Reply, mtaudit.DigestOf([]byte(body)))
 }
 
-// until polls for a state that is reached without a bound in time.
+// until polls for a state that may take any time to be reached, and fails after 30 s.
 func until(t *testing.T, reached func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -152,33 +153,33 @@
 	}, poll.WithTimeout(30*time.Second), poll.WithDelay(time.Millisecond))
 }
 
-// A caller goes away while its request runs. The server must stop working and
-// say in its journal that it sent no reply.
+// A caller disconnects while its request runs. The server must end the run and
+// journal that it sent no reply.
 func TestServerHonoursCancellation(t *testing.T) {
 	s := setting()
 	s.Time.Mean = time.Hour
 	url, server, written := start(t, s)
 	ctx, cancel := context.WithCancel(t.Context())
-	gone := make(chan error)
+	done := make(chan error)
 	go func() {
 		_, _, err := send(ctx, url+"/k/run", map[string]string{mtheader.ID: "r"})
-		gone <- err
+		done <- err
 	}()
 	until(t, func() bool { return len(read[mtaudit.Event](t, written)) == 1 })
 	cancel()
-	assert.ErrorIs(t, <-gone, context.Canceled)
+	assert.ErrorIs(t, <-done, context.Canceled)
 	until(t, func() bool { return server.Busy() == 0 })
 	events := read[mtaudit.Event](t, written)
 	assert.Equal(t, len(events), 2)
 	assert.Equal(t, events[1].Reply, mtaudit.Digest(""))
 }
 
-func TestServerEndsAtTheDeadline(t *testing.T) {
+func TestServerEndsRunAtDeadline(t *testing.T) {
 	s := setting()
 	s.Time.Mean = time.Hour
 	url, _, written := start(t, s)
 	var err error
-	// On a busy machine a short deadline passes before the request begins.
+	// On a busy machine a short deadline may pass before the request begins.
 	for wait := 100 * time.Millisecond; len(read[mtaudit.Event](t, written)) == 0; wait *= 2 {
 		deadline := strconv.FormatInt(mttime.New().Boot()+int64(wait), 10)
 		_, _, err = send(t.Context(), url+"/k/run", map[string]string{mtheader.ID: "r", mtheader.Deadline: deadline})
@@ -188,7 +189,7 @@
 	assert.Equal(t, events[1].Reply, mtaudit.Digest(""))
 }
 
-func TestServerShedsWhatFindsNoSlot(t *testing.T) {
+func TestServerShedsWithoutFreeSlot(t *testing.T) {
 	s := setting()
 	s.Time.Mean, s.Slots, s.Shed = time.Hour, 1, true
 	url, _, written := start(t, s)
@@ -202,8 +203,8 @@
 	assert.Equal(t, len(read[mtaudit.Event](t, written)), 1)
 }
 
-// A poison request kills the server that runs it: the run is in the journal,
-// without an end, and the caller has no reply.
+// A poison request crashes the server that runs it. The journal must contain the
+// begin of the run but no end, and the caller must receive no reply.
 func TestServerCrashesOnPoison(t *testing.T) {
 	url, _, written := start(t, setting())
 	_, _, err := send(t.Context(), url+"/k/poison", map[string]string{mtheader.ID: "r"})
@@ -212,14 +213,14 @@
 }
 
 func TestServerAnnouncesItself(t *testing.T) {
-	heard := make(chan mtannounce.Announcement, 100)
+	announced := make(chan mtannounce.Announcement, 100)
 	daemon := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var a mtannounce.Announcement
 		if r.URL.Path != mtheader.AnnouncePath || json.NewDecoder(r.Body).Decode(&a) != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		heard <- a
+		announced <- a
 	}))
 	defer daemon.Close()
 	s := setting()
@@ -229,9 +230,9 @@
 		Business: "ratins", Service: "dispatch", Address: "127.0.0.1:1", Slots: 2, Connections: 10,
 		Epochs: true, Deadlines: true, State: mtannounce.Cold, Load: 0.25,
 	}
-	assert.DeepEqual(t, <-heard, want)
+	assert.DeepEqual(t, <-announced, want)
 	server.Drain()
-	for a := range heard {
+	for a := range announced {
 		if a.State == mtannounce.Draining {
 			return
 		}
@@ -239,16 +240,16 @@
 	}
 }
 
-// A daemon is frozen while its server runs a send order for longer than the
-// lease lasts. Nobody cancels the run, and the next owner of the key begins. The
-// server has to stop by itself once the last lease end that it heard of passed,
-// and must go on as long as it hears of later ones.
-func TestServerStopsWithItsDaemonsLease(t *testing.T) {
+// A frozen daemon cannot cancel a run that takes longer than its lease, and the next
+// owner of the key starts serving it. The server must end the run itself when the
+// last reported lease end has passed, and must continue while later ends are
+// reported.
+func TestServerEndsRunWithDaemonLease(t *testing.T) {
 	const lease = 300 * time.Millisecond
 	clock := mttime.New()
 	tests := []struct {
 		name  string
-		lease time.Duration // that the one answer of the daemon promises
+		lease time.Duration // duration in the only reply of the daemon
 		epoch string
 		stops bool
 	}{
@@ -258,9 +259,9 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var asked atomic.Int32
+			var announcements atomic.Int32
 			daemon := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-				if asked.Add(1) > 1 {
+				if announcements.Add(1) > 1 {
 					panic(http.ErrAbortHandler)
 				}
 				w.Header().Set(mtheader.ServeUntil, strconv.FormatInt(clock.Boot()+int64(tt.lease), 10))
@@ -269,20 +270,20 @@
 			s := setting()
 			s.Daemon, s.Grants, s.Time.Mean = daemon.URL, true, time.Hour
 			url, server, written := start(t, s)
-			// Once it asks a second time, it has read the first answer.
-			until(t, func() bool { return asked.Load() > 1 })
+			// The second announcement shows that the server has read the first reply.
+			until(t, func() bool { return announcements.Load() > 1 })
 			startBy := clock.Boot() + int64(lease)
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			gone := make(chan error, 1)
+			done := make(chan error, 1)
 			go func() {
 				_, _, err := send(ctx, url+"/k/run", map[string]string{
 					mtheader.ID: "r", mtheader.Epoch: tt.epoch, mtheader.StartBy: strconv.FormatInt(startBy, 10),
 				})
-				gone <- err
+				done <- err
 			}()
 			if tt.stops {
-				assert.ErrorIs(t, <-gone, io.EOF)
+				assert.ErrorIs(t, <-done, io.EOF)
 				assert.Assert(t, clock.Boot() >= startBy, "the run ended before the lease did")
 				events := read[mtaudit.Event](t, written)
 				assert.Equal(t, len(events), 2)
@@ -290,15 +291,15 @@
 				return
 			}
 			until(t, func() bool { return server.Busy() == 1 && clock.Boot() > startBy+int64(lease) })
-			assert.Equal(t, len(gone), 0)
+			assert.Equal(t, len(done), 0)
 		})
 	}
 }
 
-func TestNewServerRefusesSettings(t *testing.T) {
+func TestNewServerRejectsInvalidSettings(t *testing.T) {
 	tests := []struct {
-		name  string
-		spoil func(s *mtstandin.ServerSetting)
+		name       string
+		invalidate func(s *mtstandin.ServerSetting)
 	}{
 		{"slots", func(s *mtstandin.ServerSetting) { s.Slots = 0 }},
 		{"address", func(s *mtstandin.ServerSetting) { s.Address = "here" }},
@@ -310,15 +311,16 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := setting()
-			tt.spoil(&s)
+			tt.invalidate(&s)
 			_, _, err := mtstandin.NewServer(s, nil, nil)
 			assert.ErrorContains(t, err, tt.name)
 		})
 	}
 }
 
-// A process is killed in the middle of a line: what it wrote before counts.
-func TestJournalWithATornEnd(t *testing.T) {
+// A process killed while writing a line leaves an incomplete last line. The complete
+// lines before it must still be read.
+func TestReadJournalIgnoresIncompleteLastLine(t *testing.T) {
 	got, err := mtstandin.ReadJournal[mtaudit.Mark](strings.NewReader("{\"name\":\"kill\"}\n{\"na"))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got, []mtaudit.Mark{{Name: "kill"}})
--- a/io/mtstandin/tally.go
+++ b/io/mtstandin/tally.go
@@ -16,14 +16,14 @@
 	"magnoliaturn/core/mtreply"
 )
 
-// The range and precision of a latency histogram.
+// The range of a latency histogram in nanoseconds and its significant digits.
 const (
 	lowest    = int64(time.Microsecond)
 	highest   = int64(time.Minute)
 	precision = 3
 )
 
-// tally counts calls and their latencies by class and outcome.
+// tally holds the latency histograms of calls by class, outcome and cause.
 type tally struct {
 	mu    sync.Mutex
 	lines map[tallyKey]*hdrhistogram.Histogram
@@ -38,24 +38,25 @@
 
 func newTally() *tally { return &tally{lines: make(map[tallyKey]*hdrhistogram.Histogram)} }
 
-// add counts a call by its last try. Its latency is counted from when it was
-// due.
+// add counts a call with the outcome of its last try. Its latency is measured from
+// the planned send time.
 func (t *tally) add(c mtaudit.Call) {
 	took := min(max(int64(c.Ended.Sub(c.Planned)), lowest), highest)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at := tallyKey{class: c.Class, outcome: c.Outcome, cause: c.Cause}
-	line := t.lines[at]
+	key := tallyKey{class: c.Class, outcome: c.Outcome, cause: c.Cause}
+	line := t.lines[key]
 	if line == nil {
 		line = hdrhistogram.New(lowest, highest, precision)
-		t.lines[at] = line
+		t.lines[key] = line
 	}
-	_ = line.RecordValue(took) // within the range by the line above
+	_ = line.RecordValue(took) // in range: clamped above
 	t.sent++
 }
 
-// SummaryLine is what became of the calls of one class that ended alike.
-// Latencies are counted from when a call was due to the end of its last try.
+// SummaryLine sums up the calls of one class with the same outcome and cause.
+// Latencies are measured from the planned send time of a call to the end of its last
+// try.
 type SummaryLine struct {
 	Class   mtid.Class
 	Outcome mtreply.Outcome
@@ -67,7 +68,7 @@
 	Max     time.Duration
 }
 
-// Summary is what became of a load.
+// Summary holds the number of calls of a load, its duration and the results.
 type Summary struct {
 	Calls uint64
 	Took  time.Duration
@@ -78,9 +79,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := Summary{Calls: t.sent, Took: took}
-	for at, h := range t.lines {
+	for key, h := range t.lines {
 		s.Lines = append(s.Lines, SummaryLine{
-			Class: at.class, Outcome: at.outcome, Cause: at.cause, Calls: h.TotalCount(),
+			Class: key.class, Outcome: key.outcome, Cause: key.cause, Calls: h.TotalCount(),
 			P50:  time.Duration(h.ValueAtQuantile(50)),
 			P99:  time.Duration(h.ValueAtQuantile(99)),
 			P999: time.Duration(h.ValueAtQuantile(99.9)),
@@ -106,5 +107,5 @@
 	return w.Flush()
 }
 
-// short rounds a latency to microseconds.
+// short formats a latency, rounded to microseconds.
 func short(d time.Duration) string { return d.Round(time.Microsecond).String() }
