--- a/cmd/magnoliaturn/explain.go
+++ b/cmd/magnoliaturn/explain.go
@@ -47,9 +47,9 @@
 		fmt.Fprintln(os.Stderr, err)
 		return subcommands.ExitFailure
 	}
-	story, err := mtexplain.Read(f.Arg(0), logs...)
+	timeline, err := mtexplain.Read(f.Arg(0), logs...)
 	if err == nil {
-		err = story.Print(os.Stdout)
+		err = timeline.Print(os.Stdout)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/io/mtcommit/mtcommit_test.go
+++ b/io/mtcommit/mtcommit_test.go
@@ -31,7 +31,7 @@
 // fleet is a store with the records of many daemons, whose servers own all keys.
 type fleet struct {
 	t              *testing.T
-	store          *mtstandin.Revisions
+	store          *mtstandin.RevisionStore
 	directory      *mtdirectory.Directory
 	committer      *mtcommit.Committer
 	recordVersions []mtid.Version
@@ -60,7 +60,7 @@
 }
 
 func newFleet(t *testing.T) *fleet {
-	f := &fleet{t: t, store: mtstandin.NewRevisions(time.Now)}
+	f := &fleet{t: t, store: mtstandin.NewRevisionStore(time.Now)}
 	var all []mtrange.Owner
 	for i := range owners {
 		all = append(all, ownerOf(i))
--- a/io/mtdirectory/foreign_test.go
+++ b/io/mtdirectory/foreign_test.go
@@ -51,7 +51,7 @@
 func TestInvalidRecordIsIgnored(t *testing.T) {
 	for name, text := range invalidRecords(t) {
 		t.Run(name, func(t *testing.T) {
-			store := mtstandin.NewRevisions(time.Now)
+			store := mtstandin.NewRevisionStore(time.Now)
 			a, b := start(t, store, "a"), start(t, store, "b")
 			b.Publish(record("b"))
 			waitFor(t, "a knows the record of b", func() bool { return knowsRecord(a, "b", false) })
@@ -68,7 +68,7 @@
 func TestInvalidRecordIdentifiesNoServer(t *testing.T) {
 	for name, text := range invalidRecords(t) {
 		t.Run(name, func(t *testing.T) {
-			store := mtstandin.NewRevisions(time.Now)
+			store := mtstandin.NewRevisionStore(time.Now)
 			store.Put(mtstore.BackendName("b"), []byte(text))
 			store.Put(mtstore.BackendPrefix, []byte("no name at all"))
 			store.Put(mtstore.RangePrefix+"maps", []byte("no assignment"))
--- a/io/mtdirectory/mtdirectory_test.go
+++ b/io/mtdirectory/mtdirectory_test.go
@@ -22,7 +22,7 @@
 
 const lease = 600 * time.Millisecond
 
-func start(t *testing.T, store *mtstandin.Revisions, self mtid.Daemon) *mtdirectory.Directory {
+func start(t *testing.T, store *mtstandin.RevisionStore, self mtid.Daemon) *mtdirectory.Directory {
 	t.Helper()
 	d, cleanUp := mtdirectory.New(mtdirectory.Config{
 		Self: self, Store: store, Clock: mttime.New(), Lease: lease, Log: slog.New(slog.DiscardHandler),
@@ -71,7 +71,7 @@
 }
 
 // writeLeasedRecord writes the record of daemon a and returns its lease.
-func writeLeasedRecord(t *testing.T, store *mtstandin.Revisions) mtstore.LeaseID {
+func writeLeasedRecord(t *testing.T, store *mtstandin.RevisionStore) mtstore.LeaseID {
 	t.Helper()
 	lease, err := store.Grant(context.Background(), time.Minute)
 	assert.NilError(t, err)
@@ -84,7 +84,7 @@
 
 // writeAndDelete writes the record of daemon a and deletes it again by ending its
 // lease.
-func writeAndDelete(t *testing.T, store *mtstandin.Revisions) {
+func writeAndDelete(t *testing.T, store *mtstandin.RevisionStore) {
 	t.Helper()
 	assert.NilError(t, store.End(context.Background(), writeLeasedRecord(t, store)))
 }
@@ -93,7 +93,7 @@
 // record must be written again once the store has recovered; until then other daemons
 // see it as expired.
 func TestExpiredRecordIsRewritten(t *testing.T) {
-	store := mtstandin.NewRevisions(time.Now)
+	store := mtstandin.NewRevisionStore(time.Now)
 	a, b := start(t, store, "a"), start(t, store, "b")
 	a.Publish(record("a"))
 	waitFor(t, "b knows the record of a", func() bool { return knowsRecord(b, "a", false) })
@@ -105,7 +105,7 @@
 		}
 		return &mtstore.UnavailableError{Op: op, Err: errors.New("busy")}
 	})
-	store.Lapse()
+	store.EndLeases()
 	waitFor(t, "b sees the record of a as expired", func() bool { return knowsRecord(b, "a", true) })
 	waitFor(t, "a's record is no longer certainly valid", func() bool { return a.RecordValidUntil() == 0 || a.RecordValidUntil().Before(mttime.New().Now()) })
 	down.Store(false)
@@ -117,7 +117,7 @@
 // lease that nobody renews. The new incarnation must replace the record, which must
 // still exist after the old lease has expired.
 func TestNewIncarnationReplacesRecord(t *testing.T) {
-	store := mtstandin.NewRevisions(time.Now)
+	store := mtstandin.NewRevisionStore(time.Now)
 	old, err := store.Grant(context.Background(), 300*time.Millisecond)
 	assert.NilError(t, err)
 	value, err := record("a").Encode()
@@ -130,7 +130,7 @@
 	a.Publish(next)
 	waitFor(t, "the record of the new incarnation is present", func() bool { return a.View().Members["a"].Incarnation.Server == "next" })
 	time.Sleep(400 * time.Millisecond)
-	store.Expire()
+	store.ExpireLeases()
 	entry, err := store.Get(context.Background(), mtstore.BackendName("a"))
 	assert.NilError(t, err)
 	got, err := mtbackend.Decode(entry.Value)
@@ -142,7 +142,7 @@
 // expires. The record must pass on what the previous incarnation knew; it used to be
 // deleted with the lease.
 func TestNextIncarnationReceivesDrainingRecord(t *testing.T) {
-	store := mtstandin.NewRevisions(time.Now)
+	store := mtstandin.NewRevisionStore(time.Now)
 	draining := record("a")
 	draining.State = mtbackend.Draining
 	previous, end := mtdirectory.New(mtdirectory.Config{
@@ -165,15 +165,15 @@
 // A watch receives nothing until the history has been compacted. Deletions in that
 // time show only as missing entries.
 func TestDeletionsInCompactedHistoryAreDetected(t *testing.T) {
-	store := mtstandin.NewRevisions(time.Now)
+	store := mtstandin.NewRevisionStore(time.Now)
 	b := start(t, store, "b")
 	lease := writeLeasedRecord(t, store)
 	waitFor(t, "b knows the record of a", func() bool { return knowsRecord(b, "a", false) })
-	store.Deafen(true)
+	store.SuppressWatchEvents(true)
 	assert.NilError(t, store.End(context.Background(), lease))
 	store.Put("other", nil)
 	store.Compact()
-	store.Deafen(false)
+	store.SuppressWatchEvents(false)
 	waitFor(t, "b sees the record of a as expired", func() bool { return knowsRecord(b, "a", true) })
 }
 
@@ -182,12 +182,12 @@
 // to count from its own start how long the other daemon could have granted keys, and
 // took them over 1.9 s after the deletion: two servers held them.
 func TestUnseenRecordExpiresAtItsDeletion(t *testing.T) {
-	store := mtstandin.NewRevisions(time.Now)
+	store := mtstandin.NewRevisionStore(time.Now)
 	b := start(t, store, "b")
 	waitFor(t, "b has read everything", func() bool { return b.View().Revision != 0 })
-	store.Deafen(true)
+	store.SuppressWatchEvents(true)
 	writeAndDelete(t, store)
-	store.Deafen(false)
+	store.SuppressWatchEvents(false)
 	waitFor(t, "b sees the deletion of a's record", func() bool { return knowsRecord(b, "a", true) })
 }
 
@@ -197,21 +197,21 @@
 // counted from the first deletion, the keys were taken over while the last grant was
 // in force.
 func TestExpiryCountsFromLastDeletion(t *testing.T) {
-	for name, resume := range map[string]func(store *mtstandin.Revisions){
-		"through a watch": func(store *mtstandin.Revisions) { store.Deafen(false) },
-		"through a full read": func(store *mtstandin.Revisions) {
+	for name, resume := range map[string]func(store *mtstandin.RevisionStore){
+		"through a watch": func(store *mtstandin.RevisionStore) { store.SuppressWatchEvents(false) },
+		"through a full read": func(store *mtstandin.RevisionStore) {
 			store.Compact()
-			store.Deafen(false)
+			store.SuppressWatchEvents(false)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			store := mtstandin.NewRevisions(time.Now)
+			store := mtstandin.NewRevisionStore(time.Now)
 			b := start(t, store, "b")
 			waitFor(t, "b has read everything", func() bool { return b.View().Revision != 0 })
 			writeAndDelete(t, store)
 			waitFor(t, "b sees the deletion of a's record", func() bool { return knowsRecord(b, "a", true) })
 			first := b.View()
-			store.Deafen(true)
+			store.SuppressWatchEvents(true)
 			writeAndDelete(t, store)
 			store.Put("other", nil)
 			resume(store)
@@ -226,7 +226,7 @@
 // lease succeed, so the daemon considered its record valid and ordered grants, while
 // all other daemons counted down to taking over its keys.
 func TestDeletedRecordIsRewritten(t *testing.T) {
-	store := mtstandin.NewRevisions(time.Now)
+	store := mtstandin.NewRevisionStore(time.Now)
 	a := start(t, store, "a")
 	a.Publish(record("a"))
 	waitFor(t, "a's record is valid", func() bool { return knowsRecord(a, "a", false) && a.RecordValidUntil() != 0 })
@@ -241,7 +241,7 @@
 // must receive the same changes as from a watch, including deletions and without old
 // entries.
 func TestDownstreamReceivesSameChangesAsWatch(t *testing.T) {
-	store := mtstandin.NewRevisions(time.Now)
+	store := mtstandin.NewRevisionStore(time.Now)
 	b := start(t, store, "b")
 	lease := writeLeasedRecord(t, store)
 	table, err := mtrange.Spread("maps", []mtrange.Owner{{Daemon: "a", Incarnation: mtid.ServerIncarnation{Server: "s"}}})
@@ -267,7 +267,7 @@
 // upstreamSource is a source of changes that reads from another directory, which sends
 // patches.
 type upstreamSource struct {
-	store      *mtstandin.Revisions
+	store      *mtstandin.RevisionStore
 	upstream   *mtdirectory.Directory
 	downstream *mtdirectory.Directory
 	patches    atomic.Int64
@@ -291,7 +291,7 @@
 // They must receive only patches, and end up with the same assignment as a daemon that
 // watches the store.
 func TestAssignmentsPropagateAsPatches(t *testing.T) {
-	store := mtstandin.NewRevisions(time.Now)
+	store := mtstandin.NewRevisionStore(time.Now)
 	upstream := start(t, store, "a")
 	table, err := mtrange.Spread("maps", []mtrange.Owner{{Daemon: "a", Incarnation: mtid.ServerIncarnation{Server: "s"}}, {Daemon: "b", Incarnation: mtid.ServerIncarnation{Server: "t"}}})
 	assert.NilError(t, err)
@@ -346,7 +346,7 @@
 // A daemon uses its own write immediately. An older assignment that the watch delivers
 // later must not replace it.
 func TestOlderAssignmentIsIgnored(t *testing.T) {
-	store := mtstandin.NewRevisions(time.Now)
+	store := mtstandin.NewRevisionStore(time.Now)
 	b := start(t, store, "b")
 	first, err := mtrange.Spread("maps", []mtrange.Owner{{Daemon: "a", Incarnation: mtid.ServerIncarnation{Server: "s"}}})
 	assert.NilError(t, err)
@@ -362,7 +362,7 @@
 // flight. Other daemons must receive them with the record, or the same requests crash
 // the next server.
 func TestSuspectsReachOtherDaemons(t *testing.T) {
-	store := mtstandin.NewRevisions(time.Now)
+	store := mtstandin.NewRevisionStore(time.Now)
 	received := make(chan mtbackend.Record, 8)
 	_, cleanUp := mtdirectory.New(mtdirectory.Config{
 		Self: "b", Store: store, Clock: mttime.New(), Lease: lease, Log: slog.New(slog.DiscardHandler),
--- a/io/mtdirectory/zone_test.go
+++ b/io/mtdirectory/zone_test.go
@@ -19,7 +19,7 @@
 // An operator takes a zone out of service and back. All daemons must receive both
 // changes, and must not choose servers of that zone in between.
 func TestZoneGoesOutOfServiceAndBack(t *testing.T) {
-	store := mtstandin.NewRevisions(time.Now)
+	store := mtstandin.NewRevisionStore(time.Now)
 	a, b := start(t, store, "a"), start(t, store, "b")
 	r := record("b")
 	r.Zone = "riga-b"
@@ -38,7 +38,7 @@
 // that of the store.
 func TestZoneStateNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		store := mtstandin.NewRevisions(time.Now)
+		store := mtstandin.NewRevisionStore(time.Now)
 		a := start(t, store, "a")
 		waitFor(t, "the store has been read", func() bool { return a.View().Revision != 0 })
 		zones := []mtid.Zone{"riga-a", "riga-b"}
@@ -51,7 +51,7 @@
 			case 2:
 				store.Delete(mtstore.ZoneName(zone))
 			case 3:
-				store.Deafen(rapid.Bool().Draw(rt, "deaf"))
+				store.SuppressWatchEvents(rapid.Bool().Draw(rt, "deaf"))
 			case 4:
 				reconcileAndCompare(t, store, a, zones)
 			}
@@ -67,7 +67,7 @@
 
 // reconcileAndCompare reads all entries of the operators, applies them and compares
 // the copy with the store.
-func reconcileAndCompare(t *testing.T, store *mtstandin.Revisions, d *mtdirectory.Directory, zones []mtid.Zone) {
+func reconcileAndCompare(t *testing.T, store *mtstandin.RevisionStore, d *mtdirectory.Directory, zones []mtid.Zone) {
 	t.Helper()
 	read, err := store.Watch(context.Background(), mtstore.ZonePrefix, 0, 0)
 	assert.NilError(t, err)
@@ -98,7 +98,7 @@
 func TestLateUpdateDoesNotRestoreZone(t *testing.T) {
 	source := &scriptedSource{changes: make(chan mtstore.Changes)}
 	directory, closeDirectory := mtdirectory.New(mtdirectory.Config{
-		Self: "a", Store: mtstandin.NewRevisions(time.Now), Source: source, Clock: mttime.New(), Lease: time.Second, Log: slog.New(slog.DiscardHandler),
+		Self: "a", Store: mtstandin.NewRevisionStore(time.Now), Source: source, Clock: mttime.New(), Lease: time.Second, Log: slog.New(slog.DiscardHandler),
 	})
 	defer closeDirectory()
 	source.changes <- mtstore.Changes{Revision: 10}
--- a/io/mtexplain/mtexplain.go
+++ b/io/mtexplain/mtexplain.go
@@ -9,8 +9,8 @@
 //
 // # Usage
 //
-//	story, err := mtexplain.Read(id, readers...)
-//	err = story.Print(os.Stdout)
+//	timeline, err := mtexplain.Read(id, readers...)
+//	err = timeline.Print(os.Stdout)
 package mtexplain
 
 import (
@@ -34,13 +34,13 @@
 	Fields  map[string]any // without the time, daemon, message and level
 }
 
-// Story holds the log lines about one request, sorted by time.
-type Story struct {
+// Timeline holds the log lines about one request, sorted by time.
+type Timeline struct {
 	ID    string
 	Lines []Line
-	// Beliefs are the last state changes that the daemons involved logged
+	// PriorState holds the last state changes that the daemons involved logged
 	// before the first line of the request, one per daemon and message.
-	Beliefs []Line
+	PriorState []Line
 }
 
 // stateMessages are the log messages that report a change of the state a daemon
@@ -53,13 +53,13 @@
 
 // Read collects the lines about the request with the given ID from the logs. It
 // fails with the error of a reader.
-func Read(id string, logs ...io.Reader) (*Story, error) {
-	s := &Story{ID: id}
+func Read(id string, logs ...io.Reader) (*Timeline, error) {
+	t := &Timeline{ID: id}
 	var stateLines []Line
 	err := Each(func(line Line) {
 		switch {
-		case s.matches(line):
-			s.Lines = append(s.Lines, line)
+		case t.matches(line):
+			t.Lines = append(t.Lines, line)
 		case stateMessages[line.Message]:
 			stateLines = append(stateLines, line)
 		}
@@ -68,10 +68,10 @@
 		return nil, err
 	}
 	byTime := func(a, b Line) int { return a.Time.Compare(b.Time) }
-	slices.SortStableFunc(s.Lines, byTime)
+	slices.SortStableFunc(t.Lines, byTime)
 	slices.SortStableFunc(stateLines, byTime)
-	s.Beliefs = s.lastBefore(stateLines)
-	return s, nil
+	t.PriorState = t.lastBefore(stateLines)
+	return t, nil
 }
 
 // Each calls do for each daemon log line in logs and ignores all other lines. It
@@ -118,24 +118,24 @@
 }
 
 // matches reports whether a line has the ID of the request or of a nested one.
-func (s *Story) matches(l Line) bool {
+func (t *Timeline) matches(l Line) bool {
 	id, _ := l.Fields["id"].(string)
-	return id == s.ID || strings.HasPrefix(id, s.ID+".")
+	return id == t.ID || strings.HasPrefix(id, t.ID+".")
 }
 
 // lastBefore returns the last state line per message and daemon before the first
 // line of the request, for the daemons that logged something about it.
-func (s *Story) lastBefore(stateLines []Line) []Line {
-	if len(s.Lines) == 0 {
+func (t *Timeline) lastBefore(stateLines []Line) []Line {
+	if len(t.Lines) == 0 {
 		return nil
 	}
 	involved := map[string]bool{}
-	for _, l := range s.Lines {
+	for _, l := range t.Lines {
 		involved[l.Daemon] = true
 	}
 	last := map[string]Line{}
 	for _, l := range stateLines {
-		if involved[l.Daemon] && !l.Time.After(s.Lines[0].Time) {
+		if involved[l.Daemon] && !l.Time.After(t.Lines[0].Time) {
 			last[l.Daemon+" "+l.Message] = l
 		}
 	}
@@ -149,16 +149,16 @@
 
 // Print writes the lines of the request and the state before it, with times
 // relative to the first line of the request.
-func (s *Story) Print(w io.Writer) error {
-	if len(s.Lines) == 0 {
-		_, err := fmt.Fprintf(w, "no line of request %s: it was answered, or its line was left out under load\n", s.ID)
+func (t *Timeline) Print(w io.Writer) error {
+	if len(t.Lines) == 0 {
+		_, err := fmt.Fprintf(w, "no line of request %s: it was answered, or its line was left out under load\n", t.ID)
 		return err
 	}
-	first := s.Lines[0].Time
-	if _, err := fmt.Fprintf(w, "request %s\nbefore:\n", s.ID); err != nil {
+	first := t.Lines[0].Time
+	if _, err := fmt.Fprintf(w, "request %s\nbefore:\n", t.ID); err != nil {
 		return err
 	}
-	for _, l := range s.Beliefs {
+	for _, l := range t.PriorState {
 		if err := l.print(w, first); err != nil {
 			return err
 		}
@@ -166,7 +166,7 @@
 	if _, err := fmt.Fprintln(w, "then:"); err != nil {
 		return err
 	}
-	for _, l := range s.Lines {
+	for _, l := range t.Lines {
 		if err := l.print(w, first); err != nil {
 			return err
 		}
--- a/io/mtexplain/mtexplain_test.go
+++ b/io/mtexplain/mtexplain_test.go
@@ -23,10 +23,10 @@
 `
 
 func TestPrintShowsLinesOfSeveralDaemons(t *testing.T) {
-	story, err := mtexplain.Read("7", strings.NewReader(first), strings.NewReader(second))
+	timeline, err := mtexplain.Read("7", strings.NewReader(first), strings.NewReader(second))
 	assert.NilError(t, err)
 	var out strings.Builder
-	assert.NilError(t, story.Print(&out))
+	assert.NilError(t, timeline.Print(&out))
 	assert.Equal(t, out.String(), `request 7
 before:
      -1.000s a: configuration in force version=4
@@ -37,9 +37,9 @@
 }
 
 func TestPrintWithoutMatchingLines(t *testing.T) {
-	story, err := mtexplain.Read("9", strings.NewReader(first))
+	timeline, err := mtexplain.Read("9", strings.NewReader(first))
 	assert.NilError(t, err)
 	var out strings.Builder
-	assert.NilError(t, story.Print(&out))
+	assert.NilError(t, timeline.Print(&out))
 	assert.Assert(t, strings.Contains(out.String(), "no line of request 9"))
 }
--- a/io/mtgrant/mtgrant_test.go
+++ b/io/mtgrant/mtgrant_test.go
@@ -153,7 +153,7 @@
 type fleet struct {
 	t         *testing.T
 	clock     *clock
-	store     *mtstandin.Revisions
+	store     *mtstandin.RevisionStore
 	directory *mtdirectory.Directory
 	host      *host
 	server    *fakeServer
@@ -196,7 +196,7 @@
 func newFleet(t *testing.T, assigned ...mtid.Daemon) *fleet {
 	t.Helper()
 	f := &fleet{t: t, clock: &clock{now: mtclock.Instant(time.Hour)}, host: &host{record: record("a", mtbackend.Ready)}, server: &fakeServer{}}
-	f.store = mtstandin.NewRevisions(f.clock.time)
+	f.store = mtstandin.NewRevisionStore(f.clock.time)
 	var owners []mtrange.Owner
 	for _, d := range assigned {
 		owners = append(owners, ownerOf(d))
@@ -318,7 +318,7 @@
 	f.start()
 	f.until("the own range is granted", func() bool { return f.server.count("grant") == 1 })
 	var writes atomic.Int64
-	f.store.Lose(func(_, name string) error {
+	f.store.LoseReplies(func(_, name string) error {
 		if name == mtstore.RangeName(service) {
 			writes.Add(1)
 		}
@@ -478,8 +478,8 @@
 	f := newFleet(t, "a", "b")
 	f.start()
 	f.until("the own range is granted", func() bool { return f.server.count("grant") == 1 })
-	f.store.Deafen(true) // the watch does not show the move either
-	f.store.Lose(func(op, name string) error {
+	f.store.SuppressWatchEvents(true) // the watch does not show the move either
+	f.store.LoseReplies(func(op, name string) error {
 		if name != mtstore.RangeName(service) {
 			return nil
 		}
@@ -522,7 +522,7 @@
 	f.start()
 	f.until("the own range is granted", func() bool { return f.server.count("grant") == 1 })
 	var written atomic.Bool
-	f.store.Lose(func(_, name string) error {
+	f.store.LoseReplies(func(_, name string) error {
 		if name == mtstore.RangeName(service) {
 			written.Store(true)
 		}
--- a/io/mtgrant/order_test.go
+++ b/io/mtgrant/order_test.go
@@ -26,7 +26,7 @@
 	f := newFleet(t, "a", "b")
 	f.start()
 	f.until("the own range is granted", func() bool { return f.server.count("grant") == 1 })
-	f.store.Deafen(true) // the watch shows nothing from here on
+	f.store.SuppressWatchEvents(true) // the watch shows nothing from here on
 	f.store.Fail(func(op, _ string) error {
 		if op == "watch" {
 			return nil
@@ -34,7 +34,7 @@
 		return &mtstore.UnavailableError{Op: op, Err: context.DeadlineExceeded}
 	})
 	f.clock.advance(lease + grantDuration)
-	f.store.Expire()
+	f.store.ExpireLeases()
 	table, err := mtrange.Spread(service, []mtrange.Owner{ownerOf("a"), ownerOf("b")})
 	assert.NilError(t, err)
 	reassigned, err := table.Move(0, mtid.LastKeyNumber/2, ownerOf("b"), "")
@@ -47,7 +47,7 @@
 	f.grants.Wake()
 	f.letLoopsRun()
 	assert.Equal(t, f.server.count("grant"), 1, "granted by a copy from before the takeover")
-	f.store.Deafen(false)
+	f.store.SuppressWatchEvents(false)
 	f.until("the copy shows the takeover", func() bool { return f.owner(0) == "b" })
 	f.letLoopsRun()
 	assert.Equal(t, f.server.count("grant"), 1)
@@ -60,9 +60,9 @@
 	f := newFleet(t, "a", "b")
 	f.start()
 	f.until("the own range is granted", func() bool { return f.server.count("grant") == 1 })
-	f.store.Deafen(true)
+	f.store.SuppressWatchEvents(true)
 	f.clock.advance(lease + grantDuration)
-	f.store.Expire()
+	f.store.ExpireLeases()
 	f.until("the keys are granted again", func() bool {
 		f.clock.advance(10 * time.Millisecond)
 		return f.server.count("grant") == 2
--- a/io/mtingress/send_test.go
+++ b/io/mtingress/send_test.go
@@ -66,7 +66,7 @@
 func newSender(t *testing.T, p *fakePeers) (*mtingress.Sender, *mttime.Clock) {
 	t.Helper()
 	clock := mttime.New()
-	store := mtstandin.NewRevisions(time.Now)
+	store := mtstandin.NewRevisionStore(time.Now)
 	for _, d := range []mtid.Daemon{"b", "c", "d"} {
 		value, err := mtbackend.Record{Daemon: d, Address: string(d) + ":1", Service: "desk", Incarnation: mtid.ServerIncarnation{Server: "s"}, Slots: 10, State: mtbackend.Ready}.Encode()
 		assert.NilError(t, err)
--- a/io/mtmesh/learn_test.go
+++ b/io/mtmesh/learn_test.go
@@ -26,7 +26,7 @@
 // cluster is a set of daemons that pull changes from each other.
 type cluster struct {
 	t     *testing.T
-	store *mtstandin.Revisions
+	store *mtstandin.RevisionStore
 	feeds sync.Map // of mtmesh.Feed, by address
 	// starting is set if no configuration is in force yet.
 	starting bool
@@ -73,7 +73,7 @@
 func TestMutualUpstreamsStillReceiveChanges(t *testing.T) {
 	for name, zone := range map[string]mtid.Zone{"in two zones": "zone-2", "in one zone": "zone-1"} {
 		t.Run(name, func(t *testing.T) {
-			c := &cluster{t: t, store: mtstandin.NewRevisions(time.Now)}
+			c := &cluster{t: t, store: mtstandin.NewRevisionStore(time.Now)}
 			a, b := node("a", "zone-1"), node("b", zone)
 			others := []mtspread.Node{node("0", "zone-0"), node("00", "zone-00")}
 			viewOf := func(self, watcher mtspread.Node) *mtspread.Tree {
@@ -102,7 +102,7 @@
 // watched the store meanwhile, each would be woken by every record that is written.
 func TestPullingDaemonsDoNotWatchAtStartup(t *testing.T) {
 	var watches atomic.Int32
-	c := &cluster{t: t, store: mtstandin.NewRevisions(time.Now), starting: true}
+	c := &cluster{t: t, store: mtstandin.NewRevisionStore(time.Now), starting: true}
 	c.write("first")
 	c.store.Fail(func(op, _ string) error {
 		if op == "watch" {
--- a/io/mtstandin/revisions.go
+++ b/io/mtstandin/revisions.go
@@ -13,25 +13,25 @@
 	"magnoliaturn/core/mtstore"
 )
 
-// Revisions is an in-memory store with conditional writes, for tests. Versions are
-// revisions of the whole store, and Compact discards the history. Leases that are
-// over by the clock are ended at the next call.
+// RevisionStore is an in-memory store with conditional writes, for tests. Versions
+// are revisions of the whole store, and Compact discards the history. Leases that
+// are over by the clock are ended at the next call.
 //
 // It is safe for concurrent use.
-type Revisions struct {
+type RevisionStore struct {
 	clock func() time.Time
 
-	mu           sync.Mutex
-	revision     uint64
-	items        map[string]item
-	deleted      map[string]uint64 // revision of the deletion, by name
-	leases       map[mtstore.LeaseID]leaseState
-	granted      uint64
-	compacted    uint64 // the history up to this revision is discarded
-	watchesMuted bool
-	failBefore   func(op, name string) error
-	failAfter    func(op, name string) error
-	changed      chan struct{}
+	mu                    sync.Mutex
+	revision              uint64
+	items                 map[string]item
+	deleted               map[string]uint64 // revision of the deletion, by name
+	leases                map[mtstore.LeaseID]leaseState
+	granted               uint64
+	compacted             uint64 // the history up to this revision is discarded
+	watchEventsSuppressed bool
+	failBefore            func(op, name string) error
+	failAfter             func(op, name string) error
+	changed               chan struct{}
 }
 
 type item struct {
@@ -45,9 +45,9 @@
 	until time.Time
 }
 
-// NewRevisions returns an empty store whose leases end by the given clock.
-func NewRevisions(clock func() time.Time) *Revisions {
-	return &Revisions{
+// NewRevisionStore returns an empty store whose leases end by the given clock.
+func NewRevisionStore(clock func() time.Time) *RevisionStore {
+	return &RevisionStore{
 		clock: clock, revision: 1, items: make(map[string]item), deleted: make(map[string]uint64),
 		leases: make(map[mtstore.LeaseID]leaseState), changed: make(chan struct{}),
 	}
@@ -55,7 +55,7 @@
 
 // Fail makes calls fail, before they have any effect, with the error that f returns
 // if it is not nil. A nil f makes calls succeed again.
-func (s *Revisions) Fail(f func(op, name string) error) {
+func (s *RevisionStore) Fail(f func(op, name string) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failBefore = f
@@ -64,31 +64,31 @@
 
 // Failing reports whether Fail makes calls fail now, for servers that put a network
 // protocol in front of the store.
-func (s *Revisions) Failing() bool {
+func (s *RevisionStore) Failing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.failure("any", "") != nil
 }
 
-// Lose makes swaps fail with the error that f returns after they have taken effect,
-// as when the reply is lost. A nil f ends it.
-func (s *Revisions) Lose(f func(op, name string) error) {
+// LoseReplies makes swaps fail, after they have taken effect, with the error that f
+// returns if it is not nil, as when the reply is lost. A nil f ends it.
+func (s *RevisionStore) LoseReplies(f func(op, name string) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failAfter = f
 }
 
-// Deafen makes watches that continue from a revision report no changes while muted is
-// true. Watches that start with a full read still return it.
-func (s *Revisions) Deafen(muted bool) {
+// SuppressWatchEvents makes watches that continue from a revision report no changes
+// while suppressed is true. Watches that start with a full read still return it.
+func (s *RevisionStore) SuppressWatchEvents(suppressed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.watchesMuted = muted
+	s.watchEventsSuppressed = suppressed
 	s.notifyWatchers()
 }
 
 // Compact discards the history: watches from an earlier revision fail.
-func (s *Revisions) Compact() {
+func (s *RevisionStore) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.compacted = s.revision
@@ -96,7 +96,7 @@
 }
 
 // Put writes a name unconditionally, as an operator may.
-func (s *Revisions) Put(name string, value []byte) mtid.Version {
+func (s *RevisionStore) Put(name string, value []byte) mtid.Version {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.put(name, value, "")
@@ -104,7 +104,7 @@
 
 // Delete removes a name unconditionally, as another writer may. The lease it was
 // written under continues.
-func (s *Revisions) Delete(name string) {
+func (s *RevisionStore) Delete(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remove(name)
@@ -112,7 +112,7 @@
 }
 
 // Get implements mtstore.Store.
-func (s *Revisions) Get(_ context.Context, name string) (mtstore.Entry, error) {
+func (s *RevisionStore) Get(_ context.Context, name string) (mtstore.Entry, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -127,12 +127,12 @@
 }
 
 // Swap implements mtstore.Store.
-func (s *Revisions) Swap(ctx context.Context, name string, expected mtid.Version, value []byte, lease mtstore.LeaseID) (mtid.Version, error) {
+func (s *RevisionStore) Swap(ctx context.Context, name string, expected mtid.Version, value []byte, lease mtstore.LeaseID) (mtid.Version, error) {
 	return s.SwapIf(ctx, nil, name, expected, value, lease)
 }
 
 // SwapIf implements mtstore.ConditionalStore.
-func (s *Revisions) SwapIf(_ context.Context, conditions []mtstore.Condition, name string, expected mtid.Version, value []byte, lease mtstore.LeaseID) (mtid.Version, error) {
+func (s *RevisionStore) SwapIf(_ context.Context, conditions []mtstore.Condition, name string, expected mtid.Version, value []byte, lease mtstore.LeaseID) (mtid.Version, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -164,7 +164,7 @@
 }
 
 // Watch implements mtstore.Store.
-func (s *Revisions) Watch(ctx context.Context, prefix string, after mtid.Revision, wait time.Duration) (mtstore.Changes, error) {
+func (s *RevisionStore) Watch(ctx context.Context, prefix string, after mtid.Revision, wait time.Duration) (mtstore.Changes, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	for {
@@ -182,7 +182,7 @@
 
 // changesAfter returns the changes under the prefix after a revision, and a channel
 // that is closed at the next change.
-func (s *Revisions) changesAfter(prefix string, after uint64) (mtstore.Changes, <-chan struct{}, error) {
+func (s *RevisionStore) changesAfter(prefix string, after uint64) (mtstore.Changes, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -192,7 +192,7 @@
 	if after != 0 && after < s.compacted {
 		return mtstore.Changes{}, nil, &mtstore.CompactedError{After: mtid.Revision(after)}
 	}
-	if s.watchesMuted && after != 0 {
+	if s.watchEventsSuppressed && after != 0 {
 		return mtstore.Changes{Revision: mtid.Revision(after)}, s.changed, nil
 	}
 	changes := mtstore.Changes{Revision: mtid.Revision(s.revision)}
@@ -211,7 +211,7 @@
 }
 
 // Grant implements mtstore.Store.
-func (s *Revisions) Grant(_ context.Context, ttl time.Duration) (mtstore.LeaseID, error) {
+func (s *RevisionStore) Grant(_ context.Context, ttl time.Duration) (mtstore.LeaseID, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -225,7 +225,7 @@
 }
 
 // Renew implements mtstore.Store.
-func (s *Revisions) Renew(_ context.Context, lease mtstore.LeaseID) error {
+func (s *RevisionStore) Renew(_ context.Context, lease mtstore.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -242,7 +242,7 @@
 }
 
 // End implements mtstore.ConditionalStore.
-func (s *Revisions) End(_ context.Context, lease mtstore.LeaseID) error {
+func (s *RevisionStore) End(_ context.Context, lease mtstore.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.failure("end", string(lease)); err != nil {
@@ -252,8 +252,8 @@
 	return nil
 }
 
-// Lapse ends all leases at once, as an outage of the store may.
-func (s *Revisions) Lapse() {
+// EndLeases ends all leases at once, as an outage of the store may.
+func (s *RevisionStore) EndLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range s.leases {
@@ -261,21 +261,22 @@
 	}
 }
 
-// Expire ends the leases that are over by the clock and notifies waiting watchers.
-func (s *Revisions) Expire() {
+// ExpireLeases ends the leases that are over by the clock and notifies waiting
+// watchers.
+func (s *RevisionStore) ExpireLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
 }
 
-func (s *Revisions) failure(op, name string) error {
+func (s *RevisionStore) failure(op, name string) error {
 	if s.failBefore == nil {
 		return nil
 	}
 	return s.failBefore(op, name)
 }
 
-func (s *Revisions) put(name string, value []byte, lease mtstore.LeaseID) mtid.Version {
+func (s *RevisionStore) put(name string, value []byte, lease mtstore.LeaseID) mtid.Version {
 	s.revision++
 	s.items[name] = item{value: slices.Clone(value), revision: s.revision, lease: lease}
 	delete(s.deleted, name)
@@ -283,7 +284,7 @@
 	return mtid.Version(s.revision)
 }
 
-func (s *Revisions) expire() {
+func (s *RevisionStore) expire() {
 	now := s.clock()
 	for id, l := range s.leases {
 		if !now.Before(l.until) {
@@ -293,7 +294,7 @@
 }
 
 // endLease ends a lease and deletes all entries written under it.
-func (s *Revisions) endLease(lease mtstore.LeaseID) {
+func (s *RevisionStore) endLease(lease mtstore.LeaseID) {
 	delete(s.leases, lease)
 	for name, i := range s.items {
 		if i.lease == lease {
@@ -303,13 +304,13 @@
 	s.notifyWatchers()
 }
 
-func (s *Revisions) remove(name string) {
+func (s *RevisionStore) remove(name string) {
 	s.revision++
 	delete(s.items, name)
 	s.deleted[name] = s.revision
 }
 
-func (s *Revisions) notifyWatchers() {
+func (s *RevisionStore) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -318,4 +319,4 @@
 	return mtstore.Entry{Name: name, Value: slices.Clone(i.value), Version: mtid.Version(i.revision), Revision: mtid.Revision(i.revision)}
 }
 
-var _ mtstore.ConditionalStore = (*Revisions)(nil)
+var _ mtstore.ConditionalStore = (*RevisionStore)(nil)
--- a/io/mtwatch/mtwatch_test.go
+++ b/io/mtwatch/mtwatch_test.go
@@ -78,11 +78,11 @@
 // change in another way uses Resync to read everything, more often than necessary, so
 // Resync must be rate-limited.
 func TestResyncReadsMissedChange(t *testing.T) {
-	store := mtstandin.NewRevisions(time.Now)
+	store := mtstandin.NewRevisionStore(time.Now)
 	store.Put("op", []byte("1"))
 	w, r := start(t, store)
 	until(t, "the first value is applied", func() bool { _, ok := r.last("op"); return ok })
-	store.Deafen(true)
+	store.SuppressWatchEvents(true)
 	store.Put("op", []byte("2"))
 	w.Resync(time.Now())
 	until(t, "the second value is applied", func() bool { e, _ := r.last("op"); return string(e.Value) == "2" })
@@ -93,13 +93,13 @@
 }
 
 func TestCompactionCausesFullRead(t *testing.T) {
-	store := mtstandin.NewRevisions(time.Now)
+	store := mtstandin.NewRevisionStore(time.Now)
 	_, r := start(t, store)
 	until(t, "all entries are read", func() bool { return r.snapshots() == 1 })
-	store.Deafen(true)
+	store.SuppressWatchEvents(true)
 	store.Put("a", nil)
 	store.Compact()
-	store.Deafen(false)
+	store.SuppressWatchEvents(false)
 	until(t, "all entries are read again", func() bool { return r.snapshots() == 2 })
 	_, ok := r.last("a")
 	assert.Assert(t, ok)
