--- a/io/mtstandin/mtstandin.go
+++ b/io/mtstandin/mtstandin.go
@@ -2,7 +2,7 @@
 // servers, callers that generate load, and a store. core/mtaudit checks the
 // journals of the servers against the records of the callers.
 //
-// A Server announces itself to its daemon every second, runs requests in slots
+// A Server announces itself to its daemon periodically, runs requests in slots
 // with a service time drawn from a distribution, honours epochs, deadlines and
 // cancellation as configured, and journals each run before it begins and after it
 // ends. A Load sends requests at a fixed rate regardless of the outcome of earlier
@@ -14,7 +14,7 @@
 //	server, cleanUp, err := mtstandin.NewServer(setting, journal, crash)
 //	go http.Serve(listener, server)
 //
-//	load, cleanUp, err := mtstandin.NewLoad(setting, records)
+//	load, cleanUp, err := mtstandin.NewLoad(setting, records, nil)
 //	summary := load.Run(ctx)
 package mtstandin
 
