--- a/io/mtstandin/revisions.go
+++ b/io/mtstandin/revisions.go
@@ -13,104 +13,106 @@
 	"magnoliaturn/core/mtstore"
 )
 
-// Revisions is a guarded store in memory: its versions are revisions of the whole
-// store, and it forgets its history when it is told to. Leases run out by the
-// clock whenever something is asked of it.
+// RevisionStore is an in-memory store with conditional writes, for tests. Versions
+// are revisions of the whole store, and Compact discards the history. Leases that
+// are over by the clock are ended at the next call.
 //
 // It is safe for concurrent use.
-type Revisions struct {
+type RevisionStore struct {
 	clock func() time.Time
 
-	mu        sync.Mutex
-	revision  uint64
-	items     map[string]revised
-	deleted   map[string]uint64 // revision of the deletion
-	leases    map[mtstore.LeaseID]held
-	granted   uint64
-	forgotten uint64 // history up to it is gone
-	deaf      bool
-	fault     func(op, name string) error
-	lost      func(op, name string) error
-	changed   chan struct{}
+	mu                    sync.Mutex
+	revision              uint64
+	items                 map[string]item
+	deleted               map[string]uint64 // revision of the deletion, by name
+	leases                map[mtstore.LeaseID]leaseState
+	granted               uint64
+	compacted             uint64 // the history up to this revision is discarded
+	watchEventsSuppressed bool
+	failBefore            func(op, name string) error
+	failAfter             func(op, name string) error
+	changed               chan struct{}
 }
 
-type revised struct {
+type item struct {
 	value    []byte
 	revision uint64
 	lease    mtstore.LeaseID
 }
 
-type held struct {
+type leaseState struct {
 	ttl   time.Duration
 	until time.Time
 }
 
-// NewRevisions returns an empty store that goes by the clock.
-func NewRevisions(clock func() time.Time) *Revisions {
-	return &Revisions{
-		clock: clock, revision: 1, items: make(map[string]revised), deleted: make(map[string]uint64),
-		leases: make(map[mtstore.LeaseID]held), changed: make(chan struct{}),
+// NewRevisionStore returns an empty store whose leases end by the given clock.
+func NewRevisionStore(clock func() time.Time) *RevisionStore {
+	return &RevisionStore{
+		clock: clock, revision: 1, items: make(map[string]item), deleted: make(map[string]uint64),
+		leases: make(map[mtstore.LeaseID]leaseState), changed: make(chan struct{}),
 	}
 }
 
-// Fail makes calls fail before they do anything: with what f returns, if that is
-// not nil. A nil f ends it.
-func (s *Revisions) Fail(f func(op, name string) error) {
+// Fail makes calls fail, before they have any effect, with the error that f returns
+// if it is not nil. A nil f makes calls succeed again.
+func (s *RevisionStore) Fail(f func(op, name string) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fault = f
-	s.wake()
+	s.failBefore = f
+	s.notifyWatchers()
 }
 
-// Failing reports whether a call would fail now, for servers that speak a
-// protocol over the store.
-func (s *Revisions) Failing() bool {
+// Failing reports whether Fail makes calls fail now, for servers that put a network
+// protocol in front of the store.
+func (s *RevisionStore) Failing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.failure("any", "") != nil
 }
 
-// Lose makes calls fail after they have done their work.
-func (s *Revisions) Lose(f func(op, name string) error) {
+// LoseReplies makes swaps fail, after they have taken effect, with the error that f
+// returns if it is not nil, as when the reply is lost. A nil f ends it.
+func (s *RevisionStore) LoseReplies(f func(op, name string) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lost = f
+	s.failAfter = f
 }
 
-// Deafen makes watches hear nothing, or hear again.
-func (s *Revisions) Deafen(deaf bool) {
+// SuppressWatchEvents makes watches that continue from a revision report no changes
+// while suppressed is true. Watches that start with a full read still return it.
+func (s *RevisionStore) SuppressWatchEvents(suppressed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deaf = deaf
-	s.wake()
+	s.watchEventsSuppressed = suppressed
+	s.notifyWatchers()
 }
 
-// Compact forgets the history.
-func (s *Revisions) Compact() {
+// Compact discards the history: watches from an earlier revision fail.
+func (s *RevisionStore) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgotten = s.revision
-	s.wake()
+	s.compacted = s.revision
+	s.notifyWatchers()
 }
 
-// Put writes a name whatever stands there, as an operator does.
-func (s *Revisions) Put(name string, value []byte) mtid.Version {
+// Put writes a name unconditionally, as an operator may.
+func (s *RevisionStore) Put(name string, value []byte) mtid.Version {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.put(name, value, "")
 }
 
-// Delete takes a name away whatever stands there, as another writer may. A lease that
-// it was written under goes on.
-func (s *Revisions) Delete(name string) {
+// Delete removes a name unconditionally, as another writer may. The lease it was
+// written under continues.
+func (s *RevisionStore) Delete(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remove(name)
-	s.wake()
+	s.notifyWatchers()
 }
 
 // Get implements mtstore.Store.
-func (s *Revisions) Get(_ context.Context, name string) (mtstore.Entry, error) {
+func (s *RevisionStore) Get(_ context.Context, name string) (mtstore.Entry, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -125,12 +127,12 @@
 }
 
 // Swap implements mtstore.Store.
-func (s *Revisions) Swap(ctx context.Context, name string, expected mtid.Version, value []byte, lease mtstore.LeaseID) (mtid.Version, error) {
+func (s *RevisionStore) Swap(ctx context.Context, name string, expected mtid.Version, value []byte, lease mtstore.LeaseID) (mtid.Version, error) {
 	return s.SwapIf(ctx, nil, name, expected, value, lease)
 }
 
 // SwapIf implements mtstore.ConditionalStore.
-func (s *Revisions) SwapIf(_ context.Context, conditions []mtstore.Condition, name string, expected mtid.Version, value []byte, lease mtstore.LeaseID) (mtid.Version, error) {
+func (s *RevisionStore) SwapIf(_ context.Context, conditions []mtstore.Condition, name string, expected mtid.Version, value []byte, lease mtstore.LeaseID) (mtid.Version, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -153,8 +155,8 @@
 		}
 	}
 	version := s.put(name, value, lease)
-	if s.lost != nil {
-		if err := s.lost("swap", name); err != nil {
+	if s.failAfter != nil {
+		if err := s.failAfter("swap", name); err != nil {
 			return 0, err
 		}
 	}
@@ -162,11 +164,11 @@
 }
 
 // Watch implements mtstore.Store.
-func (s *Revisions) Watch(ctx context.Context, prefix string, after mtid.Revision, wait time.Duration) (mtstore.Changes, error) {
+func (s *RevisionStore) Watch(ctx context.Context, prefix string, after mtid.Revision, wait time.Duration) (mtstore.Changes, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	for {
-		changes, changed, err := s.look(prefix, uint64(after))
+		changes, changed, err := s.changesAfter(prefix, uint64(after))
 		if err != nil || after == 0 || len(changes.Entries) > 0 {
 			return changes, err
 		}
@@ -178,19 +180,19 @@
 	}
 }
 
-// look returns what has changed under the prefix, and what is closed at the next
-// change.
-func (s *Revisions) look(prefix string, after uint64) (mtstore.Changes, <-chan struct{}, error) {
+// changesAfter returns the changes under the prefix after a revision, and a channel
+// that is closed at the next change.
+func (s *RevisionStore) changesAfter(prefix string, after uint64) (mtstore.Changes, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
 	if err := s.failure("watch", prefix); err != nil {
 		return mtstore.Changes{}, nil, err
 	}
-	if after != 0 && after < s.forgotten {
+	if after != 0 && after < s.compacted {
 		return mtstore.Changes{}, nil, &mtstore.CompactedError{After: mtid.Revision(after)}
 	}
-	if s.deaf && after != 0 {
+	if s.watchEventsSuppressed && after != 0 {
 		return mtstore.Changes{Revision: mtid.Revision(after)}, s.changed, nil
 	}
 	changes := mtstore.Changes{Revision: mtid.Revision(s.revision)}
@@ -209,7 +211,7 @@
 }
 
 // Grant implements mtstore.Store.
-func (s *Revisions) Grant(_ context.Context, ttl time.Duration) (mtstore.LeaseID, error) {
+func (s *RevisionStore) Grant(_ context.Context, ttl time.Duration) (mtstore.LeaseID, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -218,12 +220,12 @@
 	}
 	s.granted++
 	id := mtstore.LeaseID(strconv.FormatUint(s.granted, 10))
-	s.leases[id] = held{ttl: ttl, until: s.clock().Add(ttl)}
+	s.leases[id] = leaseState{ttl: ttl, until: s.clock().Add(ttl)}
 	return id, nil
 }
 
 // Renew implements mtstore.Store.
-func (s *Revisions) Renew(_ context.Context, lease mtstore.LeaseID) error {
+func (s *RevisionStore) Renew(_ context.Context, lease mtstore.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -240,80 +242,81 @@
 }
 
 // End implements mtstore.ConditionalStore.
-func (s *Revisions) End(_ context.Context, lease mtstore.LeaseID) error {
+func (s *RevisionStore) End(_ context.Context, lease mtstore.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.failure("end", string(lease)); err != nil {
 		return err
 	}
-	s.drop(lease)
+	s.endLease(lease)
 	return nil
 }
 
-// Lapse ends all leases, as an outage may.
-func (s *Revisions) Lapse() {
+// EndLeases ends all leases at once, as an outage of the store may.
+func (s *RevisionStore) EndLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range s.leases {
-		s.drop(id)
+		s.endLease(id)
 	}
 }
 
-// Expire ends the leases whose time is over. A watcher that waits hears of it.
-func (s *Revisions) Expire() {
+// ExpireLeases ends the leases that are over by the clock and notifies waiting
+// watchers.
+func (s *RevisionStore) ExpireLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
 }
 
-func (s *Revisions) failure(op, name string) error {
-	if s.fault == nil {
+func (s *RevisionStore) failure(op, name string) error {
+	if s.failBefore == nil {
 		return nil
 	}
-	return s.fault(op, name)
+	return s.failBefore(op, name)
 }
 
-func (s *Revisions) put(name string, value []byte, lease mtstore.LeaseID) mtid.Version {
+func (s *RevisionStore) put(name string, value []byte, lease mtstore.LeaseID) mtid.Version {
 	s.revision++
-	s.items[name] = revised{value: slices.Clone(value), revision: s.revision, lease: lease}
+	s.items[name] = item{value: slices.Clone(value), revision: s.revision, lease: lease}
 	delete(s.deleted, name)
-	s.wake()
+	s.notifyWatchers()
 	return mtid.Version(s.revision)
 }
 
-func (s *Revisions) expire() {
+func (s *RevisionStore) expire() {
 	now := s.clock()
 	for id, l := range s.leases {
 		if !now.Before(l.until) {
-			s.drop(id)
+			s.endLease(id)
 		}
 	}
 }
 
-// drop ends a lease with everything that was written under it.
-func (s *Revisions) drop(lease mtstore.LeaseID) {
+// endLease ends a lease and deletes all entries written under it.
+func (s *RevisionStore) endLease(lease mtstore.LeaseID) {
 	delete(s.leases, lease)
 	for name, i := range s.items {
 		if i.lease == lease {
 			s.remove(name)
 		}
 	}
-	s.wake()
+	s.notifyWatchers()
 }
 
-func (s *Revisions) remove(name string) {
+func (s *RevisionStore) remove(name string) {
 	s.revision++
 	delete(s.items, name)
 	s.deleted[name] = s.revision
 }
 
-func (s *Revisions) wake() {
+func (s *RevisionStore) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (i revised) entry(name string) mtstore.Entry {
+func (i item) entry(name string) mtstore.Entry {
 	return mtstore.Entry{Name: name, Value: slices.Clone(i.value), Version: mtid.Version(i.revision), Revision: mtid.Revision(i.revision)}
 }
 
-var _ mtstore.ConditionalStore = (*Revisions)(nil)
+var _ mtstore.ConditionalStore = (*RevisionStore)(nil)
