--- a/io/mttls/mttls.go
+++ b/io/mttls/mttls.go
@@ -1,19 +1,20 @@
-// Package mttls holds the credentials of a daemon: mutual TLS between daemons,
-// TLS for operators, and the shared secret of datagrams, each read from files
-// and read again while the daemon runs. It also makes them, for "keygen".
+// Package mttls loads the credentials of a daemon: mutual TLS between daemons,
+// TLS for operators, and the shared secret of datagrams. They are read from files
+// and reloaded while the daemon runs. The package also creates such files, for
+// the "keygen" command.
 //
-// A certificate, authority or secret is replaced by writing the new file; the
-// daemon takes it up within Interval, for new connections. A file that can't be
-// read or doesn't fit is reported and the old one stays, so that a mistake in a
-// rotation stops nothing.
+// To replace a certificate, authority or secret, write the new file; the daemon
+// uses it for new connections within Interval. If a file cannot be read, or a
+// certificate doesn't match its key, the error is reported and the previous
+// credentials stay in use, so that a mistake in a rotation causes no outage.
 //
 // # Usage
 //
-//	held, cleanUp, err := mttls.Open(settings.Keys, report)
+//	creds, cleanUp, err := mttls.Open(settings.Keys, report)
 //	defer cleanUp()
-//	server := grpc.NewServer(grpc.Creds(credentials.NewTLS(held.Server())))
-//	connection, err := grpc.NewClient(address, grpc.WithTransportCredentials(held.Client()))
-//	secrets := held.Secrets() // newest first; sign with the first, accept all
+//	server := grpc.NewServer(grpc.Creds(credentials.NewTLS(creds.Server())))
+//	connection, err := grpc.NewClient(address, grpc.WithTransportCredentials(creds.Client()))
+//	secrets := creds.Secrets() // newest first; sign with the first, accept all
 //
 // All methods of Credentials are safe for concurrent use.
 package mttls
@@ -36,17 +37,18 @@
 	"magnoliaturn/io/mtsetting"
 )
 
-// Interval is how often the files are looked at.
+// Interval is how often the credential files are reloaded.
 const Interval = 10 * time.Second
 
-// FileError says that a credential file can't be used.
+// FileError reports a credential file that cannot be read, parsed or written.
 type FileError struct {
 	File   string
 	Reason string
 	Err    error
 }
 
-// Error implements error. It never holds the file's content.
+// Error implements error. The text never includes the file's content, which may
+// be secret.
 func (e *FileError) Error() string {
 	if e.Err == nil {
 		return fmt.Sprintf("tls: %s: %s", e.File, e.Reason)
@@ -54,28 +56,28 @@
 	return fmt.Sprintf("tls: %s: %s: %v", e.File, e.Reason, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error, or nil.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// Secret is a shared secret for datagrams.
+// Secret is a shared secret that authenticates datagrams between daemons.
 type Secret [mtsetting.SecretSize]byte
 
-// material is one consistent reading of all files.
-type material struct {
+// snapshot holds the contents of all files as loaded together.
+type snapshot struct {
 	certificate tls.Certificate
 	authority   *x509.CertPool
 	secrets     []Secret
 }
 
-// Credentials are the present ones of a daemon.
+// Credentials holds a daemon's credentials as last loaded.
 type Credentials struct {
-	keys mtsetting.Keys
-	now  atomic.Pointer[material]
+	keys    mtsetting.Keys
+	current atomic.Pointer[snapshot]
 }
 
-// Open reads the files, and begins to look for new ones. report is called with
-// each reading's outcome that is a failure, from another goroutine. It fails
-// with a *FileError.
+// Open loads the files and starts to reload them every Interval. report is
+// called from another goroutine with the error of each failed reload. Errors are
+// of type *FileError.
 func Open(keys mtsetting.Keys, report func(error)) (*Credentials, func(), error) {
 	c := &Credentials{keys: keys}
 	if err := c.Reload(); err != nil {
@@ -89,75 +91,75 @@
 	return c, stop, nil
 }
 
-// Reload reads the files now. On a *FileError the former ones stay in use: a
-// certificate and its key are written one after the other, and a reading
-// between the two finds a pair that doesn't fit.
+// Reload loads the files now. On a *FileError the previous credentials stay in
+// use: a certificate and its key are written one after the other, and a reload
+// between the two writes finds a pair that doesn't match.
 func (c *Credentials) Reload() error {
-	m, err := read(c.keys)
+	m, err := readFiles(c.keys)
 	if err != nil {
 		return err
 	}
-	c.now.Store(m)
+	c.current.Store(m)
 	return nil
 }
 
-func read(keys mtsetting.Keys) (*material, error) {
+func readFiles(keys mtsetting.Keys) (*snapshot, error) {
 	certificate, err := tls.LoadX509KeyPair(keys.Certificate, keys.Key)
 	if err != nil {
-		return nil, &FileError{File: keys.Certificate, Reason: "no certificate that fits the key", Err: err}
+		return nil, &FileError{File: keys.Certificate, Reason: "cannot load certificate and key pair", Err: err}
 	}
 	pem, err := os.ReadFile(keys.Authority)
 	if err != nil {
-		return nil, &FileError{File: keys.Authority, Reason: "can't be read", Err: err}
+		return nil, &FileError{File: keys.Authority, Reason: "cannot read file", Err: err}
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, &FileError{File: keys.Authority, Reason: "holds no PEM certificate"}
+		return nil, &FileError{File: keys.Authority, Reason: "contains no PEM certificate"}
 	}
 	secrets, err := readSecrets(keys.Secret)
 	if err != nil {
 		return nil, err
 	}
-	return &material{certificate: certificate, authority: pool, secrets: secrets}, nil
+	return &snapshot{certificate: certificate, authority: pool, secrets: secrets}, nil
 }
 
 func readSecrets(file string) ([]Secret, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return nil, &FileError{File: file, Reason: "can't be read", Err: err}
+		return nil, &FileError{File: file, Reason: "cannot read file", Err: err}
 	}
 	var secrets []Secret
 	for _, line := range strings.Fields(string(text)) {
 		value, err := hex.DecodeString(line)
 		if err != nil || len(value) != mtsetting.SecretSize {
-			return nil, &FileError{File: file, Reason: fmt.Sprintf("a line is not %d bytes in hex", mtsetting.SecretSize)}
+			return nil, &FileError{File: file, Reason: fmt.Sprintf("each secret must be %d bytes in hex", mtsetting.SecretSize)}
 		}
 		secrets = append(secrets, Secret(value))
 	}
 	if len(secrets) == 0 {
-		return nil, &FileError{File: file, Reason: "holds no secret"}
+		return nil, &FileError{File: file, Reason: "contains no secret"}
 	}
 	return secrets, nil
 }
 
-// Secrets returns the shared secrets, the newest first. A daemon authenticates
-// what it sends with the first and accepts any, so that a rotation needs no
-// moment at which all daemons change at once.
-func (c *Credentials) Secrets() []Secret { return c.now.Load().secrets }
+// Secrets returns the shared secrets, newest first. A daemon signs datagrams with
+// the first one and accepts any, so that the daemons need not switch secrets at
+// the same moment in a rotation.
+func (c *Credentials) Secrets() []Secret { return c.current.Load().secrets }
 
-// Expires returns when the present certificate ends. After it no other daemon
-// takes a new connection from this one, so somebody must be told in time.
+// Expires returns when the current certificate expires. After that other daemons
+// refuse new connections from this one, so operators must be warned in time.
 func (c *Credentials) Expires() time.Time {
-	leaf := c.now.Load().certificate.Leaf
+	leaf := c.current.Load().certificate.Leaf
 	if leaf == nil {
 		return time.Time{}
 	}
 	return leaf.NotAfter
 }
 
-// SecretBytes returns what Secrets does, for packages that take bytes.
+// SecretBytes is like Secrets, for packages that take byte slices.
 func (c *Credentials) SecretBytes() [][]byte {
-	secrets := c.now.Load().secrets
+	secrets := c.current.Load().secrets
 	out := make([][]byte, len(secrets))
 	for i := range secrets {
 		out[i] = secrets[i][:]
@@ -165,38 +167,38 @@
 	return out
 }
 
-// Server returns the configuration of the listener for other daemons: both
-// ends show a certificate of the authority.
+// Server returns the TLS configuration of the listener for other daemons. Both
+// sides must present a certificate issued by the authority.
 func (c *Credentials) Server() *tls.Config {
 	base := &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{"h2"}}
 	base.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		m := c.now.Load()
+		m := c.current.Load()
 		return &tls.Config{
 			MinVersion:   tls.VersionTLS13,
 			NextProtos:   []string{"h2"},
 			Certificates: []tls.Certificate{m.certificate},
 			ClientAuth:   tls.RequireAndVerifyClientCert,
 			ClientCAs:    m.authority,
-			// Resumption would let a client in that a replaced authority no
-			// longer vouches for.
+			// A resumed session would skip the check of the client's
+			// certificate against an authority replaced in the meantime.
 			SessionTicketsDisabled: true,
 		}, nil
 	}
 	return base
 }
 
-// Client returns the credentials of gRPC connections to other daemons. Daemons
-// are reached by IP, which their certificates must name.
-func (c *Credentials) Client() credentials.TransportCredentials { return &client{from: c} }
+// Client returns the transport credentials of gRPC connections to other daemons.
+// Daemons are dialed by IP address, which their certificates must include.
+func (c *Credentials) Client() credentials.TransportCredentials { return &reloadingClient{source: c} }
 
-// client makes the TLS configuration for each handshake anew: a tls.Config
-// takes its authorities once, and would hold on to a replaced one until the
-// daemon's end.
-type client struct{ from *Credentials }
+// reloadingClient builds a new TLS configuration for each handshake: a tls.Config
+// has a fixed set of authorities, so one shared by all handshakes would trust a
+// replaced authority until the daemon stops.
+type reloadingClient struct{ source *Credentials }
 
 // ClientHandshake implements credentials.TransportCredentials.
-func (c *client) ClientHandshake(ctx context.Context, authority string, conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
-	m := c.from.now.Load()
+func (c *reloadingClient) ClientHandshake(ctx context.Context, authority string, conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
+	m := c.source.current.Load()
 	return credentials.NewTLS(&tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{m.certificate},
@@ -205,29 +207,31 @@
 }
 
 // ServerHandshake implements credentials.TransportCredentials.
-func (c *client) ServerHandshake(conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
-	return credentials.NewTLS(c.from.Server()).ServerHandshake(conn)
+func (c *reloadingClient) ServerHandshake(conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
+	return credentials.NewTLS(c.source.Server()).ServerHandshake(conn)
 }
 
 // Info implements credentials.TransportCredentials.
-func (c *client) Info() credentials.ProtocolInfo {
+func (c *reloadingClient) Info() credentials.ProtocolInfo {
 	return credentials.ProtocolInfo{SecurityProtocol: "tls"}
 }
 
 // Clone implements credentials.TransportCredentials.
-func (c *client) Clone() credentials.TransportCredentials { return &client{from: c.from} }
+func (c *reloadingClient) Clone() credentials.TransportCredentials {
+	return &reloadingClient{source: c.source}
+}
 
-// OverrideServerName implements credentials.TransportCredentials. The name is
-// always the address that is dialled.
-func (c *client) OverrideServerName(string) error { return nil }
+// OverrideServerName implements credentials.TransportCredentials. It does
+// nothing: the server name is always the dialed address.
+func (c *reloadingClient) OverrideServerName(string) error { return nil }
 
-// Admin returns the configuration of the listener for operators: the daemon
-// shows its certificate, operators prove themselves by token.
+// Admin returns the TLS configuration of the listener for operators. Only the
+// daemon presents a certificate; operators authenticate by token.
 func (c *Credentials) Admin() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return &c.now.Load().certificate, nil
+			return &c.current.Load().certificate, nil
 		},
 	}
 }
--- a/io/mttls/mttls_test.go
+++ b/io/mttls/mttls_test.go
@@ -17,7 +17,7 @@
 	"magnoliaturn/io/mttls"
 )
 
-// authority makes an authority in a directory of its own.
+// authority creates a certificate authority in a new temporary directory.
 func authority(t *testing.T) (file string, pair tls.Certificate) {
 	t.Helper()
 	dir := t.TempDir()
@@ -28,7 +28,8 @@
 	return file, pair
 }
 
-// keys makes the files of a daemon that authority vouches for at address.
+// keys creates the credential files of a daemon at address, with a certificate
+// issued by the authority in pair.
 func keys(t *testing.T, file string, pair tls.Certificate, address string) mtsetting.Keys {
 	t.Helper()
 	dir := t.TempDir()
@@ -49,9 +50,9 @@
 	return c
 }
 
-// handshake connects client to server as gRPC does, and returns both ends'
-// errors.
-func handshake(t *testing.T, client, server *mttls.Credentials, dialled string) (clientErr, serverErr error) {
+// handshake connects client to server as gRPC does, with the server name dialed,
+// and returns the errors of both sides.
+func handshake(t *testing.T, client, server *mttls.Credentials, dialed string) (clientErr, serverErr error) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -69,7 +70,7 @@
 	}()
 	conn, err := net.Dial("tcp", listener.Addr().String())
 	assert.NilError(t, err)
-	_, _, clientErr = client.Client().ClientHandshake(context.Background(), dialled, conn)
+	_, _, clientErr = client.Client().ClientHandshake(context.Background(), dialed, conn)
 	if clientErr != nil {
 		_ = conn.Close()
 	}
@@ -78,67 +79,69 @@
 	return clientErr, serverErr
 }
 
-// A VM outside the fleet, or a daemon at another address, must not pass for an
-// owner: it would be given requests and answer them falsely.
-func TestHandshake(t *testing.T) {
+// A VM without a certificate of the fleet's authority, or a daemon at another
+// address than it was dialed at, must fail the handshake: it would otherwise
+// receive requests meant for an owner and send false replies.
+func TestHandshakeVerifiesAuthorityAndAddress(t *testing.T) {
 	file, pair := authority(t)
 	otherFile, otherPair := authority(t)
 	fleet := open(t, keys(t, file, pair, "127.0.0.1"))
 	elsewhere := open(t, keys(t, file, pair, "127.0.0.9"))
-	stranger := open(t, keys(t, otherFile, otherPair, "127.0.0.1"))
+	foreign := open(t, keys(t, otherFile, otherPair, "127.0.0.1"))
 	tests := []struct {
 		name           string
 		client, server *mttls.Credentials
-		refusedByOne   bool
+		wantError      bool
 	}{
 		{"same authority", fleet, fleet, false},
 		{"server at another address", fleet, elsewhere, true},
-		{"server of another authority", fleet, stranger, true},
-		{"client of another authority", stranger, fleet, true},
+		{"server of another authority", fleet, foreign, true},
+		{"client of another authority", foreign, fleet, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			clientErr, serverErr := handshake(t, test.client, test.server, "127.0.0.1:1")
-			assert.Equal(t, clientErr != nil || serverErr != nil, test.refusedByOne, "%v, %v", clientErr, serverErr)
+			assert.Equal(t, clientErr != nil || serverErr != nil, test.wantError, "%v, %v", clientErr, serverErr)
 		})
 	}
 }
 
-// An operator replaces the authority of a running fleet. Both authorities are
-// trusted for a while; once the old one is dropped, its certificates must stop
-// working on connections made from then on, without a restart.
-func TestReloadTakesUpAnAuthority(t *testing.T) {
+// Rotation of the authority in a running fleet: both authorities are trusted for
+// a while. After a reload without the old one, its certificates must be refused on
+// new connections, without a restart.
+func TestReloadReplacesAuthority(t *testing.T) {
 	file, pair := authority(t)
 	newFile, newPair := authority(t)
 	serverKeys := keys(t, file, pair, "127.0.0.1")
 	server := open(t, serverKeys)
 	old := open(t, keys(t, file, pair, "127.0.0.1"))
-	both, err := os.ReadFile(newFile)
+	newAuthority, err := os.ReadFile(newFile)
 	assert.NilError(t, err)
-	first, err := os.ReadFile(file)
+	oldAuthority, err := os.ReadFile(file)
 	assert.NilError(t, err)
 	bothFile := filepath.Join(t.TempDir(), "both.crt")
-	assert.NilError(t, os.WriteFile(bothFile, append(both, first...), 0o600))
+	assert.NilError(t, os.WriteFile(bothFile, append(newAuthority, oldAuthority...), 0o600))
 	freshKeys := keys(t, bothFile, newPair, "127.0.0.1")
 	fresh := open(t, freshKeys)
 
 	_, err = handshake(t, fresh, server, "127.0.0.1:1")
 	assert.Assert(t, err != nil)
-	assert.NilError(t, os.WriteFile(serverKeys.Authority, append(both, first...), 0o600))
+	assert.NilError(t, os.WriteFile(serverKeys.Authority, append(newAuthority, oldAuthority...), 0o600))
 	assert.NilError(t, server.Reload())
 	_, err = handshake(t, fresh, server, "127.0.0.1:1")
 	assert.NilError(t, err)
 	_, err = handshake(t, old, server, "127.0.0.1:1")
 	assert.NilError(t, err)
-	assert.NilError(t, os.WriteFile(serverKeys.Authority, both, 0o600))
+	assert.NilError(t, os.WriteFile(serverKeys.Authority, newAuthority, 0o600))
 	assert.NilError(t, server.Reload())
 	_, err = handshake(t, old, server, "127.0.0.1:1")
 	assert.Assert(t, err != nil)
 }
 
-// A rotation writes the certificate and then the key. A daemon that reads in
-// between must go on with the old pair.
-func TestReloadKeepsTheOldPairOnAFault(t *testing.T) {
+// A rotation writes the certificate and then the key. A daemon that reloads
+// between the two writes finds a pair that doesn't match, and must keep the
+// previous pair.
+func TestReloadKeepsPreviousPairOnMismatch(t *testing.T) {
 	file, pair := authority(t)
 	k := keys(t, file, pair, "127.0.0.1")
 	c := open(t, k)
@@ -146,8 +149,8 @@
 	newer, err := os.ReadFile(other.Certificate)
 	assert.NilError(t, err)
 	assert.NilError(t, os.WriteFile(k.Certificate, newer, 0o600))
-	var fault *mttls.FileError
-	assert.ErrorType(t, c.Reload(), fault)
+	var fileErr *mttls.FileError
+	assert.ErrorType(t, c.Reload(), fileErr)
 	clientErr, serverErr := handshake(t, c, c, "127.0.0.1:1")
 	assert.NilError(t, clientErr)
 	assert.NilError(t, serverErr)
@@ -160,7 +163,7 @@
 	assert.Assert(t, left > mttls.CertificateLife-time.Hour && left <= mttls.CertificateLife, left)
 }
 
-func TestSecretsRotate(t *testing.T) {
+func TestSecretRotation(t *testing.T) {
 	file, pair := authority(t)
 	k := keys(t, file, pair, "127.0.0.1")
 	c := open(t, k)
@@ -181,7 +184,7 @@
 	assert.Equal(t, len(c.Secrets()), 2)
 }
 
-func TestKeysAreNeverReplaced(t *testing.T) {
+func TestMakeSignerRefusesExistingFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "ilze.key")
 	_, err := mttls.MakeSigner(file)
 	assert.NilError(t, err)
