--- a/io/mtoperator/mtoperator.go
+++ b/io/mtoperator/mtoperator.go
@@ -1,7 +1,7 @@
-// Package mtoperator knows the operators: who holds which token, and what each
-// may do for which business.
+// Package mtoperator authenticates operators by token, and authorizes them by
+// role and business.
 //
-// The file is INI. It holds hashes of tokens, never tokens:
+// The operators file is INI. It contains hashes of tokens, never tokens:
 //
 //	[operator ilze]
 //	token-sha256 = 9f86d081...        ; from "magnoliaturn keygen token ilze"
@@ -14,8 +14,8 @@
 //	operator, ok := directory.Find(token)
 //	if !operator.May(mtoperator.Accept, "ratins") { ... 403 ... }
 //
-// The file is read again when it changes; a faulty one leaves the former in
-// use. All methods are safe for concurrent use.
+// The file is reloaded when it changes; if the new one has faults, the previous
+// operators stay in use. All methods but Reload are safe for concurrent use.
 package mtoperator
 
 import (
@@ -34,29 +34,29 @@
 	"magnoliaturn/io/mttls"
 )
 
-// Role is one thing that an operator may do for a business.
+// Role is a permission that an operator can have for a business.
 type Role string
 
-// The roles. None includes another.
+// The roles. No role implies another.
 const (
-	View    Role = "view"    // see bundles, assignment, quarantine and figures
-	Propose Role = "propose" // bring a new bundle
-	Sign    Role = "sign"    // hand in a signature
+	View    Role = "view"    // view bundles, assignments, the quarantine and statistics
+	Propose Role = "propose" // propose a new bundle
+	Sign    Role = "sign"    // submit a signature of a proposed bundle
 	Accept  Role = "accept"  // put a signed bundle in force
 	Drain   Role = "drain"   // take a daemon of the business out of service
 )
 
-// Roles are all roles.
+// Roles lists all roles.
 var Roles = []Role{View, Propose, Sign, Accept, Drain}
 
-// Interval is how often the file is looked at.
+// Interval is how often the file is checked for changes.
 const Interval = 10 * time.Second
 
-// Operator is one person or program that holds a token.
+// Operator is a person or program that authenticates with a token.
 type Operator struct {
 	Name   string
 	grants map[mtid.Business][]Role
-	all    bool // every role for every business: plain transport only
+	all    bool // all roles for all businesses; only on plain HTTP, see Everyone
 }
 
 // May reports whether o has the role for the business.
@@ -77,22 +77,22 @@
 	return false
 }
 
-// Directory finds operators by token.
+// Directory looks up operators by token.
 type Directory struct {
-	file string
-	text []byte
-	now  atomic.Pointer[map[string]*Operator] // by hash of the token
-	open bool
+	file     string
+	text     []byte                               // of the last accepted reload
+	current  atomic.Pointer[map[string]*Operator] // by hash of the token
+	allowAll bool
 }
 
 // Everyone returns the directory of a daemon without an operators file, which
-// listens on a loopback address only: whoever asks is an operator called
-// "local" with all roles.
-func Everyone() *Directory { return &Directory{open: true} }
+// listens on a loopback address only. Every request, with or without a token, is
+// attributed to an operator named "local" that has all roles.
+func Everyone() *Directory { return &Directory{allowAll: true} }
 
-// Open reads the file, and begins to look for changes. report is called with
-// the faults of a later reading, from another goroutine. It fails with
-// mtini.Faults or an *mttls.FileError.
+// Open loads the file and starts to check it for changes every Interval. report
+// is called from another goroutine with the error of each failed reload. Errors
+// are of type mtini.Faults or *mttls.FileError.
 func Open(file string, report func(error)) (*Directory, func(), error) {
 	d := &Directory{file: file}
 	if err := d.Reload(); err != nil {
@@ -106,14 +106,14 @@
 	return d, stop, nil
 }
 
-// Reload reads the file now. It is called by one goroutine at a time; Find may
-// go on meanwhile.
+// Reload loads the file now, if it has changed. It must not be called
+// concurrently with itself; concurrent calls of Find are safe.
 func (d *Directory) Reload() error {
 	text, err := os.ReadFile(d.file)
 	if err != nil {
-		return &mttls.FileError{File: d.file, Reason: "can't be read", Err: err}
+		return &mttls.FileError{File: d.file, Reason: "cannot read file", Err: err}
 	}
-	if d.now.Load() != nil && bytes.Equal(text, d.text) {
+	if d.current.Load() != nil && bytes.Equal(text, d.text) {
 		return nil
 	}
 	operators, faults := Parse(d.file, text)
@@ -121,31 +121,33 @@
 		return err
 	}
 	d.text = text
-	d.now.Store(&operators)
+	d.current.Store(&operators)
 	return nil
 }
 
-// Find returns the operator with that token. Tokens are found by their hash,
-// so how long the look-up takes tells nothing about any token.
+// Find returns the operator with the given token. The lookup is by the token's
+// hash, so its duration reveals nothing about valid tokens.
 func (d *Directory) Find(token string) (*Operator, bool) {
-	if d.open {
+	if d.allowAll {
 		return &Operator{Name: "local", all: true}, true
 	}
-	o, ok := (*d.now.Load())[mttls.HashToken(token)]
+	o, ok := (*d.current.Load())[mttls.HashToken(token)]
 	return o, ok
 }
 
-// Parse reads the text of an operators file, by hash of the token.
+// Parse parses an operators file. The map is keyed by the hash of the token; file
+// is the name that faults mention.
 func Parse(file string, text []byte) (map[string]*Operator, mtini.Faults) {
 	f := mtini.Read(file, text)
 	operators := make(map[string]*Operator)
 	names := make(map[string]*Operator)
 	for _, s := range f.SectionsOfKind("operator", 1) {
 		o := &Operator{Name: s.Word(1), grants: make(map[mtid.Business][]Role)}
-		hash := s.Required("token-sha256", acceptHash)
+		hash := s.Required("token-sha256", expectedHash)
 		if sum, err := hex.DecodeString(hash); hash != "" && (err != nil || len(sum) != hashSize || strings.ToLower(hash) != hash) {
-			// It may be a token that was put here in place of its hash.
-			s.AddFault("token-sha256", "(not shown)", acceptHash)
+			// The value may be a token entered in place of its hash, so it
+			// must not reach the log.
+			s.AddFault("token-sha256", "(not shown)", expectedHash)
 		}
 		if other, ok := operators[hash]; ok && hash != "" {
 			s.AddFault("token-sha256", "(not shown)", "a token of its own; operator "+other.Name+" has this one")
@@ -169,25 +171,25 @@
 	return operators, nil
 }
 
-// hashSize is the length of a SHA-256, in bytes.
+// hashSize is the size of a SHA-256 digest in bytes.
 const hashSize = 32
 
-const acceptHash = "the SHA-256 of a token in lower-case hex, from keygen"
+const expectedHash = "the SHA-256 of a token in lower-case hex, from keygen"
 
 func parseRoles(s *mtini.Section) []Role {
-	accept := acceptRoles()
+	expected := expectedRoles()
 	var roles []Role
-	for _, word := range strings.Split(s.Required("roles", accept), ",") {
+	for _, word := range strings.Split(s.Required("roles", expected), ",") {
 		role := Role(strings.TrimSpace(word))
 		if role != "" && !slices.Contains(Roles, role) {
-			s.AddFault("roles", string(role), accept)
+			s.AddFault("roles", string(role), expected)
 		}
 		roles = append(roles, role)
 	}
 	return roles
 }
 
-func acceptRoles() string {
+func expectedRoles() string {
 	words := make([]string, len(Roles))
 	for i, role := range Roles {
 		words[i] = string(role)
--- a/io/mtoperator/mtoperator_test.go
+++ b/io/mtoperator/mtoperator_test.go
@@ -13,7 +13,7 @@
 	"magnoliaturn/io/mttls"
 )
 
-func file(hashes map[string]string) string {
+func operatorsFile(hashes map[string]string) string {
 	return `[operator ilze]
 token-sha256 = ` + hashes["ilze"] + `
 [operator beat]
@@ -30,7 +30,7 @@
 var hashes = map[string]string{"ilze": mttls.HashToken("i"), "beat": mttls.HashToken("b")}
 
 func TestMay(t *testing.T) {
-	operators, faults := mtoperator.Parse("o.ini", []byte(file(hashes)))
+	operators, faults := mtoperator.Parse("o.ini", []byte(operatorsFile(hashes)))
 	assert.NilError(t, faults.Err())
 	tests := []struct {
 		token    string
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRejectsFaults(t *testing.T) {
 	tests := []struct{ name, old, new, field string }{
 		{"token in clear", hashes["ilze"], "secret", "[operator ilze] token-sha256"},
 		{"no token", "token-sha256 = " + hashes["ilze"], "", "[operator ilze] token-sha256"},
@@ -67,18 +67,19 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			_, faults := mtoperator.Parse("o.ini", []byte(strings.Replace(file(hashes), test.old, test.new, 1)))
+			_, faults := mtoperator.Parse("o.ini", []byte(strings.Replace(operatorsFile(hashes), test.old, test.new, 1)))
 			assert.Assert(t, strings.Contains(faults.Error(), test.field+":"), "%v", faults)
-			assert.Assert(t, !strings.Contains(faults.Error(), "secret"), "a token reaches the log")
+			assert.Assert(t, !strings.Contains(faults.Error(), "secret"), "fault text contains the token")
 		})
 	}
 }
 
-// A token is withdrawn because it leaked. The daemon must refuse it without a
-// restart, and a mistake in the next edit must not open or close everything.
+// Revoking a leaked token must take effect without a restart. A syntax error in a
+// later edit of the file must leave the previous operators in use: neither grant
+// access to everyone nor deny it to all.
 func TestReload(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "operators.ini")
-	assert.NilError(t, os.WriteFile(name, []byte(file(hashes)), 0o600))
+	assert.NilError(t, os.WriteFile(name, []byte(operatorsFile(hashes)), 0o600))
 	d, cleanUp, err := mtoperator.Open(name, func(error) {})
 	assert.NilError(t, err)
 	defer cleanUp()
@@ -86,9 +87,9 @@
 	assert.Assert(t, ok)
 	assert.Equal(t, o.Name, "ilze")
 	_, ok = d.Find(hashes["ilze"])
-	assert.Assert(t, !ok, "a hash is no token")
+	assert.Assert(t, !ok, "the hash of a token was accepted as a token")
 	rotated := map[string]string{"ilze": mttls.HashToken("new"), "beat": hashes["beat"]}
-	assert.NilError(t, os.WriteFile(name, []byte(file(rotated)), 0o600))
+	assert.NilError(t, os.WriteFile(name, []byte(operatorsFile(rotated)), 0o600))
 	assert.NilError(t, d.Reload())
 	_, ok = d.Find("i")
 	assert.Assert(t, !ok)
