--- a/io/mtadmin/bundle.go
+++ b/io/mtadmin/bundle.go
@@ -16,21 +16,21 @@
 	"magnoliaturn/io/mtoperator"
 )
 
-// bundle answers with the bundle in force, from the store: an operator who
-// prepares the next one must not start from a daemon's older view.
+// bundle serves the bundle in force. It reads the store, since an operator must
+// not base the next version on the possibly outdated view of a daemon.
 func (s *Server) bundle(c echo.Context, _ *mtoperator.Operator) error {
-	life, _, err := s.config.Rollout.Life(c.Request().Context(), businessOf(c))
+	lifecycle, _, err := s.config.Rollout.Life(c.Request().Context(), businessOf(c))
 	if err != nil {
 		return err
 	}
-	if life.InForce == nil {
-		return &MissingError{What: "a bundle of " + string(life.Business)}
+	if lifecycle.InForce == nil {
+		return &MissingError{What: "a bundle of " + string(lifecycle.Business)}
 	}
-	return s.document(c, http.StatusOK, describe(life.InForce, true))
+	return s.writeBundle(c, http.StatusOK, describe(lifecycle.InForce, true))
 }
 
-// document answers with a bundle under the ETag of its version.
-func (s *Server) document(c echo.Context, status int, d BundleDocument) error {
+// writeBundle responds with a bundle, with its version as the ETag.
+func (s *Server) writeBundle(c echo.Context, status int, d BundleDocument) error {
 	tag := etag(d.Version)
 	c.Response().Header().Set("ETag", tag)
 	if c.Request().Method == http.MethodGet && c.Request().Header.Get("If-None-Match") == tag {
@@ -42,18 +42,18 @@
 func etag(v mtid.Version) string { return fmt.Sprintf("%q", strconv.FormatUint(uint64(v), 10)) }
 
 func (s *Server) drafts(c echo.Context, _ *mtoperator.Operator) error {
-	life, tag, err := s.config.Rollout.Life(c.Request().Context(), businessOf(c))
+	lifecycle, tag, err := s.config.Rollout.Life(c.Request().Context(), businessOf(c))
 	if err != nil {
 		return err
 	}
-	var open []BundleDocument
-	for _, draft := range life.Drafts {
-		if draft.Version == life.Version()+1 {
-			open = append(open, s.open(life, draft, false))
+	var drafts []BundleDocument
+	for _, draft := range lifecycle.Drafts {
+		if draft.Version == lifecycle.Version()+1 {
+			drafts = append(drafts, s.describeDraft(lifecycle, draft, false))
 		}
 	}
-	slices.SortFunc(open, func(a, b BundleDocument) int { return cmp.Compare(a.Digest, b.Digest) })
-	page, err := paginate(c, open, func(d BundleDocument) string { return d.Digest })
+	slices.SortFunc(drafts, func(a, b BundleDocument) int { return cmp.Compare(a.Digest, b.Digest) })
+	page, err := paginate(c, drafts, func(d BundleDocument) string { return d.Digest })
 	if err != nil {
 		return err
 	}
@@ -61,10 +61,10 @@
 	return c.JSON(http.StatusOK, page)
 }
 
-// open describes an open proposal: of its signatures only those that count.
-func (s *Server) open(life *mtbundle.Lifecycle, draft *mtbundle.Stored, text bool) BundleDocument {
+// describeDraft describes an open proposal, with valid signatures only.
+func (s *Server) describeDraft(lifecycle *mtbundle.Lifecycle, draft *mtbundle.Stored, text bool) BundleDocument {
 	d := describe(draft, text)
-	signed, needed, err := life.ValidSigners(draft)
+	signed, needed, err := lifecycle.ValidSigners(draft)
 	if err != nil {
 		return d
 	}
@@ -78,16 +78,16 @@
 	if err != nil {
 		return err
 	}
-	life, _, err := s.config.Rollout.Life(c.Request().Context(), businessOf(c))
+	lifecycle, _, err := s.config.Rollout.Life(c.Request().Context(), businessOf(c))
 	if err != nil {
 		return err
 	}
-	for _, draft := range life.Drafts {
+	for _, draft := range lifecycle.Drafts {
 		if draft.Version == version && draft.Digest().String() == c.Param("digest") {
-			return s.document(c, http.StatusOK, s.open(life, draft, true))
+			return s.writeBundle(c, http.StatusOK, s.describeDraft(lifecycle, draft, true))
 		}
 	}
-	return &mtbundle.DraftNotFoundError{Business: life.Business, Version: version, Digest: c.Param("digest")}
+	return &mtbundle.DraftNotFoundError{Business: lifecycle.Business, Version: version, Digest: c.Param("digest")}
 }
 
 func (s *Server) propose(c echo.Context, o *mtoperator.Operator) error {
@@ -101,7 +101,7 @@
 	}
 	c.Response().Header().Set(echo.HeaderLocation,
 		fmt.Sprintf("/v1/businesses/%s/drafts/%d/%s", stored.Business, stored.Version, stored.Digest()))
-	return s.document(c, http.StatusCreated, describe(stored, false))
+	return s.writeBundle(c, http.StatusCreated, describe(stored, false))
 }
 
 func (s *Server) sign(c echo.Context, _ *mtoperator.Operator) error {
@@ -118,12 +118,13 @@
 	if err != nil {
 		return err
 	}
-	return s.document(c, http.StatusOK, describe(stored, false))
+	return s.writeBundle(c, http.StatusOK, describe(stored, false))
 }
 
-// accept puts a proposal in force. If-Match names the version in force that
-// the operator knows of; a proposal for any other is refused before it is
-// looked at, unless it is in force already.
+// accept puts a proposal in force. If-Match is the ETag of the version in force
+// when the client prepared the request. Unless that is the version before the
+// proposal's, the request is refused before the store is read. It is not compared
+// with the current version in force, so a repeated request can succeed.
 func (s *Server) accept(c echo.Context, o *mtoperator.Operator) error {
 	version, err := versionOf(c)
 	if err != nil {
@@ -138,10 +139,11 @@
 	if err != nil {
 		return err
 	}
-	return s.document(c, http.StatusOK, describe(stored, false))
+	return s.writeBundle(c, http.StatusOK, describe(stored, false))
 }
 
-// maxHistory bounds a page of the history: each item is a read of the store.
+// maxHistory limits a page of the history, since each item costs a read of the
+// store.
 const maxHistory = 20
 
 func (s *Server) history(c echo.Context, _ *mtoperator.Operator) error {
@@ -149,7 +151,7 @@
 	if err != nil {
 		return err
 	}
-	before, err := number("after", c.QueryParam("after"), 0)
+	before, err := parseNumber("after", c.QueryParam("after"), 0)
 	if err != nil {
 		return err
 	}
@@ -176,53 +178,54 @@
 	if err != nil {
 		return err
 	}
-	return s.document(c, http.StatusOK, describe(stored, true))
+	return s.writeBundle(c, http.StatusOK, describe(stored, true))
 }
 
 func versionOf(c echo.Context) (mtid.Version, error) {
-	n, err := number("version", c.Param("version"), 1)
+	n, err := parseNumber("version", c.Param("version"), 1)
 	return mtid.Version(n), err
 }
 
-// number reads a whole number from low on; an empty one is low.
-func number(field, value string, low uint64) (uint64, error) {
+// parseNumber parses an integer of at least minimum. An empty value means minimum.
+func parseNumber(field, value string, minimum uint64) (uint64, error) {
 	if value == "" {
-		return low, nil
+		return minimum, nil
 	}
 	n, err := strconv.ParseUint(value, 10, 63)
-	if err != nil || n < low {
-		return 0, &ParameterError{Field: field, Value: value, Accept: fmt.Sprintf("a whole number from %d", low)}
+	if err != nil || n < minimum {
+		return 0, &ParameterError{Field: field, Value: value, Accept: fmt.Sprintf("a whole number from %d", minimum)}
 	}
 	return n, nil
 }
 
-// Bounds of a page.
+// Limits on the items of a page.
 const (
 	defaultLimit = 50
 	maxLimit     = 500
 )
 
-// limitOf returns how many items a page may have.
-func limitOf(c echo.Context, most int) (int, error) {
+// limitOf returns the maximum number of items of the requested page: the parameter
+// "limit", or a default.
+func limitOf(c echo.Context, maximum int) (int, error) {
 	text := c.QueryParam("limit")
 	if text == "" {
-		return min(defaultLimit, most), nil
+		return min(defaultLimit, maximum), nil
 	}
 	n, err := strconv.Atoi(text)
-	if err != nil || n < 1 || n > most {
-		return 0, &ParameterError{Field: "limit", Value: text, Accept: fmt.Sprintf("a whole number from 1 to %d", most)}
+	if err != nil || n < 1 || n > maximum {
+		return 0, &ParameterError{Field: "limit", Value: text, Accept: fmt.Sprintf("a whole number from 1 to %d", maximum)}
 	}
 	return n, nil
 }
 
-// paginate cuts a page from items. cursor returns an item's place in the order
-// of the list; the page begins after the parameter "after".
+// paginate returns the requested page of items, which must be sorted by cursor.
+// The page starts after the cursor in the parameter "after".
 func paginate[T any](c echo.Context, items []T, cursor func(T) string) (Page[T], error) {
 	return paginateUpTo(c, items, cursor, maxLimit)
 }
 
-func paginateUpTo[T any](c echo.Context, items []T, cursor func(T) string, most int) (Page[T], error) {
-	limit, err := limitOf(c, most)
+func paginateUpTo[T any](c echo.Context, items []T, cursor func(T) string, maximum int) (Page[T], error) {
+	limit, err := limitOf(c, maximum)
 	if err != nil {
 		return Page[T]{}, err
 	}
--- a/io/mtadmin/client.go
+++ b/io/mtadmin/client.go
@@ -16,22 +16,22 @@
 	"magnoliaturn/core/mtid"
 )
 
-// clientTimeout is longer than a daemon works on a request.
+// clientTimeout exceeds the time limit of the server's handlers, so that a client
+// receives the server's error instead of timing out first.
 const clientTimeout = handlerTimeout + 5*time.Second
 
-// maxAnswer bounds what a client reads of one answer, in bytes.
-const maxAnswer = 16 << 20
+// maxResponse limits how much of a response body a client reads, in bytes.
+const maxResponse = 16 << 20
 
-// Client asks the administration API of a daemon. It is safe for concurrent
-// use.
+// Client calls the administration API of a daemon. It is safe for concurrent use.
 type Client struct {
 	base  string
 	token string
 	http  *http.Client
 }
 
-// LostError says that no answer came: what was asked for may have been done.
-// All requests of this API may be repeated.
+// LostError reports that no valid response arrived, so the request may have taken
+// effect. All requests of this API can safely be repeated.
 type LostError struct{ Err error }
 
 // Error implements error.
@@ -39,7 +39,7 @@
 	return fmt.Sprintf("no answer, repeat the same request: %v", e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of the transport, or of reading the response.
 func (e *LostError) Unwrap() error { return e.Err }
 
 // NewClient returns a client of the daemon at base, for example
@@ -53,8 +53,9 @@
 	}
 }
 
-// do sends a request and reads its answer into out. It fails with a *Problem,
-// or with a *LostError.
+// do sends a request and decodes the response into out. It fails with a *Problem
+// if the server refused the request, with a *LostError if no valid response
+// arrived, and with a *ParameterError if the base URL is invalid.
 func (c *Client) do(ctx context.Context, method, path string, header http.Header, body []byte, out any) error {
 	request, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
@@ -71,12 +72,12 @@
 		return &LostError{Err: err}
 	}
 	defer response.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
 	if err != nil {
 		return &LostError{Err: err}
 	}
 	if response.StatusCode >= http.StatusBadRequest {
-		return refusal(response.StatusCode, text)
+		return parseProblem(response.StatusCode, text)
 	}
 	if err := json.Unmarshal(text, out); err != nil {
 		return &LostError{Err: err}
@@ -84,9 +85,9 @@
 	return nil
 }
 
-// refusal reads the problem of an answer. Something else than a daemon may
-// answer at the address, with a body of its own.
-func refusal(status int, body []byte) error {
+// parseProblem decodes the problem document of an error response. Something other
+// than a daemon may serve the address, with a body in another format.
+func parseProblem(status int, body []byte) error {
 	p := &Problem{}
 	if err := json.Unmarshal(body, p); err != nil || !strings.HasPrefix(p.Type, typePrefix) {
 		return problem(status, ReasonInternal, http.StatusText(status), "not an answer of a daemon's administration API")
@@ -98,8 +99,8 @@
 	return c.do(ctx, http.MethodGet, path, nil, nil, out)
 }
 
-// pages reads a list to its end.
-func pages[T any](ctx context.Context, c *Client, path string, query url.Values) (Page[T], error) {
+// getAll fetches all pages of a list.
+func getAll[T any](ctx context.Context, c *Client, path string, query url.Values) (Page[T], error) {
 	all := Page[T]{Items: []T{}}
 	for {
 		var page Page[T]
@@ -128,33 +129,33 @@
 	return d, c.get(ctx, businessPath(business)+"/bundle", &d)
 }
 
-// Version returns one version of a bundle, in force or former.
+// Version returns a version of a bundle that is or was in force.
 func (c *Client) Version(ctx context.Context, business mtid.Business, version mtid.Version) (d BundleDocument, err error) {
 	return d, c.get(ctx, fmt.Sprintf("%s/history/%d", businessPath(business), version), &d)
 }
 
-// History returns the kept versions, the newest first.
+// History returns the retained versions, newest first.
 func (c *Client) History(ctx context.Context, business mtid.Business) (Page[BundleDocument], error) {
-	return pages[BundleDocument](ctx, c, businessPath(business)+"/history", url.Values{})
+	return getAll[BundleDocument](ctx, c, businessPath(business)+"/history", url.Values{})
 }
 
 // Drafts returns the open proposals.
 func (c *Client) Drafts(ctx context.Context, business mtid.Business) (Page[BundleDocument], error) {
-	return pages[BundleDocument](ctx, c, businessPath(business)+"/drafts", url.Values{})
+	return getAll[BundleDocument](ctx, c, businessPath(business)+"/drafts", url.Values{})
 }
 
-// Draft returns one open proposal with its text.
+// Draft returns an open proposal, including its text.
 func (c *Client) Draft(ctx context.Context, business mtid.Business, version mtid.Version, digest string) (d BundleDocument, err error) {
 	return d, c.get(ctx, draftPath(business, version, digest), &d)
 }
 
-// Propose brings a bundle.
+// Propose submits the text of a bundle as a proposal.
 func (c *Client) Propose(ctx context.Context, business mtid.Business, text []byte) (d BundleDocument, err error) {
 	header := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
 	return d, c.do(ctx, http.MethodPost, businessPath(business)+"/drafts", header, text, &d)
 }
 
-// Sign hands in a signature of an open proposal.
+// Sign submits a signature of an open proposal.
 func (c *Client) Sign(ctx context.Context, business mtid.Business, version mtid.Version, digest string, signature SignatureDocument) (d BundleDocument, err error) {
 	body, err := json.Marshal(signature)
 	if err != nil {
@@ -164,7 +165,8 @@
 	return d, c.do(ctx, http.MethodPost, draftPath(business, version, digest)+"/signatures", header, body, &d)
 }
 
-// Accept puts an open proposal in force.
+// Accept puts an open proposal in force. It succeeds as well if the proposal is
+// already in force.
 func (c *Client) Accept(ctx context.Context, business mtid.Business, version mtid.Version, digest string) (d BundleDocument, err error) {
 	var header http.Header
 	if version > 0 {
@@ -173,39 +175,40 @@
 	return d, c.do(ctx, http.MethodPost, draftPath(business, version, digest)+"/accept", header, nil, &d)
 }
 
-// Force returns which version each live daemon goes by.
+// Force returns the version that each live daemon has in force.
 func (c *Client) Force(ctx context.Context, business mtid.Business) (Page[ForceDocument], error) {
-	return pages[ForceDocument](ctx, c, businessPath(business)+"/force", url.Values{})
+	return getAll[ForceDocument](ctx, c, businessPath(business)+"/force", url.Values{})
 }
 
-// Quarantine returns the requests that are kept from running.
+// Quarantine returns the requests that the live daemons have quarantined.
 func (c *Client) Quarantine(ctx context.Context, business mtid.Business) (Page[SuspectDocument], error) {
-	return pages[SuspectDocument](ctx, c, businessPath(business)+"/quarantine", url.Values{})
+	return getAll[SuspectDocument](ctx, c, businessPath(business)+"/quarantine", url.Values{})
 }
 
-// Roster returns the daemons.
+// Roster returns all daemons of the roster.
 func (c *Client) Roster(ctx context.Context) (Page[DaemonDocument], error) {
-	return pages[DaemonDocument](ctx, c, "/v1/roster", url.Values{"limit": {strconv.Itoa(maxLimit)}})
+	return getAll[DaemonDocument](ctx, c, "/v1/roster", url.Values{"limit": {strconv.Itoa(maxLimit)}})
 }
 
-// Assignment returns the shards of a service.
+// Assignment returns the shards of a service and their owners.
 func (c *Client) Assignment(ctx context.Context, ref mtid.Ref) (Page[ShardDocument], error) {
 	path := businessPath(ref.Business) + "/services/" + url.PathEscape(string(ref.Service)) + "/assignment"
-	return pages[ShardDocument](ctx, c, path, url.Values{"limit": {strconv.Itoa(maxLimit)}})
+	return getAll[ShardDocument](ctx, c, path, url.Values{"limit": {strconv.Itoa(maxLimit)}})
 }
 
-// Owner returns who owns a key.
+// Owner returns the shard and the owner of a key.
 func (c *Client) Owner(ctx context.Context, ref mtid.Ref, key mtid.Key) (d OwnerDocument, err error) {
 	path := businessPath(ref.Business) + "/services/" + url.PathEscape(string(ref.Service)) + "/owner"
 	return d, c.get(ctx, path+"?"+url.Values{"key": {string(key)}}.Encode(), &d)
 }
 
-// Status returns what the daemon says of itself.
+// Status returns the status of the daemon that the client is connected to.
 func (c *Client) Status(ctx context.Context) (d StatusDocument, err error) {
 	return d, c.get(ctx, "/v1/status", &d)
 }
 
-// Drain takes a daemon out of service.
+// Drain makes a daemon hand over its keys and leave. It returns once that has
+// begun.
 func (c *Client) Drain(ctx context.Context, daemon mtid.Daemon) (d DrainDocument, err error) {
 	return d, c.do(ctx, http.MethodPost, "/v1/daemons/"+url.PathEscape(string(daemon))+"/drain", nil, nil, &d)
 }
--- a/io/mtadmin/document.go
+++ b/io/mtadmin/document.go
@@ -8,28 +8,28 @@
 	"magnoliaturn/io/mtmetric"
 )
 
-// Page is one page of a list. Next is the cursor of the following page, empty
-// at the end; it goes into the parameter "after".
+// Page is one page of a list. Next is the cursor of the next page, to be passed as
+// the parameter "after"; it is empty on the last page.
 type Page[T any] struct {
 	Items []T    `json:"items"`
 	Next  string `json:"next,omitempty"`
-	// Failed names the daemons of this page that gave no answer, where a list
-	// is gathered from daemons.
+	// Failed names the daemons of this page that could not be queried, for lists
+	// that are collected from several daemons.
 	Failed []mtid.Daemon `json:"failed,omitempty"`
 }
 
-// BundleDocument is a bundle as the API shows it.
+// BundleDocument is a version or a proposal of a bundle.
 type BundleDocument struct {
 	Business mtid.Business `json:"business"`
 	Version  mtid.Version  `json:"version"`
 	Digest   string        `json:"digest"`
 	Proposer string        `json:"proposer"`
 	Proposed time.Time     `json:"proposed"`
-	Signed   []string      `json:"signed"`           // whose signatures are there
-	Needed   int           `json:"needed,omitempty"` // of an open proposal
+	Signed   []string      `json:"signed"`           // names of the signers
+	Needed   int           `json:"needed,omitempty"` // signatures, for an open proposal
 	Accepter string        `json:"accepter,omitempty"`
 	Accepted *time.Time    `json:"accepted,omitempty"`
-	Text     string        `json:"text,omitempty"` // left out of lists
+	Text     string        `json:"text,omitempty"` // omitted in lists
 }
 
 func describe(s *mtbundle.Stored, text bool) BundleDocument {
@@ -55,13 +55,13 @@
 	return d
 }
 
-// SignatureDocument hands in a signature.
+// SignatureDocument is the body of a request that submits a signature.
 type SignatureDocument struct {
 	Signer string `json:"signer"`
 	Value  []byte `json:"value"` // Ed25519 over the digest, base64
 }
 
-// ForceDocument says which version of a bundle one daemon goes by.
+// ForceDocument is the version of a bundle that a daemon has in force.
 type ForceDocument struct {
 	Daemon   mtid.Daemon   `json:"daemon"`
 	Zone     mtid.Zone     `json:"zone"`
@@ -70,7 +70,7 @@
 	Error    string        `json:"error,omitempty"`
 }
 
-// OfferDocument is a backend server in the roster.
+// OfferDocument describes the backend server of a daemon in the roster.
 type OfferDocument struct {
 	Business    mtid.Business `json:"business"`
 	Service     mtid.Service  `json:"service"`
@@ -80,7 +80,7 @@
 	Deadlines   bool          `json:"deadlines"`
 }
 
-// DaemonDocument is a daemon in the roster.
+// DaemonDocument is a daemon's record in the roster.
 type DaemonDocument struct {
 	Daemon      mtid.Daemon      `json:"daemon"`
 	Incarnation mtid.Incarnation `json:"incarnation"`
@@ -96,29 +96,29 @@
 	Offers      []OfferDocument  `json:"offers"` // of businesses that the operator may view
 }
 
-// ShardDocument is a shard of an assignment.
+// ShardDocument is a shard and its owner in an assignment.
 type ShardDocument struct {
 	Chunk int         `json:"chunk"`
 	Low   string      `json:"low"` // hex, first point of the range
 	Owner mtid.Daemon `json:"owner"`
-	// Incarnation is the life of the owner that the shard was given to.
+	// Incarnation is the owner's incarnation that the shard was assigned to.
 	Incarnation mtid.Incarnation `json:"incarnation"`
 	Epoch       mtid.Epoch       `json:"epoch"`
 	Version     mtid.Version     `json:"version"` // of the chunk
 }
 
-// OwnerDocument says who owns a key.
+// OwnerDocument describes the owner of a key.
 type OwnerDocument struct {
 	Business mtid.Business `json:"business"`
 	Service  mtid.Service  `json:"service"`
 	Key      mtid.Key      `json:"key"`
 	Point    string        `json:"point"` // hex
 	Shard    ShardDocument `json:"shard"`
-	Live     bool          `json:"live"` // the owner's life may still serve
+	Live     bool          `json:"live"` // the owner's incarnation may still serve
 	Caller   string        `json:"caller,omitempty"`
 }
 
-// SuspectDocument is a request that is kept from running.
+// SuspectDocument is a quarantined request.
 type SuspectDocument struct {
 	Daemon      mtid.Daemon   `json:"daemon"`
 	Business    mtid.Business `json:"business"`
@@ -128,7 +128,7 @@
 	Until       time.Time     `json:"until"`
 }
 
-// StatusDocument is what a daemon says of itself.
+// StatusDocument is the status that a daemon reports about itself.
 type StatusDocument struct {
 	Daemon      mtid.Daemon                    `json:"daemon"`
 	Incarnation mtid.Incarnation               `json:"incarnation"`
@@ -137,7 +137,7 @@
 	Services    map[string]mtmetric.Figures    `json:"services,omitempty"`
 }
 
-// DrainDocument says that a daemon has begun to leave.
+// DrainDocument is the state of a daemon after a drain was requested.
 type DrainDocument struct {
 	Daemon mtid.Daemon `json:"daemon"`
 	State  string      `json:"state"`
--- a/io/mtadmin/live.go
+++ b/io/mtadmin/live.go
@@ -43,7 +43,7 @@
 	return c.JSON(http.StatusOK, d)
 }
 
-// records returns the roster in order of names, which pages go by.
+// records returns the roster sorted by daemon name, which is the cursor of pages.
 func (s *Server) records() []*mtroster.Record {
 	records := slices.Clone(s.config.View.Roster())
 	slices.SortFunc(records, func(a, b *mtroster.Record) int {
@@ -52,7 +52,8 @@
 	return records
 }
 
-func (s *Server) record(daemon mtid.Daemon) (*mtroster.Record, bool) {
+// findRecord returns the roster's record of a daemon.
+func (s *Server) findRecord(daemon mtid.Daemon) (*mtroster.Record, bool) {
 	for _, r := range s.config.View.Roster() {
 		if r.Holder.Daemon == daemon {
 			return r, true
@@ -73,8 +74,8 @@
 	return c.JSON(http.StatusOK, page)
 }
 
-// describeDaemon leaves out the backend servers of businesses that the
-// operator has no business with.
+// describeDaemon omits the backend servers of businesses that the operator may not
+// view.
 func describeDaemon(r *mtroster.Record, o *mtoperator.Operator) DaemonDocument {
 	d := DaemonDocument{
 		Daemon:      r.Holder.Daemon,
@@ -105,8 +106,8 @@
 	return d
 }
 
-// tables returns the chunks of a keyed service; ones that this daemon doesn't
-// know yet are nil.
+// tables returns the tables of all chunks of a keyed service. Chunks whose table
+// this daemon hasn't received yet are nil.
 func (s *Server) tables(ref mtid.Ref) ([]*mtshard.Table, error) {
 	for _, b := range s.config.View.Bundles() {
 		if b.Business != ref.Business {
@@ -129,8 +130,8 @@
 	return mtid.Ref{Business: businessOf(c), Service: mtid.Service(c.Param("service"))}
 }
 
-// assignment answers with a page of shards. A service may have tens of
-// thousands, so only those of the page are described.
+// assignment serves a page of shards. A service may have tens of thousands, so only
+// the shards on the page are converted.
 func (s *Server) assignment(c echo.Context, _ *mtoperator.Operator) error {
 	tables, err := s.tables(refOf(c))
 	if err != nil {
@@ -161,8 +162,7 @@
 	return c.JSON(http.StatusOK, page)
 }
 
-// pointAfter returns the first point past a cursor; the empty cursor stands
-// before all.
+// pointAfter returns the first point after a cursor, or 0 for an empty cursor.
 func pointAfter(cursor string) (mtid.Point, error) {
 	if cursor == "" {
 		return 0, nil
@@ -177,7 +177,7 @@
 func describeShard(t *mtshard.Table, shard mtshard.Shard) ShardDocument {
 	return ShardDocument{
 		Chunk:       t.Chunk,
-		Low:         hex(uint64(shard.Low)),
+		Low:         formatHex(uint64(shard.Low)),
 		Owner:       shard.Owner.Daemon,
 		Incarnation: shard.Owner.Incarnation,
 		Epoch:       shard.Epoch,
@@ -185,8 +185,8 @@
 	}
 }
 
-// hex has a fixed width, so that the order of texts is the order of numbers.
-func hex(n uint64) string { return fmt.Sprintf("%016x", n) }
+// formatHex pads to a fixed width, so that texts sort in the order of the numbers.
+func formatHex(n uint64) string { return fmt.Sprintf("%016x", n) }
 
 func (s *Server) owner(c echo.Context, _ *mtoperator.Operator) error {
 	ref, key := refOf(c), mtid.Key(c.QueryParam("key"))
@@ -208,24 +208,26 @@
 	}
 	d := OwnerDocument{
 		Business: ref.Business, Service: ref.Service, Key: key,
-		Point: hex(uint64(point)), Shard: describeShard(table, shard),
+		Point: formatHex(uint64(point)), Shard: describeShard(table, shard),
 	}
-	if r, ok := s.record(shard.Owner.Daemon); ok {
-		d.Live = live(r, shard.Owner)
+	if r, ok := s.findRecord(shard.Owner.Daemon); ok {
+		d.Live = mayServe(r, shard.Owner)
 		d.Caller = r.CallerAddress
 	}
 	return c.JSON(http.StatusOK, d)
 }
 
-// live reports whether that life of the record's daemon may still serve.
-func live(r *mtroster.Record, owner mtid.Holder) bool {
+// mayServe reports whether owner is the incarnation in the daemon's record, and
+// may still hold a lease.
+func mayServe(r *mtroster.Record, owner mtid.Holder) bool {
 	return r.Holder == owner && r.MayHoldLease()
 }
 
-// drain takes a daemon out of service. Since that moves the keys of every
-// business whose server stands beside it, the role is needed for each.
+// drain takes a daemon out of service. That moves the keys of every business with
+// a backend server on the daemon's VM, so the operator needs the role for each of
+// them.
 func (s *Server) drain(c echo.Context, o *mtoperator.Operator) error {
-	r, ok := s.record(mtid.Daemon(c.Param("daemon")))
+	r, ok := s.findRecord(mtid.Daemon(c.Param("daemon")))
 	if !ok {
 		return &MissingError{What: "daemon " + c.Param("daemon")}
 	}
@@ -238,7 +240,7 @@
 	if r.State != mtroster.Serving {
 		return c.JSON(http.StatusOK, DrainDocument{Daemon: r.Holder.Daemon, State: r.State.String()})
 	}
-	if err := s.drainHolder(c.Request().Context(), r); err != nil {
+	if err := s.drainDaemon(c.Request().Context(), r); err != nil {
 		return err
 	}
 	return c.JSON(http.StatusAccepted, DrainDocument{Daemon: r.Holder.Daemon, State: mtroster.Leaving.String()})
--- a/io/mtadmin/mtadmin_test.go
+++ b/io/mtadmin/mtadmin_test.go
@@ -38,15 +38,15 @@
 
 var dispatch = mtid.Ref{Business: "ratins", Service: "dispatch"}
 
-// values is the part of a store that rollouts use.
-type values struct {
+// memoryStore implements the store methods that rollouts use.
+type memoryStore struct {
 	mtstore.Store
 	mu      sync.Mutex
 	entries map[string]mtstore.Entry
 	down    bool
 }
 
-func (v *values) Get(_ context.Context, name string) (mtstore.Entry, error) {
+func (v *memoryStore) Get(_ context.Context, name string) (mtstore.Entry, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.down {
@@ -59,7 +59,7 @@
 	return entry, nil
 }
 
-func (v *values) Swap(_ context.Context, name string, expected mtid.Version, value []byte, _ mtstore.LeaseID) (mtid.Version, error) {
+func (v *memoryStore) Swap(_ context.Context, name string, expected mtid.Version, value []byte, _ mtstore.LeaseID) (mtid.Version, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if current := v.entries[name]; current.Version != expected {
@@ -69,7 +69,7 @@
 	return expected + 1, nil
 }
 
-// daemon is a daemon without its other duties.
+// daemon implements the parts of a daemon that the API uses.
 type daemon struct {
 	holder  mtid.Holder
 	fleet   *fleet
@@ -100,18 +100,18 @@
 	}
 }
 
-// fleet is a few daemons that reach each other by gRPC.
+// fleet is a set of daemons that are connected by gRPC.
 type fleet struct {
 	records     []*mtroster.Record
 	table       *mtshard.Table
 	connections map[string]grpc.ClientConnInterface
 	daemons     []*daemon
 	urls        []string
-	store       *values
+	store       *memoryStore
 }
 
-// operators has one operator per role for ratins, one with all roles for
-// bundesamt, and one with all for both.
+// operators returns a directory with an operator for each role for ratins, and
+// operators with all roles: beat for bundesamt, janis for ratins, ilze for both.
 func operators(t *testing.T) *mtoperator.Directory {
 	t.Helper()
 	var b strings.Builder
@@ -132,14 +132,14 @@
 
 func newFleet(t *testing.T, size int) *fleet {
 	t.Helper()
-	return newFleetAt(t, size, 1e6)
+	return newFleetWithRate(t, size, 1e6)
 }
 
-// newFleetAt makes a fleet whose daemons take that many requests a second of
-// one client.
-func newFleetAt(t *testing.T, size int, rate float64) *fleet {
+// newFleetWithRate returns a fleet whose daemons accept at most rate requests per
+// second of a client.
+func newFleetWithRate(t *testing.T, size int, rate float64) *fleet {
 	t.Helper()
-	f := &fleet{connections: make(map[string]grpc.ClientConnInterface), store: &values{entries: make(map[string]mtstore.Entry)}}
+	f := &fleet{connections: make(map[string]grpc.ClientConnInterface), store: &memoryStore{entries: make(map[string]mtstore.Entry)}}
 	directory := operators(t)
 	var holders []mtid.Holder
 	for i := range size {
@@ -172,7 +172,7 @@
 	return f
 }
 
-// relay serves a daemon's gRPC and connects to it.
+// relay starts a daemon's gRPC server, connects to it and returns its address.
 func (f *fleet) relay(t *testing.T, server *mtadmin.Server) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -214,7 +214,7 @@
 	return mtadmin.SignatureDocument{Signer: sig.Signer, Value: sig.Value}
 }
 
-// prepare proposes as ilze and signs as janis.
+// prepare proposes a bundle as ilze and signs it as janis.
 func (f *fleet) prepare(t *testing.T, version int, note string) mtadmin.BundleDocument {
 	t.Helper()
 	body := text(version, note)
@@ -246,14 +246,14 @@
 	accepted, err := f.client("janis", 1).Accept(ctx, "ratins", 1, d.Digest)
 	assert.NilError(t, err)
 	assert.Equal(t, accepted.Accepter, "janis")
-	// The same request again, at another daemon, is no conflict.
+	// Repeating the request at another daemon is not a conflict.
 	_, err = f.client("janis", 0).Accept(ctx, "ratins", 1, d.Digest)
 	assert.NilError(t, err)
 	got, err := f.client("view", 0).Bundle(ctx, "ratins")
 	assert.NilError(t, err)
 	assert.Equal(t, got.Text, string(text(1, "first")))
 
-	// Two more race for version 2.
+	// Two proposals compete for version 2.
 	one, two := f.prepare(t, 2, "one"), f.prepare(t, 2, "two")
 	_, err = f.client("ilze", 0).Accept(ctx, "ratins", 2, one.Digest)
 	assert.NilError(t, err)
@@ -273,7 +273,7 @@
 	assert.Equal(t, former.Text, string(text(1, "first")))
 }
 
-func TestRefusals(t *testing.T) {
+func TestProblemReasons(t *testing.T) {
 	f := newFleet(t, 1)
 	ctx := t.Context()
 	ilze, janis := f.client("ilze", 0), f.client("janis", 0)
@@ -315,9 +315,9 @@
 	}
 }
 
-// A business's operator must not be able to touch, or look into, the other
-// business, and no role may open what belongs to another.
-func TestWhoMayDoWhat(t *testing.T) {
+// Operators of one business must not be able to view or change another one, and a
+// role must not permit a request that requires another role.
+func TestRouteAuthorization(t *testing.T) {
 	const (
 		view    = "view"
 		propose = "propose"
@@ -328,8 +328,8 @@
 	)
 	routes := []struct {
 		method, path string
-		may          string // the single-role operators of ratins that may
-		beat         bool   // the operator of bundesamt may
+		may          string // single-role operators of ratins that are allowed
+		beat         bool   // whether the operator of bundesamt is allowed
 	}{
 		{"GET", "/", view, true},
 		{"GET", "/metrics", view, true},
@@ -354,7 +354,7 @@
 		{"POST", "/v1/businesses/bundesamt/drafts/1/00/accept", "", true},
 	}
 	f := newFleet(t, 1)
-	ask := func(method, path, authorization string) int {
+	send := func(method, path, authorization string) int {
 		request, err := http.NewRequestWithContext(t.Context(), method, f.urls[0]+path, nil)
 		assert.NilError(t, err)
 		if authorization != "" {
@@ -363,7 +363,7 @@
 		response, err := http.DefaultClient.Do(request)
 		assert.NilError(t, err)
 		_ = response.Body.Close()
-		assert.Assert(t, response.StatusCode != http.StatusTooManyRequests, "the limit would hide the verdict")
+		assert.Assert(t, response.StatusCode != http.StatusTooManyRequests, "rate limited before authorization")
 		return response.StatusCode
 	}
 	allowed := func(status int) bool {
@@ -371,36 +371,36 @@
 	}
 	for _, route := range routes {
 		t.Run(route.method+" "+route.path, func(t *testing.T) {
-			for _, wrong := range []string{"", "Bearer ", "Bearer nobody", "Basic eDp5"} {
-				assert.Equal(t, ask(route.method, route.path, wrong), http.StatusUnauthorized, wrong)
+			for _, invalid := range []string{"", "Bearer ", "Bearer nobody", "Basic eDp5"} {
+				assert.Equal(t, send(route.method, route.path, invalid), http.StatusUnauthorized, invalid)
 			}
 			for _, role := range strings.Fields(all) {
-				got := allowed(ask(route.method, route.path, "Bearer "+role))
+				got := allowed(send(route.method, route.path, "Bearer "+role))
 				assert.Equal(t, got, strings.Contains(route.may, role), role)
 			}
-			assert.Equal(t, allowed(ask(route.method, route.path, "Bearer beat")), route.beat)
-			// A browser sends basic authentication along with requests that
-			// other sites make up, so it opens reading only.
+			assert.Equal(t, allowed(send(route.method, route.path, "Bearer beat")), route.beat)
+			// Browsers add basic authentication to requests forged by other
+			// sites, so it must only permit reading.
 			basic := "Basic " + base64.StdEncoding.EncodeToString([]byte("x:"+strings.SplitN(route.may+" beat", " ", 2)[0]))
 			if route.may == "" {
 				basic = "Basic " + base64.StdEncoding.EncodeToString([]byte("x:beat"))
 			}
-			assert.Equal(t, allowed(ask(route.method, route.path, basic)), route.method == "GET")
+			assert.Equal(t, allowed(send(route.method, route.path, basic)), route.method == "GET")
 		})
 	}
 	assert.Equal(t, f.daemons[0].drained, 1)
 }
 
-func TestForceAsksEveryDaemon(t *testing.T) {
+func TestForceQueriesAllDaemons(t *testing.T) {
 	f := newFleet(t, 3)
 	inForce, faults := mtbundle.Parse("x", text(4, "x"))
 	assert.NilError(t, faults.Err())
 	f.daemons[0].bundles = []*mtbundle.Bundle{inForce}
 	f.daemons[2].bundles = []*mtbundle.Bundle{inForce}
-	// One more is in the roster and can't be reached.
+	// A fourth daemon is in the roster but cannot be reached.
 	lost := *f.records[0]
 	lost.Holder.Daemon = "lost"
-	lost.RelayAddress = f.relayNobody(t)
+	lost.RelayAddress = f.unreachableRelay(t)
 	f.records = append(f.records, &lost)
 	page, err := f.client("view", 1).Force(t.Context(), "ratins")
 	assert.NilError(t, err)
@@ -412,8 +412,8 @@
 	assert.DeepEqual(t, page.Failed, []mtid.Daemon{"lost"})
 }
 
-// relayNobody connects to an address that nobody listens on.
-func (f *fleet) relayNobody(t *testing.T) string {
+// unreachableRelay connects to an address without a listener and returns it.
+func (f *fleet) unreachableRelay(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -447,7 +447,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, len(roster.Items), 3)
 	assert.Equal(t, len(roster.Items[0].Offers), 1)
-	// The other business sees the daemon, but not whose server is beside it.
+	// Operators of the other business see the daemon, but not its backend server.
 	roster, err = f.client("beat", 0).Roster(ctx)
 	assert.NilError(t, err)
 	assert.Equal(t, len(roster.Items[0].Offers), 0)
@@ -458,7 +458,7 @@
 	status, err := client.Status(ctx)
 	assert.NilError(t, err)
 	assert.Equal(t, status.Bundles["ratins"], mtid.Version(4))
-	// The owner's former life may not serve any more.
+	// A revoked incarnation of the owner must not be shown as live.
 	for _, r := range f.records {
 		r.RevokedBelow = 4
 	}
@@ -467,7 +467,7 @@
 	assert.Assert(t, !owner.Live)
 }
 
-func TestPages(t *testing.T) {
+func TestRosterPages(t *testing.T) {
 	f := newFleet(t, 5)
 	var names []string
 	after := ""
@@ -521,8 +521,9 @@
 	}
 }
 
-// A drain that is sent to a daemon which has restarted meanwhile must not take
-// the new life out of service.
+// A drain request for a daemon that has restarted in the meantime must not take the
+// new incarnation out of service. Draining also needs the role for every business
+// with a backend server on the VM.
 func TestDrain(t *testing.T) {
 	f := newFleet(t, 2)
 	ctx := t.Context()
@@ -534,7 +535,7 @@
 	_, err = f.client("drain", 0).Drain(ctx, "d01")
 	assert.Equal(t, reasonOf(err), mtadmin.ReasonUnreachable)
 	assert.Equal(t, f.daemons[1].drained, 1)
-	// Once a server of the other business stands there too, ratins alone may not.
+	// With a server of the other business on the VM, the role for ratins is not enough.
 	f.records[0].Offers = append(f.records[0].Offers, mtroster.Offer{Service: mtid.Ref{Business: "bundesamt", Service: "loan-desk"}})
 	_, err = f.client("drain", 0).Drain(ctx, "d00")
 	assert.Equal(t, reasonOf(err), mtadmin.ReasonRole)
@@ -546,7 +547,7 @@
 	assert.Equal(t, f.daemons[0].drained, 1)
 }
 
-func TestPreconditionsAndTags(t *testing.T) {
+func TestIfMatchAndETags(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.prepare(t, 1, "first")
 	post := func(match string) *http.Response {
@@ -575,9 +576,9 @@
 	assert.Equal(t, response.StatusCode, http.StatusNotModified)
 }
 
-// Whoever reaches the port may send anything: a huge body or a flood must cost
-// the daemon little.
-func TestLimits(t *testing.T) {
+// Any client that reaches the port can send large bodies or floods of requests;
+// both must be refused at little cost to the daemon.
+func TestBodyAndRateLimits(t *testing.T) {
 	f := newFleet(t, 1)
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, f.urls[0]+"/v1/businesses/ratins/drafts", bytes.NewReader(make([]byte, mtadmin.MaxBody+1)))
 	assert.NilError(t, err)
@@ -586,15 +587,15 @@
 	assert.NilError(t, err)
 	_ = response.Body.Close()
 	assert.Equal(t, response.StatusCode, http.StatusRequestEntityTooLarge)
-	f = newFleetAt(t, 1, 1e-9)
+	f = newFleetWithRate(t, 1, 1e-9)
 	for i := range mtadmin.DefaultBurst + 20 {
 		_, status := fetch(t, f.urls[0]+"/v1/status")
 		assert.Equal(t, status == http.StatusTooManyRequests, i >= mtadmin.DefaultBurst, i)
 	}
 }
 
-// Names on the status page come from bundles and servers; none may turn into
-// markup.
+// Names on the status page come from bundles and servers, and must not be
+// interpreted as markup.
 func TestPageIsEscaped(t *testing.T) {
 	f := newFleet(t, 2)
 	f.records[0].Zone = `<script>alert("x")</script>`
@@ -610,7 +611,8 @@
 	}
 }
 
-// fetch asks as the operator who may view ratins.
+// fetch sends a GET request as the operator with the view role for ratins, and
+// returns the body and the status.
 func fetch(t *testing.T, url string) ([]byte, int) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
--- a/io/mtadmin/page.go
+++ b/io/mtadmin/page.go
@@ -27,18 +27,18 @@
 //go:embed page.html
 var pageText string
 
-// pageTemplate escapes whatever it is given: names come from bundles and from
-// servers' announcements.
+// pageTemplate escapes all values: names come from bundles and from the
+// announcements of servers.
 var pageTemplate = template.Must(template.New("page").Parse(pageText))
 
-// pageData is what the status page shows, already in words.
+// pageData is the content of the status page, with texts already formatted.
 type pageData struct {
 	Holder   string
 	Frontier mtid.Revision
 	At       string
 	Services []pageService
 	Daemons  []pageDaemon
-	More     int // daemons past the page
+	More     int // number of daemons that are not shown
 }
 
 type pageService struct {
@@ -52,8 +52,8 @@
 type pageOwner struct {
 	Daemon string
 	Shards int
-	Share  string // of the keys
-	Width  int    // of the bar, per cent of the largest
+	Share  string // of all keys
+	Width  int    // of the bar, in percent of the largest owner
 	Live   bool
 }
 
@@ -73,11 +73,11 @@
 	Running uint32
 	Queued  uint32
 	Rate    string
-	Width   int // of the bar, per cent of the slots
+	Width   int // of the bar, in percent of the slots
 }
 
-// page answers with the status page. It asks the first daemons of the roster
-// for their load, as a page of "force" does.
+// page serves the status page. It queries the load of at most maxDaemons
+// daemons, the first of the roster, as a page of "force" does.
 func (s *Server) page(c echo.Context, o *mtoperator.Operator) error {
 	data := pageData{
 		Holder:   s.config.Self.Holder().String(),
@@ -86,7 +86,7 @@
 		Services: s.pageServices(o),
 	}
 	records := s.records()
-	shown := records[:min(len(records), maxAsked)]
+	shown := records[:min(len(records), maxDaemons)]
 	data.More = len(records) - len(shown)
 	data.Daemons = s.pageDaemons(c.Request().Context(), shown, o)
 	var out bytes.Buffer
@@ -97,7 +97,7 @@
 	return c.HTMLBlob(http.StatusOK, out.Bytes())
 }
 
-// figures returns the figures of the services that the operator may view.
+// figures returns the statistics of the services that the operator may view.
 func (s *Server) figures(o *mtoperator.Operator) map[string]mtmetric.Figures {
 	out := make(map[string]mtmetric.Figures)
 	if s.config.Figures == nil {
@@ -123,7 +123,7 @@
 			ref := mtid.Ref{Business: b.Business, Service: service.Name}
 			out = append(out, pageService{
 				Ref: ref.String(), Kind: service.Kind, Version: b.Version,
-				Figures: inWords(figures, ref.String()), Owners: s.pageOwners(ref),
+				Figures: describeFigures(figures, ref.String()), Owners: s.pageOwners(ref),
 			})
 		}
 	}
@@ -131,7 +131,7 @@
 	return out
 }
 
-func inWords(figures map[string]mtmetric.Figures, ref string) string {
+func describeFigures(figures map[string]mtmetric.Figures, ref string) string {
 	f, ok := figures[ref]
 	if !ok {
 		return ""
@@ -144,7 +144,8 @@
 		f.KeyImbalance, load, 100*f.Churn, f.Unavailable.Round(time.Millisecond))
 }
 
-// pageOwners returns who owns how much of a service, the largest first.
+// pageOwners returns the owners of a service, sorted by their share of the keys in
+// descending order.
 func (s *Server) pageOwners(ref mtid.Ref) []pageOwner {
 	tables, err := s.tables(ref)
 	if err != nil {
@@ -160,19 +161,19 @@
 			shares[shard.Owner] += share(t, shard)
 		}
 	}
-	return s.owners(shards, shares)
+	return s.sortOwners(shards, shares)
 }
 
-// share returns the part of the ring that a shard covers.
+// share returns the fraction of the hash ring that a shard covers.
 func share(t *mtshard.Table, shard mtshard.Shard) float64 {
 	last, _ := t.High(shard.Low)
 	return (float64(last-shard.Low) + 1) / math.Exp2(64)
 }
 
-func (s *Server) owners(shards map[mtid.Holder]int, shares map[mtid.Holder]float64) []pageOwner {
-	var most float64
+func (s *Server) sortOwners(shards map[mtid.Holder]int, shares map[mtid.Holder]float64) []pageOwner {
+	var largest float64
 	for _, v := range shares {
-		most = max(most, v)
+		largest = max(largest, v)
 	}
 	holders := make([]mtid.Holder, 0, len(shares))
 	for holder := range shares {
@@ -183,16 +184,16 @@
 	})
 	var out []pageOwner
 	for _, holder := range holders {
-		r, ok := s.record(holder.Daemon)
+		r, ok := s.findRecord(holder.Daemon)
 		out = append(out, pageOwner{
 			Daemon: holder.String(), Shards: shards[holder], Share: fmt.Sprintf("%.1f %%", 100*shares[holder]),
-			Width: percent(shares[holder], most), Live: ok && live(r, holder),
+			Width: percent(shares[holder], largest), Live: ok && mayServe(r, holder),
 		})
 	}
 	return out
 }
 
-// percent returns part of whole within 0 to 100.
+// percent returns part as a percentage of whole, clamped to 0..100.
 func percent(part, whole float64) int {
 	if whole <= 0 {
 		return 0
@@ -202,7 +203,7 @@
 
 func (s *Server) pageDaemons(ctx context.Context, records []*mtroster.Record, o *mtoperator.Operator) []pageDaemon {
 	var out []pageDaemon
-	for _, a := range s.ask(ctx, records) {
+	for _, a := range s.collectReports(ctx, records) {
 		d := pageDaemon{
 			Name:  a.record.Holder.String(),
 			Zone:  a.record.Zone,
@@ -212,7 +213,7 @@
 		if a.err != nil {
 			d.Error = "no answer"
 		}
-		d.Bundles = bundlesOf(a.report, o)
+		d.Bundles = formatBundles(a.report, o)
 		for _, load := range a.report.GetLoads() {
 			if o.May(mtoperator.View, mtid.Business(load.GetBusiness())) {
 				d.Loads = append(d.Loads, describeLoad(load))
@@ -223,7 +224,7 @@
 	return out
 }
 
-func bundlesOf(report *mtwire.ReportReply, o *mtoperator.Operator) string {
+func formatBundles(report *mtwire.ReportReply, o *mtoperator.Operator) string {
 	var names []string
 	for name := range report.GetBundles() {
 		if o.May(mtoperator.View, mtid.Business(name)) {
--- a/io/mtadmin/problem.go
+++ b/io/mtadmin/problem.go
@@ -15,37 +15,37 @@
 	"magnoliaturn/io/mtrollout"
 )
 
-// ProblemType is the media type of a refusal, after RFC 9457.
+// ProblemType is the media type of error responses, as in RFC 9457.
 const ProblemType = "application/problem+json"
 
-// Reason tells kinds of problems apart; it is the last part of their type.
+// Reason is the kind of a problem, the last part of its type URN.
 type Reason string
 
 // The reasons.
 const (
-	ReasonFaults      Reason = "faults"       // the bundle's text has mistakes
-	ReasonBusiness    Reason = "business"     // the text is of another business
-	ReasonConflict    Reason = "conflict"     // another bundle took the version
-	ReasonUnsigned    Reason = "unsigned"     // signatures are lacking
-	ReasonSignature   Reason = "signature"    // a signature does not count
-	ReasonMissing     Reason = "missing"      // there is no such thing
+	ReasonFaults      Reason = "faults"       // the bundle's text is invalid
+	ReasonBusiness    Reason = "business"     // the text is another business's bundle
+	ReasonConflict    Reason = "conflict"     // the version does not directly follow the one in force
+	ReasonUnsigned    Reason = "unsigned"     // signatures are missing
+	ReasonSignature   Reason = "signature"    // a signature is not valid
+	ReasonMissing     Reason = "missing"      // the named object does not exist
 	ReasonFull        Reason = "full"         // too many open proposals
-	ReasonRace        Reason = "race"         // other writers were faster each time
-	ReasonDoubt       Reason = "doubt"        // may have taken effect; repeat the request
-	ReasonStore       Reason = "store"        // the platform's store is not available; nothing was done
-	ReasonUnreachable Reason = "unreachable"  // the daemon that was asked for does not answer
+	ReasonRace        Reason = "race"         // each attempt lost the race against a concurrent write
+	ReasonDoubt       Reason = "doubt"        // outcome unknown, the request may have taken effect; repeat it
+	ReasonStore       Reason = "store"        // the platform's store is unavailable; nothing was changed
+	ReasonUnreachable Reason = "unreachable"  // the daemon that the request concerns does not respond
 	ReasonIdentity    Reason = "identity"     // no valid token
-	ReasonRole        Reason = "role"         // the operator may not do that
-	ReasonParameter   Reason = "parameter"    // a parameter is outside its range
+	ReasonRole        Reason = "role"         // the operator lacks the required role
+	ReasonParameter   Reason = "parameter"    // a parameter is invalid
 	ReasonLimited     Reason = "limited"      // too many requests
-	ReasonTooLarge    Reason = "too-large"    // the body is too large
-	ReasonMoved       Reason = "precondition" // If-Match names another version
+	ReasonTooLarge    Reason = "too-large"    // the request body exceeds MaxBody
+	ReasonMoved       Reason = "precondition" // If-Match names another version than required
 	ReasonInternal    Reason = "internal"
 )
 
 const typePrefix = "urn:magnoliaturn:problem:"
 
-// Winner is the bundle that took a version that another operator wanted.
+// Winner is the bundle in force that a proposal or an acceptance conflicts with.
 type Winner struct {
 	Version  mtid.Version `json:"version"`
 	Digest   string       `json:"digest"`
@@ -53,13 +53,13 @@
 	Accepter string       `json:"accepter"`
 }
 
-// Problem is a refusal as clients get it.
+// Problem is the body of an error response.
 type Problem struct {
 	Type   string `json:"type"`
 	Title  string `json:"title"`
 	Status int    `json:"status"`
 	Detail string `json:"detail,omitempty"`
-	// The members below come with some types only.
+	// The fields below are set for some types only.
 	Faults mtbundle.Faults `json:"faults,omitempty"`
 	Winner *Winner         `json:"winner,omitempty"`
 	Signed []string        `json:"signed,omitempty"`
@@ -71,7 +71,7 @@
 // Error implements error.
 func (p *Problem) Error() string { return fmt.Sprintf("%s: %s", p.Title, p.Detail) }
 
-// Reason returns which kind of problem p is.
+// Reason returns the kind of the problem, from its type.
 func (p *Problem) Reason() Reason {
 	if len(p.Type) <= len(typePrefix) {
 		return ReasonInternal
@@ -83,7 +83,7 @@
 	return &Problem{Type: typePrefix + string(reason), Title: title, Status: status, Detail: detail}
 }
 
-// ParameterError says that a parameter of a request is outside its range.
+// ParameterError reports an invalid parameter of a request.
 type ParameterError struct {
 	Field  string
 	Value  string
@@ -95,13 +95,14 @@
 	return fmt.Sprintf("%s is %q, accepted: %s", e.Field, e.Value, e.Accept)
 }
 
-// MissingError says that something that a request names is not there.
+// MissingError reports that an object named by a request does not exist.
 type MissingError struct{ What string }
 
 // Error implements error.
 func (e *MissingError) Error() string { return e.What + " does not exist" }
 
-// UnreachableError says that another daemon gave no answer.
+// UnreachableError reports that another daemon could not be reached or returned an
+// error.
 type UnreachableError struct {
 	Daemon mtid.Daemon
 	Err    error
@@ -112,20 +113,20 @@
 	return fmt.Sprintf("daemon %s does not answer: %v", e.Daemon, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of the call.
 func (e *UnreachableError) Unwrap() error { return e.Err }
 
-// explain returns the problem that an error means to a client.
-func explain(err error) *Problem {
-	for _, try := range []func(error) *Problem{explainBundle, explainStore, explainRequest} {
-		if p := try(err); p != nil {
+// problemOf converts an error to the problem that is sent to the client.
+func problemOf(err error) *Problem {
+	for _, convert := range []func(error) *Problem{bundleProblem, storeProblem, requestProblem} {
+		if p := convert(err); p != nil {
 			return p
 		}
 	}
 	return problem(http.StatusInternalServerError, ReasonInternal, "The daemon failed", err.Error())
 }
 
-func explainBundle(err error) *Problem {
+func bundleProblem(err error) *Problem {
 	var (
 		faults    mtbundle.Faults
 		conflict  *mtbundle.ConflictError
@@ -160,16 +161,16 @@
 	return nil
 }
 
-func explainStore(err error) *Problem {
+func storeProblem(err error) *Problem {
 	var (
-		doubt       *mtrollout.DoubtError
+		unknown     *mtrollout.DoubtError
 		race        *mtrollout.RaceError
 		page        *mtrollout.PageError
 		unavailable *mtstore.UnavailableError
 	)
 	switch {
-	case errors.As(err, &doubt):
-		return problem(http.StatusGatewayTimeout, ReasonDoubt, "The outcome is not known", doubt.Error())
+	case errors.As(err, &unknown):
+		return problem(http.StatusGatewayTimeout, ReasonDoubt, "The outcome is not known", unknown.Error())
 	case errors.As(err, &race):
 		return problem(http.StatusServiceUnavailable, ReasonRace, "Other operators were faster", race.Error())
 	case errors.As(err, &page):
@@ -180,17 +181,17 @@
 	return nil
 }
 
-func explainRequest(err error) *Problem {
+func requestProblem(err error) *Problem {
 	var (
-		own         *Problem
+		asProblem   *Problem
 		parameter   *ParameterError
 		missing     *MissingError
 		unreachable *UnreachableError
-		http4       *echo.HTTPError
+		httpError   *echo.HTTPError
 	)
 	switch {
-	case errors.As(err, &own):
-		return own
+	case errors.As(err, &asProblem):
+		return asProblem
 	case errors.As(err, &parameter):
 		p := problem(http.StatusBadRequest, ReasonParameter, "A parameter is outside its range", parameter.Error())
 		p.Field, p.Accept = parameter.Field, parameter.Accept
@@ -199,8 +200,8 @@
 		return problem(http.StatusNotFound, ReasonMissing, "Not found", missing.Error())
 	case errors.As(err, &unreachable):
 		return problem(http.StatusBadGateway, ReasonUnreachable, "The daemon does not answer", unreachable.Error())
-	case errors.As(err, &http4):
-		return problem(http4.Code, httpReason(http4.Code), http.StatusText(http4.Code), fmt.Sprint(http4.Message))
+	case errors.As(err, &httpError):
+		return problem(httpError.Code, httpReason(httpError.Code), http.StatusText(httpError.Code), fmt.Sprint(httpError.Message))
 	}
 	return nil
 }
@@ -217,15 +218,15 @@
 	return ReasonInternal
 }
 
-// retryAfter is when a client should ask again after a passing problem.
+// retryAfterSeconds is the Retry-After of temporary problems.
 const retryAfterSeconds = 1
 
-// refuse is echo's error handler: every failure leaves as a problem.
-func refuse(err error, c echo.Context) {
+// handleError is echo's error handler. It sends every error as a problem.
+func handleError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
-	p := explain(err)
+	p := problemOf(err)
 	body, err := json.Marshal(p)
 	if err != nil {
 		p.Status, body = http.StatusInternalServerError, []byte("{}")
@@ -237,5 +238,5 @@
 	case http.StatusUnauthorized:
 		header.Set(echo.HeaderWWWAuthenticate, `Basic realm="magnoliaturn"`)
 	}
-	_ = c.Blob(p.Status, ProblemType, body) // the asker may have gone
+	_ = c.Blob(p.Status, ProblemType, body) // fails if the client has disconnected
 }
--- a/io/mtadmin/report.go
+++ b/io/mtadmin/report.go
@@ -18,23 +18,23 @@
 	"magnoliaturn/io/mtoperator"
 )
 
-// Where each version is in force is asked for when somebody wants to know: at
-// rest it costs nothing. A page asks each of its daemons once, so the asked
-// daemon sends and gets a few hundred bytes for each.
+// Daemons are queried for their versions only when an operator requests a page, so
+// there is no cost while nobody does. A page queries each of its daemons once; the
+// daemon that serves the page sends and receives a few hundred bytes for each.
 const (
-	maxAsked   = 50 // daemons on one page
-	atOnce     = 8  // of them at the same time
-	askTimeout = 2 * time.Second
+	maxDaemons    = 50 // on one page
+	maxConcurrent = 8  // queries of a page
+	peerTimeout   = 2 * time.Second
 )
 
-// Informer is what a daemon tells other daemons for operators; it is
-// registered with the gRPC server that other daemons reach.
+// Informer implements the gRPC service by which other daemons query this one on
+// behalf of operators. It is registered with the gRPC server for other daemons.
 type Informer struct {
 	mtwire.UnimplementedInformServer
 	server *Server
 }
 
-// Informer returns the daemon's answers to other daemons.
+// Informer returns the implementation of the gRPC service for other daemons.
 func (s *Server) Informer() *Informer { return &Informer{server: s} }
 
 // Report implements mtwire.InformServer.
@@ -42,8 +42,8 @@
 	return i.server.report(), nil
 }
 
-// Drain implements mtwire.InformServer. A request for a former life of this
-// daemon must not take the present one out of service.
+// Drain implements mtwire.InformServer. A request for a previous incarnation of
+// this daemon must not take the current one out of service.
 func (i *Informer) Drain(ctx context.Context, request *mtwire.DrainRequest) (*mtwire.DrainReply, error) {
 	self := i.server.config.Self
 	if mtroster.HolderFromWire(request.GetHolder()) != self.Holder() {
@@ -55,7 +55,7 @@
 	return &mtwire.DrainReply{}, nil
 }
 
-// report returns this daemon's own report.
+// report returns the report of this daemon.
 func (s *Server) report() *mtwire.ReportReply {
 	reply := &mtwire.ReportReply{
 		Holder:   mtroster.HolderToWire(s.config.Self.Holder()),
@@ -87,38 +87,39 @@
 	return reply
 }
 
-// answer is one daemon's report, or why there is none.
-type answer struct {
+// queryResult is a daemon's report, or the error of querying it.
+type queryResult struct {
 	record *mtroster.Record
 	report *mtwire.ReportReply
 	err    error
 }
 
-// ask gets the reports of those daemons, a few at a time, in their order.
-func (s *Server) ask(ctx context.Context, records []*mtroster.Record) []answer {
-	answers := make([]answer, len(records))
+// collectReports queries the daemons, maxConcurrent at a time. The results are in
+// the order of records.
+func (s *Server) collectReports(ctx context.Context, records []*mtroster.Record) []queryResult {
+	results := make([]queryResult, len(records))
 	var group errgroup.Group
-	group.SetLimit(atOnce)
+	group.SetLimit(maxConcurrent)
 	for i, r := range records {
 		group.Go(func() error {
-			report, err := s.askOne(ctx, r)
-			answers[i] = answer{record: r, report: report, err: err}
+			report, err := s.fetchReport(ctx, r)
+			results[i] = queryResult{record: r, report: report, err: err}
 			return nil
 		})
 	}
-	_ = group.Wait() // failures are in the answers
-	return answers
+	_ = group.Wait() // errors are in the results
+	return results
 }
 
-func (s *Server) askOne(ctx context.Context, r *mtroster.Record) (*mtwire.ReportReply, error) {
+func (s *Server) fetchReport(ctx context.Context, r *mtroster.Record) (*mtwire.ReportReply, error) {
 	if r.Holder == s.config.Self.Holder() {
 		return s.report(), nil
 	}
-	client, err := s.informant(r)
+	client, err := s.peerClient(r)
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	report, err := client.Report(ctx, &mtwire.ReportRequest{})
 	if err != nil {
@@ -127,8 +128,8 @@
 	return report, nil
 }
 
-// informant returns a client of another daemon.
-func (s *Server) informant(r *mtroster.Record) (mtwire.InformClient, error) {
+// peerClient returns a gRPC client of another daemon.
+func (s *Server) peerClient(r *mtroster.Record) (mtwire.InformClient, error) {
 	if s.config.Peers == nil {
 		return nil, &UnreachableError{Daemon: r.Holder.Daemon, Err: &MissingError{What: "a connection between daemons"}}
 	}
@@ -139,16 +140,16 @@
 	return mtwire.NewInformClient(connection), nil
 }
 
-// drainHolder asks a daemon to leave.
-func (s *Server) drainHolder(ctx context.Context, r *mtroster.Record) error {
+// drainDaemon sends a drain request to a daemon, which may be this one.
+func (s *Server) drainDaemon(ctx context.Context, r *mtroster.Record) error {
 	if r.Holder == s.config.Self.Holder() {
 		return s.config.Self.Drain(ctx)
 	}
-	client, err := s.informant(r)
+	client, err := s.peerClient(r)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	_, err = client.Drain(ctx, &mtwire.DrainRequest{Holder: mtroster.HolderToWire(r.Holder)})
 	if err != nil {
@@ -157,27 +158,27 @@
 	return nil
 }
 
-// asked returns the page of live daemons that a request is for, and the cursor
-// of the next one.
-func (s *Server) asked(c echo.Context) ([]*mtroster.Record, string, error) {
-	var alive []*mtroster.Record
+// livePage returns the requested page of live daemons, and the cursor of the next
+// page.
+func (s *Server) livePage(c echo.Context) ([]*mtroster.Record, string, error) {
+	var live []*mtroster.Record
 	for _, r := range s.records() {
 		if r.MayHoldLease() {
-			alive = append(alive, r)
+			live = append(live, r)
 		}
 	}
-	page, err := paginateUpTo(c, alive, func(r *mtroster.Record) string { return string(r.Holder.Daemon) }, maxAsked)
+	page, err := paginateUpTo(c, live, func(r *mtroster.Record) string { return string(r.Holder.Daemon) }, maxDaemons)
 	return page.Items, page.Next, err
 }
 
-// force answers which version each daemon goes by.
+// force serves the version that each live daemon has in force.
 func (s *Server) force(c echo.Context, _ *mtoperator.Operator) error {
-	records, next, err := s.asked(c)
+	records, next, err := s.livePage(c)
 	if err != nil {
 		return err
 	}
 	page := Page[ForceDocument]{Items: []ForceDocument{}, Next: next}
-	for _, a := range s.ask(c.Request().Context(), records) {
+	for _, a := range s.collectReports(c.Request().Context(), records) {
 		d := ForceDocument{Daemon: a.record.Holder.Daemon, Zone: a.record.Zone}
 		if a.err != nil {
 			d.Error = a.err.Error()
@@ -190,14 +191,14 @@
 	return c.JSON(http.StatusOK, page)
 }
 
-// quarantine answers which requests the daemons keep from running.
+// quarantine serves the requests that the live daemons have quarantined.
 func (s *Server) quarantine(c echo.Context, _ *mtoperator.Operator) error {
-	records, next, err := s.asked(c)
+	records, next, err := s.livePage(c)
 	if err != nil {
 		return err
 	}
 	page := Page[SuspectDocument]{Items: []SuspectDocument{}, Next: next}
-	for _, a := range s.ask(c.Request().Context(), records) {
+	for _, a := range s.collectReports(c.Request().Context(), records) {
 		if a.err != nil {
 			page.Failed = append(page.Failed, a.record.Holder.Daemon)
 		}
@@ -209,7 +210,7 @@
 				Daemon:      a.record.Holder.Daemon,
 				Business:    businessOf(c),
 				Service:     mtid.Service(suspect.GetService()),
-				Fingerprint: hex(suspect.GetFingerprint()),
+				Fingerprint: formatHex(suspect.GetFingerprint()),
 				Refused:     int(suspect.GetRefused()),
 				Until:       time.UnixMilli(suspect.GetUntilMs()).UTC(),
 			})
