--- a/examples/operator/run.go
+++ b/examples/operator/run.go
@@ -259,7 +259,7 @@
 func (t *tour) everywhere(ctx context.Context, version mtid.Version) error {
 	began := time.Now()
 	err := t.wait(ctx, "the bundle in force everywhere", func() (bool, error) {
-		var shown struct{ Daemons []mtadmin.ForceDocument }
+		var shown struct{ Daemons []mtadmin.InForceDocument }
 		err := t.ask(ctx, &shown, 2, "bundle", "show", "ratins")
 		for _, d := range shown.Daemons {
 			if d.Version != version {
--- a/io/mtadmin/bundle.go
+++ b/io/mtadmin/bundle.go
@@ -132,7 +132,7 @@
 	}
 	match := c.Request().Header.Get("If-Match")
 	if match != "" && match != etag(version-1) {
-		return problem(http.StatusPreconditionFailed, ReasonMoved, "If-Match does not fit the proposal",
+		return problem(http.StatusPreconditionFailed, ReasonPrecondition, "If-Match does not fit the proposal",
 			fmt.Sprintf("version %d follows %s, not %s", version, etag(version-1), match))
 	}
 	stored, err := s.config.Rollout.Accept(c.Request().Context(), s.config.Now(), businessOf(c), version, c.Param("digest"), o.Name)
--- a/io/mtadmin/client.go
+++ b/io/mtadmin/client.go
@@ -30,17 +30,17 @@
 	http  *http.Client
 }
 
-// LostError reports that no valid response arrived, so the request may have taken
-// effect. All requests of this API can safely be repeated.
-type LostError struct{ Err error }
+// NoResponseError reports that no valid response arrived, so the request may have
+// taken effect. All requests of this API can safely be repeated.
+type NoResponseError struct{ Err error }
 
 // Error implements error.
-func (e *LostError) Error() string {
+func (e *NoResponseError) Error() string {
 	return fmt.Sprintf("no answer, repeat the same request: %v", e.Err)
 }
 
 // Unwrap returns the error of the transport, or of reading the response.
-func (e *LostError) Unwrap() error { return e.Err }
+func (e *NoResponseError) Unwrap() error { return e.Err }
 
 // NewClient returns a client of the daemon at base, for example
 // "https://10.20.1.11:8083". config may be nil for plain HTTP.
@@ -54,7 +54,7 @@
 }
 
 // do sends a request and decodes the response into out. It fails with a *Problem
-// if the server refused the request, with a *LostError if no valid response
+// if the server refused the request, with a *NoResponseError if no valid response
 // arrived, and with a *ParameterError if the base URL is invalid.
 func (c *Client) do(ctx context.Context, method, path string, header http.Header, body []byte, out any) error {
 	request, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
@@ -69,18 +69,18 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return &LostError{Err: err}
+		return &NoResponseError{Err: err}
 	}
 	defer response.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
 	if err != nil {
-		return &LostError{Err: err}
+		return &NoResponseError{Err: err}
 	}
 	if response.StatusCode >= http.StatusBadRequest {
 		return parseProblem(response.StatusCode, text)
 	}
 	if err := json.Unmarshal(text, out); err != nil {
-		return &LostError{Err: err}
+		return &NoResponseError{Err: err}
 	}
 	return nil
 }
@@ -175,9 +175,9 @@
 	return d, c.do(ctx, http.MethodPost, draftPath(business, version, digest)+"/accept", header, nil, &d)
 }
 
-// Force returns the version that each live daemon has in force.
-func (c *Client) Force(ctx context.Context, business mtid.Business) (Page[ForceDocument], error) {
-	return getAll[ForceDocument](ctx, c, businessPath(business)+"/force", url.Values{})
+// VersionsInForce returns the version that each live daemon has in force.
+func (c *Client) VersionsInForce(ctx context.Context, business mtid.Business) (Page[InForceDocument], error) {
+	return getAll[InForceDocument](ctx, c, businessPath(business)+"/force", url.Values{})
 }
 
 // Quarantine returns the requests that the live daemons have quarantined.
--- a/io/mtadmin/document.go
+++ b/io/mtadmin/document.go
@@ -61,8 +61,8 @@
 	Value  []byte `json:"value"` // Ed25519 over the digest, base64
 }
 
-// ForceDocument is the version of a bundle that a daemon has in force.
-type ForceDocument struct {
+// InForceDocument is the version of a bundle that a daemon has in force.
+type InForceDocument struct {
 	Daemon   mtid.Daemon   `json:"daemon"`
 	Zone     mtid.Zone     `json:"zone"`
 	Version  mtid.Version  `json:"version"`  // 0: none
--- a/io/mtadmin/mtadmin_test.go
+++ b/io/mtadmin/mtadmin_test.go
@@ -402,7 +402,7 @@
 	lost.Holder.Daemon = "lost"
 	lost.RelayAddress = f.unreachableRelay(t)
 	f.records = append(f.records, &lost)
-	page, err := f.client("view", 1).Force(t.Context(), "ratins")
+	page, err := f.client("view", 1).VersionsInForce(t.Context(), "ratins")
 	assert.NilError(t, err)
 	var got []string
 	for _, d := range page.Items {
--- a/io/mtadmin/problem.go
+++ b/io/mtadmin/problem.go
@@ -23,24 +23,24 @@
 
 // The reasons.
 const (
-	ReasonFaults      Reason = "faults"       // the bundle's text is invalid
-	ReasonBusiness    Reason = "business"     // the text is another business's bundle
-	ReasonConflict    Reason = "conflict"     // the version does not directly follow the one in force
-	ReasonUnsigned    Reason = "unsigned"     // signatures are missing
-	ReasonSignature   Reason = "signature"    // a signature is not valid
-	ReasonMissing     Reason = "missing"      // the named object does not exist
-	ReasonFull        Reason = "full"         // too many open proposals
-	ReasonRace        Reason = "race"         // each attempt lost the race against a concurrent write
-	ReasonDoubt       Reason = "doubt"        // outcome unknown, the request may have taken effect; repeat it
-	ReasonStore       Reason = "store"        // the platform's store is unavailable; nothing was changed
-	ReasonUnreachable Reason = "unreachable"  // the daemon that the request concerns does not respond
-	ReasonIdentity    Reason = "identity"     // no valid token
-	ReasonRole        Reason = "role"         // the operator lacks the required role
-	ReasonParameter   Reason = "parameter"    // a parameter is invalid
-	ReasonLimited     Reason = "limited"      // too many requests
-	ReasonTooLarge    Reason = "too-large"    // the request body exceeds MaxBody
-	ReasonMoved       Reason = "precondition" // If-Match names another version than required
-	ReasonInternal    Reason = "internal"
+	ReasonFaults         Reason = "faults"       // the bundle's text is invalid
+	ReasonBusiness       Reason = "business"     // the text is another business's bundle
+	ReasonConflict       Reason = "conflict"     // the version does not directly follow the one in force
+	ReasonUnsigned       Reason = "unsigned"     // signatures are missing
+	ReasonSignature      Reason = "signature"    // a signature is not valid
+	ReasonMissing        Reason = "missing"      // the named object does not exist
+	ReasonFull           Reason = "full"         // too many open proposals
+	ReasonRace           Reason = "race"         // each attempt lost the race against a concurrent write
+	ReasonOutcomeUnknown Reason = "doubt"        // outcome unknown, the request may have taken effect; repeat it
+	ReasonStore          Reason = "store"        // the platform's store is unavailable; nothing was changed
+	ReasonUnreachable    Reason = "unreachable"  // the daemon that the request concerns does not respond
+	ReasonIdentity       Reason = "identity"     // no valid token
+	ReasonRole           Reason = "role"         // the operator lacks the required role
+	ReasonParameter      Reason = "parameter"    // a parameter is invalid
+	ReasonLimited        Reason = "limited"      // too many requests
+	ReasonTooLarge       Reason = "too-large"    // the request body exceeds MaxBody
+	ReasonPrecondition   Reason = "precondition" // If-Match names another version than required
+	ReasonInternal       Reason = "internal"
 )
 
 const typePrefix = "urn:magnoliaturn:problem:"
@@ -170,7 +170,7 @@
 	)
 	switch {
 	case errors.As(err, &unknown):
-		return problem(http.StatusGatewayTimeout, ReasonDoubt, "The outcome is not known", unknown.Error())
+		return problem(http.StatusGatewayTimeout, ReasonOutcomeUnknown, "The outcome is not known", unknown.Error())
 	case errors.As(err, &race):
 		return problem(http.StatusServiceUnavailable, ReasonRace, "Other operators were faster", race.Error())
 	case errors.As(err, &page):
--- a/io/mtadmin/report.go
+++ b/io/mtadmin/report.go
@@ -177,9 +177,9 @@
 	if err != nil {
 		return err
 	}
-	page := Page[ForceDocument]{Items: []ForceDocument{}, Next: next}
+	page := Page[InForceDocument]{Items: []InForceDocument{}, Next: next}
 	for _, a := range s.collectReports(c.Request().Context(), records) {
-		d := ForceDocument{Daemon: a.record.Holder.Daemon, Zone: a.record.Zone}
+		d := InForceDocument{Daemon: a.record.Holder.Daemon, Zone: a.record.Zone}
 		if a.err != nil {
 			d.Error = a.err.Error()
 			page.Failed = append(page.Failed, d.Daemon)
--- a/io/mtcommand/accept.go
+++ b/io/mtcommand/accept.go
@@ -63,7 +63,7 @@
 // and prints how long that took from when the acceptance was asked for.
 func (c *console) awaitForce(ctx context.Context, client *mtadmin.Client, d mtadmin.BundleDocument, began time.Time, wait time.Duration) error {
 	for {
-		page, err := client.Force(ctx, d.Business)
+		page, err := client.VersionsInForce(ctx, d.Business)
 		if err != nil && !passing(err) {
 			return err
 		}
@@ -92,7 +92,7 @@
 }
 
 // behindOf returns the daemons that go by an older version, or gave no answer.
-func behindOf(documents []mtadmin.ForceDocument, version mtid.Version) []mtid.Daemon {
+func behindOf(documents []mtadmin.InForceDocument, version mtid.Version) []mtid.Daemon {
 	var behind []mtid.Daemon
 	for _, d := range documents {
 		if d.Version < version {
--- a/io/mtcommand/force.go
+++ b/io/mtcommand/force.go
@@ -49,9 +49,9 @@
 
 // shownBundle is the JSON form of "bundle show".
 type shownBundle struct {
-	InForce *mtadmin.BundleDocument  `json:"inForce"`
-	Drafts  []mtadmin.BundleDocument `json:"drafts"`
-	Daemons []mtadmin.ForceDocument  `json:"daemons"`
+	InForce *mtadmin.BundleDocument   `json:"inForce"`
+	Drafts  []mtadmin.BundleDocument  `json:"drafts"`
+	Daemons []mtadmin.InForceDocument `json:"daemons"`
 }
 
 func bundleShow(c *console) *command {
@@ -114,7 +114,7 @@
 	if err != nil && !passing(err) {
 		return err
 	}
-	force, err := client.Force(ctx, business)
+	force, err := client.VersionsInForce(ctx, business)
 	if err != nil {
 		return err
 	}
@@ -127,7 +127,7 @@
 	return nil
 }
 
-func (c *console) showParts(shown shownBundle, bundles [][]string, force []mtadmin.ForceDocument) {
+func (c *console) showParts(shown shownBundle, bundles [][]string, force []mtadmin.InForceDocument) {
 	if c.json {
 		c.show(shown, nil, nil)
 		return
--- a/io/mtcommand/mtcommand.go
+++ b/io/mtcommand/mtcommand.go
@@ -147,7 +147,7 @@
 		usage   *UsageError
 		refused *RefusedError
 		faults  mtini.Faults
-		lost    *mtadmin.LostError
+		lost    *mtadmin.NoResponseError
 		problem *mtadmin.Problem
 		slow    *SlowError
 	)
@@ -168,7 +168,7 @@
 
 func exitOf(p *mtadmin.Problem) subcommands.ExitStatus {
 	switch {
-	case p.Reason() == mtadmin.ReasonDoubt:
+	case p.Reason() == mtadmin.ReasonOutcomeUnknown:
 		return ExitDoubt
 	case p.Status == http.StatusServiceUnavailable, p.Status == http.StatusTooManyRequests, p.Status == http.StatusBadGateway:
 		return ExitUnavailable
--- a/io/mtcommand/mtcommand_test.go
+++ b/io/mtcommand/mtcommand_test.go
@@ -112,7 +112,7 @@
 		{mtadmin.ReasonRole, 403, mtcommand.ExitRefused},
 		{mtadmin.ReasonIdentity, 401, mtcommand.ExitRefused},
 		{mtadmin.ReasonMissing, 404, mtcommand.ExitRefused},
-		{mtadmin.ReasonDoubt, 504, mtcommand.ExitDoubt},
+		{mtadmin.ReasonOutcomeUnknown, 504, mtcommand.ExitDoubt},
 		{mtadmin.ReasonStore, 503, mtcommand.ExitUnavailable},
 		{mtadmin.ReasonLimited, 429, mtcommand.ExitUnavailable},
 		{mtadmin.ReasonInternal, 500, subcommands.ExitFailure},
--- a/io/mtdaemon/admin.go
+++ b/io/mtdaemon/admin.go
@@ -66,7 +66,7 @@
 // wherever the listener can be reached from another VM.
 func (d *Daemon) operators() (*mtoperator.Directory, func(), error) {
 	if d.config.Settings.Operators == "" {
-		return mtoperator.Everyone(), func() {}, nil
+		return mtoperator.AllowAll(), func() {}, nil
 	}
 	return mtoperator.Open(d.config.Settings.Operators, func(err error) {
 		d.config.Log.Error("operators can't be read again", "error", err)
--- a/io/mtdaemon/admin_test.go
+++ b/io/mtdaemon/admin_test.go
@@ -42,7 +42,7 @@
 	}
 	client := mtadmin.NewClient(members[1].admin(t), "", nil)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		force, err := client.Force(t.Context(), "ratins")
+		force, err := client.VersionsInForce(t.Context(), "ratins")
 		if err != nil {
 			return poll.Error(err)
 		}
--- a/io/mtoperator/mtoperator.go
+++ b/io/mtoperator/mtoperator.go
@@ -49,14 +49,14 @@
 // Roles lists all roles.
 var Roles = []Role{View, Propose, Sign, Accept, Drain}
 
-// Interval is how often the file is checked for changes.
-const Interval = 10 * time.Second
+// ReloadInterval is how often the file is checked for changes.
+const ReloadInterval = 10 * time.Second
 
 // Operator is a person or program that authenticates with a token.
 type Operator struct {
 	Name   string
 	grants map[mtid.Business][]Role
-	all    bool // all roles for all businesses; only on plain HTTP, see Everyone
+	all    bool // all roles for all businesses; only on plain HTTP, see AllowAll
 }
 
 // May reports whether o has the role for the business.
@@ -85,20 +85,20 @@
 	allowAll bool
 }
 
-// Everyone returns the directory of a daemon without an operators file, which
+// AllowAll returns the directory of a daemon without an operators file, which
 // listens on a loopback address only. Every request, with or without a token, is
 // attributed to an operator named "local" that has all roles.
-func Everyone() *Directory { return &Directory{allowAll: true} }
+func AllowAll() *Directory { return &Directory{allowAll: true} }
 
-// Open loads the file and starts to check it for changes every Interval. report
-// is called from another goroutine with the error of each failed reload. Errors
-// are of type mtini.Faults or *mttls.FileError.
+// Open loads the file and starts to check it for changes every ReloadInterval.
+// report is called from another goroutine with the error of each failed reload.
+// Errors are of type mtini.Faults or *mttls.FileError.
 func Open(file string, report func(error)) (*Directory, func(), error) {
 	d := &Directory{file: file}
 	if err := d.Reload(); err != nil {
 		return nil, nil, err
 	}
-	stop := mtduty.Every(Interval, func(context.Context) {
+	stop := mtduty.Every(ReloadInterval, func(context.Context) {
 		if err := d.Reload(); err != nil {
 			report(err)
 		}
--- a/io/mttls/keygen.go
+++ b/io/mttls/keygen.go
@@ -23,8 +23,8 @@
 // Validity periods of the certificates that keygen creates. Those of daemons are
 // short-lived, since a running daemon reloads a replaced certificate.
 const (
-	AuthorityLife   = 5 * 365 * 24 * time.Hour
-	CertificateLife = 90 * 24 * time.Hour
+	AuthorityLifetime   = 5 * 365 * 24 * time.Hour
+	CertificateLifetime = 90 * 24 * time.Hour
 )
 
 // backdate is how far NotBefore lies in the past, so that a new certificate is
@@ -52,7 +52,7 @@
 		SerialNumber:          newSerial(),
 		Subject:               pkix.Name{CommonName: "magnoliaturn authority"},
 		NotBefore:             now.Add(-backdate),
-		NotAfter:              now.Add(AuthorityLife),
+		NotAfter:              now.Add(AuthorityLifetime),
 		IsCA:                  true,
 		BasicConstraintsValid: true,
 		KeyUsage:              x509.KeyUsageCertSign,
@@ -76,7 +76,7 @@
 		SerialNumber: newSerial(),
 		Subject:      pkix.Name{CommonName: name},
 		NotBefore:    now.Add(-backdate),
-		NotAfter:     now.Add(CertificateLife),
+		NotAfter:     now.Add(CertificateLifetime),
 		KeyUsage:     x509.KeyUsageDigitalSignature,
 		ExtKeyUsage:  []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
--- a/io/mttls/mttls.go
+++ b/io/mttls/mttls.go
@@ -4,8 +4,8 @@
 // the "keygen" command.
 //
 // To replace a certificate, authority or secret, write the new file; the daemon
-// uses it for new connections within Interval. If a file cannot be read, or a
-// certificate doesn't match its key, the error is reported and the previous
+// uses it for new connections within ReloadInterval. If a file cannot be read, or
+// a certificate doesn't match its key, the error is reported and the previous
 // credentials stay in use, so that a mistake in a rotation causes no outage.
 //
 // # Usage
@@ -37,8 +37,8 @@
 	"magnoliaturn/io/mtsetting"
 )
 
-// Interval is how often the credential files are reloaded.
-const Interval = 10 * time.Second
+// ReloadInterval is how often the credential files are reloaded.
+const ReloadInterval = 10 * time.Second
 
 // FileError reports a credential file that cannot be read, parsed or written.
 type FileError struct {
@@ -75,7 +75,7 @@
 	current atomic.Pointer[snapshot]
 }
 
-// Open loads the files and starts to reload them every Interval. report is
+// Open loads the files and starts to reload them every ReloadInterval. report is
 // called from another goroutine with the error of each failed reload. Errors are
 // of type *FileError.
 func Open(keys mtsetting.Keys, report func(error)) (*Credentials, func(), error) {
@@ -83,7 +83,7 @@
 	if err := c.Reload(); err != nil {
 		return nil, nil, err
 	}
-	stop := mtduty.Every(Interval, func(context.Context) {
+	stop := mtduty.Every(ReloadInterval, func(context.Context) {
 		if err := c.Reload(); err != nil {
 			report(err)
 		}
--- a/io/mttls/mttls_test.go
+++ b/io/mttls/mttls_test.go
@@ -160,7 +160,7 @@
 	file, pair := authority(t)
 	c := open(t, keys(t, file, pair, "127.0.0.1"))
 	left := time.Until(c.Expires())
-	assert.Assert(t, left > mttls.CertificateLife-time.Hour && left <= mttls.CertificateLife, left)
+	assert.Assert(t, left > mttls.CertificateLifetime-time.Hour && left <= mttls.CertificateLifetime, left)
 }
 
 func TestSecretRotation(t *testing.T) {
