--- a/examples/operator/run.go
+++ b/examples/operator/run.go
@@ -262,7 +262,7 @@
 func (t *tour) awaitInForce(ctx context.Context, version mtid.Version) error {
 	started := time.Now()
 	err := t.waitFor(ctx, "the bundle in force everywhere", func() (bool, error) {
-		var shown struct{ Daemons []mtadmin.ForceDocument }
+		var shown struct{ Daemons []mtadmin.InForceDocument }
 		err := t.runJSON(ctx, &shown, 2, "bundle", "show", "ratins")
 		for _, d := range shown.Daemons {
 			if d.Version != version {
--- a/io/mtcommand/accept.go
+++ b/io/mtcommand/accept.go
@@ -64,7 +64,7 @@
 // prints the time since began, when the acceptance was requested.
 func (c *console) awaitForce(ctx context.Context, client *mtadmin.Client, d mtadmin.BundleDocument, began time.Time, wait time.Duration) error {
 	for {
-		page, err := client.Force(ctx, d.Business)
+		page, err := client.VersionsInForce(ctx, d.Business)
 		if err != nil && !isTransient(err) {
 			return err
 		}
@@ -93,7 +93,7 @@
 }
 
 // daemonsBehind returns the daemons that apply an older version or did not answer.
-func daemonsBehind(documents []mtadmin.ForceDocument, version mtid.Version) []mtid.Daemon {
+func daemonsBehind(documents []mtadmin.InForceDocument, version mtid.Version) []mtid.Daemon {
 	var behind []mtid.Daemon
 	for _, d := range documents {
 		if d.Version < version {
--- a/io/mtcommand/force.go
+++ b/io/mtcommand/force.go
@@ -49,9 +49,9 @@
 
 // shownBundle is the JSON output of "bundle show".
 type shownBundle struct {
-	InForce *mtadmin.BundleDocument  `json:"inForce"`
-	Drafts  []mtadmin.BundleDocument `json:"drafts"`
-	Daemons []mtadmin.ForceDocument  `json:"daemons"`
+	InForce *mtadmin.BundleDocument   `json:"inForce"`
+	Drafts  []mtadmin.BundleDocument  `json:"drafts"`
+	Daemons []mtadmin.InForceDocument `json:"daemons"`
 }
 
 func bundleShow(c *console) *command {
@@ -115,7 +115,7 @@
 	if err != nil && !isTransient(err) {
 		return err
 	}
-	force, err := client.Force(ctx, business)
+	force, err := client.VersionsInForce(ctx, business)
 	if err != nil {
 		return err
 	}
@@ -128,7 +128,7 @@
 	return nil
 }
 
-func (c *console) showBundleStatus(shown shownBundle, bundles [][]string, force []mtadmin.ForceDocument) {
+func (c *console) showBundleStatus(shown shownBundle, bundles [][]string, force []mtadmin.InForceDocument) {
 	if c.json {
 		c.show(shown, nil, nil)
 		return
--- a/io/mtcommand/mtcommand.go
+++ b/io/mtcommand/mtcommand.go
@@ -148,7 +148,7 @@
 		usage   *UsageError
 		refused *RefusedError
 		faults  mtini.Faults
-		lost    *mtadmin.LostError
+		lost    *mtadmin.NoResponseError
 		problem *mtadmin.Problem
 		slow    *NotInForceError
 	)
@@ -171,7 +171,7 @@
 // that nothing was changed and the command can be retried.
 func exitStatusOf(p *mtadmin.Problem) subcommands.ExitStatus {
 	switch {
-	case p.Reason() == mtadmin.ReasonDoubt:
+	case p.Reason() == mtadmin.ReasonOutcomeUnknown:
 		return ExitUnknown
 	case p.Status == http.StatusServiceUnavailable, p.Status == http.StatusTooManyRequests, p.Status == http.StatusBadGateway:
 		return ExitUnavailable
--- a/io/mtdaemon/admin.go
+++ b/io/mtdaemon/admin.go
@@ -67,7 +67,7 @@
 // validation of the settings requires a file if other VMs can reach the listener.
 func (d *Daemon) operators() (*mtoperator.Directory, func(), error) {
 	if d.config.Settings.Operators == "" {
-		return mtoperator.Everyone(), func() {}, nil
+		return mtoperator.AllowAll(), func() {}, nil
 	}
 	return mtoperator.Open(d.config.Settings.Operators, func(err error) {
 		d.config.Log.Error("reloading the operators file failed", "error", err)
