--- a/io/mtmember/bench_test.go
+++ b/io/mtmember/bench_test.go
@@ -16,7 +16,7 @@
 	"magnoliaturn/core/mtstore"
 )
 
-// processorTime returns the processor time that this process used so far.
+// processorTime returns the CPU time that this process has used.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -25,13 +25,13 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// pairing is how long daemons that chose at the same time take to find mutual
-// witnesses.
-const pairing = 45 * time.Second
+// pairingTime is how long daemons that chose their witnesses at the same time need
+// to find mutual ones.
+const pairingTime = 45 * time.Second
 
-// BenchmarkRest measures fleets that do nothing but keep their leases, per
-// daemon: traffic in both directions with headers, processor time, and calls to
-// the store. Run it with -benchtime 1x; REST_SECONDS sets the time of a run.
+// BenchmarkRest measures idle fleets that only renew their leases. It reports per
+// daemon the traffic in both directions including headers, the CPU time, and the
+// store calls. Run it with -benchtime 1x; REST_SECONDS sets the duration of a run.
 func BenchmarkRest(b *testing.B) {
 	seconds, err := strconv.Atoi(os.Getenv("REST_SECONDS"))
 	if err != nil {
@@ -40,13 +40,13 @@
 	for _, n := range []int{6, 12, 24} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			for b.Loop() {
-				rest(b, n, time.Duration(seconds)*time.Second)
+				benchmarkIdle(b, n, time.Duration(seconds)*time.Second)
 			}
 		})
 	}
 }
 
-// traffic sums messages and bytes in both directions over a fleet.
+// traffic returns the total messages and bytes of a fleet in both directions.
 func traffic(f *fleet) (messages, bytes int64) {
 	for _, n := range f.nodes {
 		c := n.duty.Counters()
@@ -56,11 +56,11 @@
 	return messages, bytes
 }
 
-func rest(b *testing.B, n int, span time.Duration) {
+func benchmarkIdle(b *testing.B, n int, span time.Duration) {
 	f := newFleet(b, n)
 	f.waitSettled()
 	started, startedWrites := f.store.calls()
-	time.Sleep(pairing)
+	time.Sleep(pairingTime)
 	reads0, writes0 := f.store.calls()
 	messages0, bytes0 := traffic(f)
 	used0 := processorTime()
@@ -82,10 +82,10 @@
 	runtime.GC()
 }
 
-// BenchmarkRecovery measures the time from the loss of a daemon until the
-// stored table names other owners for all its shards, and the store calls that
-// it took. Each iteration is one loss; -benchtime 200x makes 200 of them, on
-// four fleets of six daemons at a time.
+// BenchmarkRecovery measures the time from the loss of a daemon until the stored
+// table names other owners for all its shards, and the store calls that this takes.
+// Each iteration is one loss: -benchtime 200x measures 200 of them, on four fleets
+// of six daemons in parallel.
 func BenchmarkRecovery(b *testing.B) {
 	const fleets = 4
 	var mu sync.Mutex
@@ -106,7 +106,7 @@
 			for range left {
 				lost := f.nodes[at%len(f.nodes)]
 				at++
-				took, spent, again := lose(f, lost, time.Duration(at%8)*50*time.Millisecond)
+				took, spent, again := measureRecovery(f, lost, time.Duration(at%8)*50*time.Millisecond)
 				mu.Lock()
 				times = append(times, took)
 				calls += spent
@@ -125,9 +125,9 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// lose ends a daemon at some phase of its period, waits for its recovery, and
-// starts it again.
-func lose(f *fleet, lost *node, phase time.Duration) (took time.Duration, calls, restartCalls int) {
+// measureRecovery stops a daemon at the given phase of its renewal period, waits
+// until its shards have other owners, and starts it again.
+func measureRecovery(f *fleet, lost *node, phase time.Duration) (took time.Duration, calls, restartCalls int) {
 	time.Sleep(phase)
 	holder := lost.member.Holder()
 	reads0, writes0 := f.store.calls()
@@ -146,8 +146,8 @@
 	return took, reads1 - reads0 + writes1 - writes0, reads2 - reads1 + writes2 - writes1 - 1
 }
 
-// giveBack moves some shards to a daemon that was lost, so that its next loss
-// has something to recover.
+// giveBack moves some shards to a restarted daemon, so that there are shards to
+// recover when it is lost again.
 func giveBack(f *fleet, n *node) {
 	for {
 		table := f.store.Tables()[0]
@@ -169,28 +169,28 @@
 	}
 }
 
-// BenchmarkMassLoss measures the loss of half of a fleet at once: the time until
-// no lost daemon owns a shard, and the store calls that it took.
+// BenchmarkMassLoss measures the simultaneous loss of half of a fleet: the time
+// until no lost daemon owns a shard, and the store calls that this takes.
 func BenchmarkMassLoss(b *testing.B) {
 	for _, n := range []int{12, 24, 48} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			for b.Loop() {
-				massLoss(b, n)
+				benchmarkMassLoss(b, n)
 			}
 		})
 	}
 }
 
-func massLoss(b *testing.B, n int) {
+func benchmarkMassLoss(b *testing.B, n int) {
 	f := newFleet(b, n)
 	f.waitSettled()
 	f.store.create(b, 8*n)
 	var holders []mtid.Holder
-	before := tally(f)
+	before := sumCounters(f)
 	begin := time.Now()
 	var stops sync.WaitGroup
 	for i, node := range f.nodes {
-		// A whole availability zone and a sixth of the fleet besides.
+		// A whole availability zone, and another sixth of the fleet.
 		if i%3 == 0 || i%6 == 1 {
 			holders = append(holders, node.member.Holder())
 			stops.Go(node.stop)
@@ -210,7 +210,7 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	took := time.Since(begin)
-	after := tally(f)
+	after := sumCounters(f)
 	for what := range after {
 		b.ReportMetric(float64(after[what]-before[what])/float64(len(holders)), what+"/loss")
 	}
@@ -220,8 +220,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// tally sums what the members of a fleet did.
-func tally(f *fleet) map[string]int64 {
+// sumCounters returns the totals of the counters of all members of a fleet.
+func sumCounters(f *fleet) map[string]int64 {
 	sum := make(map[string]int64)
 	for _, n := range f.nodes {
 		c := n.member.Counters()
--- a/io/mtmember/fleet_test.go
+++ b/io/mtmember/fleet_test.go
@@ -32,16 +32,16 @@
 
 var ref = mtid.Ref{Business: "ratins", Service: "mapsvc"}
 
-// fakeStore is a platform store in memory that can be down or lose answers. It
-// is the live state of its fleet as well, as though spread without delay.
+// fakeStore is an in-memory platform store that can be down or lose responses. It
+// also serves as the live state of its fleet, propagated without delay.
 type fakeStore struct {
-	mu       sync.Mutex
-	entries  map[string]mtstore.Entry
-	revision mtid.Revision
-	down     bool
-	deaf     int // so many answers of writes are lost
-	writes   int
-	reads    int
+	mu          sync.Mutex
+	entries     map[string]mtstore.Entry
+	revision    mtid.Revision
+	down        bool
+	lostAnswers int // number of upcoming writes whose responses are lost
+	writes      int
+	reads       int
 
 	records []*mtroster.Record
 	tables  []*mtshard.Table
@@ -77,8 +77,8 @@
 	s.revision++
 	s.entries[name] = mtstore.Entry{Name: name, Value: value, Version: expected + 1, Revision: s.revision}
 	s.decode()
-	if s.deaf > 0 {
-		s.deaf--
+	if s.lostAnswers > 0 {
+		s.lostAnswers--
 		return 0, &mtstore.UnknownError{Op: "swap", Name: name}
 	}
 	return expected + 1, nil
@@ -152,7 +152,7 @@
 	f(s)
 }
 
-// create lays a table over all daemons that are registered.
+// create writes a table that distributes shards among all registered daemons.
 func (s *fakeStore) create(t testing.TB, shards int) {
 	t.Helper()
 	var among []mtid.Holder
@@ -220,7 +220,7 @@
 	return c, err
 }
 
-// start begins a process of a daemon, at new addresses.
+// start starts a process of a daemon at new addresses.
 func (f *fleet) start(n *node) {
 	f.t.Helper()
 	duty, stopDuty, err := mtrenew.New(mtrenew.Config{
@@ -259,7 +259,7 @@
 		if check() {
 			return poll.Success()
 		}
-		return poll.Continue("waiting: %s", what)
+		return poll.Continue("waiting for %s", what)
 	}, poll.WithTimeout(60*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
@@ -267,17 +267,17 @@
 
 func (f *fleet) waitServing() {
 	f.t.Helper()
-	f.wait("all serve", func() bool {
+	f.wait("all daemons to serve", func() bool {
 		return !slices.ContainsFunc(f.nodes, func(n *node) bool { return !f.serving(n) })
 	})
 }
 
-// waitSettled waits until each daemon serves by a full set of witnesses, so
-// that the loss of one leaves it a majority.
+// waitSettled waits until each daemon serves with a full set of witnesses, so that
+// it keeps a majority if one is lost.
 func (f *fleet) waitSettled() {
 	f.t.Helper()
 	f.waitServing()
-	f.wait("all have a full set", func() bool {
+	f.wait("all daemons to have a full set of witnesses", func() bool {
 		return !slices.ContainsFunc(f.nodes, func(n *node) bool {
 			r, _, ok := f.store.Record(n.name)
 			return !ok || r.Holder != n.member.Holder() || len(r.Witnesses) < mtwitness.SetSize
--- a/io/mtmember/mtmember.go
+++ b/io/mtmember/mtmember.go
@@ -1,13 +1,13 @@
-// Package mtmember holds the duties that make a process a member of the fleet:
-// one keeps the daemon's own record (registration, witnesses, offers, state),
-// one looks for lost daemons, and a few take over what they owned.
+// Package mtmember makes a process a member of the fleet. One goroutine maintains
+// the daemon's own record (registration, witnesses, offers, state), one detects
+// lost daemons, and a few workers take over the shards that those owned.
 //
 // # Usage
 //
 //	member, cleanUp, err := mtmember.New(mtmember.Config{...})
 //	defer cleanUp()
 //	member.Offer(offers)
-//	member.Leave(mtroster.Leaving)
+//	member.Enter(mtroster.Leaving)
 //	holder := member.Holder() // zero until registered
 //
 // All methods are safe for concurrent use.
@@ -35,15 +35,16 @@
 	"magnoliaturn/io/mtduty"
 )
 
-// View is what the duties need of the live state. What it returns is shared
-// and never changed.
+// View provides the live state. The values it returns are shared and must not be
+// modified.
 type View interface {
 	Roster() []*mtroster.Record
 	Record(mtid.Daemon) (*mtroster.Record, mtid.Version, bool)
 	Tables() []*mtshard.Table
 }
 
-// Lease is what the duties need of the duty that renews. *mtrenew.Duty is one.
+// Lease renews this daemon's lease and answers as a witness. It is implemented by
+// *mtrenew.Duty.
 type Lease interface {
 	Register(mtid.Holder, mtlease.Set)
 	Propose(mtlease.Set) bool
@@ -60,36 +61,37 @@
 	Revoke(mtwitness.Request) mtwitness.Reply
 }
 
-// Clock is the time that the duties need: Now never runs slow, and Steady never
-// runs ahead.
+// Clock provides the time. Now never runs slow, and Steady never runs ahead.
 type Clock interface {
 	Now() mtclock.Instant
 	Steady() mtclock.Instant
 	Wall() time.Time
 }
 
-// Config is what a member is made of.
+// Config holds the identity, dependencies and callbacks of a Member.
 type Config struct {
 	Profile mtmember.Profile
 	Store   mtstore.Store
 	View    View
 	Lease   Lease
 	Clock   Clock
-	// Dial returns a connection to the gRPC server of another daemon. It is
-	// kept by whoever gave it.
+	// Dial returns a connection to the gRPC server of another daemon. The member
+	// does not close it.
 	Dial func(address string) (grpc.ClientConnInterface, error)
 	// Registered is called after each registration; it may be nil.
 	Registered func(mtid.Holder)
-	// Wrote is called with each value that a duty wrote or found in the store,
-	// so that the live state needn't wait for a watch; it may be nil.
+	// Wrote is called with each value that the member wrote to or read from the
+	// store, so that the live state is updated before a watch reports the value;
+	// it may be nil.
 	Wrote func(mtstore.Entry)
-	// Heat returns how much load the shards of a holder bear, in any unit: the
-	// hottest lost daemon is taken over first. It may be nil.
+	// Heat returns the total load of a holder's shards, in any unit: the lost
+	// daemon with the highest load is taken over first. It may be nil.
 	Heat func(mtid.Holder) float64
 	Log  *slog.Logger
 }
 
-// Counters are what a member did. Store calls count each call that was sent.
+// Counters count the actions of a member. Store reads and writes include calls
+// that failed.
 type Counters struct {
 	StoreReads     expvar.Int
 	StoreWrites    expvar.Int
@@ -97,67 +99,68 @@
 	StoreUnknown   expvar.Int
 	Registrations  expvar.Int
 	SetChanges     expvar.Int
-	Takeovers      expvar.Int // records that this daemon wrote as revoked
-	Failovers      expvar.Int // chunks that this daemon wrote
-	Suspicions     expvar.Int // takeovers that were begun
+	Takeovers      expvar.Int // revoked records that this daemon wrote
+	Failovers      expvar.Int // chunks that this daemon failed over
+	Suspicions     expvar.Int // takeovers that this daemon started
 }
 
 const (
-	keepTick    = 100 * time.Millisecond
-	watchTick   = 50 * time.Millisecond
-	callTimeout = 2 * time.Second
-	askTimeout  = 300 * time.Millisecond
-	takers      = 4
-	jobs        = 1024
+	recordInterval  = 100 * time.Millisecond
+	watchInterval   = 50 * time.Millisecond
+	callTimeout     = 2 * time.Second
+	revokeTimeout   = 300 * time.Millisecond
+	takeoverWorkers = 4
+	jobQueueSize    = 1024
 )
 
-// Member keeps one daemon in the fleet.
+// Member registers one daemon in the fleet and takes over lost ones.
 type Member struct {
 	config   Config
 	counters Counters
 	store    countedStore
 	holder   atomic.Pointer[mtid.Holder]
-	stop     context.Context
+	ctx      context.Context
 
 	mu     sync.Mutex
 	offers []mtroster.Offer
 	state  mtroster.State
 
-	running *mtring.Ring[job]
-	busy    sync.Map // mtid.Holder -> struct{}: takeovers under way
-	fenced  sync.Map // mtid.Daemon -> *mtroster.Record: revoked by this process
+	jobs       *mtring.Ring[job]
+	inProgress sync.Map // mtid.Holder -> struct{}: running takeovers; the zero Holder means a failover
+	fenced     sync.Map // mtid.Daemon -> *mtroster.Record: revoked by this process
 }
 
-// New starts the duties. Registration goes on in the background until the
-// store answers. The clean-up ends the duties; it doesn't leave the fleet.
+// New starts the goroutines of a member. Registration is retried in the background
+// until it succeeds. The clean-up stops the goroutines; it does not deregister the
+// daemon.
 func New(config Config) (*Member, func()) {
 	if config.Log == nil {
 		config.Log = slog.Default()
 	}
 	stop, cancel := context.WithCancel(context.Background())
-	m := &Member{config: config, stop: stop, running: mtring.New[job](jobs)}
+	m := &Member{config: config, ctx: stop, jobs: mtring.New[job](jobQueueSize)}
 	m.store = countedStore{store: config.Store, counters: &m.counters}
 	m.holder.Store(&mtid.Holder{})
-	var duties sync.WaitGroup
-	duties.Go(func() { newKeeper(m).run() })
-	duties.Go(func() { newWatcher(m).run() })
-	for range takers {
-		duties.Go(func() { m.takeOver() })
+	var workers sync.WaitGroup
+	workers.Go(func() { newRegistrar(m).run() })
+	workers.Go(func() { newWatcher(m).run() })
+	for range takeoverWorkers {
+		workers.Go(func() { m.runJobs() })
 	}
 	return m, func() {
 		cancel()
-		duties.Wait()
+		workers.Wait()
 	}
 }
 
-// Holder returns the life under which this daemon is registered; zero before
-// registration, and after a takeover until it has registered again.
+// Holder returns the incarnation under which this daemon is registered. It is zero
+// before registration, and after a takeover until it has registered again.
 func (m *Member) Holder() mtid.Holder { return *m.holder.Load() }
 
-// Counters returns what the member did so far.
+// Counters returns the live counters of the member.
 func (m *Member) Counters() *Counters { return &m.counters }
 
-// Vars returns the counters as one expvar map, for publication.
+// Vars returns the counters as an expvar map, to be published as metrics.
 func (m *Member) Vars() *expvar.Map {
 	vars := new(expvar.Map).Init()
 	vars.Set("store_reads", &m.counters.StoreReads)
@@ -172,41 +175,41 @@
 	return vars
 }
 
-// Offer sets the backend servers that the record names. It returns at once;
-// the record is written as soon as the store takes it.
+// Offer sets the backend servers that the record lists. It does not wait: the
+// record is written in the background, and retried until the store accepts it.
 func (m *Member) Offer(offers []mtroster.Offer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.offers = offers
 }
 
-// Enter sets what the daemon says of itself. With mtroster.Gone its lease ends
-// for good before the record is written, since the record then counts as a
-// proof that this life serves no more.
+// Enter sets the state that the record publishes. With mtroster.Gone the lease is
+// closed permanently before the record is written, since that record proves to
+// other daemons that this incarnation no longer serves.
 func (m *Member) Enter(state mtroster.State) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.state = state
 }
 
-// desired returns what the record should say.
+// desired returns the offers and the state that the record should publish.
 func (m *Member) desired() ([]mtroster.Offer, mtroster.State) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.offers, m.state
 }
 
-// sleep waits for d, or returns false once the member stops.
-func (m *Member) sleep(d time.Duration) bool { return mtduty.Sleep(m.stop, d) }
+// sleep waits for d. It returns false if the member stops first.
+func (m *Member) sleep(d time.Duration) bool { return mtduty.Sleep(m.ctx, d) }
 
-// wrote passes a value on to the live state.
-func (m *Member) wrote(name string, version mtid.Version, value []byte) {
+// reportEntry passes a value from the store to the live state.
+func (m *Member) reportEntry(name string, version mtid.Version, value []byte) {
 	if m.config.Wrote != nil {
 		m.config.Wrote(mtstore.Entry{Name: name, Version: version, Value: value})
 	}
 }
 
-// countedStore counts the calls, and bounds each in time.
+// countedStore counts store calls and sets a timeout on each.
 type countedStore struct {
 	store    mtstore.Store
 	counters *Counters
@@ -225,9 +228,9 @@
 	s.counters.StoreWrites.Add(1)
 	version, err := s.store.Swap(ctx, name, expected, value, "")
 	switch outcomeOf(err) {
-	case lost:
+	case conflicted:
 		s.counters.StoreConflicts.Add(1)
-	case doubtful:
+	case unknown:
 		s.counters.StoreUnknown.Add(1)
 	}
 	return version, err
--- a/io/mtmember/outcome.go
+++ b/io/mtmember/outcome.go
@@ -6,35 +6,35 @@
 	"magnoliaturn/core/mtstore"
 )
 
-// outcome is what is known of a write.
+// outcome is the result of a write to the store, as far as it is known.
 type outcome int
 
 const (
-	landed   outcome = iota
-	lost             // refused by a conflict: will never take effect
-	refused          // the store never took it
-	doubtful         // may have taken effect, or may yet
+	succeeded  outcome = iota
+	conflicted         // another write won: this one never takes effect
+	notApplied         // the write did not reach the store, or the store rejected it
+	unknown            // the write may have taken effect, or may still do so
 )
 
-// outcomeOf reads the error of a Swap. An error of a kind that is not known
-// proves nothing, and so counts as doubtful.
+// outcomeOf classifies the error of a Swap. An error of any other type proves
+// nothing, so the outcome is unknown.
 func outcomeOf(err error) outcome {
 	var conflict *mtstore.ConflictError
 	var unavailable *mtstore.UnavailableError
 	var rejected *mtstore.RejectedError
 	switch {
 	case err == nil:
-		return landed
+		return succeeded
 	case errors.As(err, &conflict):
-		return lost
+		return conflicted
 	case errors.As(err, &unavailable), errors.As(err, &rejected):
-		return refused
+		return notApplied
 	}
-	return doubtful
+	return unknown
 }
 
-// currentOf returns the entry that won a conflict.
-func currentOf(err error) mtstore.Entry {
+// conflictingEntry returns the stored entry that a failed Swap conflicted with.
+func conflictingEntry(err error) mtstore.Entry {
 	var conflict *mtstore.ConflictError
 	if errors.As(err, &conflict) {
 		return conflict.Current
@@ -42,8 +42,8 @@
 	return mtstore.Entry{}
 }
 
-// missing reports whether err says that a name has no value.
-func missing(err error) bool {
+// isNotFound reports whether err is that the store has no value for a name.
+func isNotFound(err error) bool {
 	var m *mtstore.NotFoundError
 	return errors.As(err, &m)
 }
--- a/io/mtmember/watcher.go
+++ b/io/mtmember/watcher.go
@@ -12,73 +12,73 @@
 )
 
 const (
-	// orphanTime is how long a daemon whose witnesses are all gone, or that
-	// never had any, is waited for: it may be registering.
-	orphanTime = 5 * time.Second
-	// chunkTime is how often the tables are searched for fenced owners that
-	// no taker has replaced, for example since it was lost itself.
-	chunkTime = 500 * time.Millisecond
-	// takeoverEvery and takeoverBurst bound the takeovers that one daemon
-	// starts, and with them its writes to the store.
-	takeoverEvery = 100 * time.Millisecond
-	takeoverBurst = 4
-	// shortestRetry and longestRetry bound the pause before a daemon that
-	// proved to be alive is suspected again.
-	shortestRetry = 250 * time.Millisecond
-	longestRetry  = 5 * time.Second
+	// orphanDelay is the wait before a daemon whose witnesses are all gone, or
+	// that never had any, is taken over: it may be registering.
+	orphanDelay = 5 * time.Second
+	// searchInterval is how often the tables are searched for fenced owners that
+	// no claimant has replaced, for example since the claimant was lost itself.
+	searchInterval = 500 * time.Millisecond
+	// takeoverInterval and takeoverBurst limit the rate of takeovers that one
+	// daemon starts, and thereby its writes to the store.
+	takeoverInterval = 100 * time.Millisecond
+	takeoverBurst    = 4
+	// minRetryDelay and maxRetryDelay bound the delay before another takeover of a
+	// daemon that proved to be alive.
+	minRetryDelay = 250 * time.Millisecond
+	maxRetryDelay = 5 * time.Second
 )
 
-// suspicion is a daemon whose promise lapsed.
+// suspicion is the state of a daemon whose promises have expired.
 type suspicion struct {
 	since mtclock.Instant
 	next  mtclock.Instant // when a takeover may be tried again
-	pause time.Duration
+	delay time.Duration
 }
 
-// watcher is the duty that looks for lost daemons.
+// watcher detects lost daemons and queues their takeovers.
 type watcher struct {
 	*Member
-	queue    mttakeover.Queue
-	suspects map[mtid.Holder]*suspicion
-	fences   mttakeover.Fences
-	orphans  map[mtid.Holder]mtclock.Instant
-	quiet    mtclock.Instant // until when nobody is suspected
-	chunks   mtclock.Instant // when the tables were last searched
-	due      mtclock.Instant // since when a failover is due, zero if none is
-	last     mtclock.Instant
+	queue       mttakeover.Queue
+	suspects    map[mtid.Holder]*suspicion
+	fences      mttakeover.Fences
+	orphans     map[mtid.Holder]mtclock.Instant
+	pausedUntil mtclock.Instant // no daemon is suspected before this
+	lastSearch  mtclock.Instant // when the tables were last searched
+	dueSince    mtclock.Instant // since when a failover is due, zero if none is
+	lastRun     mtclock.Instant
 }
 
 func newWatcher(m *Member) *watcher {
 	return &watcher{
 		Member:   m,
-		queue:    mttakeover.Queue{Interval: takeoverEvery, Burst: takeoverBurst},
+		queue:    mttakeover.Queue{Interval: takeoverInterval, Burst: takeoverBurst},
 		suspects: make(map[mtid.Holder]*suspicion),
 		orphans:  make(map[mtid.Holder]mtclock.Instant),
-		last:     m.config.Clock.Steady(),
+		lastRun:  m.config.Clock.Steady(),
 	}
 }
 
-// run looks for lost daemons until the member stops.
+// run watches for lost daemons until the member stops.
 func (w *watcher) run() {
-	for w.sleep(watchTick) {
+	for w.sleep(watchInterval) {
 		now := w.config.Clock.Steady()
-		if now.Sub(w.last) > watchTick+mtlease.MaxTimerDelay {
-			// This process was paused, and the asks of its peers wait unread:
-			// it was deaf, they were not silent.
-			w.quiet = now.Add(mtlease.WitnessLength)
+		if now.Sub(w.lastRun) > watchInterval+mtlease.MaxTimerDelay {
+			// This process was paused. Renewal requests of its peers may still be
+			// unread, so their promises must not count as expired.
+			w.pausedUntil = now.Add(mtlease.WitnessLength)
 		}
-		w.last = now
-		if now.Before(w.quiet) || w.Holder().IsZero() {
+		w.lastRun = now
+		if now.Before(w.pausedUntil) || w.Holder().IsZero() {
 			continue
 		}
-		w.look(now)
-		w.start(now)
+		w.findLapsed(now)
+		w.startTakeovers(now)
 		w.searchTables(now)
 	}
 }
 
-// look queues the takeover of each daemon whose promise lapsed.
-func (w *watcher) look(now mtclock.Instant) {
+// findLapsed queues the takeover of each daemon whose promises have expired.
+func (w *watcher) findLapsed(now mtclock.Instant) {
 	var roster mttakeover.Roster
 	seen := make(map[mtid.Holder]bool)
 	for _, record := range w.config.View.Roster() {
@@ -99,21 +99,22 @@
 	}
 }
 
-// lapsed reports whether the daemon of record may be taken over, as far as this
-// one can tell.
+// lapsed reports whether this daemon may start a takeover of record's daemon. If it
+// is a witness, its own promise must have expired. Otherwise it leaves the takeover
+// to the live witnesses, or waits for orphanDelay if there are none.
 func (w *watcher) lapsed(now mtclock.Instant, record *mtroster.Record) bool {
 	h := record.Holder
-	named := slices.ContainsFunc(record.Witnesses, func(o mtid.Holder) bool {
+	isWitness := slices.ContainsFunc(record.Witnesses, func(o mtid.Holder) bool {
 		return o.Daemon == w.config.Profile.Daemon
 	})
-	if named {
+	if isWitness {
 		return w.config.Lease.Lapsed(h)
 	}
-	witnessed := slices.ContainsFunc(record.Witnesses, func(o mtid.Holder) bool {
+	hasLiveWitness := slices.ContainsFunc(record.Witnesses, func(o mtid.Holder) bool {
 		other, _, ok := w.config.View.Record(o.Daemon)
 		return ok && other.MayHoldLease()
 	})
-	if witnessed {
+	if hasLiveWitness {
 		delete(w.orphans, h)
 		return false
 	}
@@ -122,10 +123,11 @@
 		w.orphans[h] = now
 		return false
 	}
-	return now.Sub(since) > orphanTime
+	return now.Sub(since) > orphanDelay
 }
 
-// suspect queues the takeover of a daemon when it is this one's turn.
+// suspect queues the takeover of a daemon once this daemon's start delay or the
+// retry delay has passed.
 func (w *watcher) suspect(now mtclock.Instant, record *mtroster.Record, roster mttakeover.Roster) {
 	delay, ok := mttakeover.StartDelay(w.config.Profile.Daemon, record, roster)
 	if !ok {
@@ -133,23 +135,23 @@
 	}
 	s, ok := w.suspects[record.Holder]
 	if !ok {
-		s = &suspicion{since: now, next: now.Add(delay), pause: shortestRetry}
+		s = &suspicion{since: now, next: now.Add(delay), delay: minRetryDelay}
 		w.suspects[record.Holder] = s
 	}
 	if now.Before(s.next) {
 		return
 	}
-	s.next = now.Add(s.pause)
-	s.pause = min(2*s.pause, longestRetry)
-	heat := 0.0
+	s.next = now.Add(s.delay)
+	s.delay = min(2*s.delay, maxRetryDelay)
+	load := 0.0
 	if w.config.Heat != nil {
-		heat = w.config.Heat(record.Holder)
+		load = w.config.Heat(record.Holder)
 	}
-	w.queue.Push(record.Holder, heat)
+	w.queue.Push(record.Holder, load)
 }
 
-// start hands queued takeovers to the takers, within the allowance.
-func (w *watcher) start(now mtclock.Instant) {
+// startTakeovers passes queued takeovers to the workers, as the rate limit permits.
+func (w *watcher) startTakeovers(now mtclock.Instant) {
 	for {
 		h, ok := w.queue.Pop(now)
 		if !ok {
@@ -159,55 +161,56 @@
 		if !found || record.Holder != h || !record.MayHoldLease() {
 			continue
 		}
-		if _, running := w.busy.LoadOrStore(h, struct{}{}); running {
+		if _, running := w.inProgress.LoadOrStore(h, struct{}{}); running {
 			continue
 		}
-		if !w.running.Put(job{record: record, version: version, silent: w.silent(now, record)}) {
-			w.busy.Delete(h)
+		if !w.jobs.Put(job{record: record, version: version, expired: w.expiredWitnesses(now, record)}) {
+			w.inProgress.Delete(h)
 		}
 	}
 }
 
-// silent returns the witnesses of record that were fenced long ago.
-func (w *watcher) silent(now mtclock.Instant, record *mtroster.Record) []mtid.Holder {
-	var silent []mtid.Holder
+// expiredWitnesses returns the witnesses of record that were fenced so long ago that
+// their promises have expired.
+func (w *watcher) expiredWitnesses(now mtclock.Instant, record *mtroster.Record) []mtid.Holder {
+	var expired []mtid.Holder
 	for _, o := range record.Witnesses {
 		if w.fences.PromisesExpired(now, o) {
-			silent = append(silent, o)
+			expired = append(expired, o)
 		}
 	}
-	return silent
+	return expired
 }
 
-// searchTables has chunks failed over whose owner was fenced and not replaced.
-// Whoever fenced it does that at once; only if it is still due at the next
-// search do others step in, one after another.
+// searchTables queues the failover of chunks whose owner was fenced but not
+// replaced. The daemon that fenced the owner does so immediately. Others do it only
+// if it is still due at the next search, one after another.
 func (w *watcher) searchTables(now mtclock.Instant) {
-	if now.Sub(w.chunks) < chunkTime {
+	if now.Sub(w.lastSearch) < searchInterval {
 		return
 	}
-	w.chunks = now
-	delay, due := w.dueTables()
+	w.lastSearch = now
+	delay, due := w.failoverDelay()
 	switch {
 	case !due:
-		w.due = 0
-	case w.due == 0:
-		w.due = now
-	case now.Sub(w.due) >= delay:
-		w.fail()
+		w.dueSince = 0
+	case w.dueSince == 0:
+		w.dueSince = now
+	case now.Sub(w.dueSince) >= delay:
+		w.queueFailover()
 	}
 }
 
-// dueTables returns how long this daemon waits before it writes failovers that
-// are due, or false if none is, or if that is for others.
-func (w *watcher) dueTables() (time.Duration, bool) {
+// failoverDelay returns how long this daemon waits before it writes failovers that
+// are due. It returns false if none is due, or if they are left to other daemons.
+func (w *watcher) failoverDelay() (time.Duration, bool) {
 	roster := w.roster()
 	for _, table := range w.config.View.Tables() {
 		if _, due := mttakeover.Failover(table, roster); !due {
 			continue
 		}
 		if delay, mine := mttakeover.FailoverDelay(w.config.Profile.Daemon, table, roster); mine {
-			return chunkTime + 4*delay, true
+			return searchInterval + 4*delay, true
 		}
 	}
 	return 0, false
