--- a/io/mtrenew/exchange.go
+++ b/io/mtrenew/exchange.go
@@ -12,128 +12,132 @@
 	"magnoliaturn/core/mtwire"
 )
 
-// read passes authentic datagrams to the duty until the socket is closed.
-func (d *Duty) read() {
-	keyring := newKeyring(&d.config)
-	buffer := make([]byte, maxPacket)
+// read passes authenticated datagrams to the goroutine of run until the socket is
+// closed.
+func (r *Duty) read() {
+	keyring := newKeyring(&r.config)
+	buffer := make([]byte, maxDatagramSize)
 	for {
-		n, source, err := d.conn.ReadFromUDPAddrPort(buffer)
+		n, source, err := r.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			d.config.Log.Warn("renew: read failed", "err", err)
+			r.config.Log.Warn("renew: failed to read datagram", "err", err)
 			continue
 		}
-		d.counters.ReceivedMessages.Add(1)
-		d.counters.ReceivedBytes.Add(wireSize(n, source))
-		message, err := keyring.open(d.config.Self, buffer[:n])
+		r.counters.ReceivedMessages.Add(1)
+		r.counters.ReceivedBytes.Add(wireSize(n, source))
+		message, err := keyring.open(r.config.Self, buffer[:n])
 		if err != nil {
-			d.counters.Refused.Add(1)
+			r.counters.Refused.Add(1)
 			continue
 		}
-		if !d.ring.Put(inbound{message: message, source: source}) {
-			d.counters.Dropped.Add(1)
+		if !r.inbox.Put(datagram{message: message, source: source}) {
+			r.counters.Dropped.Add(1)
 		}
 	}
 }
 
-// run asks when an ask is due and handles what comes in, until stop.
-func (d *Duty) run(stop <-chan struct{}) {
-	timer := time.NewTimer(idleWait)
+// run sends requests when they are due and handles received datagrams, until stop is
+// closed.
+func (r *Duty) run(stop <-chan struct{}) {
+	timer := time.NewTimer(idleInterval)
 	defer timer.Stop()
 	for {
 		select {
 		case <-stop:
 			return
-		case in := <-d.ring.Items():
-			d.handle(in)
+		case in := <-r.inbox.Items():
+			r.handle(in)
 		case <-timer.C:
-		case <-d.kick:
+		case <-r.wakeup:
 		}
-		timer.Reset(d.tick())
+		timer.Reset(r.tick())
 	}
 }
 
-// tick sends the asks that are due and returns how long to sleep.
-func (d *Duty) tick() time.Duration {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	now := d.wake()
-	if d.lease == nil {
-		return idleWait
+// tick sends the requests that are due and returns the time until the next one.
+func (r *Duty) tick() time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.checkTimer()
+	if r.lease == nil {
+		return idleInterval
 	}
-	d.due = 0
-	for _, w := range d.lease.Witnesses() {
-		last, asked := d.asked[w]
-		if !asked || now.Sub(last) >= mtlease.Period {
-			d.ask(w)
+	r.due = 0
+	for _, w := range r.lease.Witnesses() {
+		last, requested := r.lastRequest[w]
+		if !requested || now.Sub(last) >= mtlease.Period {
+			r.sendRequest(w)
 			last = now
 		}
-		if next := last.Add(mtlease.Period); d.due == 0 || next.Before(d.due) {
-			d.due = next
+		if next := last.Add(mtlease.Period); r.due == 0 || next.Before(r.due) {
+			r.due = next
 		}
 	}
-	d.publish()
-	if d.due == 0 {
-		return idleWait
+	r.publishPermit()
+	if r.due == 0 {
+		return idleInterval
 	}
-	return max(d.due.Sub(now), 0)
+	return max(r.due.Sub(now), 0)
 }
 
-// wake returns the present instant, after the late-wake rule.
-func (d *Duty) wake() mtclock.Instant {
-	now := d.config.Clock.Now()
-	if d.lease != nil && d.due != 0 && d.lease.TimerFired(now, d.due) {
-		d.counters.LateWakes.Add(1)
-		d.due = 0
-		d.publish()
+// checkTimer returns the current instant. If the renewal timer fired too late, the
+// lease has dropped its promises, and all requests are due.
+func (r *Duty) checkTimer() mtclock.Instant {
+	now := r.config.Clock.Now()
+	if r.lease != nil && r.due != 0 && r.lease.TimerFired(now, r.due) {
+		r.counters.LateWakes.Add(1)
+		r.due = 0
+		r.publishPermit()
 	}
 	return now
 }
 
-// handle takes one authentic datagram.
-func (d *Duty) handle(in inbound) {
+// handle processes one authenticated datagram.
+func (r *Duty) handle(in datagram) {
 	m := in.message
 	from := mtid.Holder{Daemon: mtid.Daemon(m.GetFrom()), Incarnation: mtid.Incarnation(m.GetFromIncarnation())}
-	if !d.admit(from, m.GetSequence()) {
-		d.counters.Refused.Add(1)
+	if !r.acceptSequence(from, m.GetSequence()) {
+		r.counters.Refused.Add(1)
 		return
 	}
-	if d.config.Heard != nil {
-		d.config.Heard(from.Daemon, mtid.Revision(m.GetFrontier()))
+	if r.config.Heard != nil {
+		r.config.Heard(from.Daemon, mtid.Revision(m.GetFrontier()))
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	now := d.wake()
-	d.peers[from] = peer{address: in.source, frontier: mtid.Revision(m.GetFrontier()), at: now}
-	d.answered(now, from, m)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.checkTimer()
+	r.peers[from] = peer{address: in.source, frontier: mtid.Revision(m.GetFrontier()), receivedAt: now}
+	r.handleAnswer(now, from, m)
 	if m.GetAsk() != 0 {
-		d.asks(from, m, in.source)
+		r.handleRequest(from, m, in.source)
 	}
-	d.publish()
+	r.publishPermit()
 }
 
-// admit applies the replay window.
-func (d *Duty) admit(from mtid.Holder, sequence uint64) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	w, ok := d.windows[from.Daemon]
+// acceptSequence reports whether a datagram passes the replay window of its sender.
+func (r *Duty) acceptSequence(from mtid.Holder, sequence uint64) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	w, ok := r.windows[from.Daemon]
 	if !ok {
 		w = &window{}
-		d.windows[from.Daemon] = w
+		r.windows[from.Daemon] = w
 	}
 	return w.accept(from.Incarnation, sequence)
 }
 
-// answered takes the answer in a datagram, if there is one for this life: the
-// next one counts its sequences from the start again, and would take a promise
-// to its predecessor as its own.
-func (d *Duty) answered(now mtclock.Instant, from mtid.Holder, m *mtwire.Renew) {
-	if m.GetAnswer() == 0 || d.lease == nil {
+// handleAnswer processes the answer in a datagram, if it has one for this
+// incarnation. Each incarnation numbers its requests from the start, so an answer to
+// the previous one could match a request of this one, and its promise would count
+// for the wrong incarnation.
+func (r *Duty) handleAnswer(now mtclock.Instant, from mtid.Holder, m *mtwire.Renew) {
+	if m.GetAnswer() == 0 || r.lease == nil {
 		return
 	}
-	if mtid.Incarnation(m.GetToIncarnation()) != d.lease.Holder().Incarnation {
+	if mtid.Incarnation(m.GetToIncarnation()) != r.lease.Holder().Incarnation {
 		return
 	}
 	answer := mtlease.Answer{
@@ -141,111 +145,113 @@
 		Refusal:  mtlease.Refusal(m.GetRefusal()),
 		Floor:    mtid.Version(m.GetFloor()),
 	}
-	for _, w := range d.lease.Witnesses() {
+	for _, w := range r.lease.Witnesses() {
 		if w.Daemon == from.Daemon {
-			d.lease.Answer(now, w, answer)
+			r.lease.Answer(now, w, answer)
 		}
 	}
 }
 
-// asks answers a peer, together with this daemon's own ask where one is about
-// due, or with the next one.
-func (d *Duty) asks(from mtid.Holder, m *mtwire.Renew, source netip.AddrPort) {
-	answer := d.witness.Renew(d.config.Clock.Steady(), from, mtlease.RenewRequest{
+// handleRequest answers a peer's request. If the promise is granted and the peer is
+// also a witness of this daemon, the answer is sent together with the next request to
+// the peer, which is sent now if it is due soon. Otherwise it is sent immediately.
+func (r *Duty) handleRequest(from mtid.Holder, m *mtwire.Renew, source netip.AddrPort) {
+	answer := r.witness.Renew(r.config.Clock.Steady(), from, mtlease.RenewRequest{
 		Sequence: m.GetSequence(),
-		Witness:  mtid.Holder{Daemon: d.config.Self, Incarnation: mtid.Incarnation(m.GetToIncarnation())},
+		Witness:  mtid.Holder{Daemon: r.config.Self, Incarnation: mtid.Incarnation(m.GetToIncarnation())},
 		Version:  mtid.Version(m.GetAsk()),
-	}, d.config.Clock.Now().Before(d.vouched))
-	due, mutual := d.nextAsk(from)
+	}, r.config.Clock.Now().Before(r.confirmedUntil))
+	due, mutual := r.untilNextRequest(from)
 	switch {
 	case !mutual || answer.Refusal != mtlease.Granted:
-		d.send(from, d.message(from, nil, &answer), source)
-	case due <= early:
-		d.owed[from.Daemon] = owed{to: from, answer: answer}
-		d.ask(from)
+		r.send(from, r.newMessage(from, nil, &answer), source)
+	case due <= maxPiggybackLead:
+		r.pending[from.Daemon] = pendingAnswer{to: from, answer: answer}
+		r.sendRequest(from)
 	default:
-		d.owed[from.Daemon] = owed{to: from, answer: answer}
+		r.pending[from.Daemon] = pendingAnswer{to: from, answer: answer}
 	}
 }
 
-// nextAsk returns how long it is until the next ask to w, if w is a witness.
-func (d *Duty) nextAsk(w mtid.Holder) (time.Duration, bool) {
-	if d.lease == nil {
+// untilNextRequest returns the time until the next request to w. It returns false if
+// w is not a witness or has not been sent a request.
+func (r *Duty) untilNextRequest(w mtid.Holder) (time.Duration, bool) {
+	if r.lease == nil {
 		return 0, false
 	}
-	last, asked := d.asked[w]
-	for _, o := range d.lease.Witnesses() {
+	last, requested := r.lastRequest[w]
+	for _, o := range r.lease.Witnesses() {
 		if o == w {
-			return last.Add(mtlease.Period).Sub(d.config.Clock.Now()), asked
+			return last.Add(mtlease.Period).Sub(r.config.Clock.Now()), requested
 		}
 	}
 	return 0, false
 }
 
-// ask sends an ask to witness w, with the answer that is owed to it.
-func (d *Duty) ask(w mtid.Holder) {
-	record, _, ok := d.config.View.Record(w.Daemon)
-	now := d.config.Clock.Now()
-	d.asked[w] = now
-	ask, asks := d.lease.NewRequest(now, w, d.sequence+1)
-	if !ok || !asks {
+// sendRequest sends a request to witness w, together with the answer pending for it.
+func (r *Duty) sendRequest(w mtid.Holder) {
+	record, _, ok := r.config.View.Record(w.Daemon)
+	now := r.config.Clock.Now()
+	r.lastRequest[w] = now
+	request, permitted := r.lease.NewRequest(now, w, r.sequence+1)
+	if !ok || !permitted {
 		return
 	}
 	to, err := netip.ParseAddrPort(record.RenewAddress)
 	if err != nil {
-		d.config.Log.Warn("renew: peer has no usable address", "peer", w.Daemon, "err", err)
+		r.config.Log.Warn("renew: invalid renewal address of peer", "peer", w.Daemon, "err", err)
 		return
 	}
 	var answer *mtlease.Answer
-	if o, found := d.owed[w.Daemon]; found && o.to == w {
+	if o, found := r.pending[w.Daemon]; found && o.to == w {
 		answer = &o.answer
-		delete(d.owed, w.Daemon)
+		delete(r.pending, w.Daemon)
 	}
-	d.send(w, d.message(w, &ask, answer), to)
+	r.send(w, r.newMessage(w, &request, answer), to)
 }
 
-// Tell sends the frontier at once to the peers that are not known to be as far,
-// instead of with the next renewal. It is called when something changed that
-// callers wait for, such as the owners after a loss: on its way through the
-// fleet such news would otherwise wait half a period at each daemon. A call
-// within tellPause of the last round does nothing; the renewals carry it. It
-// returns how many peers were told.
-func (d *Duty) Tell() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	now := d.config.Clock.Now()
-	if d.lease == nil || (d.told != 0 && now.Sub(d.told) < tellPause) {
+// Tell sends the frontier immediately to the peers whose last known frontier is
+// older, instead of with the next renewal. It is called when a change affects
+// callers, such as new owners after a loss: as it propagates through the fleet, the
+// update would otherwise be delayed by half a period at each daemon. A
+// call within notifyInterval of the last round does nothing, since the renewals
+// carry the frontier. It returns how many peers were notified.
+func (r *Duty) Tell() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.config.Clock.Now()
+	if r.lease == nil || (r.lastNotified != 0 && now.Sub(r.lastNotified) < notifyInterval) {
 		return 0
 	}
 	count := 0
-	frontier := d.config.View.Frontier()
-	for to, p := range d.peers {
+	frontier := r.config.View.Frontier()
+	for to, p := range r.peers {
 		switch {
-		case now.Sub(p.at) > peerAge:
-			delete(d.peers, to)
+		case now.Sub(p.receivedAt) > peerExpiry:
+			delete(r.peers, to)
 		case p.frontier < frontier:
-			d.send(to, d.message(to, nil, nil), p.address)
-			d.told = now
+			r.send(to, r.newMessage(to, nil, nil), p.address)
+			r.lastNotified = now
 			count++
 		}
 	}
 	return count
 }
 
-// message returns the next datagram to a peer.
-func (d *Duty) message(to mtid.Holder, ask *mtlease.RenewRequest, answer *mtlease.Answer) *mtwire.Renew {
-	d.sequence++
+// newMessage returns the next message to a peer, with a new sequence number.
+func (r *Duty) newMessage(to mtid.Holder, request *mtlease.RenewRequest, answer *mtlease.Answer) *mtwire.Renew {
+	r.sequence++
 	m := &mtwire.Renew{
-		From:          string(d.config.Self),
+		From:          string(r.config.Self),
 		ToIncarnation: uint64(to.Incarnation),
-		Sequence:      d.sequence,
-		Frontier:      uint64(d.config.View.Frontier()),
+		Sequence:      r.sequence,
+		Frontier:      uint64(r.config.View.Frontier()),
 	}
-	if d.lease != nil {
-		m.FromIncarnation = uint64(d.lease.Holder().Incarnation)
+	if r.lease != nil {
+		m.FromIncarnation = uint64(r.lease.Holder().Incarnation)
 	}
-	if ask != nil {
-		m.Ask = uint64(ask.Version)
+	if request != nil {
+		m.Ask = uint64(request.Version)
 	}
 	if answer != nil {
 		m.Answer = answer.Sequence
@@ -255,25 +261,26 @@
 	return m
 }
 
-// send writes one datagram. What is lost is asked again in the next period.
-func (d *Duty) send(to mtid.Holder, m *mtwire.Renew, address netip.AddrPort) {
-	packet, err := d.keyring.seal(to.Daemon, m)
+// send writes one datagram. A request or answer that is lost is not sent again: the
+// next period has a new request.
+func (r *Duty) send(to mtid.Holder, m *mtwire.Renew, address netip.AddrPort) {
+	packet, err := r.keyring.seal(to.Daemon, m)
 	if err != nil {
-		d.config.Log.Error("renew: datagram can't be made", "err", err)
+		r.config.Log.Error("renew: failed to encode datagram", "err", err)
 		return
 	}
-	if _, err := d.conn.WriteToUDPAddrPort(packet, address); err != nil {
-		d.config.Log.Debug("renew: send failed", "peer", to.Daemon, "err", err)
+	if _, err := r.conn.WriteToUDPAddrPort(packet, address); err != nil {
+		r.config.Log.Debug("renew: failed to send datagram", "peer", to.Daemon, "err", err)
 		return
 	}
-	d.counters.SentMessages.Add(1)
-	d.counters.SentBytes.Add(wireSize(len(packet), address))
+	r.counters.SentMessages.Add(1)
+	r.counters.SentBytes.Add(wireSize(len(packet), address))
 }
 
-// wireSize returns the size of a datagram with its headers.
+// wireSize returns the size of a datagram including its IP and UDP headers.
 func wireSize(n int, address netip.AddrPort) int64 {
 	if address.Addr().Unmap().Is4() {
-		return int64(n + headersIP4)
+		return int64(n + headerSizeIPv4)
 	}
-	return int64(n + headersIP6)
+	return int64(n + headerSizeIPv6)
 }
--- a/io/mtrenew/keyring_test.go
+++ b/io/mtrenew/keyring_test.go
@@ -9,16 +9,16 @@
 	"magnoliaturn/io/mtrenew"
 )
 
-// The shared secret is replaced on a running fleet, one daemon after another.
-// In each step some daemons have the new files and some the old ones; no
-// datagram between them may be refused, or leases would lapse.
+// The shared secret of a running fleet is replaced, one daemon after another. In
+// each step some daemons have the new files and some the old ones. No datagram
+// between them may be rejected, or leases would expire.
 func TestSecretRotatesWithoutARefusal(t *testing.T) {
 	old, next := []byte("old"), []byte("new")
 	steps := [][][]byte{
 		{old},
-		{old, next}, // everyone accepts the new one
-		{next, old}, // everyone sends with it
-		{next},      // the old one is dropped
+		{old, next}, // all daemons accept the new secret
+		{next, old}, // all daemons send with it
+		{next},      // the old secret is removed
 	}
 	secrets := map[string][][]byte{"a": steps[0], "b": steps[0]}
 	rings := map[string]mtrenew.Keyring{}
@@ -38,7 +38,7 @@
 			assert.NilError(t, exchange("b", "a"))
 		}
 	}
-	// A daemon that missed the rotation is shut out.
+	// Datagrams of a daemon that missed the rotation are rejected.
 	secrets["a"] = steps[0]
 	assert.Assert(t, exchange("a", "b") != nil)
 	secrets["a"] = nil
--- a/io/mtrenew/mtrenew.go
+++ b/io/mtrenew/mtrenew.go
@@ -1,17 +1,17 @@
-// Package mtrenew is the duty that keeps a daemon's lease: it asks the
-// witnesses for promises by datagram, answers the peers that have this daemon
-// as their witness, and passes on how much of the live state each peer knows.
+// Package mtrenew renews a daemon's lease by datagrams: it requests promises from the
+// daemon's witnesses, answers the peers that have this daemon as a witness, and
+// exchanges with each peer the frontier up to which the live state is known.
 //
-// Where two daemons are each other's witness, one datagram in each direction
-// per period carries both renewals.
+// If two daemons are witnesses of each other, one datagram per period in each
+// direction carries both renewals.
 //
 // # Usage
 //
-//	duty, cleanUp, err := mtrenew.New(mtrenew.Config{Self: "old-town-3", ...})
+//	renewer, cleanUp, err := mtrenew.New(mtrenew.Config{Self: "old-town-3", ...})
 //	defer cleanUp()
-//	duty.Register(holder, set)
-//	duty.ServeOn(grpcServer)
-//	if clock.Now().Before(duty.Until()) { ... may serve }
+//	renewer.Register(holder, set)
+//	renewer.ServeOn(grpcServer)
+//	if clock.Now().Before(renewer.Until()) { ... may serve }
 //
 // All methods are safe for concurrent use.
 package mtrenew
@@ -37,39 +37,39 @@
 	"magnoliaturn/core/mtwitness"
 )
 
-// Clock is the time that the duty needs: Now never runs slow and is for the
-// holder, Steady never runs ahead and is for the witness.
+// Clock provides the time. Now never runs slow, and is used as the holder of a
+// lease; Steady never runs ahead, and is used as a witness.
 type Clock interface {
 	Now() mtclock.Instant
 	Steady() mtclock.Instant
 }
 
-// View is what the duty needs of the live state.
+// View provides the live state.
 type View interface {
-	// Record returns the record of a daemon, for its address.
+	// Record returns the record of a daemon, which has its renewal address.
 	Record(mtid.Daemon) (*mtroster.Record, mtid.Version, bool)
-	// Frontier is the revision up to which the live state is known here.
+	// Frontier returns the revision up to which this daemon has the live state.
 	Frontier() mtid.Revision
 }
 
-// Config is what a duty is made of.
+// Config holds the address, secrets and dependencies of a Duty.
 type Config struct {
 	Self   mtid.Daemon
-	Listen string // address for datagrams, host:port
+	Listen string // UDP address, host:port
 	Secret []byte // shared by all daemons
-	// Secrets returns the shared secrets, the newest first, and takes the place
-	// of Secret; it may be nil. It is called for each datagram, by two
-	// goroutines, so that a rotation needs no restart.
+	// Secrets returns the shared secrets, newest first, and overrides Secret; it
+	// may be nil. It is called for each datagram, so that a rotation needs no
+	// restart, and from two goroutines.
 	Secrets func() [][]byte
 	Clock   Clock
 	View    View
-	// Heard is called for each authentic datagram, from the duty's goroutine;
-	// it must not block. It may be nil.
+	// Heard is called with the frontier in each authenticated datagram. It must not
+	// block, since it runs in the goroutine that renews the lease. It may be nil.
 	Heard func(peer mtid.Daemon, frontier mtid.Revision)
 	Log   *slog.Logger
 }
 
-// ListenError says that the address for datagrams can't be used.
+// ListenError reports that the UDP address is invalid or cannot be listened on.
 type ListenError struct {
 	Address string
 	Err     error
@@ -77,85 +77,87 @@
 
 // Error implements error.
 func (e *ListenError) Error() string {
-	return "renew: can't listen on " + e.Address + ": " + e.Err.Error()
+	return "renew: failed to listen for datagrams on " + e.Address + ": " + e.Err.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of resolving the address or opening the socket.
 func (e *ListenError) Unwrap() error { return e.Err }
 
 const (
-	ringSize   = 1024
-	headersIP4 = 20 + 8
-	headersIP6 = 40 + 8
-	// idleWait is how long the duty sleeps while it has no witness to ask.
-	idleWait = time.Second
-	// early is how much of a period may be missing when an ask joins an answer
-	// that goes out anyway.
-	early = mtlease.Period * 2 / 5
+	inboxSize      = 1024
+	headerSizeIPv4 = 20 + 8
+	headerSizeIPv6 = 40 + 8
+	// idleInterval is the timer interval while there is no witness to send requests
+	// to.
+	idleInterval = time.Second
+	// maxPiggybackLead is how long before it is due a request may be sent together
+	// with an answer.
+	maxPiggybackLead = mtlease.Period * 2 / 5
 )
 
 const (
-	// tellPause is the least time between two rounds of Tell: a change that is
-	// followed by others must not double the traffic of the lease.
-	tellPause = time.Second
-	// peerAge is how long a silent peer is still told.
-	peerAge = 5 * mtlease.Period
+	// notifyInterval is the minimum time between two rounds of Tell: a series of
+	// changes must not double the traffic of lease renewal.
+	notifyInterval = time.Second
+	// peerExpiry is how long an unresponsive peer is still notified.
+	peerExpiry = 5 * mtlease.Period
 )
 
-// inbound is an authentic datagram.
-type inbound struct {
+// datagram is an authenticated message and the address of its sender.
+type datagram struct {
 	message *mtwire.Renew
 	source  netip.AddrPort
 }
 
-// Counters are the traffic of a duty. Bytes count IP and UDP headers.
+// Counters count datagrams and late timers. Bytes include IP and UDP headers.
 type Counters struct {
 	SentMessages, SentBytes         expvar.Int
 	ReceivedMessages, ReceivedBytes expvar.Int
-	Refused                         expvar.Int // datagrams that failed authentication or came twice
-	Dropped                         expvar.Int // datagrams that found the ring full
+	Refused                         expvar.Int // datagrams that failed authentication or were replayed
+	Dropped                         expvar.Int // datagrams that were received while the inbox was full
 	LateWakes                       expvar.Int
 }
 
-// Duty renews one daemon's lease and is a witness for others.
+// Duty renews the lease of one daemon, and acts as a witness for others.
 type Duty struct {
 	config   Config
 	conn     *net.UDPConn
-	ring     *mtring.Ring[inbound]
+	inbox    *mtring.Ring[datagram]
 	counters Counters
 	permit   atomic.Pointer[permit]
-	kick     chan struct{}
-
-	mu       sync.Mutex
-	keyring  *keyring
-	lease    *mtlease.Lease
-	witness  *mtwitness.Witness
-	sequence uint64
-	due      mtclock.Instant
-	vouched  mtclock.Instant // until when this life is known to stand
-	asked    map[mtid.Holder]mtclock.Instant
-	owed     map[mtid.Daemon]owed
-	windows  map[mtid.Daemon]*window
-	peers    map[mtid.Holder]peer // who was heard of within peerAge
-	told     mtclock.Instant      // when Tell last sent
-}
-
-// peer is what the last datagram of another daemon said.
+	wakeup   chan struct{}
+
+	mu             sync.Mutex
+	keyring        *keyring
+	lease          *mtlease.Lease
+	witness        *mtwitness.Witness
+	sequence       uint64
+	due            mtclock.Instant
+	confirmedUntil mtclock.Instant // until when this incarnation counts as confirmed
+	lastRequest    map[mtid.Holder]mtclock.Instant
+	pending        map[mtid.Daemon]pendingAnswer
+	windows        map[mtid.Daemon]*window
+	peers          map[mtid.Holder]peer // senders of datagrams within peerExpiry
+	lastNotified   mtclock.Instant      // when Tell last sent a datagram
+}
+
+// peer holds the sender address, frontier and arrival of a peer's last datagram.
 type peer struct {
-	address  netip.AddrPort
-	frontier mtid.Revision
-	at       mtclock.Instant
+	address    netip.AddrPort
+	frontier   mtid.Revision
+	receivedAt mtclock.Instant
 }
 
-// owed is an answer that waits for the next datagram to its asker.
-type owed struct {
+// pendingAnswer is an answer to be sent with the next request to the same peer.
+type pendingAnswer struct {
 	to     mtid.Holder
 	answer mtlease.Answer
 }
 
-// New listens for datagrams and starts the duty. Until Register it only
-// answers peers that it is another life than the one they ask. The clean-up
-// ends it. New fails with a *ListenError.
+// New listens for datagrams and starts to handle them. Until Register is called, it
+// answers all requests with the refusal that this is not the requested incarnation.
+// The clean-up closes the socket and stops the goroutines. New fails with a
+// *ListenError.
 func New(config Config) (*Duty, func(), error) {
 	address, err := net.ResolveUDPAddr("udp", config.Listen)
 	if err != nil {
@@ -168,186 +170,189 @@
 	if config.Log == nil {
 		config.Log = slog.Default()
 	}
-	d := &Duty{
-		config:  config,
-		conn:    conn,
-		ring:    mtring.New[inbound](ringSize),
-		kick:    make(chan struct{}, 1),
-		keyring: newKeyring(&config),
-		witness: mtwitness.New(config.Self, config.Clock.Steady()),
-		asked:   make(map[mtid.Holder]mtclock.Instant),
-		owed:    make(map[mtid.Daemon]owed),
-		windows: make(map[mtid.Daemon]*window),
-		peers:   make(map[mtid.Holder]peer),
+	r := &Duty{
+		config:      config,
+		conn:        conn,
+		inbox:       mtring.New[datagram](inboxSize),
+		wakeup:      make(chan struct{}, 1),
+		keyring:     newKeyring(&config),
+		witness:     mtwitness.New(config.Self, config.Clock.Steady()),
+		lastRequest: make(map[mtid.Holder]mtclock.Instant),
+		pending:     make(map[mtid.Daemon]pendingAnswer),
+		windows:     make(map[mtid.Daemon]*window),
+		peers:       make(map[mtid.Holder]peer),
 	}
 	stop := make(chan struct{})
-	var duties sync.WaitGroup
-	duties.Go(func() { d.read() })
-	duties.Go(func() { d.run(stop) })
-	return d, func() {
+	var workers sync.WaitGroup
+	workers.Go(func() { r.read() })
+	workers.Go(func() { r.run(stop) })
+	return r, func() {
 		close(stop)
 		_ = conn.Close()
-		duties.Wait()
+		workers.Wait()
 	}, nil
 }
 
-// Address returns where the duty listens.
-func (d *Duty) Address() string { return d.conn.LocalAddr().String() }
+// Address returns the local UDP address, with the port that was allocated if the
+// configured one was 0.
+func (r *Duty) Address() string { return r.conn.LocalAddr().String() }
 
-// Counters returns the traffic so far.
-func (d *Duty) Counters() *Counters { return &d.counters }
+// Counters returns the live counters.
+func (r *Duty) Counters() *Counters { return &r.counters }
 
-// Vars returns the counters as one expvar map, for publication.
-func (d *Duty) Vars() *expvar.Map {
+// Vars returns the counters as an expvar map, to be published as metrics.
+func (r *Duty) Vars() *expvar.Map {
 	vars := new(expvar.Map).Init()
-	vars.Set("sent_messages", &d.counters.SentMessages)
-	vars.Set("sent_bytes", &d.counters.SentBytes)
-	vars.Set("received_messages", &d.counters.ReceivedMessages)
-	vars.Set("received_bytes", &d.counters.ReceivedBytes)
-	vars.Set("refused", &d.counters.Refused)
-	vars.Set("dropped", &d.counters.Dropped)
-	vars.Set("late_wakes", &d.counters.LateWakes)
+	vars.Set("sent_messages", &r.counters.SentMessages)
+	vars.Set("sent_bytes", &r.counters.SentBytes)
+	vars.Set("received_messages", &r.counters.ReceivedMessages)
+	vars.Set("received_bytes", &r.counters.ReceivedBytes)
+	vars.Set("refused", &r.counters.Refused)
+	vars.Set("dropped", &r.counters.Dropped)
+	vars.Set("late_wakes", &r.counters.LateWakes)
 	return vars
 }
 
-// Until returns the instant of Clock.Now up to which this daemon may serve;
-// zero if it may not. It is called for each request, and doesn't block.
-func (d *Duty) Until() mtclock.Instant {
-	_, until := d.Permit()
+// Until returns the instant of Clock.Now until which this daemon may serve. It is
+// zero if the daemon may not serve. Until is called for each request, and does not
+// block.
+func (r *Duty) Until() mtclock.Instant {
+	_, until := r.Permit()
 	return until
 }
 
-// Permit returns Until with the life that it is given to. The two are read
-// together: a new life must not serve by a promise to the former one. It is
-// called for each request, and doesn't block.
-func (d *Duty) Permit() (mtid.Holder, mtclock.Instant) {
-	p := d.permit.Load()
+// Permit returns Until and the incarnation that it applies to. Both are read
+// atomically: a new incarnation must not serve under a promise made to the previous
+// one. Permit is called for each request, and does not block.
+func (r *Duty) Permit() (mtid.Holder, mtclock.Instant) {
+	p := r.permit.Load()
 	if p == nil {
 		return mtid.Holder{}, 0
 	}
 	return p.holder, p.until
 }
 
-// permit says which life may serve, and up to when.
+// permit is the incarnation that may serve, and until when.
 type permit struct {
 	holder mtid.Holder
 	until  mtclock.Instant
 }
 
-// Register gives the duty its incarnation and the set in its record. It is
-// called after each registration in the store.
-func (d *Duty) Register(holder mtid.Holder, set mtlease.Set) {
-	d.change(func() {
-		d.lease = mtlease.New(holder)
-		d.lease.Adopt(set)
-		d.witness.Register(holder.Incarnation)
-		d.vouched = 0
+// Register starts a lease for a new incarnation, with the witnesses that its record
+// lists. It is called after each registration in the store.
+func (r *Duty) Register(holder mtid.Holder, set mtlease.Set) {
+	r.update(func() {
+		r.lease = mtlease.New(holder)
+		r.lease.Adopt(set)
+		r.witness.Register(holder.Incarnation)
+		r.confirmedUntil = 0
 	})
 }
 
-// Vouch says that the store showed or took the record of this life in a call
-// that was sent at since: the life stood then. A witness without a valid lease
-// of its own promises only for a while after that.
-func (d *Duty) Vouch(since mtclock.Instant) {
-	d.change(func() { d.vouched = max(d.vouched, since.Add(mtlease.ConfirmationTTL)) })
+// Vouch records that the store returned or accepted the record of this incarnation
+// in a call that was sent at since, which confirms the incarnation at that time. A
+// witness without a valid lease of its own makes promises only for
+// mtlease.ConfirmationTTL after that.
+func (r *Duty) Vouch(since mtclock.Instant) {
+	r.update(func() { r.confirmedUntil = max(r.confirmedUntil, since.Add(mtlease.ConfirmationTTL)) })
 }
 
-// Vouched returns until when this life is known to stand.
-func (d *Duty) Vouched() mtclock.Instant {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.vouched
+// Vouched returns until when this incarnation counts as confirmed.
+func (r *Duty) Vouched() mtclock.Instant {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.confirmedUntil
 }
 
-// Propose begins to ask the witnesses of a set that is not written yet. It
-// returns false while the outcome of an attempt is unknown.
-func (d *Duty) Propose(set mtlease.Set) (ok bool) {
-	d.change(func() { ok = d.lease != nil && d.lease.Propose(set) })
+// Propose starts to send requests to the witnesses of a set that is not written yet.
+// It returns false while the outcome of an attempt is unknown.
+func (r *Duty) Propose(set mtlease.Set) (ok bool) {
+	r.update(func() { ok = r.lease != nil && r.lease.Propose(set) })
 	return ok
 }
 
 // Ready reports whether a majority of the proposed set has promised.
-func (d *Duty) Ready() (ready bool) {
-	d.change(func() { ready = d.lease != nil && d.lease.Ready(d.config.Clock.Now()) })
+func (r *Duty) Ready() (ready bool) {
+	r.update(func() { ready = r.lease != nil && r.lease.Ready(r.config.Clock.Now()) })
 	return ready
 }
 
 // Attempt is called just before the proposed set is written to the store.
-func (d *Duty) Attempt() (ok bool) {
-	d.change(func() { ok = d.lease != nil && d.lease.Attempt() })
+func (r *Duty) Attempt() (ok bool) {
+	r.update(func() { ok = r.lease != nil && r.lease.Attempt() })
 	return ok
 }
 
-// Settle is called when the outcome of the attempt is known: set is what the
-// record names.
-func (d *Duty) Settle(set mtlease.Set) {
-	d.change(func() {
-		if d.lease != nil {
-			d.lease.Settle(set)
+// Settle is called once the outcome of the attempt is known. set is the one that the
+// record lists.
+func (r *Duty) Settle(set mtlease.Set) {
+	r.update(func() {
+		if r.lease != nil {
+			r.lease.Settle(set)
 		}
 	})
 }
 
-// Withdraw drops a proposal that was not attempted, or never took effect.
-func (d *Duty) Withdraw() {
-	d.change(func() {
-		if d.lease != nil {
-			d.lease.Withdraw()
+// Withdraw drops a proposal whose write was not attempted or never takes effect.
+func (r *Duty) Withdraw() {
+	r.update(func() {
+		if r.lease != nil {
+			r.lease.Withdraw()
 		}
 	})
 }
 
-// Close ends the lease of the present incarnation for good.
-func (d *Duty) Close() {
-	d.change(func() {
-		if d.lease != nil {
-			d.lease.Close()
-			d.vouched = 0
+// Close permanently ends the lease of the current incarnation.
+func (r *Duty) Close() {
+	r.update(func() {
+		if r.lease != nil {
+			r.lease.Close()
+			r.confirmedUntil = 0
 		}
 	})
 }
 
-// Wants says what is wrong with the current set, and which witnesses of the
-// proposal gave no promise in time.
-func (d *Duty) Wants() (want mtlease.Defects, doubtful []mtid.Holder) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.lease == nil {
+// Wants returns the defects of the current set, and the witnesses of the proposed set
+// without a valid promise.
+func (r *Duty) Wants() (defects mtlease.Defects, unpromised []mtid.Holder) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.lease == nil {
 		return mtlease.Defects{}, nil
 	}
-	now := d.config.Clock.Now()
-	return d.lease.Defects(now), d.lease.Unpromised(now)
+	now := r.config.Clock.Now()
+	return r.lease.Defects(now), r.lease.Unpromised(now)
 }
 
 // Lapsed reports whether this daemon, as a witness, would agree to a takeover
 // of target now.
-func (d *Duty) Lapsed(target mtid.Holder) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return !d.config.Clock.Steady().Before(d.witness.Until(target))
+func (r *Duty) Lapsed(target mtid.Holder) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return !r.config.Clock.Steady().Before(r.witness.Until(target))
 }
 
-// Revoke answers a taker, on this VM or another.
-func (d *Duty) Revoke(request mtwitness.Request) mtwitness.Reply {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.witness.Revoke(d.config.Clock.Steady(), request)
+// Revoke answers the revocation request of a claimant, which may be this daemon.
+func (r *Duty) Revoke(request mtwitness.Request) mtwitness.Reply {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.witness.Revoke(r.config.Clock.Steady(), request)
 }
 
-// ServeOn adds the service through which other daemons call Revoke.
-func (d *Duty) ServeOn(server grpc.ServiceRegistrar) {
-	mtwire.RegisterWitnessServer(server, &service{duty: d})
+// ServeOn registers the gRPC service through which other daemons call Revoke.
+func (r *Duty) ServeOn(server grpc.ServiceRegistrar) {
+	mtwire.RegisterWitnessServer(server, &service{renewer: r})
 }
 
-// service is the gRPC side of Revoke.
+// service exposes Revoke over gRPC.
 type service struct {
 	mtwire.UnimplementedWitnessServer
-	duty *Duty
+	renewer *Duty
 }
 
 // Revoke implements mtwire.WitnessServer.
 func (s *service) Revoke(_ context.Context, r *mtwire.RevokeRequest) (*mtwire.RevokeReply, error) {
-	reply := s.duty.Revoke(mtwitness.Request{
+	reply := s.renewer.Revoke(mtwitness.Request{
 		Target:  mtroster.HolderFromWire(r.GetTarget()),
 		Version: mtid.Version(r.GetVersion()),
 		Witness: mtroster.HolderFromWire(r.GetWitness()),
@@ -355,26 +360,28 @@
 	return &mtwire.RevokeReply{Granted: reply.Granted, WaitNs: int64(reply.Wait)}, nil
 }
 
-// change runs f on the lease and lets the duty look at it anew.
-func (d *Duty) change(f func()) {
-	d.mu.Lock()
+// update runs f under the lock, publishes the permit, and wakes up run to send the
+// requests that are then due.
+func (r *Duty) update(f func()) {
+	r.mu.Lock()
 	f()
-	d.publish()
-	d.mu.Unlock()
+	r.publishPermit()
+	r.mu.Unlock()
 	select {
-	case d.kick <- struct{}{}:
+	case r.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// publish makes the lease's end visible to Until.
-func (d *Duty) publish() {
-	if d.lease == nil {
+// publishPermit makes the end of the lease visible to Permit. A valid lease also
+// confirms the incarnation.
+func (r *Duty) publishPermit() {
+	if r.lease == nil {
 		return
 	}
-	until := d.lease.Until()
-	d.permit.Store(&permit{holder: d.lease.Holder(), until: until})
+	until := r.lease.Until()
+	r.permit.Store(&permit{holder: r.lease.Holder(), until: until})
 	if until > 0 {
-		d.vouched = max(d.vouched, until.Add(mtlease.ConfirmationTTL))
+		r.confirmedUntil = max(r.confirmedUntil, until.Add(mtlease.ConfirmationTTL))
 	}
 }
--- a/io/mtrenew/mtrenew_test.go
+++ b/io/mtrenew/mtrenew_test.go
@@ -17,7 +17,7 @@
 	"magnoliaturn/io/mttime"
 )
 
-// view is a live state that only holds the roster.
+// view is a live state that contains only the roster.
 type view struct {
 	mu      sync.Mutex
 	records map[mtid.Daemon]*mtroster.Record
@@ -30,21 +30,21 @@
 	return r, 1, ok
 }
 
-// own is the live state of one daemon: the shared roster, and how far it is.
-type own struct {
+// daemonView is the live state of one daemon: the shared roster and its own frontier.
+type daemonView struct {
 	*view
 	frontier *atomic.Uint64
 }
 
-func (o own) Frontier() mtid.Revision { return mtid.Revision(o.frontier.Load()) }
+func (o daemonView) Frontier() mtid.Revision { return mtid.Revision(o.frontier.Load()) }
 
-// fleet is n duties in one process, each the witness of the next three.
+// fleet is a number of renewers in one process that are witnesses of each other.
 type fleet struct {
 	clock    *mttime.Clock
 	holders  []mtid.Holder
-	duties   []*mtrenew.Duty
+	renewers []*mtrenew.Duty
 	cleanUps []func()
-	heard    []chan mtid.Revision
+	received []chan mtid.Revision
 	known    []*atomic.Uint64 // the frontier of each
 }
 
@@ -54,14 +54,14 @@
 	f := &fleet{clock: mttime.New()}
 	for i := range n {
 		h := mtid.Holder{Daemon: mtid.Daemon(fmt.Sprintf("old-town-%d", i)), Incarnation: 1}
-		heard := make(chan mtid.Revision, 1)
+		received := make(chan mtid.Revision, 1)
 		known := &atomic.Uint64{}
 		known.Store(7)
-		duty, cleanUp, err := mtrenew.New(mtrenew.Config{
-			Self: h.Daemon, Listen: "127.0.0.1:0", Secret: []byte("test"), Clock: f.clock, View: own{v, known},
+		renewer, cleanUp, err := mtrenew.New(mtrenew.Config{
+			Self: h.Daemon, Listen: "127.0.0.1:0", Secret: []byte("test"), Clock: f.clock, View: daemonView{v, known},
 			Heard: func(_ mtid.Daemon, frontier mtid.Revision) {
 				select {
-				case heard <- frontier:
+				case received <- frontier:
 				default:
 				}
 			},
@@ -70,22 +70,23 @@
 		once := sync.OnceFunc(cleanUp)
 		t.Cleanup(once)
 		f.holders = append(f.holders, h)
-		f.duties = append(f.duties, duty)
+		f.renewers = append(f.renewers, renewer)
 		f.cleanUps = append(f.cleanUps, once)
-		f.heard = append(f.heard, heard)
+		f.received = append(f.received, received)
 		f.known = append(f.known, known)
 		v.mu.Lock()
-		v.records[h.Daemon] = &mtroster.Record{Holder: h, RenewAddress: duty.Address()}
+		v.records[h.Daemon] = &mtroster.Record{Holder: h, RenewAddress: renewer.Address()}
 		v.mu.Unlock()
 	}
-	for i, d := range f.duties {
+	for i, d := range f.renewers {
 		d.Register(f.holders[i], mtlease.Set{Version: 1, Witnesses: f.set(i)})
 		d.Vouch(f.clock.Now())
 	}
 	return f
 }
 
-// set pairs each daemon with three others, mutually where n is a multiple of 4.
+// set returns the witnesses of a daemon: up to three others. All witnesses are mutual
+// if the size of the fleet is a multiple of 4.
 func (f *fleet) set(i int) []mtid.Holder {
 	var set []mtid.Holder
 	for _, bit := range []int{1, 2, 3} {
@@ -98,45 +99,46 @@
 
 func (f *fleet) serving(i int) poll.Check {
 	return func(poll.LogT) poll.Result {
-		if f.clock.Now().Before(f.duties[i].Until()) {
+		if f.clock.Now().Before(f.renewers[i].Until()) {
 			return poll.Success()
 		}
 		return poll.Continue("daemon %d may not serve yet", i)
 	}
 }
 
-func TestDutiesHoldLeasesAndPassFrontiers(t *testing.T) {
+func TestLeasesAreRenewedAndFrontiersExchanged(t *testing.T) {
 	f := newFleet(t, 4)
-	for i := range f.duties {
+	for i := range f.renewers {
 		poll.WaitOn(t, f.serving(i))
-		assert.Equal(t, <-f.heard[i], mtid.Revision(7))
+		assert.Equal(t, <-f.received[i], mtid.Revision(7))
 	}
-	for i := range f.duties {
-		assert.Equal(t, f.duties[i].Counters().Refused.Value(), int64(0))
+	for i := range f.renewers {
+		assert.Equal(t, f.renewers[i].Counters().Refused.Value(), int64(0))
 	}
 }
 
-// The owners of many keys have changed after a loss. The daemon that learns of
-// it first tells its peers at once; at the pace of renewals callers would be sent
-// to the lost owner for half a second more. A second piece of news right after
-// waits for the renewals, so that a burst doesn't multiply the traffic.
-func TestTellReachesPeersThatAreBehind(t *testing.T) {
+// After a loss many keys have new owners. The daemon that receives the change first
+// notifies its peers immediately; with the next renewals, calls would be sent to the
+// lost owner for another half second. A second change soon after is left to the
+// renewals, so that a burst does not multiply the traffic.
+func TestNotifyPeersReachesPeersThatAreBehind(t *testing.T) {
 	f := newFleet(t, 4)
-	for i := range f.duties {
+	for i := range f.renewers {
 		poll.WaitOn(t, f.serving(i))
 	}
-	assert.Equal(t, f.duties[0].Tell(), 0, "nobody is behind")
+	assert.Equal(t, f.renewers[0].Tell(), 0, "no peer has an older frontier")
 	f.known[0].Store(8)
-	// A daemon that serves has heard at least two of its three peers.
-	got := f.duties[0].Tell()
-	assert.Assert(t, got >= 2, "told %d peers", got)
+	// A daemon that may serve has received datagrams from at least two of its three
+	// peers.
+	got := f.renewers[0].Tell()
+	assert.Assert(t, got >= 2, "notified %d peers, want at least 2", got)
 	f.known[0].Store(9)
-	assert.Equal(t, f.duties[0].Tell(), 0, "too soon after the last")
+	assert.Equal(t, f.renewers[0].Tell(), 0, "within the minimum interval after the previous round")
 }
 
-// A daemon is cut from two of its three witnesses. It has to stop by itself,
-// and only then may the witnesses agree to a takeover; an agreement sooner
-// would give its keys two owners.
+// A daemon is cut off from two of its three witnesses. It must stop serving by
+// itself, and the witnesses may agree to a takeover only after that: if they agreed
+// earlier, its keys would have two owners.
 func TestLossOfMajorityEndsTheLease(t *testing.T) {
 	f := newFleet(t, 4)
 	poll.WaitOn(t, f.serving(0))
@@ -144,25 +146,27 @@
 	f.cleanUps[2]()
 	request := mtwitness.Request{Target: f.holders[0], Version: 1, Witness: f.holders[1]}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		// A duty that is closed still answers for the promises that it gave.
-		if !f.duties[1].Revoke(request).Granted || !f.duties[2].Revoke(request).Granted {
-			return poll.Continue("not both agree yet")
+		// A renewer that was stopped still waits until the promises it made expire.
+		if !f.renewers[1].Revoke(request).Granted || !f.renewers[2].Revoke(request).Granted {
+			return poll.Continue("the two witnesses have not both agreed yet")
 		}
-		if f.clock.Now().Before(f.duties[0].Until()) {
+		if f.clock.Now().Before(f.renewers[0].Until()) {
 			return poll.Error(&twoOwnersError{})
 		}
 		return poll.Success()
 	})
-	assert.Assert(t, !f.duties[3].Revoke(request).Granted, "the third still hears it")
+	assert.Assert(t, !f.renewers[3].Revoke(request).Granted, "the third witness agreed although it still receives requests")
 }
 
 type twoOwnersError struct{}
 
-func (*twoOwnersError) Error() string { return "the witnesses agreed while the holder may serve" }
+func (*twoOwnersError) Error() string {
+	return "the witnesses agreed to a takeover while the holder may still serve"
+}
 
 func TestCloseEndsServingAtOnce(t *testing.T) {
 	f := newFleet(t, 4)
 	poll.WaitOn(t, f.serving(0))
-	f.duties[0].Close()
-	assert.Assert(t, f.duties[0].Until() == 0)
+	f.renewers[0].Close()
+	assert.Assert(t, f.renewers[0].Until() == 0)
 }
--- a/io/mtrenew/packet.go
+++ b/io/mtrenew/packet.go
@@ -11,21 +11,23 @@
 	"magnoliaturn/core/mtwire"
 )
 
-// tagSize is the length of the authentication tag that ends each datagram:
-// HMAC-SHA256 cut to 128 bits.
+// tagSize is the length of the authentication tag at the end of each datagram:
+// HMAC-SHA256 truncated to 128 bits.
 const tagSize = 16
 
-// maxPacket is the longest datagram that is read.
-const maxPacket = 1024
+// maxDatagramSize is the size of the read buffer. A longer datagram is truncated, and
+// fails authentication.
+const maxDatagramSize = 1024
 
-// ForgedError says that a datagram is not from a daemon of this fleet, or not
-// meant for this one.
+// ForgedError reports that a datagram was not sent by a daemon of this fleet, or not
+// to this daemon.
 type ForgedError struct{ Reason string }
 
 // Error implements error.
-func (e *ForgedError) Error() string { return "renew: datagram refused: " + e.Reason }
+func (e *ForgedError) Error() string { return "renew: datagram rejected: " + e.Reason }
 
-// sealer makes and checks datagrams. It is not safe for concurrent use.
+// sealer encodes and authenticates datagrams with one shared secret. It is not safe
+// for concurrent use.
 type sealer struct {
 	mac hash.Hash
 	sum []byte
@@ -35,8 +37,8 @@
 	return &sealer{mac: hmac.New(sha256.New, secret)}
 }
 
-// tag returns the tag of body on its way to a daemon. The receiver's name is
-// part of it, so that a datagram can't be replayed to another daemon.
+// tag returns the authentication tag of body for a receiver. The tag covers the name
+// of the receiver, so that a datagram cannot be replayed to another daemon.
 func (s *sealer) tag(to mtid.Daemon, body []byte) []byte {
 	s.mac.Reset()
 	_, _ = s.mac.Write([]byte(to))
@@ -46,7 +48,7 @@
 	return s.sum[:tagSize]
 }
 
-// seal returns the datagram that carries m to a daemon.
+// seal encodes m as a datagram to a daemon.
 func (s *sealer) seal(to mtid.Daemon, m *mtwire.Renew) ([]byte, error) {
 	body, err := proto.Marshal(m)
 	if err != nil {
@@ -55,36 +57,37 @@
 	return append(body, s.tag(to, body)...), nil
 }
 
-// open returns the message of a datagram that self received. It fails with a
+// open authenticates and decodes a datagram that self received. It fails with a
 // *ForgedError.
 func (s *sealer) open(self mtid.Daemon, packet []byte) (*mtwire.Renew, error) {
 	if len(packet) < tagSize {
-		return nil, &ForgedError{Reason: "too short"}
+		return nil, &ForgedError{Reason: "shorter than an authentication tag"}
 	}
 	body, tag := packet[:len(packet)-tagSize], packet[len(packet)-tagSize:]
 	if !hmac.Equal(tag, s.tag(self, body)) {
-		return nil, &ForgedError{Reason: "wrong tag"}
+		return nil, &ForgedError{Reason: "authentication tag does not match"}
 	}
 	m := &mtwire.Renew{}
 	if err := proto.Unmarshal(body, m); err != nil {
-		return nil, &ForgedError{Reason: "not a renewal"}
+		return nil, &ForgedError{Reason: "body is not a valid renewal message"}
 	}
 	return m, nil
 }
 
-// windowSize is how far behind the newest sequence a datagram may come.
+// windowSize is how far behind the newest sequence a datagram is still accepted.
 const windowSize = 64
 
-// window refuses datagrams of a peer that were seen before, are too old, or
-// come from an earlier life of it. A replayed ask would prolong the promise to
-// a daemon that is long lost, and so keep its keys from being served.
+// window is the replay window of a peer. It rejects datagrams that were received
+// before, are too old, or come from a previous incarnation of the peer. A replayed
+// request would extend the promise to a daemon that was lost long ago, and so prevent
+// a new owner from serving its keys.
 type window struct {
 	incarnation mtid.Incarnation
 	newest      uint64
-	seen        uint64 // bit i: newest-i was seen
+	seen        uint64 // bit i: newest-i was received
 }
 
-// accept reports whether the datagram is new, and notes it.
+// accept reports whether the datagram is new, and records it.
 func (w *window) accept(incarnation mtid.Incarnation, sequence uint64) bool {
 	if incarnation < w.incarnation {
 		return false
--- a/io/mtrenew/packet_test.go
+++ b/io/mtrenew/packet_test.go
@@ -25,11 +25,11 @@
 		packet []byte
 		forged bool
 	}{
-		{"whole", "w", packet, false},
+		{"intact", "w", packet, false},
 		{"to another daemon", "v", packet, true},
-		{"changed on the way", "w", flipped, true},
+		{"corrupted in transit", "w", flipped, true},
 		{"another secret", "w", other, true},
-		{"cut", "w", packet[:mtrenew.TagSize-1], true},
+		{"truncated", "w", packet[:mtrenew.TagSize-1], true},
 		{"empty", "w", nil, true},
 	}
 	for _, tt := range tests {
@@ -44,9 +44,9 @@
 	}
 }
 
-// Someone who recorded a lost daemon's datagrams sends them again. Taken as
-// new, they would prolong the promise and keep its keys from being served.
-func TestWindowAcceptsEachOnce(t *testing.T) {
+// An attacker replays recorded datagrams of a lost daemon. If they were accepted,
+// they would extend the promise to it and prevent its keys from being served.
+func TestReplayWindowAcceptsEachSequenceOnce(t *testing.T) {
 	type step struct {
 		incarnation mtid.Incarnation
 		sequence    uint64
--- a/io/mtrenew/peer_test.go
+++ b/io/mtrenew/peer_test.go
@@ -17,42 +17,42 @@
 	"magnoliaturn/io/mttime"
 )
 
-// rig is one duty whose only witness is a socket in the hands of the test.
-type rig struct {
-	t      *testing.T
-	clock  *mttime.Clock
-	duty   *mtrenew.Duty
-	socket *net.UDPConn
-	sealer mtrenew.Sealer
-	to     net.Addr
+// fixture is one renewer whose only witness is a socket that the test controls.
+type fixture struct {
+	t       *testing.T
+	clock   *mttime.Clock
+	renewer *mtrenew.Duty
+	socket  *net.UDPConn
+	sealer  mtrenew.Sealer
+	to      net.Addr
 }
 
-func newRig(t *testing.T) *rig {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = socket.Close() })
-	// A duty that sends nothing fails the test instead of hanging it.
+	// If the renewer sends nothing, the test fails instead of blocking forever.
 	assert.NilError(t, socket.SetReadDeadline(time.Now().Add(30*time.Second)))
 	w := mtid.Holder{Daemon: "w", Incarnation: 1}
 	v := &view{records: map[mtid.Daemon]*mtroster.Record{
 		"w": {Holder: w, RenewAddress: socket.LocalAddr().String()},
 	}}
-	r := &rig{t: t, clock: mttime.New(), socket: socket, sealer: mtrenew.NewSealer([]byte("test"))}
-	duty, cleanUp, err := mtrenew.New(mtrenew.Config{
-		Self: "d", Listen: "127.0.0.1:0", Secret: []byte("test"), Clock: r.clock, View: own{v, &atomic.Uint64{}},
+	r := &fixture{t: t, clock: mttime.New(), socket: socket, sealer: mtrenew.NewSealer([]byte("test"))}
+	renewer, cleanUp, err := mtrenew.New(mtrenew.Config{
+		Self: "d", Listen: "127.0.0.1:0", Secret: []byte("test"), Clock: r.clock, View: daemonView{v, &atomic.Uint64{}},
 	})
 	assert.NilError(t, err)
 	t.Cleanup(cleanUp)
-	r.duty = duty
-	r.to, err = net.ResolveUDPAddr("udp", duty.Address())
+	r.renewer = renewer
+	r.to, err = net.ResolveUDPAddr("udp", renewer.Address())
 	assert.NilError(t, err)
-	duty.Register(mtid.Holder{Daemon: "d", Incarnation: 2}, mtlease.Set{Version: 3, Witnesses: []mtid.Holder{w}})
+	renewer.Register(mtid.Holder{Daemon: "d", Incarnation: 2}, mtlease.Set{Version: 3, Witnesses: []mtid.Holder{w}})
 	return r
 }
 
-// receive returns the next datagram that the duty sent.
-func (r *rig) receive() *mtwire.Renew {
+// receive returns the next datagram that the renewer sent.
+func (r *fixture) receive() *mtwire.Renew {
 	r.t.Helper()
 	buffer := make([]byte, 1024)
 	n, err := r.socket.Read(buffer)
@@ -62,7 +62,7 @@
 	return m
 }
 
-func (r *rig) send(m *mtwire.Renew) []byte {
+func (r *fixture) send(m *mtwire.Renew) []byte {
 	r.t.Helper()
 	m.From, m.FromIncarnation = "w", 1
 	packet, err := r.sealer.Seal("d", m)
@@ -71,48 +71,48 @@
 	return packet
 }
 
-func (r *rig) sendRaw(packet []byte) {
+func (r *fixture) sendRaw(packet []byte) {
 	r.t.Helper()
 	_, err := r.socket.WriteTo(packet, r.to)
 	assert.NilError(r.t, err)
 }
 
-// A daemon restarts and counts its sequences from the start again. An answer to
-// its former life arrives late and names a sequence that is in use again. Taken
-// as its own, it would be a promise that no witness gave.
-func TestAnswerToFormerLifeIsDropped(t *testing.T) {
-	r := newRig(t)
-	ask := r.receive()
-	assert.Equal(t, ask.GetAsk(), uint64(3))
-	r.send(&mtwire.Renew{Sequence: 1, ToIncarnation: 1, Answer: ask.GetSequence()})
-	// The duty handles datagrams in order: once it has answered this ask, it has
-	// seen the one before.
+// A daemon restarts and numbers its requests from the start again. An answer to its
+// previous incarnation arrives late, with a sequence that is in use again. If it were
+// accepted, it would count as a promise that no witness made.
+func TestAnswerToPreviousIncarnationIsDropped(t *testing.T) {
+	r := newFixture(t)
+	request := r.receive()
+	assert.Equal(t, request.GetAsk(), uint64(3))
+	r.send(&mtwire.Renew{Sequence: 1, ToIncarnation: 1, Answer: request.GetSequence()})
+	// Datagrams are handled in order: once this request is answered, the datagram
+	// before it has been handled.
 	r.send(&mtwire.Renew{Sequence: 2, ToIncarnation: 77, Ask: 9})
 	for r.receive().GetAnswer() != 2 {
 		continue
 	}
-	assert.Assert(t, r.duty.Until() == 0)
-	r.send(&mtwire.Renew{Sequence: 3, ToIncarnation: 2, Answer: ask.GetSequence()})
+	assert.Assert(t, r.renewer.Until() == 0)
+	r.send(&mtwire.Renew{Sequence: 3, ToIncarnation: 2, Answer: request.GetSequence()})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if r.duty.Until() > 0 {
+		if r.renewer.Until() > 0 {
 			return poll.Success()
 		}
-		return poll.Continue("no lease yet")
+		return poll.Continue("the daemon has no lease yet")
 	})
 }
 
-// A lost daemon's last datagram is recorded and sent again and again. If the
-// witness took it each time, its promise would never lapse.
-func TestReplayedAskIsRefused(t *testing.T) {
-	r := newRig(t)
+// The last datagram of a lost daemon is recorded and replayed repeatedly. If the
+// witness accepted it each time, its promise would never expire.
+func TestReplayedRequestIsRejected(t *testing.T) {
+	r := newFixture(t)
 	packet := r.send(&mtwire.Renew{Sequence: 5, ToIncarnation: 1, Ask: 9})
 	for range 3 {
 		r.sendRaw(packet)
 	}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if r.duty.Counters().Refused.Value() == 3 {
+		if r.renewer.Counters().Refused.Value() == 3 {
 			return poll.Success()
 		}
-		return poll.Continue("%d of 3 refused", r.duty.Counters().Refused.Value())
+		return poll.Continue("%d of 3 replayed datagrams were rejected", r.renewer.Counters().Refused.Value())
 	})
 }
