--- a/io/mtrollout/mtrollout.go
+++ b/io/mtrollout/mtrollout.go
@@ -1,7 +1,7 @@
-// Package mtrollout keeps the bundles of the businesses in the platform's
-// store: proposals, signatures, acceptance and history. What may happen is
-// decided by mtbundle.Lifecycle; this package reads, writes by compare-and-swap and
-// settles writes whose answer was lost.
+// Package mtrollout stores the bundles of the businesses in the platform's store:
+// proposals, signatures, acceptance and history. mtbundle.Lifecycle decides which
+// changes are permitted; this package reads, writes by compare-and-swap, and
+// determines the outcome of writes whose response was lost.
 //
 // # Usage
 //
@@ -10,18 +10,18 @@
 //	draft, err = rollout.Sign(ctx, "ratins", draft.Version, digest, signature)
 //	bundle, err := rollout.Accept(ctx, time.Now(), "ratins", draft.Version, digest, "janis")
 //
-// Each call may be repeated with the same arguments, and then changes nothing.
-// Errors are those of mtbundle.Lifecycle, those of mtstore where nothing was
-// written, and *DoubtError where something may have been. All methods are safe
-// for concurrent use, also from several daemons.
+// All calls are idempotent: a call that is repeated with the same arguments changes
+// nothing. Errors are those of mtbundle.Lifecycle, those of mtstore if nothing was
+// written, and *DoubtError if a write may have taken effect. All methods are safe for
+// concurrent use, also from several daemons.
 //
-// # Writes in doubt
+// # Writes with an unknown outcome
 //
-// A swap whose answer is lost may have landed, or may land later. The same
-// change is then worked out anew from what the store holds and swapped in where
-// the version is still the expected one. Of two writes that expect the same
-// version only one can land. Either way the next read shows the change, or a
-// version that another writer moved on, after which the lost write can't land.
+// A swap whose response is lost may have been applied, or may be applied later. The
+// same change is then computed again from the stored state, and swapped in if the
+// version is still the expected one. Of two writes that expect the same version, only
+// one can be applied. In either case the next read returns the change, or a newer
+// version by another writer, after which the lost write can no longer be applied.
 package mtrollout
 
 import (
@@ -38,16 +38,15 @@
 	"magnoliaturn/io/mtduty"
 )
 
-// tries bounds the rounds of one call: each is lost to a racing writer or to a
-// lost answer.
-const tries = 8
+// maxRounds limits the attempts of one call. An attempt fails because of a concurrent
+// write or a lost response.
+const maxRounds = 8
 
-// pause is how long a call waits before it asks a store again that gave no
-// answer.
-const pause = 50 * time.Millisecond
+// retryDelay is the delay before another attempt after the store did not respond.
+const retryDelay = 50 * time.Millisecond
 
-// DoubtError says that a change may be in the store, or may still get there.
-// Repeating the call settles it.
+// DoubtError reports that a change may have been applied to the store, or may still
+// be. Repeating the call determines the outcome.
 type DoubtError struct {
 	Op       string
 	Business mtid.Business
@@ -59,11 +58,11 @@
 	return fmt.Sprintf("rollout: %s for %s may have taken effect; repeat the same request to find out: %v", e.Op, e.Business, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of the last write whose outcome is unknown.
 func (e *DoubtError) Unwrap() error { return e.Err }
 
-// RaceError says that other writers changed the same value in every round:
-// nothing was written.
+// RaceError reports that every attempt lost to a concurrent write of the same value.
+// Nothing was written.
 type RaceError struct {
 	Op       string
 	Business mtid.Business
@@ -71,10 +70,10 @@
 
 // Error implements error.
 func (e *RaceError) Error() string {
-	return fmt.Sprintf("rollout: %s for %s lost %d rounds to other writers", e.Op, e.Business, tries)
+	return fmt.Sprintf("rollout: %s for %s lost %d rounds to other writers", e.Op, e.Business, maxRounds)
 }
 
-// PageError says that a version of the history is not kept.
+// PageError reports that a version of a bundle is not retained.
 type PageError struct {
 	Business mtid.Business
 	Version  mtid.Version
@@ -85,7 +84,7 @@
 	return fmt.Sprintf("rollout: version %d of %s is not kept; the last %d are", e.Version, e.Business, mtstore.RetainedBundles)
 }
 
-// Rollout works on the bundles of all businesses.
+// Rollout reads and changes the bundles of all businesses.
 type Rollout struct {
 	store    mtstore.Store
 	writer   func() mtid.Holder
@@ -93,17 +92,18 @@
 	sequence atomic.Uint64
 }
 
-// New returns a rollout on store. writer returns the life of the daemon that
-// writes; roots say who signs first bundles and may be nil.
+// New returns a rollout on store. writer returns the current incarnation of the
+// daemon that writes. roots are the authorities that sign the first bundles of
+// businesses; it may be nil.
 func New(store mtstore.Store, writer func() mtid.Holder, roots map[mtid.Business]mtbundle.Authority) *Rollout {
 	return &Rollout{store: store, writer: writer, roots: roots}
 }
 
-// state is what the store holds of one business.
+// state is the stored state of one business.
 type state struct {
-	life   *mtbundle.Lifecycle
-	live   mtstore.Entry
-	drafts mtstore.Entry
+	lifecycle *mtbundle.Lifecycle
+	inForce   mtstore.Entry
+	drafts    mtstore.Entry
 }
 
 // Life returns the bundle in force and the open proposals of a business, and
@@ -113,12 +113,12 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	return s.life, s.drafts.Version, nil
+	return s.lifecycle, s.drafts.Version, nil
 }
 
-// read takes the proposals first: a bundle that is accepted in between is then
-// newer than them, and its proposal no longer open. The other order could show
-// a proposal as open that is not.
+// read reads the proposals before the bundle in force: if a proposal is accepted in
+// between, the bundle is newer, and the proposal does not count as open. In the
+// opposite order, an accepted proposal could be returned as open.
 func (r *Rollout) read(ctx context.Context, business mtid.Business) (*state, error) {
 	drafts, err := r.get(ctx, mtstore.DraftName(business))
 	if err != nil {
@@ -128,23 +128,23 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &state{life: &mtbundle.Lifecycle{Business: business}, live: live, drafts: drafts}
-	if s.life.Drafts, err = mtbundle.DecodeDrafts(drafts.Value); err != nil {
+	s := &state{lifecycle: &mtbundle.Lifecycle{Business: business}, inForce: live, drafts: drafts}
+	if s.lifecycle.Drafts, err = mtbundle.DecodeDrafts(drafts.Value); err != nil {
 		return nil, err
 	}
 	if root, ok := r.roots[business]; ok {
-		s.life.Root = &root
+		s.lifecycle.Root = &root
 	}
 	if live.Version == 0 {
 		return s, nil
 	}
-	s.life.InForce, err = mtbundle.DecodeStored(live.Value)
+	s.lifecycle.InForce, err = mtbundle.DecodeStored(live.Value)
 	return s, err
 }
 
-// get returns an entry, or the zero one if the name has no value. A read whose
-// answer was lost changed nothing, so it counts as not taken: it must not cast
-// doubt on a write.
+// get returns an entry, or one with version zero if the name has no value. A read
+// whose response was lost is returned as an *mtstore.UnavailableError, since it
+// changed nothing: it must not make the outcome of a write count as unknown.
 func (r *Rollout) get(ctx context.Context, name string) (mtstore.Entry, error) {
 	entry, err := r.store.Get(ctx, name)
 	var missing *mtstore.NotFoundError
@@ -158,28 +158,29 @@
 	return entry, err
 }
 
-// Propose adds a proposal. The same text again returns the same proposal.
+// Propose adds a proposal. If the same text was proposed before, Propose returns the
+// existing proposal.
 func (r *Rollout) Propose(ctx context.Context, now time.Time, business mtid.Business, proposer string, text []byte) (*mtbundle.Stored, error) {
-	return r.draft(ctx, "propose", business, func(l *mtbundle.Lifecycle) ([]*mtbundle.Stored, *mtbundle.Stored, error) {
+	return r.changeDrafts(ctx, "propose", business, func(l *mtbundle.Lifecycle) ([]*mtbundle.Stored, *mtbundle.Stored, error) {
 		return l.Propose(now, proposer, text)
 	})
 }
 
 // Sign adds a signature to an open proposal.
 func (r *Rollout) Sign(ctx context.Context, business mtid.Business, version mtid.Version, digest string, sig mtbundle.Signature) (*mtbundle.Stored, error) {
-	return r.draft(ctx, "sign", business, func(l *mtbundle.Lifecycle) ([]*mtbundle.Stored, *mtbundle.Stored, error) {
+	return r.changeDrafts(ctx, "sign", business, func(l *mtbundle.Lifecycle) ([]*mtbundle.Stored, *mtbundle.Stored, error) {
 		return l.Sign(version, digest, sig)
 	})
 }
 
-// change works out the proposals after one step, and the one that it concerns.
-type change func(*mtbundle.Lifecycle) ([]*mtbundle.Stored, *mtbundle.Stored, error)
+// draftChange returns all proposals after a change, and the one that it changed.
+type draftChange func(*mtbundle.Lifecycle) ([]*mtbundle.Stored, *mtbundle.Stored, error)
 
-// draft applies a change to the proposals of a business.
-func (r *Rollout) draft(ctx context.Context, op string, business mtid.Business, apply change) (*mtbundle.Stored, error) {
+// changeDrafts applies a change to the proposals of a business and stores the result.
+func (r *Rollout) changeDrafts(ctx context.Context, op string, business mtid.Business, apply draftChange) (*mtbundle.Stored, error) {
 	var result *mtbundle.Stored
-	err := r.rounds(ctx, op, business, func(s *state) (bool, error) {
-		drafts, draft, err := apply(s.life)
+	err := r.retry(ctx, op, business, func(s *state) (bool, error) {
+		drafts, draft, err := apply(s.lifecycle)
 		if err != nil {
 			return false, err
 		}
@@ -200,13 +201,14 @@
 	return result, nil
 }
 
-// Accept puts an open proposal in force. If it is in force already, Accept
-// returns it. A *mtbundle.ConflictError names the bundle that won instead.
+// Accept puts an open proposal in force. If it is already in force, Accept returns
+// it. If another bundle was accepted instead, Accept fails with a
+// *mtbundle.ConflictError that identifies it.
 func (r *Rollout) Accept(ctx context.Context, now time.Time, business mtid.Business, version mtid.Version, digest, accepter string) (*mtbundle.Stored, error) {
-	stamp := mtroster.WriteID{Writer: r.writer(), Sequence: r.sequence.Add(1)}
+	writeID := mtroster.WriteID{Writer: r.writer(), Sequence: r.sequence.Add(1)}
 	var result *mtbundle.Stored
-	err := r.rounds(ctx, "accept", business, func(s *state) (bool, error) {
-		next, done, err := s.life.Accept(now, version, digest, accepter, stamp)
+	err := r.retry(ctx, "accept", business, func(s *state) (bool, error) {
+		next, done, err := s.lifecycle.Accept(now, version, digest, accepter, writeID)
 		result = next
 		if err != nil || done {
 			return done, err
@@ -215,10 +217,10 @@
 		if err != nil {
 			return false, err
 		}
-		if err := r.file(ctx, s.life.InForce, s.live.Value); err != nil {
+		if err := r.archive(ctx, s.lifecycle.InForce, s.inForce.Value); err != nil {
 			return false, err
 		}
-		_, err = r.store.Swap(ctx, s.live.Name, s.live.Version, value, "")
+		_, err = r.store.Swap(ctx, s.inForce.Name, s.inForce.Version, value, "")
 		return err == nil, err
 	})
 	if err != nil {
@@ -227,31 +229,31 @@
 	return result, nil
 }
 
-// file keeps the bundle that is about to be replaced. It is done before the
-// replacement, and a crash between the two leaves a copy of the bundle in
-// force, so that the history never has a gap.
-func (r *Rollout) file(ctx context.Context, former *mtbundle.Stored, value []byte) error {
-	if former == nil {
+// archive stores a copy of the bundle that is about to be replaced. It is called
+// before the replacement, so that the history never has a gap: a crash between the
+// two leaves a copy of the bundle that is still in force.
+func (r *Rollout) archive(ctx context.Context, previous *mtbundle.Stored, value []byte) error {
+	if previous == nil {
 		return nil
 	}
-	entry, err := r.get(ctx, mtstore.PastBundleName(former.Business, former.Version))
+	entry, err := r.get(ctx, mtstore.PastBundleName(previous.Business, previous.Version))
 	if err != nil {
 		return err
 	}
-	if kept, err := mtbundle.DecodeStored(entry.Value); err == nil && kept.Version >= former.Version {
+	if archived, err := mtbundle.DecodeStored(entry.Value); err == nil && archived.Version >= previous.Version {
 		return nil
 	}
 	_, err = r.store.Swap(ctx, entry.Name, entry.Version, value, "")
 	return err
 }
 
-// rounds repeats a step from a fresh read until it is done or fails for good.
-// Conflicts and lost answers start the next round. Once an answer was lost,
-// not reaching the store no longer proves that nothing was written.
-func (r *Rollout) rounds(ctx context.Context, op string, business mtid.Business, step func(*state) (bool, error)) error {
-	var doubt error
-	for range tries {
-		done, err := r.round(ctx, business, step)
+// retry reads the state and executes step until it is done or fails permanently. It
+// retries after conflicts and lost responses. Once a response was lost, an
+// unavailable store no longer proves that nothing was written, so it is retried too.
+func (r *Rollout) retry(ctx context.Context, op string, business mtid.Business, step func(*state) (bool, error)) error {
+	var unknownErr error
+	for range maxRounds {
+		done, err := r.attempt(ctx, business, step)
 		if done {
 			return nil
 		}
@@ -262,22 +264,22 @@
 		case errors.As(err, &conflict):
 			continue
 		case errors.As(err, &unknown):
-			doubt = err
-		case errors.As(err, &unavailable) && doubt != nil:
+			unknownErr = err
+		case errors.As(err, &unavailable) && unknownErr != nil:
 		default:
 			return err
 		}
-		if !mtduty.Sleep(ctx, pause) {
+		if !mtduty.Sleep(ctx, retryDelay) {
 			break
 		}
 	}
-	if doubt != nil {
-		return &DoubtError{Op: op, Business: business, Err: doubt}
+	if unknownErr != nil {
+		return &DoubtError{Op: op, Business: business, Err: unknownErr}
 	}
 	return &RaceError{Op: op, Business: business}
 }
 
-func (r *Rollout) round(ctx context.Context, business mtid.Business, step func(*state) (bool, error)) (bool, error) {
+func (r *Rollout) attempt(ctx context.Context, business mtid.Business, step func(*state) (bool, error)) (bool, error) {
 	s, err := r.read(ctx, business)
 	if err != nil {
 		return false, err
@@ -285,8 +287,8 @@
 	return step(s)
 }
 
-// Version returns one version of a business's bundle, in force or former. It
-// fails with a *PageError if it is not kept.
+// Version returns the bundle in force or a previous version of it. It fails with a
+// *PageError if the version is not retained.
 func (r *Rollout) Version(ctx context.Context, business mtid.Business, version mtid.Version) (*mtbundle.Stored, error) {
 	for _, name := range []string{mtstore.BundleName(business), mtstore.PastBundleName(business, version)} {
 		entry, err := r.get(ctx, name)
@@ -301,9 +303,9 @@
 	return nil, &PageError{Business: business, Version: version}
 }
 
-// History returns up to limit versions from the newest below before on
-// (0: from the one in force), the newest first, and where the next page begins
-// (0: no more). Each version costs one read of the store.
+// History returns up to limit retained versions that are older than before, newest
+// first, and the value of before for the next page, which is 0 on the last page. With
+// before 0, it starts at the version in force. Each version takes one store read.
 func (r *Rollout) History(ctx context.Context, business mtid.Business, before mtid.Version, limit int) ([]*mtbundle.Stored, mtid.Version, error) {
 	entry, err := r.get(ctx, mtstore.BundleName(business))
 	if err != nil || entry.Version == 0 {
@@ -324,7 +326,7 @@
 		}
 		stored := inForce
 		if version != inForce.Version {
-			stored, err = r.past(ctx, business, version)
+			stored, err = r.previousVersion(ctx, business, version)
 		}
 		if err != nil {
 			return nil, 0, err
@@ -334,7 +336,7 @@
 	return page, 0, nil
 }
 
-func (r *Rollout) past(ctx context.Context, business mtid.Business, version mtid.Version) (*mtbundle.Stored, error) {
+func (r *Rollout) previousVersion(ctx context.Context, business mtid.Business, version mtid.Version) (*mtbundle.Stored, error) {
 	entry, err := r.get(ctx, mtstore.PastBundleName(business, version))
 	if err != nil {
 		return nil, err
--- a/io/mtrollout/mtrollout_test.go
+++ b/io/mtrollout/mtrollout_test.go
@@ -19,31 +19,32 @@
 	"magnoliaturn/io/mtrollout"
 )
 
-// fault is what happens to one swap.
+// fault is a failure of one swap.
 type fault int
 
 const (
-	none    fault = iota
-	landed        // takes effect, the answer is lost
-	lost          // never takes effect, the answer is lost
-	late          // takes effect only after the next call, the answer is lost
-	refused       // the store does not take the call
+	noFault     fault = iota
+	answerLost        // applied, but the response is lost
+	requestLost       // never applied, and no response
+	appliedLate       // applied only after the next call, and the response is lost
+	rejected          // the store is unavailable
 )
 
-// faulty is a store in memory whose swaps of one prefix meet faults in turn.
-type faulty struct {
-	mtstore.Store // the methods that rollouts don't call
+// faultyStore is an in-memory store that injects faults, in order, into the swaps of
+// names with one prefix.
+type faultyStore struct {
+	mtstore.Store // nil: methods that a Rollout does not call
 	mu            sync.Mutex
 	entries       map[string]mtstore.Entry
 	prefix        string
 	faults        []fault
 	delayed       func()
-	before        func() // runs once, between a call's read and its swap of prefix
+	beforeSwap    func() // runs once, after the read and before the next swap of a name with prefix
 }
 
-func newFaulty() *faulty { return &faulty{entries: make(map[string]mtstore.Entry)} }
+func newFaultyStore() *faultyStore { return &faultyStore{entries: make(map[string]mtstore.Entry)} }
 
-func (s *faulty) Get(_ context.Context, name string) (mtstore.Entry, error) {
+func (s *faultyStore) Get(_ context.Context, name string) (mtstore.Entry, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	entry, ok := s.entries[name]
@@ -53,10 +54,10 @@
 	return entry, nil
 }
 
-func (s *faulty) Swap(_ context.Context, name string, expected mtid.Version, value []byte, _ mtstore.LeaseID) (mtid.Version, error) {
-	if race := s.before; race != nil && strings.HasPrefix(name, s.prefix) {
-		s.before = nil
-		race()
+func (s *faultyStore) Swap(_ context.Context, name string, expected mtid.Version, value []byte, _ mtstore.LeaseID) (mtid.Version, error) {
+	if hook := s.beforeSwap; hook != nil && strings.HasPrefix(name, s.prefix) {
+		s.beforeSwap = nil
+		hook()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,28 +65,28 @@
 		defer s.delayed()
 		s.delayed = nil
 	}
-	met := none
+	injected := noFault
 	if len(s.faults) > 0 && strings.HasPrefix(name, s.prefix) {
-		met, s.faults = s.faults[0], s.faults[1:]
+		injected, s.faults = s.faults[0], s.faults[1:]
 	}
 	unknown := &mtstore.UnknownError{Op: "swap", Name: name, Err: context.DeadlineExceeded}
-	switch met {
-	case refused:
+	switch injected {
+	case rejected:
 		return 0, &mtstore.UnavailableError{Op: "swap", Err: context.DeadlineExceeded}
-	case lost:
+	case requestLost:
 		return 0, unknown
-	case late:
+	case appliedLate:
 		s.delayed = func() { _, _ = s.swap(name, expected, value) }
 		return 0, unknown
 	}
 	version, err := s.swap(name, expected, value)
-	if met == landed && err == nil {
+	if injected == answerLost && err == nil {
 		return 0, unknown
 	}
 	return version, err
 }
 
-func (s *faulty) swap(name string, expected mtid.Version, value []byte) (mtid.Version, error) {
+func (s *faultyStore) swap(name string, expected mtid.Version, value []byte) (mtid.Version, error) {
 	current := s.entries[name]
 	if current.Version != expected {
 		return 0, &mtstore.ConflictError{Name: name, Expected: expected, Current: current}
@@ -117,8 +118,8 @@
 	return mtrollout.New(store, func() mtid.Holder { return holder }, nil)
 }
 
-// signed proposes and signs a bundle.
-func signed(t *testing.T, r *mtrollout.Rollout, version int, note string) *mtbundle.Stored {
+// proposeAndSign proposes a bundle and adds a signature.
+func proposeAndSign(t *testing.T, r *mtrollout.Rollout, version int, note string) *mtbundle.Stored {
 	t.Helper()
 	draft, err := r.Propose(t.Context(), now, "ratins", "ilze", text(version, note))
 	assert.NilError(t, err)
@@ -134,39 +135,39 @@
 	return r.Accept(t.Context(), now, "ratins", s.Version, s.Digest().String(), "ilze")
 }
 
-// The operator's acceptance meets a store that loses answers. Whatever is
-// said must be true: success only if the bundle is in force, an error other
-// than doubt only if it isn't and can't become so.
-func TestAcceptSettlesWritesInDoubt(t *testing.T) {
+// The store loses responses while an operator accepts a bundle. Accept may succeed
+// only if the bundle is in force, and may return an error other than an unknown
+// outcome only if the bundle is not in force and cannot become so later.
+func TestAcceptReportsTrueOutcomeOfWrites(t *testing.T) {
 	tests := []struct {
 		name    string
 		faults  []fault
 		inForce bool
-		doubt   bool
+		unknown bool
 	}{
 		{"no fault", nil, true, false},
-		{"landed, answer lost", []fault{landed}, true, false},
-		{"never landed, answer lost", []fault{lost}, true, false},
-		{"lands while it is tried again", []fault{late}, true, false},
-		{"late, then answer lost", []fault{late, landed}, true, false},
-		{"refused", []fault{refused}, false, false},
-		{"lost for good", []fault{lost, lost, lost, lost, lost, lost, lost, lost}, false, true},
-		{"lost, then refused for good", []fault{lost, refused, refused, refused, refused, refused, refused, refused}, false, true},
+		{"applied, response lost", []fault{answerLost}, true, false},
+		{"never applied, no response", []fault{requestLost}, true, false},
+		{"applied during the retry", []fault{appliedLate}, true, false},
+		{"applied late, then response lost", []fault{appliedLate, answerLost}, true, false},
+		{"store unavailable", []fault{rejected}, false, false},
+		{"no attempt applied", []fault{requestLost, requestLost, requestLost, requestLost, requestLost, requestLost, requestLost, requestLost}, false, true},
+		{"never applied, then store unavailable", []fault{requestLost, rejected, rejected, rejected, rejected, rejected, rejected, rejected}, false, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			store := newFaulty()
+			store := newFaultyStore()
 			r := open(store)
-			draft := signed(t, r, 1, "first")
+			draft := proposeAndSign(t, r, 1, "first")
 			store.prefix, store.faults = mtstore.BundlePrefix, test.faults
 			_, err := accept(t, r, draft)
-			var doubt *mtrollout.DoubtError
-			assert.Equal(t, errors.As(err, &doubt), test.doubt, "%v", err)
+			var unknown *mtrollout.DoubtError
+			assert.Equal(t, errors.As(err, &unknown), test.unknown, "%v", err)
 			assert.Equal(t, err == nil, test.inForce, "%v", err)
-			life, _, err := r.Life(t.Context(), "ratins")
+			lifecycle, _, err := r.Life(t.Context(), "ratins")
 			assert.NilError(t, err)
-			assert.Equal(t, life.Version() == 1, test.inForce)
-			// The store is well again: the repeated request settles it.
+			assert.Equal(t, lifecycle.Version() == 1, test.inForce)
+			// Without further faults, the repeated request determines the outcome.
 			got, err := accept(t, r, draft)
 			assert.NilError(t, err)
 			assert.Equal(t, got.Version, mtid.Version(1))
@@ -174,45 +175,45 @@
 	}
 }
 
-// An acceptance is lost on its way, and before it is tried again another
-// operator's bundle takes the version. The first must be told who won, and its
-// late write must not undo that.
-func TestAcceptLearnsTheWinnerAfterALostAnswer(t *testing.T) {
-	store := newFaulty()
+// The write of an acceptance is delayed, and another operator accepts a bundle of the
+// same version before the retry. The call that loses must return an error that
+// identifies the bundle in force, and the delayed write must not replace it.
+func TestAcceptAfterLostAnswerReportsConflictingBundle(t *testing.T) {
+	store := newFaultyStore()
 	r, other := open(store), open(store)
-	one, two := signed(t, r, 1, "one"), signed(t, r, 1, "two")
-	store.prefix, store.faults = mtstore.BundlePrefix, []fault{late}
+	one, two := proposeAndSign(t, r, 1, "one"), proposeAndSign(t, r, 1, "two")
+	store.prefix, store.faults = mtstore.BundlePrefix, []fault{appliedLate}
 	store.delayed = nil
 	done := make(chan error, 1)
 	go func() {
 		_, err := r.Accept(context.WithoutCancel(t.Context()), now, "ratins", 1, one.Digest().String(), "ilze")
 		done <- err
 	}()
-	// The other operator tries until one of the two is in force.
+	// The other operator retries until one of the two bundles is in force.
 	_, otherErr := accept(t, other, two)
 	err := <-done
-	life, _, readErr := r.Life(t.Context(), "ratins")
+	lifecycle, _, readErr := r.Life(t.Context(), "ratins")
 	assert.NilError(t, readErr)
 	for digest, got := range map[string]error{one.Digest().String(): err, two.Digest().String(): otherErr} {
-		if life.InForce.Digest().String() == digest {
+		if lifecycle.InForce.Digest().String() == digest {
 			assert.NilError(t, got)
 			continue
 		}
 		var conflict *mtbundle.ConflictError
 		assert.Assert(t, errors.As(got, &conflict), "%v", got)
-		assert.Equal(t, conflict.Digest, life.InForce.Digest())
+		assert.Equal(t, conflict.Digest, lifecycle.InForce.Digest())
 	}
 }
 
-// Two acceptances read the same state, and the other's swap lands first. The
-// loser's write is refused by the store; he must be told of the bundle that
-// won, not of a version in the store.
-func TestSwapLostToAnotherOperator(t *testing.T) {
-	store := newFaulty()
+// Two acceptances read the same state, and the other one is written first. The store
+// rejects the second write with a version conflict, but Accept must report the bundle
+// that is in force instead.
+func TestLostSwapReportsConflictingBundle(t *testing.T) {
+	store := newFaultyStore()
 	r, other := open(store), open(store)
-	one, two := signed(t, r, 1, "one"), signed(t, r, 1, "two")
+	one, two := proposeAndSign(t, r, 1, "one"), proposeAndSign(t, r, 1, "two")
 	store.prefix = mtstore.BundlePrefix
-	store.before = func() {
+	store.beforeSwap = func() {
 		_, err := accept(t, other, two)
 		assert.NilError(t, err)
 	}
@@ -222,31 +223,33 @@
 	assert.Equal(t, conflict.Digest, two.Digest())
 }
 
-// The same for two proposals: none may push the other out of the list.
-func TestProposalLostToAnotherIsRepeated(t *testing.T) {
-	store := newFaulty()
+// Two proposals are written concurrently. Neither may overwrite the other in the
+// list of open proposals.
+func TestConcurrentProposalsAreBothStored(t *testing.T) {
+	store := newFaultyStore()
 	r, other := open(store), open(store)
 	store.prefix = mtstore.DraftPrefix
-	store.before = func() {
+	store.beforeSwap = func() {
 		_, err := other.Propose(t.Context(), now, "ratins", "janis", text(1, "two"))
 		assert.NilError(t, err)
 	}
 	_, err := r.Propose(t.Context(), now, "ratins", "ilze", text(1, "one"))
 	assert.NilError(t, err)
-	life, _, err := r.Life(t.Context(), "ratins")
+	lifecycle, _, err := r.Life(t.Context(), "ratins")
 	assert.NilError(t, err)
-	assert.Equal(t, len(life.Drafts), 2)
+	assert.Equal(t, len(lifecycle.Drafts), 2)
 }
 
-// Many operators race for one version through different daemons: exactly one
-// wins, the others are told which.
-func TestRaceHasOneWinner(t *testing.T) {
+// Many operators accept different bundles of the same version concurrently, each
+// with its own Rollout. Exactly one succeeds, and the others receive an error that
+// identifies the bundle in force.
+func TestConcurrentAcceptsHaveOneWinner(t *testing.T) {
 	const operators = 8
-	store := newFaulty()
+	store := newFaultyStore()
 	r := open(store)
 	var drafts []*mtbundle.Stored
 	for i := range operators {
-		drafts = append(drafts, signed(t, r, 1, fmt.Sprint("draft ", i)))
+		drafts = append(drafts, proposeAndSign(t, r, 1, fmt.Sprint("draft ", i)))
 	}
 	errs := make([]error, operators)
 	var wait sync.WaitGroup
@@ -254,43 +257,43 @@
 		wait.Go(func() { _, errs[i] = accept(t, open(store), draft) })
 	}
 	wait.Wait()
-	life, _, err := r.Life(t.Context(), "ratins")
+	lifecycle, _, err := r.Life(t.Context(), "ratins")
 	assert.NilError(t, err)
 	won := 0
 	for i, err := range errs {
 		if err == nil {
 			won++
-			assert.Equal(t, life.InForce.Digest(), drafts[i].Digest())
+			assert.Equal(t, lifecycle.InForce.Digest(), drafts[i].Digest())
 			continue
 		}
 		var conflict *mtbundle.ConflictError
 		assert.Assert(t, errors.As(err, &conflict), "%v", err)
-		assert.Equal(t, conflict.Digest, life.InForce.Digest())
+		assert.Equal(t, conflict.Digest, lifecycle.InForce.Digest())
 	}
 	assert.Equal(t, won, 1)
 }
 
 func TestRepeatedRequestsChangeNothing(t *testing.T) {
-	store := newFaulty()
+	store := newFaultyStore()
 	r := open(store)
-	draft := signed(t, r, 1, "first")
+	draft := proposeAndSign(t, r, 1, "first")
 	before := store.entries[mtstore.DraftName("ratins")].Version
-	signed(t, r, 1, "first")
+	proposeAndSign(t, r, 1, "first")
 	assert.Equal(t, store.entries[mtstore.DraftName("ratins")].Version, before)
 	_, err := accept(t, r, draft)
 	assert.NilError(t, err)
 	_, err = accept(t, r, draft)
 	assert.NilError(t, err)
-	signed(t, r, 1, "first") // late repeats of the earlier steps
+	proposeAndSign(t, r, 1, "first") // a late repetition of the first steps
 	assert.Equal(t, store.entries[mtstore.BundleName("ratins")].Version, mtid.Version(1))
 }
 
 func TestHistory(t *testing.T) {
-	store := newFaulty()
+	store := newFaultyStore()
 	r := open(store)
 	const versions = mtstore.RetainedBundles + 6
 	for v := 1; v <= versions; v++ {
-		_, err := accept(t, r, signed(t, r, v, fmt.Sprint("version ", v)))
+		_, err := accept(t, r, proposeAndSign(t, r, v, fmt.Sprint("version ", v)))
 		assert.NilError(t, err)
 	}
 	var seen []mtid.Version
@@ -313,7 +316,7 @@
 	}
 	old, err := r.Version(t.Context(), "ratins", versions-1)
 	assert.NilError(t, err)
-	// A rollback is the old text under a new number.
+	// A rollback proposes the old text with a new version.
 	again := mtbundle.Renumber(old.Text, versions+1)
 	draft, err := r.Propose(t.Context(), now, "ratins", "ilze", again)
 	assert.NilError(t, err)
