--- a/cmd/capacity/fleet.go
+++ b/cmd/capacity/fleet.go
@@ -139,7 +139,7 @@
 func read(f *mtfleet.Fleet) reading {
 	var r reading
 	for _, d := range f.Daemons() {
-		duty, err := mtkernel.Lookup[*mtrenew.Duty](d.Kernel(), mtdaemon.NameRenew)
+		duty, err := mtkernel.Lookup[*mtrenew.Renewer](d.Kernel(), mtdaemon.NameRenew)
 		must(err)
 		counters := duty.Counters()
 		r.bytes += counters.SentBytes.Value() + counters.ReceivedBytes.Value()
--- a/io/mtadmin/bundle.go
+++ b/io/mtadmin/bundle.go
@@ -19,7 +19,7 @@
 // bundle answers with the bundle in force, from the store: an operator who
 // prepares the next one must not start from a daemon's older view.
 func (s *Server) bundle(c echo.Context, _ *mtoperator.Operator) error {
-	life, _, err := s.config.Rollout.Life(c.Request().Context(), businessOf(c))
+	life, _, err := s.config.Rollout.Lifecycle(c.Request().Context(), businessOf(c))
 	if err != nil {
 		return err
 	}
@@ -42,7 +42,7 @@
 func etag(v mtid.Version) string { return fmt.Sprintf("%q", strconv.FormatUint(uint64(v), 10)) }
 
 func (s *Server) drafts(c echo.Context, _ *mtoperator.Operator) error {
-	life, tag, err := s.config.Rollout.Life(c.Request().Context(), businessOf(c))
+	life, tag, err := s.config.Rollout.Lifecycle(c.Request().Context(), businessOf(c))
 	if err != nil {
 		return err
 	}
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	life, _, err := s.config.Rollout.Life(c.Request().Context(), businessOf(c))
+	life, _, err := s.config.Rollout.Lifecycle(c.Request().Context(), businessOf(c))
 	if err != nil {
 		return err
 	}
--- a/io/mtadmin/problem.go
+++ b/io/mtadmin/problem.go
@@ -162,9 +162,9 @@
 
 func explainStore(err error) *Problem {
 	var (
-		doubt       *mtrollout.DoubtError
+		doubt       *mtrollout.OutcomeUnknownError
 		race        *mtrollout.RaceError
-		page        *mtrollout.PageError
+		page        *mtrollout.NotRetainedError
 		unavailable *mtstore.UnavailableError
 	)
 	switch {
--- a/io/mtdaemon/figures.go
+++ b/io/mtdaemon/figures.go
@@ -147,7 +147,7 @@
 // once all of them are registered.
 func (d *Daemon) publish() {
 	metrics := mtkernel.MustLookup[*mtmetric.Metrics](d.kernel, NameMetrics)
-	metrics.Publish("renew", mtkernel.MustLookup[*mtrenew.Duty](d.kernel, NameRenew).Vars())
+	metrics.Publish("renew", mtkernel.MustLookup[*mtrenew.Renewer](d.kernel, NameRenew).Vars())
 	metrics.Publish("member", mtkernel.MustLookup[*mtmember.Member](d.kernel, NameMember).Vars())
 	if store, ok := mtkernel.MustLookup[mtstore.Store](d.kernel, NameStore).(vars); ok {
 		metrics.Publish("store", store.Vars())
@@ -164,7 +164,7 @@
 // leaseLeft returns for how long this daemon may still serve, negative if it
 // may not.
 func (d *Daemon) leaseLeft() any {
-	return mtkernel.MustLookup[*mtrenew.Duty](d.kernel, NameRenew).Until().Sub(mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock).Now())
+	return mtkernel.MustLookup[*mtrenew.Renewer](d.kernel, NameRenew).Until().Sub(mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock).Now())
 }
 
 // gateFigures are the counters of one service's gate.
--- a/io/mtdaemon/listen.go
+++ b/io/mtdaemon/listen.go
@@ -87,7 +87,7 @@
 	return Addresses{
 		Caller: s.callers.Addr().String(),
 		Relay:  s.peers.Addr().String(),
-		Renew:  mtkernel.MustLookup[*mtrenew.Duty](d.kernel, NameRenew).Address(),
+		Renew:  mtkernel.MustLookup[*mtrenew.Renewer](d.kernel, NameRenew).Address(),
 		Local:  s.local.Addr().String(),
 		Admin:  s.admin.Addr().String(),
 	}
@@ -181,7 +181,7 @@
 	relay.Register(server)
 	mtkernel.MustLookup[*mtmover.Mover](d.kernel, NameMover).Register(server)
 	mtkernel.MustLookup[*mtpoison.Detector](d.kernel, NamePoison).Register(server)
-	mtkernel.MustLookup[*mtrenew.Duty](d.kernel, NameRenew).ServeOn(server)
+	mtkernel.MustLookup[*mtrenew.Renewer](d.kernel, NameRenew).ServeOn(server)
 	mtwire.RegisterPlannerServer(server, mtkernel.MustLookup[*mtplanner.Planner](d.kernel, NamePlanner))
 	mtwire.RegisterInformServer(server, mtkernel.MustLookup[*mtadmin.Server](d.kernel, NameAdmin).Informer())
 	return server
--- a/io/mtdaemon/member.go
+++ b/io/mtdaemon/member.go
@@ -123,20 +123,20 @@
 
 func (d *Daemon) addRenew() error {
 	duty, cleanUp, err := mtrenew.New(mtrenew.Config{
-		Self:    d.config.Settings.Name,
-		Listen:  d.config.Settings.Renew,
-		Secrets: mtkernel.MustLookup[*credentialSet](d.kernel, NameKeys).secrets,
-		Clock:   mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
-		View:    liveView{mtkernel.MustLookup[*mtview.View](d.kernel, NameView)},
-		Heard:   d.listener(),
-		Log:     d.config.Log,
+		Self:       d.config.Settings.Name,
+		Listen:     d.config.Settings.Renew,
+		Secrets:    mtkernel.MustLookup[*credentialSet](d.kernel, NameKeys).secrets,
+		Clock:      mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
+		View:       liveView{mtkernel.MustLookup[*mtview.View](d.kernel, NameView)},
+		OnFrontier: d.listener(),
+		Log:        d.config.Log,
 	})
 	if err != nil {
 		return err
 	}
 	mtkernel.MustLookup[*mtsync.Sync](d.kernel, NameSync).OnChange(func(names []string) {
 		if slices.ContainsFunc(names, urgent) {
-			duty.Tell()
+			duty.NotifyPeers()
 		}
 	})
 	clock := mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock)
@@ -162,13 +162,13 @@
 		},
 		Store: mtkernel.MustLookup[mtstore.Store](d.kernel, NameStore),
 		View:  liveView{mtkernel.MustLookup[*mtview.View](d.kernel, NameView)},
-		Lease: mtkernel.MustLookup[*mtrenew.Duty](d.kernel, NameRenew),
+		Lease: mtkernel.MustLookup[*mtrenew.Renewer](d.kernel, NameRenew),
 		Clock: mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
 		Dial: func(address string) (grpc.ClientConnInterface, error) {
 			return relay.Conn(address)
 		},
 		Registered: func(h mtid.Holder) { d.config.Log.Info("registered", "holder", h.String()) },
-		Wrote:      d.wrote,
+		OnEntry:    d.wrote,
 		Log:        d.config.Log,
 	})
 	return mtkernel.Register(d.kernel, NameMember, member, cleanUp)
@@ -186,12 +186,12 @@
 // offersChanged is called when a backend server joins, leaves or changes. None
 // can before the listeners are open, which come last.
 func (d *Daemon) offersChanged() {
-	mtkernel.MustLookup[*mtmember.Member](d.kernel, NameMember).Offer(mtkernel.MustLookup[*mtserver.Pool](d.kernel, NameServers).Offers())
+	mtkernel.MustLookup[*mtmember.Member](d.kernel, NameMember).SetOffers(mtkernel.MustLookup[*mtserver.Pool](d.kernel, NameServers).Offers())
 }
 
 // enter makes the record say a state, and waits until it does or ctx is done.
 func (d *Daemon) enter(ctx context.Context, state mtroster.State) {
-	mtkernel.MustLookup[*mtmember.Member](d.kernel, NameMember).Enter(state)
+	mtkernel.MustLookup[*mtmember.Member](d.kernel, NameMember).SetState(state)
 	ticker := time.NewTicker(enterPoll)
 	defer ticker.Stop()
 	for {
--- a/io/mtdaemon/mtdaemon.go
+++ b/io/mtdaemon/mtdaemon.go
@@ -224,7 +224,7 @@
 func (d *Daemon) addOwner() error {
 	owner, cleanUp := mtowner.New(mtowner.Config{
 		View:    mtkernel.MustLookup[*mtview.View](d.kernel, NameView),
-		Lease:   mtkernel.MustLookup[*mtrenew.Duty](d.kernel, NameRenew),
+		Lease:   mtkernel.MustLookup[*mtrenew.Renewer](d.kernel, NameRenew),
 		Servers: mtkernel.MustLookup[*mtserver.Pool](d.kernel, NameServers),
 		Clock:   mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
 		Log:     d.config.Log,
--- a/io/mtmember/bench_test.go
+++ b/io/mtmember/bench_test.go
@@ -49,7 +49,7 @@
 // traffic returns the total messages and bytes of a fleet in both directions.
 func traffic(f *fleet) (messages, bytes int64) {
 	for _, n := range f.nodes {
-		c := n.duty.Counters()
+		c := n.renewer.Counters()
 		messages += c.SentMessages.Value() + c.ReceivedMessages.Value()
 		bytes += c.SentBytes.Value() + c.ReceivedBytes.Value()
 	}
--- a/io/mtmember/fleet_test.go
+++ b/io/mtmember/fleet_test.go
@@ -169,11 +169,11 @@
 
 // node is one daemon process of a fleet.
 type node struct {
-	name   mtid.Daemon
-	zone   mtid.Zone
-	duty   *mtrenew.Duty
-	member *mtmember.Member
-	stop   func()
+	name    mtid.Daemon
+	zone    mtid.Zone
+	renewer *mtrenew.Renewer
+	member  *mtmember.Member
+	stop    func()
 }
 
 type fleet struct {
@@ -223,14 +223,14 @@
 // start starts a process of a daemon at new addresses.
 func (f *fleet) start(n *node) {
 	f.t.Helper()
-	duty, stopDuty, err := mtrenew.New(mtrenew.Config{
+	renewer, stopRenewer, err := mtrenew.New(mtrenew.Config{
 		Self: n.name, Listen: "127.0.0.1:0", Secret: []byte("test"), Clock: f.clock, View: f.store,
 	})
 	assert.NilError(f.t, err)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(f.t, err)
 	server := grpc.NewServer()
-	duty.ServeOn(server)
+	renewer.ServeOn(server)
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
@@ -238,18 +238,18 @@
 	}()
 	member, stopMember := mtmember.New(mtmember.Config{
 		Profile: core.Profile{
-			Daemon: n.name, Zone: n.zone, Region: "riga", RelayAddress: listener.Addr().String(), RenewAddress: duty.Address(),
+			Daemon: n.name, Zone: n.zone, Region: "riga", RelayAddress: listener.Addr().String(), RenewAddress: renewer.Address(),
 		},
-		Store: f.store, View: f.store, Lease: duty, Clock: f.clock, Dial: f.dial,
+		Store: f.store, View: f.store, Lease: renewer, Clock: f.clock, Dial: f.dial,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
-	member.Offer([]mtroster.Offer{{Service: ref, Slots: 12}})
-	n.duty, n.member = duty, member
+	member.SetOffers([]mtroster.Offer{{Service: ref, Slots: 12}})
+	n.renewer, n.member = renewer, member
 	n.stop = sync.OnceFunc(func() {
 		server.Stop()
 		<-served
 		stopMember()
-		stopDuty()
+		stopRenewer()
 	})
 }
 
@@ -263,7 +263,7 @@
 	}, poll.WithTimeout(60*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
-func (f *fleet) serving(n *node) bool { return f.clock.Now().Before(n.duty.Until()) }
+func (f *fleet) serving(n *node) bool { return f.clock.Now().Before(n.renewer.Until()) }
 
 func (f *fleet) waitServing() {
 	f.t.Helper()
--- a/io/mtmember/mtmember.go
+++ b/io/mtmember/mtmember.go
@@ -6,8 +6,8 @@
 //
 //	member, cleanUp, err := mtmember.New(mtmember.Config{...})
 //	defer cleanUp()
-//	member.Offer(offers)
-//	member.Enter(mtroster.Leaving)
+//	member.SetOffers(offers)
+//	member.SetState(mtroster.Leaving)
 //	holder := member.Holder() // zero until registered
 //
 // All methods are safe for concurrent use.
@@ -44,7 +44,7 @@
 }
 
 // Lease renews this daemon's lease and answers as a witness. It is implemented by
-// *mtrenew.Duty.
+// *mtrenew.Renewer.
 type Lease interface {
 	Register(mtid.Holder, mtlease.Set)
 	Propose(mtlease.Set) bool
@@ -54,9 +54,9 @@
 	Settle(mtlease.Set)
 	Withdraw()
 	Close()
-	Vouch(since mtclock.Instant)
-	Vouched() mtclock.Instant
-	Wants() (mtlease.Defects, []mtid.Holder)
+	Confirm(since mtclock.Instant)
+	ConfirmedUntil() mtclock.Instant
+	Defects() (mtlease.Defects, []mtid.Holder)
 	Lapsed(mtid.Holder) bool
 	Revoke(mtwitness.Request) mtwitness.Reply
 }
@@ -80,13 +80,13 @@
 	Dial func(address string) (grpc.ClientConnInterface, error)
 	// Registered is called after each registration; it may be nil.
 	Registered func(mtid.Holder)
-	// Wrote is called with each value that the member wrote to or read from the
+	// OnEntry is called with each value that the member wrote to or read from the
 	// store, so that the live state is updated before a watch reports the value;
 	// it may be nil.
-	Wrote func(mtstore.Entry)
-	// Heat returns the total load of a holder's shards, in any unit: the lost
+	OnEntry func(mtstore.Entry)
+	// Load returns the total load of a holder's shards, in any unit: the lost
 	// daemon with the highest load is taken over first. It may be nil.
-	Heat func(mtid.Holder) float64
+	Load func(mtid.Holder) float64
 	Log  *slog.Logger
 }
 
@@ -175,18 +175,18 @@
 	return vars
 }
 
-// Offer sets the backend servers that the record lists. It does not wait: the
+// SetOffers sets the backend servers that the record lists. It does not wait: the
 // record is written in the background, and retried until the store accepts it.
-func (m *Member) Offer(offers []mtroster.Offer) {
+func (m *Member) SetOffers(offers []mtroster.Offer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.offers = offers
 }
 
-// Enter sets the state that the record publishes. With mtroster.Gone the lease is
+// SetState sets the state that the record publishes. With mtroster.Gone the lease is
 // closed permanently before the record is written, since that record proves to
 // other daemons that this incarnation no longer serves.
-func (m *Member) Enter(state mtroster.State) {
+func (m *Member) SetState(state mtroster.State) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.state = state
@@ -204,8 +204,8 @@
 
 // reportEntry passes a value from the store to the live state.
 func (m *Member) reportEntry(name string, version mtid.Version, value []byte) {
-	if m.config.Wrote != nil {
-		m.config.Wrote(mtstore.Entry{Name: name, Version: version, Value: value})
+	if m.config.OnEntry != nil {
+		m.config.OnEntry(mtstore.Entry{Name: name, Version: version, Value: value})
 	}
 }
 
--- a/io/mtmember/mtmember_test.go
+++ b/io/mtmember/mtmember_test.go
@@ -89,7 +89,7 @@
 	f.store.create(t, 16)
 	n := f.nodes[0]
 	f.store.set(func(s *fakeStore) { s.lostAnswers = 1 })
-	n.member.Offer([]mtroster.Offer{{Service: ref, Slots: 99}})
+	n.member.SetOffers([]mtroster.Offer{{Service: ref, Slots: 99}})
 	f.wait("the record to list the offer", func() bool {
 		r, _, _ := f.store.Record(n.name)
 		return r.Offers[0].Slots == 99
@@ -134,10 +134,10 @@
 	f := newFleet(t, 4)
 	f.waitServing()
 	n := f.nodes[0]
-	n.member.Enter(mtroster.Gone)
+	n.member.SetState(mtroster.Gone)
 	f.wait("the record to have the state Gone", func() bool {
 		r, _, _ := f.store.Record(n.name)
 		return r.State == mtroster.Gone
 	})
-	assert.Assert(t, n.duty.Until() == 0)
+	assert.Assert(t, n.renewer.Until() == 0)
 }
--- a/io/mtmember/registrar.go
+++ b/io/mtmember/registrar.go
@@ -215,9 +215,9 @@
 	}
 	if k.confirmed {
 		k.confirmed = false
-		k.config.Lease.Vouch(k.lastCall)
+		k.config.Lease.Confirm(k.lastCall)
 	}
-	if k.config.Lease.Vouched().Sub(k.config.Clock.Now()) < mtlease.ConfirmationTTL/2 && !k.machine.WritePending() {
+	if k.config.Lease.ConfirmedUntil().Sub(k.config.Clock.Now()) < mtlease.ConfirmationTTL/2 && !k.machine.WritePending() {
 		_, version := k.machine.Record()
 		k.machine.ObserveVersion(version + 1)
 	}
@@ -259,7 +259,7 @@
 	current, _ := k.machine.Record()
 	sameSet := slices.Equal(k.proposed.Witnesses, current.Witnesses)
 	late := now.Sub(k.proposedAt) > proposalTimeout
-	_, unpromised := k.config.Lease.Wants()
+	_, unpromised := k.config.Lease.Defects()
 	urgent := !k.config.Clock.Now().Before(k.config.Lease.Until())
 	switch {
 	case k.config.Lease.Ready() && (urgent || len(unpromised) == 0), sameSet && late:
@@ -283,7 +283,7 @@
 	current, version := k.machine.Record()
 	next := *current
 	next.Offers, next.State = offers, state
-	defects, _ := k.config.Lease.Wants()
+	defects, _ := k.config.Lease.Defects()
 	next.Witnesses = k.chooseWitnesses(now, current, defects)
 	changed := defects.Revoked || !slices.Equal(next.Offers, current.Offers) || next.State != current.State ||
 		!slices.Equal(next.Witnesses, current.Witnesses)
--- a/io/mtmember/watcher.go
+++ b/io/mtmember/watcher.go
@@ -144,8 +144,8 @@
 	s.next = now.Add(s.delay)
 	s.delay = min(2*s.delay, maxRetryDelay)
 	load := 0.0
-	if w.config.Heat != nil {
-		load = w.config.Heat(record.Holder)
+	if w.config.Load != nil {
+		load = w.config.Load(record.Holder)
 	}
 	w.queue.Push(record.Holder, load)
 }
--- a/io/mtrenew/exchange.go
+++ b/io/mtrenew/exchange.go
@@ -14,7 +14,7 @@
 
 // read passes authenticated datagrams to the goroutine of run until the socket is
 // closed.
-func (r *Duty) read() {
+func (r *Renewer) read() {
 	keyring := newKeyring(&r.config)
 	buffer := make([]byte, maxDatagramSize)
 	for {
@@ -41,7 +41,7 @@
 
 // run sends requests when they are due and handles received datagrams, until stop is
 // closed.
-func (r *Duty) run(stop <-chan struct{}) {
+func (r *Renewer) run(stop <-chan struct{}) {
 	timer := time.NewTimer(idleInterval)
 	defer timer.Stop()
 	for {
@@ -58,7 +58,7 @@
 }
 
 // tick sends the requests that are due and returns the time until the next one.
-func (r *Duty) tick() time.Duration {
+func (r *Renewer) tick() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.checkTimer()
@@ -85,10 +85,10 @@
 
 // checkTimer returns the current instant. If the renewal timer fired too late, the
 // lease has dropped its promises, and all requests are due.
-func (r *Duty) checkTimer() mtclock.Instant {
+func (r *Renewer) checkTimer() mtclock.Instant {
 	now := r.config.Clock.Now()
 	if r.lease != nil && r.due != 0 && r.lease.TimerFired(now, r.due) {
-		r.counters.LateWakes.Add(1)
+		r.counters.LateTimers.Add(1)
 		r.due = 0
 		r.publishPermit()
 	}
@@ -96,15 +96,15 @@
 }
 
 // handle processes one authenticated datagram.
-func (r *Duty) handle(in datagram) {
+func (r *Renewer) handle(in datagram) {
 	m := in.message
 	from := mtid.Holder{Daemon: mtid.Daemon(m.GetFrom()), Incarnation: mtid.Incarnation(m.GetFromIncarnation())}
 	if !r.acceptSequence(from, m.GetSequence()) {
 		r.counters.Refused.Add(1)
 		return
 	}
-	if r.config.Heard != nil {
-		r.config.Heard(from.Daemon, mtid.Revision(m.GetFrontier()))
+	if r.config.OnFrontier != nil {
+		r.config.OnFrontier(from.Daemon, mtid.Revision(m.GetFrontier()))
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -118,7 +118,7 @@
 }
 
 // acceptSequence reports whether a datagram passes the replay window of its sender.
-func (r *Duty) acceptSequence(from mtid.Holder, sequence uint64) bool {
+func (r *Renewer) acceptSequence(from mtid.Holder, sequence uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w, ok := r.windows[from.Daemon]
@@ -133,7 +133,7 @@
 // incarnation. Each incarnation numbers its requests from the start, so an answer to
 // the previous one could match a request of this one, and its promise would count
 // for the wrong incarnation.
-func (r *Duty) handleAnswer(now mtclock.Instant, from mtid.Holder, m *mtwire.Renew) {
+func (r *Renewer) handleAnswer(now mtclock.Instant, from mtid.Holder, m *mtwire.Renew) {
 	if m.GetAnswer() == 0 || r.lease == nil {
 		return
 	}
@@ -155,7 +155,7 @@
 // handleRequest answers a peer's request. If the promise is granted and the peer is
 // also a witness of this daemon, the answer is sent together with the next request to
 // the peer, which is sent now if it is due soon. Otherwise it is sent immediately.
-func (r *Duty) handleRequest(from mtid.Holder, m *mtwire.Renew, source netip.AddrPort) {
+func (r *Renewer) handleRequest(from mtid.Holder, m *mtwire.Renew, source netip.AddrPort) {
 	answer := r.witness.Renew(r.config.Clock.Steady(), from, mtlease.RenewRequest{
 		Sequence: m.GetSequence(),
 		Witness:  mtid.Holder{Daemon: r.config.Self, Incarnation: mtid.Incarnation(m.GetToIncarnation())},
@@ -175,7 +175,7 @@
 
 // untilNextRequest returns the time until the next request to w. It returns false if
 // w is not a witness or has not been sent a request.
-func (r *Duty) untilNextRequest(w mtid.Holder) (time.Duration, bool) {
+func (r *Renewer) untilNextRequest(w mtid.Holder) (time.Duration, bool) {
 	if r.lease == nil {
 		return 0, false
 	}
@@ -189,7 +189,7 @@
 }
 
 // sendRequest sends a request to witness w, together with the answer pending for it.
-func (r *Duty) sendRequest(w mtid.Holder) {
+func (r *Renewer) sendRequest(w mtid.Holder) {
 	record, _, ok := r.config.View.Record(w.Daemon)
 	now := r.config.Clock.Now()
 	r.lastRequest[w] = now
@@ -210,13 +210,13 @@
 	r.send(w, r.newMessage(w, &request, answer), to)
 }
 
-// Tell sends the frontier immediately to the peers whose last known frontier is
+// NotifyPeers sends the frontier immediately to the peers whose last known frontier is
 // older, instead of with the next renewal. It is called when a change affects
 // callers, such as new owners after a loss: as it propagates through the fleet, the
 // update would otherwise be delayed by half a period at each daemon. A
 // call within notifyInterval of the last round does nothing, since the renewals
 // carry the frontier. It returns how many peers were notified.
-func (r *Duty) Tell() int {
+func (r *Renewer) NotifyPeers() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.config.Clock.Now()
@@ -239,7 +239,7 @@
 }
 
 // newMessage returns the next message to a peer, with a new sequence number.
-func (r *Duty) newMessage(to mtid.Holder, request *mtlease.RenewRequest, answer *mtlease.Answer) *mtwire.Renew {
+func (r *Renewer) newMessage(to mtid.Holder, request *mtlease.RenewRequest, answer *mtlease.Answer) *mtwire.Renew {
 	r.sequence++
 	m := &mtwire.Renew{
 		From:          string(r.config.Self),
@@ -263,7 +263,7 @@
 
 // send writes one datagram. A request or answer that is lost is not sent again: the
 // next period has a new request.
-func (r *Duty) send(to mtid.Holder, m *mtwire.Renew, address netip.AddrPort) {
+func (r *Renewer) send(to mtid.Holder, m *mtwire.Renew, address netip.AddrPort) {
 	packet, err := r.keyring.seal(to.Daemon, m)
 	if err != nil {
 		r.config.Log.Error("renew: failed to encode datagram", "err", err)
--- a/io/mtrenew/mtrenew.go
+++ b/io/mtrenew/mtrenew.go
@@ -52,7 +52,7 @@
 	Frontier() mtid.Revision
 }
 
-// Config holds the address, secrets and dependencies of a Duty.
+// Config holds the address, secrets and dependencies of a Renewer.
 type Config struct {
 	Self   mtid.Daemon
 	Listen string // UDP address, host:port
@@ -63,10 +63,10 @@
 	Secrets func() [][]byte
 	Clock   Clock
 	View    View
-	// Heard is called with the frontier in each authenticated datagram. It must not
-	// block, since it runs in the goroutine that renews the lease. It may be nil.
-	Heard func(peer mtid.Daemon, frontier mtid.Revision)
-	Log   *slog.Logger
+	// OnFrontier is called with the frontier in each authenticated datagram. It must
+	// not block, since it runs in the goroutine that renews the lease. It may be nil.
+	OnFrontier func(peer mtid.Daemon, frontier mtid.Revision)
+	Log        *slog.Logger
 }
 
 // ListenError reports that the UDP address is invalid or cannot be listened on.
@@ -96,8 +96,8 @@
 )
 
 const (
-	// notifyInterval is the minimum time between two rounds of Tell: a series of
-	// changes must not double the traffic of lease renewal.
+	// notifyInterval is the minimum time between two rounds of NotifyPeers: a series
+	// of changes must not double the traffic of lease renewal.
 	notifyInterval = time.Second
 	// peerExpiry is how long an unresponsive peer is still notified.
 	peerExpiry = 5 * mtlease.Period
@@ -115,11 +115,11 @@
 	ReceivedMessages, ReceivedBytes expvar.Int
 	Refused                         expvar.Int // datagrams that failed authentication or were replayed
 	Dropped                         expvar.Int // datagrams that were received while the inbox was full
-	LateWakes                       expvar.Int
+	LateTimers                      expvar.Int
 }
 
-// Duty renews the lease of one daemon, and acts as a witness for others.
-type Duty struct {
+// Renewer renews the lease of one daemon, and acts as a witness for others.
+type Renewer struct {
 	config   Config
 	conn     *net.UDPConn
 	inbox    *mtring.Ring[datagram]
@@ -138,7 +138,7 @@
 	pending        map[mtid.Daemon]pendingAnswer
 	windows        map[mtid.Daemon]*window
 	peers          map[mtid.Holder]peer // senders of datagrams within peerExpiry
-	lastNotified   mtclock.Instant      // when Tell last sent a datagram
+	lastNotified   mtclock.Instant      // when NotifyPeers last sent a datagram
 }
 
 // peer holds the sender address, frontier and arrival of a peer's last datagram.
@@ -158,7 +158,7 @@
 // answers all requests with the refusal that this is not the requested incarnation.
 // The clean-up closes the socket and stops the goroutines. New fails with a
 // *ListenError.
-func New(config Config) (*Duty, func(), error) {
+func New(config Config) (*Renewer, func(), error) {
 	address, err := net.ResolveUDPAddr("udp", config.Listen)
 	if err != nil {
 		return nil, nil, &ListenError{Address: config.Listen, Err: err}
@@ -170,7 +170,7 @@
 	if config.Log == nil {
 		config.Log = slog.Default()
 	}
-	r := &Duty{
+	r := &Renewer{
 		config:      config,
 		conn:        conn,
 		inbox:       mtring.New[datagram](inboxSize),
@@ -195,13 +195,13 @@
 
 // Address returns the local UDP address, with the port that was allocated if the
 // configured one was 0.
-func (r *Duty) Address() string { return r.conn.LocalAddr().String() }
+func (r *Renewer) Address() string { return r.conn.LocalAddr().String() }
 
 // Counters returns the live counters.
-func (r *Duty) Counters() *Counters { return &r.counters }
+func (r *Renewer) Counters() *Counters { return &r.counters }
 
 // Vars returns the counters as an expvar map, to be published as metrics.
-func (r *Duty) Vars() *expvar.Map {
+func (r *Renewer) Vars() *expvar.Map {
 	vars := new(expvar.Map).Init()
 	vars.Set("sent_messages", &r.counters.SentMessages)
 	vars.Set("sent_bytes", &r.counters.SentBytes)
@@ -209,14 +209,14 @@
 	vars.Set("received_bytes", &r.counters.ReceivedBytes)
 	vars.Set("refused", &r.counters.Refused)
 	vars.Set("dropped", &r.counters.Dropped)
-	vars.Set("late_wakes", &r.counters.LateWakes)
+	vars.Set("late_wakes", &r.counters.LateTimers)
 	return vars
 }
 
 // Until returns the instant of Clock.Now until which this daemon may serve. It is
 // zero if the daemon may not serve. Until is called for each request, and does not
 // block.
-func (r *Duty) Until() mtclock.Instant {
+func (r *Renewer) Until() mtclock.Instant {
 	_, until := r.Permit()
 	return until
 }
@@ -224,7 +224,7 @@
 // Permit returns Until and the incarnation that it applies to. Both are read
 // atomically: a new incarnation must not serve under a promise made to the previous
 // one. Permit is called for each request, and does not block.
-func (r *Duty) Permit() (mtid.Holder, mtclock.Instant) {
+func (r *Renewer) Permit() (mtid.Holder, mtclock.Instant) {
 	p := r.permit.Load()
 	if p == nil {
 		return mtid.Holder{}, 0
@@ -240,7 +240,7 @@
 
 // Register starts a lease for a new incarnation, with the witnesses that its record
 // lists. It is called after each registration in the store.
-func (r *Duty) Register(holder mtid.Holder, set mtlease.Set) {
+func (r *Renewer) Register(holder mtid.Holder, set mtlease.Set) {
 	r.update(func() {
 		r.lease = mtlease.New(holder)
 		r.lease.Adopt(set)
@@ -249,16 +249,16 @@
 	})
 }
 
-// Vouch records that the store returned or accepted the record of this incarnation
+// Confirm records that the store returned or accepted the record of this incarnation
 // in a call that was sent at since, which confirms the incarnation at that time. A
 // witness without a valid lease of its own makes promises only for
 // mtlease.ConfirmationTTL after that.
-func (r *Duty) Vouch(since mtclock.Instant) {
+func (r *Renewer) Confirm(since mtclock.Instant) {
 	r.update(func() { r.confirmedUntil = max(r.confirmedUntil, since.Add(mtlease.ConfirmationTTL)) })
 }
 
-// Vouched returns until when this incarnation counts as confirmed.
-func (r *Duty) Vouched() mtclock.Instant {
+// ConfirmedUntil returns until when this incarnation counts as confirmed.
+func (r *Renewer) ConfirmedUntil() mtclock.Instant {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.confirmedUntil
@@ -266,26 +266,26 @@
 
 // Propose starts to send requests to the witnesses of a set that is not written yet.
 // It returns false while the outcome of an attempt is unknown.
-func (r *Duty) Propose(set mtlease.Set) (ok bool) {
+func (r *Renewer) Propose(set mtlease.Set) (ok bool) {
 	r.update(func() { ok = r.lease != nil && r.lease.Propose(set) })
 	return ok
 }
 
 // Ready reports whether a majority of the proposed set has promised.
-func (r *Duty) Ready() (ready bool) {
+func (r *Renewer) Ready() (ready bool) {
 	r.update(func() { ready = r.lease != nil && r.lease.Ready(r.config.Clock.Now()) })
 	return ready
 }
 
 // Attempt is called just before the proposed set is written to the store.
-func (r *Duty) Attempt() (ok bool) {
+func (r *Renewer) Attempt() (ok bool) {
 	r.update(func() { ok = r.lease != nil && r.lease.Attempt() })
 	return ok
 }
 
 // Settle is called once the outcome of the attempt is known. set is the one that the
 // record lists.
-func (r *Duty) Settle(set mtlease.Set) {
+func (r *Renewer) Settle(set mtlease.Set) {
 	r.update(func() {
 		if r.lease != nil {
 			r.lease.Settle(set)
@@ -294,7 +294,7 @@
 }
 
 // Withdraw drops a proposal whose write was not attempted or never takes effect.
-func (r *Duty) Withdraw() {
+func (r *Renewer) Withdraw() {
 	r.update(func() {
 		if r.lease != nil {
 			r.lease.Withdraw()
@@ -303,7 +303,7 @@
 }
 
 // Close permanently ends the lease of the current incarnation.
-func (r *Duty) Close() {
+func (r *Renewer) Close() {
 	r.update(func() {
 		if r.lease != nil {
 			r.lease.Close()
@@ -312,9 +312,9 @@
 	})
 }
 
-// Wants returns the defects of the current set, and the witnesses of the proposed set
-// without a valid promise.
-func (r *Duty) Wants() (defects mtlease.Defects, unpromised []mtid.Holder) {
+// Defects returns the defects of the current set, and the witnesses of the proposed
+// set without a valid promise.
+func (r *Renewer) Defects() (defects mtlease.Defects, unpromised []mtid.Holder) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.lease == nil {
@@ -326,28 +326,28 @@
 
 // Lapsed reports whether this daemon, as a witness, would agree to a takeover
 // of target now.
-func (r *Duty) Lapsed(target mtid.Holder) bool {
+func (r *Renewer) Lapsed(target mtid.Holder) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.config.Clock.Steady().Before(r.witness.Until(target))
 }
 
 // Revoke answers the revocation request of a claimant, which may be this daemon.
-func (r *Duty) Revoke(request mtwitness.Request) mtwitness.Reply {
+func (r *Renewer) Revoke(request mtwitness.Request) mtwitness.Reply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.witness.Revoke(r.config.Clock.Steady(), request)
 }
 
 // ServeOn registers the gRPC service through which other daemons call Revoke.
-func (r *Duty) ServeOn(server grpc.ServiceRegistrar) {
+func (r *Renewer) ServeOn(server grpc.ServiceRegistrar) {
 	mtwire.RegisterWitnessServer(server, &service{renewer: r})
 }
 
 // service exposes Revoke over gRPC.
 type service struct {
 	mtwire.UnimplementedWitnessServer
-	renewer *Duty
+	renewer *Renewer
 }
 
 // Revoke implements mtwire.WitnessServer.
@@ -362,7 +362,7 @@
 
 // update runs f under the lock, publishes the permit, and wakes up run to send the
 // requests that are then due.
-func (r *Duty) update(f func()) {
+func (r *Renewer) update(f func()) {
 	r.mu.Lock()
 	f()
 	r.publishPermit()
@@ -375,7 +375,7 @@
 
 // publishPermit makes the end of the lease visible to Permit. A valid lease also
 // confirms the incarnation.
-func (r *Duty) publishPermit() {
+func (r *Renewer) publishPermit() {
 	if r.lease == nil {
 		return
 	}
--- a/io/mtrenew/mtrenew_test.go
+++ b/io/mtrenew/mtrenew_test.go
@@ -42,7 +42,7 @@
 type fleet struct {
 	clock    *mttime.Clock
 	holders  []mtid.Holder
-	renewers []*mtrenew.Duty
+	renewers []*mtrenew.Renewer
 	cleanUps []func()
 	received []chan mtid.Revision
 	known    []*atomic.Uint64 // the frontier of each
@@ -59,7 +59,7 @@
 		known.Store(7)
 		renewer, cleanUp, err := mtrenew.New(mtrenew.Config{
 			Self: h.Daemon, Listen: "127.0.0.1:0", Secret: []byte("test"), Clock: f.clock, View: daemonView{v, known},
-			Heard: func(_ mtid.Daemon, frontier mtid.Revision) {
+			OnFrontier: func(_ mtid.Daemon, frontier mtid.Revision) {
 				select {
 				case received <- frontier:
 				default:
@@ -80,7 +80,7 @@
 	}
 	for i, d := range f.renewers {
 		d.Register(f.holders[i], mtlease.Set{Version: 1, Witnesses: f.set(i)})
-		d.Vouch(f.clock.Now())
+		d.Confirm(f.clock.Now())
 	}
 	return f
 }
@@ -126,14 +126,14 @@
 	for i := range f.renewers {
 		poll.WaitOn(t, f.serving(i))
 	}
-	assert.Equal(t, f.renewers[0].Tell(), 0, "no peer has an older frontier")
+	assert.Equal(t, f.renewers[0].NotifyPeers(), 0, "no peer has an older frontier")
 	f.known[0].Store(8)
 	// A daemon that may serve has received datagrams from at least two of its three
 	// peers.
-	got := f.renewers[0].Tell()
+	got := f.renewers[0].NotifyPeers()
 	assert.Assert(t, got >= 2, "notified %d peers, want at least 2", got)
 	f.known[0].Store(9)
-	assert.Equal(t, f.renewers[0].Tell(), 0, "within the minimum interval after the previous round")
+	assert.Equal(t, f.renewers[0].NotifyPeers(), 0, "within the minimum interval after the previous round")
 }
 
 // A daemon is cut off from two of its three witnesses. It must stop serving by
--- a/io/mtrenew/peer_test.go
+++ b/io/mtrenew/peer_test.go
@@ -21,7 +21,7 @@
 type fixture struct {
 	t       *testing.T
 	clock   *mttime.Clock
-	renewer *mtrenew.Duty
+	renewer *mtrenew.Renewer
 	socket  *net.UDPConn
 	sealer  mtrenew.Sealer
 	to      net.Addr
--- a/io/mtrollout/mtrollout.go
+++ b/io/mtrollout/mtrollout.go
@@ -12,8 +12,8 @@
 //
 // All calls are idempotent: a call that is repeated with the same arguments changes
 // nothing. Errors are those of mtbundle.Lifecycle, those of mtstore if nothing was
-// written, and *DoubtError if a write may have taken effect. All methods are safe for
-// concurrent use, also from several daemons.
+// written, and *OutcomeUnknownError if a write may have taken effect. All methods are
+// safe for concurrent use, also from several daemons.
 //
 // # Writes with an unknown outcome
 //
@@ -45,21 +45,21 @@
 // retryDelay is the delay before another attempt after the store did not respond.
 const retryDelay = 50 * time.Millisecond
 
-// DoubtError reports that a change may have been applied to the store, or may still
-// be. Repeating the call determines the outcome.
-type DoubtError struct {
+// OutcomeUnknownError reports that a change may have been applied to the store, or
+// may still be. Repeating the call determines the outcome.
+type OutcomeUnknownError struct {
 	Op       string
 	Business mtid.Business
 	Err      error
 }
 
 // Error implements error.
-func (e *DoubtError) Error() string {
+func (e *OutcomeUnknownError) Error() string {
 	return fmt.Sprintf("rollout: %s for %s may have taken effect; repeat the same request to find out: %v", e.Op, e.Business, e.Err)
 }
 
 // Unwrap returns the error of the last write whose outcome is unknown.
-func (e *DoubtError) Unwrap() error { return e.Err }
+func (e *OutcomeUnknownError) Unwrap() error { return e.Err }
 
 // RaceError reports that every attempt lost to a concurrent write of the same value.
 // Nothing was written.
@@ -73,14 +73,14 @@
 	return fmt.Sprintf("rollout: %s for %s lost %d rounds to other writers", e.Op, e.Business, maxRounds)
 }
 
-// PageError reports that a version of a bundle is not retained.
-type PageError struct {
+// NotRetainedError reports that a version of a bundle is not retained.
+type NotRetainedError struct {
 	Business mtid.Business
 	Version  mtid.Version
 }
 
 // Error implements error.
-func (e *PageError) Error() string {
+func (e *NotRetainedError) Error() string {
 	return fmt.Sprintf("rollout: version %d of %s is not kept; the last %d are", e.Version, e.Business, mtstore.RetainedBundles)
 }
 
@@ -106,9 +106,9 @@
 	drafts    mtstore.Entry
 }
 
-// Life returns the bundle in force and the open proposals of a business, and
+// Lifecycle returns the bundle in force and the open proposals of a business, and
 // the store's version of the proposals.
-func (r *Rollout) Life(ctx context.Context, business mtid.Business) (*mtbundle.Lifecycle, mtid.Version, error) {
+func (r *Rollout) Lifecycle(ctx context.Context, business mtid.Business) (*mtbundle.Lifecycle, mtid.Version, error) {
 	s, err := r.read(ctx, business)
 	if err != nil {
 		return nil, 0, err
@@ -274,7 +274,7 @@
 		}
 	}
 	if unknownErr != nil {
-		return &DoubtError{Op: op, Business: business, Err: unknownErr}
+		return &OutcomeUnknownError{Op: op, Business: business, Err: unknownErr}
 	}
 	return &RaceError{Op: op, Business: business}
 }
@@ -288,7 +288,7 @@
 }
 
 // Version returns the bundle in force or a previous version of it. It fails with a
-// *PageError if the version is not retained.
+// *NotRetainedError if the version is not retained.
 func (r *Rollout) Version(ctx context.Context, business mtid.Business, version mtid.Version) (*mtbundle.Stored, error) {
 	for _, name := range []string{mtstore.BundleName(business), mtstore.PastBundleName(business, version)} {
 		entry, err := r.get(ctx, name)
@@ -300,7 +300,7 @@
 			return stored, nil
 		}
 	}
-	return nil, &PageError{Business: business, Version: version}
+	return nil, &NotRetainedError{Business: business, Version: version}
 }
 
 // History returns up to limit retained versions that are older than before, newest
@@ -346,7 +346,7 @@
 		return nil, err
 	}
 	if stored.Version != version {
-		return nil, &PageError{Business: business, Version: version}
+		return nil, &NotRetainedError{Business: business, Version: version}
 	}
 	return stored, nil
 }
--- a/io/mtrollout/mtrollout_test.go
+++ b/io/mtrollout/mtrollout_test.go
@@ -161,10 +161,10 @@
 			draft := proposeAndSign(t, r, 1, "first")
 			store.prefix, store.faults = mtstore.BundlePrefix, test.faults
 			_, err := accept(t, r, draft)
-			var unknown *mtrollout.DoubtError
+			var unknown *mtrollout.OutcomeUnknownError
 			assert.Equal(t, errors.As(err, &unknown), test.unknown, "%v", err)
 			assert.Equal(t, err == nil, test.inForce, "%v", err)
-			lifecycle, _, err := r.Life(t.Context(), "ratins")
+			lifecycle, _, err := r.Lifecycle(t.Context(), "ratins")
 			assert.NilError(t, err)
 			assert.Equal(t, lifecycle.Version() == 1, test.inForce)
 			// Without further faults, the repeated request determines the outcome.
@@ -192,7 +192,7 @@
 	// The other operator retries until one of the two bundles is in force.
 	_, otherErr := accept(t, other, two)
 	err := <-done
-	lifecycle, _, readErr := r.Life(t.Context(), "ratins")
+	lifecycle, _, readErr := r.Lifecycle(t.Context(), "ratins")
 	assert.NilError(t, readErr)
 	for digest, got := range map[string]error{one.Digest().String(): err, two.Digest().String(): otherErr} {
 		if lifecycle.InForce.Digest().String() == digest {
@@ -235,7 +235,7 @@
 	}
 	_, err := r.Propose(t.Context(), now, "ratins", "ilze", text(1, "one"))
 	assert.NilError(t, err)
-	lifecycle, _, err := r.Life(t.Context(), "ratins")
+	lifecycle, _, err := r.Lifecycle(t.Context(), "ratins")
 	assert.NilError(t, err)
 	assert.Equal(t, len(lifecycle.Drafts), 2)
 }
@@ -257,7 +257,7 @@
 		wait.Go(func() { _, errs[i] = accept(t, open(store), draft) })
 	}
 	wait.Wait()
-	lifecycle, _, err := r.Life(t.Context(), "ratins")
+	lifecycle, _, err := r.Lifecycle(t.Context(), "ratins")
 	assert.NilError(t, err)
 	won := 0
 	for i, err := range errs {
@@ -322,6 +322,6 @@
 	assert.NilError(t, err)
 	assert.Equal(t, draft.Version, mtid.Version(versions+1))
 	_, err = r.Version(t.Context(), "ratins", 2)
-	var page *mtrollout.PageError
+	var page *mtrollout.NotRetainedError
 	assert.Assert(t, errors.As(err, &page), "%v", err)
 }
