--- a/io/mtadmin/bundle.go
+++ b/io/mtadmin/bundle.go
@@ -19,7 +19,7 @@
 // bundle serves the bundle in force. It reads the store, since an operator must
 // not base the next version on the possibly outdated view of a daemon.
 func (s *Server) bundle(c echo.Context, _ *mtoperator.Operator) error {
-	lifecycle, _, err := s.config.Rollout.Life(c.Request().Context(), businessOf(c))
+	lifecycle, _, err := s.config.Rollout.Lifecycle(c.Request().Context(), businessOf(c))
 	if err != nil {
 		return err
 	}
@@ -42,7 +42,7 @@
 func etag(v mtid.Version) string { return fmt.Sprintf("%q", strconv.FormatUint(uint64(v), 10)) }
 
 func (s *Server) drafts(c echo.Context, _ *mtoperator.Operator) error {
-	lifecycle, tag, err := s.config.Rollout.Life(c.Request().Context(), businessOf(c))
+	lifecycle, tag, err := s.config.Rollout.Lifecycle(c.Request().Context(), businessOf(c))
 	if err != nil {
 		return err
 	}
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	lifecycle, _, err := s.config.Rollout.Life(c.Request().Context(), businessOf(c))
+	lifecycle, _, err := s.config.Rollout.Lifecycle(c.Request().Context(), businessOf(c))
 	if err != nil {
 		return err
 	}
--- a/io/mtadmin/problem.go
+++ b/io/mtadmin/problem.go
@@ -163,9 +163,9 @@
 
 func storeProblem(err error) *Problem {
 	var (
-		unknown     *mtrollout.DoubtError
+		unknown     *mtrollout.OutcomeUnknownError
 		race        *mtrollout.RaceError
-		page        *mtrollout.PageError
+		page        *mtrollout.NotRetainedError
 		unavailable *mtstore.UnavailableError
 	)
 	switch {
--- a/io/mtdaemon/member.go
+++ b/io/mtdaemon/member.go
@@ -125,20 +125,20 @@
 
 func (d *Daemon) addRenew() error {
 	duty, cleanUp, err := mtrenew.New(mtrenew.Config{
-		Self:    d.config.Settings.Name,
-		Listen:  d.config.Settings.Renew,
-		Secrets: mtkernel.MustLookup[*credentialSet](d.kernel, NameKeys).datagramSecrets,
-		Clock:   mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
-		View:    snapshotView{mtkernel.MustLookup[*mtview.View](d.kernel, NameView)},
-		Heard:   d.frontierHint(),
-		Log:     d.config.Log,
+		Self:       d.config.Settings.Name,
+		Listen:     d.config.Settings.Renew,
+		Secrets:    mtkernel.MustLookup[*credentialSet](d.kernel, NameKeys).datagramSecrets,
+		Clock:      mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
+		View:       snapshotView{mtkernel.MustLookup[*mtview.View](d.kernel, NameView)},
+		OnFrontier: d.frontierHint(),
+		Log:        d.config.Log,
 	})
 	if err != nil {
 		return err
 	}
 	mtkernel.MustLookup[*mtsync.Sync](d.kernel, NameSync).OnChange(func(names []string) {
 		if slices.ContainsFunc(names, affectsRouting) {
-			duty.Tell()
+			duty.NotifyPeers()
 		}
 	})
 	clock := mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock)
@@ -165,13 +165,13 @@
 		},
 		Store: mtkernel.MustLookup[mtstore.Store](d.kernel, NameStore),
 		View:  snapshotView{mtkernel.MustLookup[*mtview.View](d.kernel, NameView)},
-		Lease: mtkernel.MustLookup[*mtrenew.Duty](d.kernel, NameRenew),
+		Lease: mtkernel.MustLookup[*mtrenew.Renewer](d.kernel, NameRenew),
 		Clock: mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
 		Dial: func(address string) (grpc.ClientConnInterface, error) {
 			return relay.Conn(address)
 		},
 		Registered: func(h mtid.Holder) { d.config.Log.Info("registered", "holder", h.String()) },
-		Wrote:      d.applyWrite,
+		OnEntry:    d.applyWrite,
 		Log:        d.config.Log,
 	})
 	return mtkernel.Register(d.kernel, NameMember, member, cleanUp)
@@ -191,13 +191,13 @@
 // left or changed. It needs NameMember, which is registered by then: servers can
 // announce themselves only once the listeners are open, and these start last.
 func (d *Daemon) publishOffers() {
-	mtkernel.MustLookup[*mtmember.Member](d.kernel, NameMember).Offer(mtkernel.MustLookup[*mtserver.Pool](d.kernel, NameServers).Offers())
+	mtkernel.MustLookup[*mtmember.Member](d.kernel, NameMember).SetOffers(mtkernel.MustLookup[*mtserver.Pool](d.kernel, NameServers).Offers())
 }
 
 // enterState sets the state of this daemon's record and waits until the live state
 // contains it or ctx is done.
 func (d *Daemon) enterState(ctx context.Context, state mtroster.State) {
-	mtkernel.MustLookup[*mtmember.Member](d.kernel, NameMember).Enter(state)
+	mtkernel.MustLookup[*mtmember.Member](d.kernel, NameMember).SetState(state)
 	ticker := time.NewTicker(recordPollInterval)
 	defer ticker.Stop()
 	for {
--- a/io/mtmember/fleet_test.go
+++ b/io/mtmember/fleet_test.go
@@ -32,16 +32,16 @@
 
 var ref = mtid.Ref{Business: "ratins", Service: "mapsvc"}
 
-// fakeStore is a platform store in memory that can be down or lose answers. It
-// is the live state of its fleet as well, as though spread without delay.
+// fakeStore is an in-memory platform store that can be down or lose responses. It
+// also serves as the live state of its fleet, propagated without delay.
 type fakeStore struct {
-	mu       sync.Mutex
-	entries  map[string]mtstore.Entry
-	revision mtid.Revision
-	down     bool
-	deaf     int // so many answers of writes are lost
-	writes   int
-	reads    int
+	mu          sync.Mutex
+	entries     map[string]mtstore.Entry
+	revision    mtid.Revision
+	down        bool
+	lostAnswers int // number of upcoming writes whose responses are lost
+	writes      int
+	reads       int
 
 	records []*mtroster.Record
 	tables  []*mtshard.Table
@@ -77,8 +77,8 @@
 	s.revision++
 	s.entries[name] = mtstore.Entry{Name: name, Value: value, Version: expected + 1, Revision: s.revision}
 	s.decode()
-	if s.deaf > 0 {
-		s.deaf--
+	if s.lostAnswers > 0 {
+		s.lostAnswers--
 		return 0, &mtstore.UnknownError{Op: "swap", Name: name}
 	}
 	return expected + 1, nil
@@ -152,7 +152,7 @@
 	f(s)
 }
 
-// create lays a table over all daemons that are registered.
+// create writes a table that distributes shards among all registered daemons.
 func (s *fakeStore) create(t testing.TB, shards int) {
 	t.Helper()
 	var among []mtid.Holder
@@ -169,11 +169,11 @@
 
 // node is one daemon process of a fleet.
 type node struct {
-	name   mtid.Daemon
-	zone   mtid.Zone
-	duty   *mtrenew.Duty
-	member *mtmember.Member
-	stop   func()
+	name    mtid.Daemon
+	zone    mtid.Zone
+	renewer *mtrenew.Renewer
+	member  *mtmember.Member
+	stop    func()
 }
 
 type fleet struct {
@@ -220,17 +220,17 @@
 	return c, err
 }
 
-// start begins a process of a daemon, at new addresses.
+// start starts a process of a daemon at new addresses.
 func (f *fleet) start(n *node) {
 	f.t.Helper()
-	duty, stopDuty, err := mtrenew.New(mtrenew.Config{
+	renewer, stopRenewer, err := mtrenew.New(mtrenew.Config{
 		Self: n.name, Listen: "127.0.0.1:0", Secret: []byte("test"), Clock: f.clock, View: f.store,
 	})
 	assert.NilError(f.t, err)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(f.t, err)
 	server := grpc.NewServer()
-	duty.ServeOn(server)
+	renewer.ServeOn(server)
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
@@ -238,18 +238,18 @@
 	}()
 	member, stopMember := mtmember.New(mtmember.Config{
 		Profile: core.Profile{
-			Daemon: n.name, Zone: n.zone, Region: "riga", RelayAddress: listener.Addr().String(), RenewAddress: duty.Address(),
+			Daemon: n.name, Zone: n.zone, Region: "riga", RelayAddress: listener.Addr().String(), RenewAddress: renewer.Address(),
 		},
-		Store: f.store, View: f.store, Lease: duty, Clock: f.clock, Dial: f.dial,
+		Store: f.store, View: f.store, Lease: renewer, Clock: f.clock, Dial: f.dial,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
-	member.Offer([]mtroster.Offer{{Service: ref, Slots: 12}})
-	n.duty, n.member = duty, member
+	member.SetOffers([]mtroster.Offer{{Service: ref, Slots: 12}})
+	n.renewer, n.member = renewer, member
 	n.stop = sync.OnceFunc(func() {
 		server.Stop()
 		<-served
 		stopMember()
-		stopDuty()
+		stopRenewer()
 	})
 }
 
@@ -259,25 +259,25 @@
 		if check() {
 			return poll.Success()
 		}
-		return poll.Continue("waiting: %s", what)
+		return poll.Continue("waiting for %s", what)
 	}, poll.WithTimeout(60*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
-func (f *fleet) serving(n *node) bool { return f.clock.Now().Before(n.duty.Until()) }
+func (f *fleet) serving(n *node) bool { return f.clock.Now().Before(n.renewer.Until()) }
 
 func (f *fleet) waitServing() {
 	f.t.Helper()
-	f.wait("all serve", func() bool {
+	f.wait("all daemons to serve", func() bool {
 		return !slices.ContainsFunc(f.nodes, func(n *node) bool { return !f.serving(n) })
 	})
 }
 
-// waitSettled waits until each daemon serves by a full set of witnesses, so
-// that the loss of one leaves it a majority.
+// waitSettled waits until each daemon serves with a full set of witnesses, so that
+// it keeps a majority if one is lost.
 func (f *fleet) waitSettled() {
 	f.t.Helper()
 	f.waitServing()
-	f.wait("all have a full set", func() bool {
+	f.wait("all daemons to have a full set of witnesses", func() bool {
 		return !slices.ContainsFunc(f.nodes, func(n *node) bool {
 			r, _, ok := f.store.Record(n.name)
 			return !ok || r.Holder != n.member.Holder() || len(r.Witnesses) < mtwitness.SetSize
