--- a/core/mtload/meter.go
+++ b/core/mtload/meter.go
@@ -133,7 +133,7 @@
 
 // ownedRates returns the rates of the shards for which owns returns true, and
 // their sum.
-func ownedRates(counts []mtsketch.Count[mtid.Point], owns func(low mtid.Point) bool) (map[mtid.Point]float64, float64) {
+func ownedRates(counts []mtsketch.Estimate[mtid.Point], owns func(low mtid.Point) bool) (map[mtid.Point]float64, float64) {
 	rates := make(map[mtid.Point]float64, len(counts))
 	sum := 0.0
 	for _, c := range counts {
--- a/core/mttakeover/model_test.go
+++ b/core/mttakeover/model_test.go
@@ -270,7 +270,7 @@
 		if p.table == nil {
 			continue
 		}
-		for _, s := range p.table.Owned(h) {
+		for _, s := range p.table.OwnedBy(h) {
 			m.events["serves a shard"]++
 			if other, ok := owners[s.Low]; ok {
 				m.fail("%v and %v may both serve the shard at %d", other, h, s.Low)
@@ -279,8 +279,8 @@
 		}
 	}
 	for _, a := range m.acked {
-		_, retained := m.table.table.Wrote(a.writeID)
-		if !retained && m.table.version < a.version+mtshard.KeptSteps {
+		_, retained := m.table.table.FindStep(a.writeID)
+		if !retained && m.table.version < a.version+mtshard.RetainedSteps {
 			m.fail("the acknowledged write %v was lost", a.writeID)
 		}
 	}
@@ -613,7 +613,7 @@
 			among = append(among, r.Holder)
 		}
 	}
-	next, err := mtshard.New(modelRef, 0, 1).Apply(stamp, mtshard.Create{Shards: 8, Among: among})
+	next, err := mtshard.New(modelRef, 0, 1).Apply(stamp, mtshard.Create{Shards: 8, Holders: among})
 	if err == nil {
 		m.writeTable(p, stamp, next)
 	}
@@ -626,7 +626,7 @@
 	case err == nil:
 		p.table = next
 		m.acked = append(m.acked, got)
-		m.acked = m.acked[max(0, len(m.acked)-mtshard.KeptSteps):]
+		m.acked = m.acked[max(0, len(m.acked)-mtshard.RetainedSteps):]
 		m.events["failed over"]++
 	case errors.As(err, &conflict):
 		m.adoptTable(p, got.table)
--- a/core/mtview/mtview_test.go
+++ b/core/mtview/mtview_test.go
@@ -80,7 +80,7 @@
 		views := []*mtview.View{mtview.New(), mtview.New(), mtview.New()}
 		versions := make([]mtid.Version, len(views))
 		holders := []mtid.Holder{{Daemon: "a", Incarnation: 1}, {Daemon: "b", Incarnation: 1}}
-		store.change(mtshard.Create{Shards: 3, Among: holders})
+		store.change(mtshard.Create{Shards: 3, Holders: holders})
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
@@ -122,7 +122,7 @@
 func TestTruncatedDeltaRequiresFullDelta(t *testing.T) {
 	store := newFakeStore()
 	upstream, follower := mtview.New(), mtview.New()
-	store.change(mtshard.Create{Shards: 1, Among: []mtid.Holder{{Daemon: "a", Incarnation: 1}}})
+	store.change(mtshard.Create{Shards: 1, Holders: []mtid.Holder{{Daemon: "a", Incarnation: 1}}})
 	store.record("a")
 	_, err := upstream.Merge(store.since(0))
 	assert.NilError(t, err)
@@ -195,7 +195,7 @@
 	store := newFakeStore()
 	a := mtid.Holder{Daemon: "a", Incarnation: 1}
 	b := mtid.Holder{Daemon: "b", Incarnation: 1}
-	store.change(mtshard.Create{Shards: 1, Among: []mtid.Holder{a}})
+	store.change(mtshard.Create{Shards: 1, Holders: []mtid.Holder{a}})
 	v := mtview.New()
 	_, err := v.Merge(store.since(0))
 	assert.NilError(t, err)
--- a/io/mtpoison/mtpoison.go
+++ b/io/mtpoison/mtpoison.go
@@ -1,23 +1,23 @@
-// Package mtpoison keeps requests that crash backend servers from crashing more
-// of them. It feeds the table of core/mtpoison with what happens at this daemon,
-// both as the ingress and as the owner, and exchanges evidence with the others.
+// Package mtpoison prevents requests that crash backend servers from crashing more of
+// them. It records the requests in flight at this daemon, both as the ingress and as
+// the owner, in the table of core/mtpoison, and exchanges evidence with other daemons.
 //
-// New evidence reaches the daemons of its service before the caller is answered
-// that lost its request. So a caller that sends it again, through whichever
-// daemon, meets one that has been told. What doesn't arrive then comes later:
-// every daemon sends what it knows to a random other one now and then.
+// New evidence is sent to the daemons of the service before the caller whose request
+// was lost gets its answer. So if the caller sends the request again, through any
+// daemon, that daemon already has the evidence. In case a message is lost, every
+// daemon also gossips: it periodically sends its evidence to a random peer.
 //
 // # Usage
 //
-//	watch, cleanUp := mtpoison.New(config)
-//	watch.Register(grpcServer)
-//	verdict := watch.Judge(request)          // ingress and owner
-//	end := watch.Start(request, address)     // owner, around the run
+//	detector, cleanUp := mtpoison.New(config)
+//	detector.Register(grpcServer)
+//	verdict := detector.Judge(request)              // ingress and owner
+//	end := detector.TrackRun(request, address)      // owner, before the request runs
 //	defer func() { end(err) }()
-//	relayed := watch.Relay(request, holder)  // ingress, around the relay
+//	relayed := detector.TrackRelay(request, holder) // ingress, before the request is relayed
 //	defer func() { relayed.End(err, answered) }()
 //
-// A Watch is safe for concurrent use.
+// A Detector is safe for concurrent use.
 package mtpoison
 
 import (
@@ -43,201 +43,210 @@
 
 type clock interface{ Now() mtclock.Instant }
 
-// conns returns the pooled connection to a daemon.
+// conns returns the pooled connection to another daemon.
 type conns interface {
 	Conn(address string) (*grpc.ClientConn, error)
 }
 
-// Config is what a Watch works with.
+// Config holds the dependencies of a Detector.
 type Config struct {
+	// Self returns the current incarnation of this daemon.
 	Self  func() mtid.Holder
 	View  *mtview.View
 	Conns conns
 	Clock clock
 	Log   *slog.Logger
-	// Count adds one to a counter.
+	// Count increments the named counter.
 	Count func(name string)
 }
 
 const (
-	// lookEvery is how often the roster is looked through for lost daemons.
-	lookEvery = 100 * time.Millisecond
-	// gossipEvery is how often evidence is sent to a random daemon.
-	gossipEvery = 10 * time.Second
-	// tellTimeout bounds how long a caller's answer waits for the evidence to
-	// reach the daemons of the service.
-	tellTimeout = 200 * time.Millisecond
-	// dialTimeout is how long a server that may be lost has to take a
-	// connection. It is on this VM.
+	// rosterInterval is the interval at which the roster is checked for lost daemons.
+	rosterInterval = 100 * time.Millisecond
+	// gossipInterval is the interval at which evidence is sent to a random peer.
+	gossipInterval = 10 * time.Second
+	// sendTimeout bounds how long the answer to a caller is delayed until the evidence
+	// has reached the daemons of the service.
+	sendTimeout = 200 * time.Millisecond
+	// dialTimeout is the timeout of the probe for a crashed server. It is short
+	// because the server is on the same VM.
 	dialTimeout = 100 * time.Millisecond
-	// digestPrints bounds a digest: 8 bytes each, within 2 KB.
-	digestPrints = 200
+	// digestLimit is the maximum number of fingerprints in a digest. At 8 bytes each,
+	// the digest stays below 2 KB.
+	digestLimit = 200
 )
 
-// Watch is the duty. See the package comment.
-type Watch struct {
+// Detector detects requests that crash backend servers. See the package comment.
+type Detector struct {
 	Config
-	mu      sync.Mutex // guards table, next, refused
-	table   *mtpoison.Table[mtpoison.Narrow]
-	next    mtpoison.FlightID
-	refused refusals
-	lost    losses
-	// attendant is the peer that attends requests which came straight here.
-	attendant attendant
+	mu       sync.Mutex // guards table, next, refusals
+	table    *mtpoison.Table[mtpoison.Narrow]
+	next     mtpoison.FlightID
+	refusals refusals
+	losses   losses
+	// observer is the stream to the peer that records requests that arrived here
+	// without an ingress on another daemon.
+	observer observerStream
 }
 
-// New starts the duty that looks for lost daemons and gossips, and returns the
-// Watch with its clean-up function.
-func New(config Config) (*Watch, func()) {
-	w := &Watch{
-		Config:  config,
-		table:   mtpoison.New(mtpoison.Narrow{}, mtid.Holder{}, mtpoison.Limits{}),
-		refused: make(refusals),
-		lost:    newLosses(),
+// New starts to check for lost daemons and to gossip, and returns the Detector with a
+// function that stops this.
+func New(config Config) (*Detector, func()) {
+	d := &Detector{
+		Config:   config,
+		table:    mtpoison.New(mtpoison.Narrow{}, mtid.Holder{}, mtpoison.Limits{}),
+		refusals: make(refusals),
+		losses:   newLosses(),
 	}
-	stop, cancel := context.WithCancel(context.Background())
-	var duty sync.WaitGroup
-	duty.Go(func() { w.run(stop) })
-	return w, func() {
+	ctx, cancel := context.WithCancel(context.Background())
+	var loop sync.WaitGroup
+	loop.Go(func() { d.run(ctx) })
+	return d, func() {
 		cancel()
-		w.attendant.close()
-		duty.Wait()
+		d.observer.close()
+		loop.Wait()
 	}
 }
 
-// run looks and gossips until stop is done.
-func (w *Watch) run(stop context.Context) {
-	look := time.NewTicker(lookEvery)
-	defer look.Stop()
-	gossip := time.NewTicker(gossipEvery)
+// run checks the roster and gossips until ctx is done.
+func (d *Detector) run(ctx context.Context) {
+	roster := time.NewTicker(rosterInterval)
+	defer roster.Stop()
+	gossip := time.NewTicker(gossipInterval)
 	defer gossip.Stop()
 	var last *mtview.Snapshot
 	for {
 		select {
-		case <-stop.Done():
+		case <-ctx.Done():
 			return
-		case <-look.C:
-			if now := w.View.Snapshot(); now != last {
-				w.look(now.Roster())
+		case <-roster.C:
+			if now := d.View.Snapshot(); now != last {
+				d.checkRoster(now.Roster())
 				last = now
 			}
 		case <-gossip.C:
-			w.gossip()
+			d.gossip()
 		}
 	}
 }
 
-// look finds the lives that have ended since the last look.
-func (w *Watch) look(roster []*mtroster.Record) {
-	for _, holder := range w.lost.look(w.Clock.Now(), roster) {
-		w.holderLost(holder)
+// checkRoster records the incarnations of daemons that have ended since the last call.
+func (d *Detector) checkRoster(roster []*mtroster.Record) {
+	for _, holder := range d.losses.detect(d.Clock.Now(), roster) {
+		d.holderLost(holder)
 	}
 }
 
-func (w *Watch) holderLost(holder mtid.Holder) {
-	w.mu.Lock()
-	before := w.table.Counts().Quarantined
-	w.table.HolderLost(w.Clock.Now(), holder)
-	quarantined := w.table.Counts().Quarantined > before
-	w.mu.Unlock()
+// holderLost records the loss of a daemon's incarnation. If this confirms a
+// quarantine, it is sent to all peers.
+func (d *Detector) holderLost(holder mtid.Holder) {
+	d.mu.Lock()
+	before := d.table.Counts().Quarantined
+	d.table.HolderLost(d.Clock.Now(), holder)
+	quarantined := d.table.Counts().Quarantined > before
+	d.mu.Unlock()
 	if quarantined {
-		w.Count("quarantined")
-		w.Log.Error("a request is quarantined: it ran alone when its owner was lost", "holder", holder.String())
-		w.tell(w.peers(func(*mtroster.Record) bool { return true }))
+		d.Count("quarantined")
+		d.Log.Error("request quarantined: it ran alone when its owner was lost", "holder", holder.String())
+		d.sendEvidence(d.peerAddresses(func(*mtroster.Record) bool { return true }))
 	}
 }
 
-// Judge says what is known of a request. It is called at the ingress and at the
-// owner.
-func (w *Watch) Judge(r *mtrequest.Request) mtpoison.Verdict {
+// Judge returns the verdict on a request. It is called at the ingress and again at the
+// owner. If the key was recently taken over from a lost daemon, it first queries the
+// peers, for at most queryTimeout.
+func (d *Detector) Judge(r *mtrequest.Request) mtpoison.Verdict {
 	if r.RecentTakeover {
-		w.settle()
+		d.awaitEvidence()
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, holder := range w.table.PendingHolders() {
-		if !w.live(holder) {
-			w.table.HolderLost(w.Clock.Now(), holder)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, holder := range d.table.PendingHolders() {
+		if !d.isLive(holder) {
+			d.table.HolderLost(d.Clock.Now(), holder)
 		}
 	}
-	verdict := w.table.Judge(w.Clock.Now(), mtpoison.Fingerprint(r.Fingerprint()), r.Suspect)
+	verdict := d.table.Judge(d.Clock.Now(), mtpoison.Fingerprint(r.Fingerprint()), r.Suspect)
 	if verdict == mtpoison.Quarantined {
-		w.refused.note(w.Clock.Now(), r.Service, mtpoison.Fingerprint(r.Fingerprint()))
+		d.refusals.add(d.Clock.Now(), r.Service, mtpoison.Fingerprint(r.Fingerprint()))
 	}
 	return verdict
 }
 
-// live reports whether a holder may own anything.
-func (w *Watch) live(holder mtid.Holder) bool {
-	record, _, ok := w.View.Snapshot().Record(holder.Daemon)
+// isLive reports whether a holder is in the roster and may hold a lease.
+func (d *Detector) isLive(holder mtid.Holder) bool {
+	record, _, ok := d.View.Snapshot().Record(holder.Daemon)
 	return ok && record.Holder == holder && record.MayHoldLease()
 }
 
-// Start says that a request is sent to the backend server at that address. The
-// function that it returns is called with the request's end, before its caller
-// is answered.
+// TrackRun records that a request is sent to the backend server at that address. The
+// caller must call the returned function with the result before it answers the
+// request.
 //
-// A request that came straight to its owner has no other daemon that would know
-// of it if the whole VM were lost. A peer attends it if it is a suspect or
-// exposed.
-func (w *Watch) Start(r *mtrequest.Request, address string) func(error) {
+// If a request arrived at its owner directly, no other daemon would have evidence of
+// it if the whole VM were lost. If it is a suspect or its key was recently taken
+// over, it is therefore reported to an observer first.
+func (d *Detector) TrackRun(r *mtrequest.Request, address string) func(error) {
 	ended := func(error) {}
-	if r.Ingress == w.Self() && (r.RecentTakeover || r.Suspect) {
-		ended = w.attend(r)
+	if r.Ingress == d.Self() && (r.RecentTakeover || r.Suspect) {
+		ended = d.observe(r)
 	}
-	n := w.started(r)
+	id := d.started(r)
 	return func(err error) {
 		ended(err)
-		w.ended(n, r.Service, address, err)
+		d.ended(id, r.Service, address, err)
 	}
 }
 
-func (w *Watch) started(r *mtrequest.Request) mtpoison.FlightID {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	n := w.number()
-	w.table.Started(n, mtpoison.Fingerprint(r.Fingerprint()), r.Suspect)
+// started records that the request is sent, and notifies the ingress if it is a
+// suspect.
+func (d *Detector) started(r *mtrequest.Request) mtpoison.FlightID {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	id := d.nextID()
+	d.table.Started(id, mtpoison.Fingerprint(r.Fingerprint()), r.Suspect)
 	if r.Suspect && r.OnBegun != nil {
 		r.OnBegun()
 	}
-	return n
+	return id
 }
 
-func (w *Watch) number() mtpoison.FlightID {
-	w.next++
-	return w.next
+// nextID returns a new identifier of a request in flight. The caller must hold mu.
+func (d *Detector) nextID() mtpoison.FlightID {
+	d.next++
+	return d.next
 }
 
-// ended takes in the end of a run. A connection that broke may mean that the
-// server has crashed; a server that takes no connection has.
-func (w *Watch) ended(n mtpoison.FlightID, service mtid.Ref, address string, err error) {
-	w.mu.Lock()
-	open := w.table.Ended(w.Clock.Now(), n, endOf(err))
-	w.mu.Unlock()
-	if !open || alive(address) {
+// ended records how a run ended. If its connection broke, the server may have crashed.
+// It counts as crashed if it does not accept a new connection either.
+func (d *Detector) ended(id mtpoison.FlightID, service mtid.Ref, address string, err error) {
+	d.mu.Lock()
+	crashPossible := d.table.Ended(d.Clock.Now(), id, classifyResult(err))
+	d.mu.Unlock()
+	if !crashPossible || acceptsConnection(address) {
 		return
 	}
-	w.mu.Lock()
-	if !w.table.Unattributed(n) {
-		w.mu.Unlock()
+	d.mu.Lock()
+	if !d.table.Unattributed(id) {
+		d.mu.Unlock()
 		return
 	}
-	w.table.SetSelf(w.Self())
-	before := w.table.Counts().Quarantined
-	w.table.ServerLost(w.Clock.Now())
-	quarantined := w.table.Counts().Quarantined > before
-	w.mu.Unlock()
-	w.Count("crashes")
-	w.Log.Error("backend server crashed", "service", service.String(), "address", address)
+	d.table.SetSelf(d.Self())
+	before := d.table.Counts().Quarantined
+	d.table.ServerLost(d.Clock.Now())
+	quarantined := d.table.Counts().Quarantined > before
+	d.mu.Unlock()
+	d.Count("crashes")
+	d.Log.Error("backend server crashed", "service", service.String(), "address", address)
 	if quarantined {
-		w.Count("quarantined")
-		w.Log.Error("a request is quarantined: it ran alone when its server crashed", "service", service.String())
+		d.Count("quarantined")
+		d.Log.Error("request quarantined: it ran alone when its server crashed", "service", service.String())
 	}
-	w.tell(w.serving(service))
+	d.sendEvidence(d.serviceAddresses(service))
 }
 
-// alive reports whether a backend server takes connections.
-func alive(address string) bool {
+// acceptsConnection reports whether a backend server accepts a connection.
+func acceptsConnection(address string) bool {
 	conn, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
 		return false
@@ -246,8 +255,8 @@
 	return true
 }
 
-// endOf returns what a run's error says of its server.
-func endOf(err error) mtpoison.RunResult {
+// classifyResult classifies the error of a run or of a relay.
+func classifyResult(err error) mtpoison.RunResult {
 	if err == nil {
 		return mtpoison.Answered
 	}
@@ -262,138 +271,144 @@
 	return mtpoison.Abandoned
 }
 
-// Relayed is a request on its way through another daemon.
-type Relayed struct {
-	watch   *Watch
-	number  mtpoison.FlightID
-	service mtid.Ref
+// RelayTracker tracks a request that was relayed to another daemon.
+type RelayTracker struct {
+	detector *Detector
+	id       mtpoison.FlightID
+	service  mtid.Ref
 }
 
-// Relay says that a request is sent to another daemon.
-func (w *Watch) Relay(r *mtrequest.Request, to mtid.Holder) *Relayed {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	n := w.number()
-	w.table.Relayed(n, to, mtpoison.Fingerprint(r.Fingerprint()))
-	return &Relayed{watch: w, number: n, service: r.Service}
+// TrackRelay records that a request is sent to the daemon of its owner.
+func (d *Detector) TrackRelay(r *mtrequest.Request, to mtid.Holder) *RelayTracker {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	id := d.nextID()
+	d.table.Relayed(id, to, mtpoison.Fingerprint(r.Fingerprint()))
+	return &RelayTracker{detector: d, id: id, service: r.Service}
 }
 
-// Begun says that the owner's daemon has begun to run the request, alone.
-func (r *Relayed) Begun() {
-	r.watch.mu.Lock()
-	defer r.watch.mu.Unlock()
-	r.watch.table.StartedAlone(r.number)
+// StartedAlone records that the owner has started to run the request alone.
+func (r *RelayTracker) StartedAlone() {
+	r.detector.mu.Lock()
+	defer r.detector.mu.Unlock()
+	r.detector.table.StartedAlone(r.id)
 }
 
-// End says how the relay has ended. err is nil if the owner's daemon has
-// replied; answered says that the reply is the backend server's. It is called
-// before the caller is answered.
-func (r *Relayed) End(err error, answered bool) {
-	w := r.watch
-	now := w.Clock.Now()
-	w.mu.Lock()
+// End records how the relay ended. err is nil if the owner's daemon replied, and
+// answered is set if the reply is the backend server's answer. End must be called
+// before the caller gets its answer. If the connection broke, End returns after
+// evidence has been sent to the daemons of the service or sendTimeout has passed.
+func (r *RelayTracker) End(err error, answered bool) {
+	d := r.detector
+	now := d.Clock.Now()
+	d.mu.Lock()
 	lost := false
-	switch endOf(err) {
+	switch classifyResult(err) {
 	case mtpoison.Answered:
-		w.table.Returned(now, r.number, answered)
+		d.table.Returned(now, r.id, answered)
 	case mtpoison.NotRun:
-		w.table.Returned(now, r.number, false)
+		d.table.Returned(now, r.id, false)
 	case mtpoison.Broken:
-		w.table.RelayLost(now, r.number)
+		d.table.RelayLost(now, r.id)
 		lost = true
 	default:
-		w.table.GivenUp(now, r.number)
+		d.table.GivenUp(now, r.id)
 	}
-	w.mu.Unlock()
+	d.mu.Unlock()
 	if lost {
-		w.Count("relays.lost")
-		w.tell(w.serving(r.service))
+		d.Count("relays.lost")
+		d.sendEvidence(d.serviceAddresses(r.service))
 	}
 }
 
-// serving returns the other daemons that offer a service.
-func (w *Watch) serving(service mtid.Ref) []string {
-	return w.peers(func(record *mtroster.Record) bool {
+// serviceAddresses returns the relay addresses of the live peers that offer a service.
+func (d *Detector) serviceAddresses(service mtid.Ref) []string {
+	return d.peerAddresses(func(record *mtroster.Record) bool {
 		_, ok := record.Offer(service)
 		return ok
 	})
 }
 
-// peers returns the addresses of the other live daemons that want is true for.
-func (w *Watch) peers(want func(*mtroster.Record) bool) []string {
-	self := w.Self()
+// peerAddresses returns the relay addresses of the other live daemons for which
+// include is true.
+func (d *Detector) peerAddresses(include func(*mtroster.Record) bool) []string {
+	self := d.Self()
 	var out []string
-	for _, record := range w.View.Snapshot().Roster() {
-		if record.MayHoldLease() && record.Holder != self && want(record) {
+	for _, record := range d.View.Snapshot().Roster() {
+		if record.MayHoldLease() && record.Holder != self && include(record) {
 			out = append(out, record.RelayAddress)
 		}
 	}
 	return out
 }
 
-// tell sends what is known to daemons, and returns once they have taken it in
-// or tellTimeout is over.
-func (w *Watch) tell(addresses []string) {
-	w.mu.Lock()
-	now := w.Clock.Now()
-	evidence := mtpoison.Wire(now, w.table.Digest(now, digestPrints))
-	w.mu.Unlock()
+// sendEvidence sends a digest of the evidence to daemons, and returns when all have
+// received it or sendTimeout has passed.
+func (d *Detector) sendEvidence(addresses []string) {
+	d.mu.Lock()
+	now := d.Clock.Now()
+	evidence := mtpoison.Wire(now, d.table.Digest(now, digestLimit))
+	d.mu.Unlock()
 	if len(evidence.GetCrashes())+len(evidence.GetQuarantines()) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
 	var sends sync.WaitGroup
 	for _, address := range addresses {
-		sends.Go(func() { w.send(ctx, address, evidence) })
+		sends.Go(func() { d.sendEvidenceTo(ctx, address, evidence) })
 	}
 	sends.Wait()
 }
 
-func (w *Watch) send(ctx context.Context, address string, evidence *mtwire.Evidence) {
-	conn, err := w.Conns.Conn(address)
+// sendEvidenceTo sends evidence to one daemon.
+func (d *Detector) sendEvidenceTo(ctx context.Context, address string, evidence *mtwire.Evidence) {
+	conn, err := d.Conns.Conn(address)
 	if err == nil {
 		_, err = mtwire.NewSuspicionClient(conn).Tell(ctx, evidence)
 	}
 	if err != nil {
-		// It will be gossiped; a daemon that is lost needn't know.
-		w.Count("tell.failed")
-		w.Log.Debug("evidence did not arrive", "address", address, "error", err)
+		// Gossip repeats it; a daemon that was lost does not need it.
+		d.Count("tell.failed")
+		d.Log.Debug("cannot send evidence", "address", address, "error", err)
 	}
 }
 
-// gossip forgets what has aged and sends the rest to a random daemon.
-func (w *Watch) gossip() {
-	w.mu.Lock()
-	w.table.Expire(w.Clock.Now())
-	w.mu.Unlock()
-	peers := w.peers(func(*mtroster.Record) bool { return true })
+// gossip removes expired evidence and sends the rest to a random peer.
+func (d *Detector) gossip() {
+	d.mu.Lock()
+	d.table.Expire(d.Clock.Now())
+	d.mu.Unlock()
+	peers := d.peerAddresses(func(*mtroster.Record) bool { return true })
 	if len(peers) > 0 {
-		w.tell([]string{peers[rand.IntN(len(peers))]})
+		d.sendEvidence([]string{peers[rand.IntN(len(peers))]})
 	}
 }
 
+// server implements mtwire.SuspicionServer.
 type server struct {
 	mtwire.UnimplementedSuspicionServer
-	w *Watch
+	d *Detector
 }
 
-// Register adds the daemons' side to a gRPC server.
-func (w *Watch) Register(r grpc.ServiceRegistrar) {
-	mtwire.RegisterSuspicionServer(r, server{w: w})
+// Register registers the handlers of evidence and queries from other daemons with a
+// gRPC server.
+func (d *Detector) Register(r grpc.ServiceRegistrar) {
+	mtwire.RegisterSuspicionServer(r, server{d: d})
 }
 
-// Tell implements mtwire.SuspicionServer.
+// Tell implements mtwire.SuspicionServer. It merges evidence that another daemon
+// sends.
 func (s server) Tell(_ context.Context, evidence *mtwire.Evidence) (*mtwire.Told, error) {
-	if err := s.w.merge(evidence); err != nil {
+	if err := s.d.merge(evidence); err != nil {
 		return nil, err
 	}
 	return &mtwire.Told{}, nil
 }
 
-// Counts returns the sizes of what is known, for metrics.
-func (w *Watch) Counts() mtpoison.Counts {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.table.Counts()
+// Counts returns the numbers of entries in the evidence table, for metrics.
+func (d *Detector) Counts() mtpoison.Counts {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.table.Counts()
 }
