--- a/core/mtaudit/mtaudit.go
+++ b/core/mtaudit/mtaudit.go
@@ -1,21 +1,21 @@
-// Package mtaudit judges a run of the system from outside: it joins what the
-// backend servers wrote down with what the callers were told, and finds every
-// place where the two can't both be right.
+// Package mtaudit checks a test run of the system from outside: it joins the
+// journals of the backend servers with the records of the callers and reports
+// every contradiction between the two.
 //
-// Nothing of the system itself is consulted. A finding is a broken promise:
-// two servers that ran one key at once, a non-idempotent request that ran
-// twice, one that ran though its caller was told that it did not, an answer
-// that is not the whole reply of the server to this very request. Beside the
-// findings, a report counts outcomes, and says for how long a key was not
-// available in each phase of the run.
+// No state of the system itself is used. A finding is a violated guarantee:
+// two servers ran requests for one key at the same time, a non-idempotent
+// request ran twice, a request ran although its caller received "not run", or
+// an answer is not the server's complete reply to this request. In addition, a
+// report counts outcomes and gives the outages of keys in each phase of the
+// run.
 //
 // # Usage
 //
 //	report := mtaudit.Audit(mtaudit.Input{Events: events, Calls: calls, Marks: marks})
 //	if len(report.Findings) > 0 { ... }
 //
-// The records of all servers and callers must stem from one clock: they run on
-// one machine. All functions are pure and safe for concurrent use.
+// The timestamps of all servers and callers must come from one clock, so all of
+// them must run on one machine. All functions are pure and safe for concurrent use.
 package mtaudit
 
 import (
@@ -31,41 +31,42 @@
 	"magnoliaturn/core/mtreply"
 )
 
-// Digest identifies a body.
+// Digest is a hash of a request or reply body.
 type Digest string
 
-// DigestOf returns the digest of a body.
+// DigestOf returns the 64-bit xxHash of a body in hexadecimal.
 func DigestOf(body []byte) Digest {
 	const hexadecimal = 16
 	return Digest(strconv.FormatUint(xxhash.Sum64(body), hexadecimal))
 }
 
-// ID is the identifier of a request, the same over all its tries.
+// ID identifies a request; all of its tries share it.
 type ID string
 
-// EventKind says what a server did.
+// EventKind is the kind of a journal entry.
 type EventKind string
 
-// The kinds of event. A run that has no end was cut off with its server.
+// The kinds of event. A run without an End was interrupted when its server
+// terminated.
 const (
-	Begin EventKind = "begin" // before the server does any work of the request
-	End   EventKind = "end"   // after all of it, before the reply is sent
+	Begin EventKind = "begin" // written before the server starts any work on the request
+	End   EventKind = "end"   // written after all work, before the reply is sent
 )
 
-// Event is a line in a server's journal.
+// Event is an entry of a server's journal.
 type Event struct {
 	Kind     EventKind     `json:"kind"`
 	At       time.Time     `json:"at"`
-	Server   string        `json:"server"` // one life of one server
-	Run      uint64        `json:"run"`    // counts the runs of that life
+	Server   string        `json:"server"` // one incarnation of one server
+	Run      uint64        `json:"run"`    // sequence number of the run within that incarnation
 	ID       ID            `json:"id"`
 	Business mtid.Business `json:"business"`
 	Service  mtid.Service  `json:"service"`
 	Key      mtid.Key      `json:"key"`
 	Class    mtid.Class    `json:"class"`
 	Epoch    mtid.Epoch    `json:"epoch"`
-	Ask      Digest        `json:"ask,omitempty"`   // of the body received, at the begin
-	Reply    Digest        `json:"reply,omitempty"` // of the body to be sent, at the end; empty if cancelled
+	Ask      Digest        `json:"ask,omitempty"`   // of the received body; set on Begin
+	Reply    Digest        `json:"reply,omitempty"` // of the body to be sent; set on End, empty if the run was cancelled
 }
 
 // Call is a caller's record of one try of a request.
@@ -77,53 +78,54 @@
 	Key        mtid.Key        `json:"key"`
 	Class      mtid.Class      `json:"class"`
 	Idempotent bool            `json:"idempotent"`
-	Planned    time.Time       `json:"planned"` // when the request was due
+	Planned    time.Time       `json:"planned"` // when the load schedule called for the request
 	Sent       time.Time       `json:"sent"`
 	Ended      time.Time       `json:"ended"`
-	Via        string          `json:"via"` // the daemon that was asked
+	Via        string          `json:"via"` // the daemon that received the request
 	Status     int             `json:"status"`
 	Outcome    mtreply.Outcome `json:"outcome"`
 	Cause      mtreply.Cause   `json:"cause,omitempty"`
 	Owner      string          `json:"owner,omitempty"`
 	Ask        Digest          `json:"ask"`
 	Reply      Digest          `json:"reply,omitempty"`
-	ReplyID    ID              `json:"reply_id,omitempty"` // that the reply bears
+	ReplyID    ID              `json:"reply_id,omitempty"` // request ID that the reply carries
 }
 
-// Mark begins a phase of the run, for example when a fault is switched on.
+// Mark is the start of a phase of the run, for example when a fault is injected.
 type Mark struct {
 	Name string    `json:"name"`
 	At   time.Time `json:"at"`
 }
 
-// Input is what an audit goes by.
+// Input holds the records that an audit checks.
 type Input struct {
 	Events []Event
 	Calls  []Call
 	Marks  []Mark
-	// Spread are the services whose keys have no owner.
+	// Spread is the set of services whose keys have no owner, so that any server
+	// may run their requests.
 	Spread map[mtid.Ref]bool
 }
 
-// Kind is a kind of finding.
+// Kind is the guarantee that a finding violates.
 type Kind string
 
 // The kinds of finding.
 const (
-	TwoOwners   Kind = "two-owners"   // two servers ran one key at the same time
-	EpochBack   Kind = "epoch-back"   // a server ran a key under an epoch that another had passed
-	EpochShared Kind = "epoch-shared" // two servers ran a key under the same epoch
-	NoEpoch     Kind = "no-epoch"     // a run of a keyed service carried no epoch
+	TwoOwners   Kind = "two-owners"   // two servers ran requests for one key at the same time
+	EpochBack   Kind = "epoch-back"   // a server ran a request under an older epoch than another server had used
+	EpochShared Kind = "epoch-shared" // two servers ran requests for a key under the same epoch
+	NoEpoch     Kind = "no-epoch"     // a run of a service with owned keys carried no epoch
 	Doubled     Kind = "doubled"      // a non-idempotent request ran more than once
-	RanAnyway   Kind = "ran-anyway"   // a request ran whose caller was told that it did not
+	RanAnyway   Kind = "ran-anyway"   // a request ran although its caller received "not run"
 	NotSent     Kind = "not-sent"     // a request ran that no caller sent
-	WrongAsk    Kind = "wrong-ask"    // the server received another body than was sent
-	WrongAnswer Kind = "wrong-answer" // the answer is not the whole reply to this request
-	NoRun       Kind = "no-run"       // a request was answered that no server ran
-	BadJournal  Kind = "bad-journal"  // a journal contradicts itself, so nothing is proved
+	WrongAsk    Kind = "wrong-ask"    // the server received a different body, key or class than was sent
+	WrongAnswer Kind = "wrong-answer" // the answer is not the complete reply to this request
+	NoRun       Kind = "no-run"       // a request was answered although no server ran it
+	BadJournal  Kind = "bad-journal"  // a journal contradicts itself, so the audit is inconclusive
 )
 
-// Finding is one broken promise.
+// Finding is one violated guarantee.
 type Finding struct {
 	Kind    Kind
 	Service mtid.Ref
@@ -132,57 +134,59 @@
 	Detail  string
 }
 
-// String returns the finding in one line.
+// String formats the finding as a single line.
 func (f Finding) String() string {
 	return fmt.Sprintf("%s: %s key %q request %s: %s", f.Kind, f.Service, f.Key, f.ID, f.Detail)
 }
 
 // Report is the result of an audit.
 type Report struct {
-	Runs     int // that the servers began
-	Cut      int // of these, the ones that never ended
-	Calls    int // that callers made
-	Tries    int // that they sent for them
+	Runs     int // runs that servers began
+	Cut      int // runs without an End event
+	Calls    int // requests, each with all of its tries
+	Tries    int // tries that callers sent
 	Findings []Finding
 	Phases   []Phase
 }
 
-// run is one run of a request, put together from its events.
+// run is the execution of a request by a server, joined from its events.
 type run struct {
 	Event
-	end   time.Time // of the run, or the last that is known of its server's life
+	end   time.Time // time of the End event, or of the last event of its server incarnation
 	reply Digest
 	ended bool
 }
 
-func (r *run) place() place {
-	return place{service: mtid.Ref{Business: r.Business, Service: r.Service}, key: r.Key}
+func (r *run) keyRef() keyRef {
+	return keyRef{service: mtid.Ref{Business: r.Business, Service: r.Service}, key: r.Key}
 }
 
-// place is a key of a service.
-type place struct {
+// keyRef identifies a key of a service.
+type keyRef struct {
 	service mtid.Ref
 	key     mtid.Key
 }
 
-// Audit returns what the records prove.
+// Audit checks the records for violated guarantees and summarizes the calls by
+// phase.
 func Audit(in Input) Report {
-	runs, findings := assemble(in.Events)
-	calls := group(in.Calls)
+	runs, findings := joinEvents(in.Events)
+	calls := groupTries(in.Calls)
 	report := Report{Runs: len(runs), Calls: len(calls), Tries: len(in.Calls), Findings: findings}
 	for _, r := range runs {
 		if !r.ended {
 			report.Cut++
 		}
 	}
-	report.Findings = append(report.Findings, judgeOwners(runs, in.Spread)...)
-	report.Findings = append(report.Findings, judgeCalls(calls, runs)...)
+	report.Findings = append(report.Findings, checkOwners(runs, in.Spread)...)
+	report.Findings = append(report.Findings, checkCalls(calls, runs)...)
 	report.Phases = phases(calls, in.Marks)
 	return report
 }
 
-// assemble joins begins with their ends.
-func assemble(events []Event) ([]*run, []Finding) {
+// joinEvents joins Begin events with their End events. It returns the runs ordered
+// by start time, and a finding for each inconsistent event.
+func joinEvents(events []Event) ([]*run, []Finding) {
 	type key struct {
 		server string
 		run    uint64
@@ -190,72 +194,72 @@
 	var runs []*run
 	var findings []Finding
 	open := make(map[key]*run)
-	seen := make(map[string]time.Time)
-	bad := func(e Event, why string) {
+	lastEvent := make(map[string]time.Time)
+	addBadJournal := func(e Event, why string) {
 		findings = append(findings, Finding{
 			Kind: BadJournal, Service: mtid.Ref{Business: e.Business, Service: e.Service}, Key: e.Key, ID: e.ID,
 			Detail: fmt.Sprintf("server %s run %d: %s", e.Server, e.Run, why),
 		})
 	}
 	for _, e := range events {
-		if e.At.After(seen[e.Server]) {
-			seen[e.Server] = e.At
+		if e.At.After(lastEvent[e.Server]) {
+			lastEvent[e.Server] = e.At
 		}
 		at := key{server: e.Server, run: e.Run}
 		r, known := open[at]
 		switch {
 		case e.Kind == Begin && known:
-			bad(e, "begun twice")
+			addBadJournal(e, "begun twice")
 		case e.Kind == Begin:
 			r = &run{Event: e}
 			open[at] = r
 			runs = append(runs, r)
 		case e.Kind != End:
-			bad(e, "event of unknown kind "+string(e.Kind))
+			addBadJournal(e, "event of unknown kind "+string(e.Kind))
 		case !known:
-			bad(e, "ended without a begin")
+			addBadJournal(e, "ended without a begin")
 		case r.ended:
-			bad(e, "ended twice")
+			addBadJournal(e, "ended twice")
 		default:
 			r.ended, r.end, r.reply = true, e.At, e.Reply
 		}
 	}
-	// A run that never ended went on at least as long as its server wrote
-	// anything: it would have written the end before that.
+	// A run without an End lasted at least until the last event of its server:
+	// had it ended earlier, the server would have recorded that.
 	for _, r := range runs {
 		if !r.ended {
-			r.end = seen[r.Server]
+			r.end = lastEvent[r.Server]
 		}
 	}
 	slices.SortStableFunc(runs, func(a, b *run) int { return a.At.Compare(b.At) })
 	return runs, findings
 }
 
-// judgeOwners looks for keys with more than one owner.
-func judgeOwners(runs []*run, spread map[mtid.Ref]bool) []Finding {
-	byPlace := make(map[place][]*run)
-	var order []place
+// checkOwners finds keys that were owned by more than one server at a time.
+func checkOwners(runs []*run, spread map[mtid.Ref]bool) []Finding {
+	byKey := make(map[keyRef][]*run)
+	var order []keyRef
 	for _, r := range runs {
-		at := r.place()
+		at := r.keyRef()
 		if spread[at.service] {
 			continue
 		}
-		if byPlace[at] == nil {
+		if byKey[at] == nil {
 			order = append(order, at)
 		}
-		byPlace[at] = append(byPlace[at], r)
+		byKey[at] = append(byKey[at], r)
 	}
 	var findings []Finding
 	for _, at := range order {
-		findings = append(findings, judgeOverlap(at, byPlace[at])...)
-		findings = append(findings, judgeEpochs(at, byPlace[at])...)
+		findings = append(findings, checkOverlaps(at, byKey[at])...)
+		findings = append(findings, checkEpochs(at, byKey[at])...)
 	}
 	return findings
 }
 
-// judgeOverlap looks for runs of one key at two servers at one time. The runs
-// are ordered by their begin.
-func judgeOverlap(at place, runs []*run) []Finding {
+// checkOverlaps finds runs of one key that overlapped in time on two servers. The
+// runs are ordered by start time.
+func checkOverlaps(at keyRef, runs []*run) []Finding {
 	var findings []Finding
 	var active []*run
 	for _, r := range runs {
@@ -275,8 +279,9 @@
 	return findings
 }
 
-// judgeEpochs looks for epochs that two servers share, or that come back.
-func judgeEpochs(at place, runs []*run) []Finding {
+// checkEpochs finds epochs that two servers share, and runs under an older epoch
+// than another server has used.
+func checkEpochs(at keyRef, runs []*run) []Finding {
 	var findings []Finding
 	type holding struct {
 		epoch  mtid.Epoch
@@ -286,11 +291,11 @@
 	known := make(map[holding]bool)
 	var highest *run
 	for _, r := range runs {
-		find := func(kind Kind, detail string) {
+		addFinding := func(kind Kind, detail string) {
 			findings = append(findings, Finding{Kind: kind, Service: at.service, Key: at.key, ID: r.ID, Detail: detail})
 		}
 		if r.Epoch == 0 {
-			find(NoEpoch, "at "+r.Server)
+			addFinding(NoEpoch, "at "+r.Server)
 			continue
 		}
 		if first[r.Epoch] == "" {
@@ -298,11 +303,11 @@
 		}
 		held := holding{epoch: r.Epoch, server: r.Server}
 		if first[r.Epoch] != r.Server && !known[held] {
-			find(EpochShared, fmt.Sprintf("epoch %d at %s and at %s", r.Epoch, first[r.Epoch], r.Server))
+			addFinding(EpochShared, fmt.Sprintf("epoch %d at %s and at %s", r.Epoch, first[r.Epoch], r.Server))
 		}
 		known[held] = true
 		if highest != nil && r.Epoch < highest.Epoch && r.Server != highest.Server {
-			find(EpochBack, fmt.Sprintf("epoch %d at %s, %s after epoch %d at %s",
+			addFinding(EpochBack, fmt.Sprintf("epoch %d at %s, %s after epoch %d at %s",
 				r.Epoch, r.Server, r.At.Sub(highest.At), highest.Epoch, highest.Server))
 		}
 		if highest == nil || r.Epoch > highest.Epoch {
@@ -312,19 +317,19 @@
 	return findings
 }
 
-// tries are the tries of one call, in order.
+// tries holds the tries of one call in the order they were sent.
 type tries []Call
 
-// last returns the try that the caller went by in the end.
+// last returns the final try, whose outcome is that of the call.
 func (t tries) last() *Call { return &t[len(t)-1] }
 
-// place returns what the call was about.
-func (t tries) place() place {
-	return place{service: mtid.Ref{Business: t[0].Business, Service: t[0].Service}, key: t[0].Key}
+// keyRef returns the key that the call addressed.
+func (t tries) keyRef() keyRef {
+	return keyRef{service: mtid.Ref{Business: t[0].Business, Service: t[0].Service}, key: t[0].Key}
 }
 
-// group returns the calls, ordered by when they were due.
-func group(records []Call) []tries {
+// groupTries groups the records by request, ordered by planned time.
+func groupTries(records []Call) []tries {
 	byID := make(map[ID]tries)
 	for _, c := range records {
 		byID[c.ID] = append(byID[c.ID], c)
@@ -340,8 +345,8 @@
 	return calls
 }
 
-// judgeCalls holds what callers were told against what ran.
-func judgeCalls(calls []tries, runs []*run) []Finding {
+// checkCalls compares the outcomes that callers received with the runs.
+func checkCalls(calls []tries, runs []*run) []Finding {
 	var findings []Finding
 	byID := make(map[ID][]*run)
 	for _, r := range runs {
@@ -350,45 +355,46 @@
 	for _, t := range calls {
 		ran := byID[t[0].ID]
 		delete(byID, t[0].ID)
-		findings = append(findings, judgeRuns(t, ran)...)
-		findings = append(findings, judgeAnswers(t, ran)...)
+		findings = append(findings, checkRuns(t, ran)...)
+		findings = append(findings, checkAnswers(t, ran)...)
 	}
 	for _, r := range runs {
 		if byID[r.ID] != nil {
 			findings = append(findings, Finding{
-				Kind: NotSent, Service: r.place().service, Key: r.Key, ID: r.ID, Detail: "at " + r.Server,
+				Kind: NotSent, Service: r.keyRef().service, Key: r.Key, ID: r.ID, Detail: "at " + r.Server,
 			})
 		}
 	}
 	return findings
 }
 
-// judgeRuns asks of each run of a call whether it was allowed.
-func judgeRuns(t tries, ran []*run) []Finding {
+// checkRuns checks that each run of a call was permitted by its tries, and that
+// the server received the request as it was sent.
+func checkRuns(t tries, ran []*run) []Finding {
 	var findings []Finding
-	find := func(kind Kind, detail string) {
-		at := t.place()
+	addFinding := func(kind Kind, detail string) {
+		at := t.keyRef()
 		findings = append(findings, Finding{Kind: kind, Service: at.service, Key: at.key, ID: t[0].ID, Detail: detail})
 	}
 	if !t[0].Idempotent && len(ran) > 1 {
-		find(Doubled, fmt.Sprintf("%d runs: %s", len(ran), servers(ran)))
+		addFinding(Doubled, fmt.Sprintf("%d runs: %s", len(ran), formatRuns(ran)))
 	}
 	for _, r := range ran {
-		if !t.explains(r) {
-			find(RanAnyway, fmt.Sprintf("at %s at %s; told %s", r.Server, r.At.Format(time.RFC3339Nano), t.told()))
+		if !t.accountsFor(r) {
+			addFinding(RanAnyway, fmt.Sprintf("at %s at %s; told %s", r.Server, r.At.Format(time.RFC3339Nano), t.formatOutcomes()))
 		}
-		if r.Ask != t[0].Ask || r.place() != t.place() || r.Class != t[0].Class {
-			find(WrongAsk, fmt.Sprintf("%s got body %s of key %q class %s, sent was %s class %s",
+		if r.Ask != t[0].Ask || r.keyRef() != t.keyRef() || r.Class != t[0].Class {
+			addFinding(WrongAsk, fmt.Sprintf("%s got body %s of key %q class %s, sent was %s class %s",
 				r.Server, r.Ask, r.Key, r.Class, t[0].Ask, t[0].Class))
 		}
 	}
 	return findings
 }
 
-// explains reports whether a try was sent before the run began of which the
-// caller was not told that it did not run. An answered try explains no run that
-// began after its answer.
-func (t tries) explains(r *run) bool {
+// accountsFor reports whether some try accounts for the run: it was sent before the
+// run began and its outcome was not "not run". An answered try does not account
+// for a run that began after the answer.
+func (t tries) accountsFor(r *run) bool {
 	return slices.ContainsFunc(t, func(c Call) bool {
 		switch {
 		case c.Outcome == mtreply.NotRun || c.Sent.After(r.At):
@@ -400,33 +406,33 @@
 	})
 }
 
-// judgeAnswers asks of each answer whether it is the whole reply of a server
-// to this request.
-func judgeAnswers(t tries, ran []*run) []Finding {
+// checkAnswers checks that each answer is the complete reply of a server to this
+// request.
+func checkAnswers(t tries, ran []*run) []Finding {
 	var findings []Finding
 	for _, c := range t {
 		if c.Outcome != mtreply.Answered {
 			continue
 		}
-		find := func(kind Kind, detail string) {
-			at := t.place()
+		addFinding := func(kind Kind, detail string) {
+			at := t.keyRef()
 			findings = append(findings, Finding{Kind: kind, Service: at.service, Key: at.key, ID: c.ID, Detail: detail})
 		}
 		whole := slices.ContainsFunc(ran, func(r *run) bool { return r.ended && r.reply != "" && r.reply == c.Reply })
 		switch {
 		case len(ran) == 0:
-			find(NoRun, "answered via "+c.Via)
+			addFinding(NoRun, "answered via "+c.Via)
 		case c.ReplyID != c.ID:
-			find(WrongAnswer, fmt.Sprintf("the reply via %s is to request %q", c.Via, c.ReplyID))
+			addFinding(WrongAnswer, fmt.Sprintf("the reply via %s is to request %q", c.Via, c.ReplyID))
 		case !whole:
-			find(WrongAnswer, fmt.Sprintf("body %s via %s, which no server sent for it", c.Reply, c.Via))
+			addFinding(WrongAnswer, fmt.Sprintf("body %s via %s, which no server sent for it", c.Reply, c.Via))
 		}
 	}
 	return findings
 }
 
-// told returns what the caller was told, try by try.
-func (t tries) told() string {
+// formatOutcomes formats the outcome of each try.
+func (t tries) formatOutcomes() string {
 	text := ""
 	for i, c := range t {
 		if i > 0 {
@@ -438,7 +444,8 @@
 	return text
 }
 
-func servers(ran []*run) string {
+// formatRuns formats the server, epoch and start time of each run.
+func formatRuns(ran []*run) string {
 	text := ""
 	for i, r := range ran {
 		if i > 0 {
--- a/core/mtaudit/mtaudit_test.go
+++ b/core/mtaudit/mtaudit_test.go
@@ -12,7 +12,7 @@
 	"magnoliaturn/core/mtreply"
 )
 
-// at returns the moment that many milliseconds into the run.
+// at returns the time that many milliseconds after the start of the run.
 func at(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 
 func begin(server string, run uint64, id mtaudit.ID, epoch mtid.Epoch, ms int) mtaudit.Event {
@@ -37,9 +37,10 @@
 	return c
 }
 
-// sound is a run of the system in which every promise was kept: a move from one
-// server to another, a refusal with a second try, a request cut off by a loss.
-func sound() mtaudit.Input {
+// validRun returns the records of a run without violations: a key moves from one
+// server to another, a refused request is retried, and a server is lost during a
+// request.
+func validRun() mtaudit.Input {
 	return mtaudit.Input{
 		Events: []mtaudit.Event{
 			begin("a", 1, "r1", 1, 10), end("a", 1, 20),
@@ -56,8 +57,8 @@
 	}
 }
 
-func TestSoundRunHasNoFindings(t *testing.T) {
-	report := mtaudit.Audit(sound())
+func TestValidRunHasNoFindings(t *testing.T) {
+	report := mtaudit.Audit(validRun())
 	assert.Equal(t, len(report.Findings), 0, "got %v", report.Findings)
 	assert.Equal(t, report.Runs, 3)
 	assert.Equal(t, report.Cut, 1)
@@ -65,55 +66,55 @@
 	assert.Equal(t, report.Tries, 5)
 }
 
-// An audit that overlooks a violation proves nothing, so each one is planted
-// in a sound run, and must be the only finding.
-func TestPlantedViolationsAreFound(t *testing.T) {
+// An audit that misses a violation is worthless. Each case adds one violation to a
+// valid run, which must then be the only finding.
+func TestEachViolationIsFound(t *testing.T) {
 	tests := []struct {
-		name  string
-		plant func(in *mtaudit.Input)
-		want  mtaudit.Kind
+		name   string
+		modify func(in *mtaudit.Input)
+		want   mtaudit.Kind
 	}{
-		{"two servers at once", func(in *mtaudit.Input) { in.Events[1].At = at(121) }, mtaudit.TwoOwners},
-		{"a cut run whose server lives on", func(in *mtaudit.Input) {
+		{"overlapping runs on two servers", func(in *mtaudit.Input) { in.Events[1].At = at(121) }, mtaudit.TwoOwners},
+		{"unfinished run on a server that keeps running", func(in *mtaudit.Input) {
 			other, asked := begin("b", 3, "r5", 2, 209), call("r5", 1, 208, 230, mtreply.Answered)
 			other.Key, asked.Key = "hotel-8", "hotel-8"
 			in.Events = append(in.Events, begin("c", 1, "r4", 3, 215), end("c", 1, 216), other, end("b", 3, 220))
 			in.Calls[4] = call("r4", 1, 205, 310, mtreply.Answered)
 			in.Calls = append(in.Calls, asked)
 		}, mtaudit.TwoOwners},
-		{"old owner goes on", func(in *mtaudit.Input) {
+		{"previous owner keeps running requests", func(in *mtaudit.Input) {
 			in.Events = append(in.Events, begin("a", 2, "r4", 1, 206), end("a", 2, 207))
 			in.Calls[4] = call("r4", 1, 205, 310, mtreply.Answered)
 		}, mtaudit.EpochBack},
-		{"one epoch at two servers", func(in *mtaudit.Input) { in.Events[0].Epoch = 2 }, mtaudit.EpochShared},
+		{"two servers share an epoch", func(in *mtaudit.Input) { in.Events[0].Epoch = 2 }, mtaudit.EpochShared},
 		{"no epoch", func(in *mtaudit.Input) { in.Events[0].Epoch = 0 }, mtaudit.NoEpoch},
-		{"run twice", func(in *mtaudit.Input) {
+		{"non-idempotent request ran twice", func(in *mtaudit.Input) {
 			in.Events = append(in.Events, begin("b", 3, "r2", 2, 131), end("b", 3, 132))
 		}, mtaudit.Doubled},
-		{"run twice, once cut off", func(in *mtaudit.Input) {
+		{"non-idempotent request ran twice, once unfinished", func(in *mtaudit.Input) {
 			in.Events = append(in.Events, begin("b", 3, "r3", 2, 250), end("b", 3, 260))
 		}, mtaudit.Doubled},
-		{"told not run", func(in *mtaudit.Input) {
+		{"request reported as not run ran", func(in *mtaudit.Input) {
 			in.Events = append(in.Events, begin("b", 3, "r4", 2, 206), end("b", 3, 207))
 		}, mtaudit.RanAnyway},
-		{"told not run, ran long after", func(in *mtaudit.Input) {
+		{"request reported as not run ran much later", func(in *mtaudit.Input) {
 			in.Events = append(in.Events, begin("b", 3, "r4", 2, 900), end("b", 3, 907))
 		}, mtaudit.RanAnyway},
-		{"ran before the try that was not refused", func(in *mtaudit.Input) { in.Events[2].At = at(112) }, mtaudit.RanAnyway},
+		{"ran before the try that was not refused was sent", func(in *mtaudit.Input) { in.Events[2].At = at(112) }, mtaudit.RanAnyway},
 		{"ran again after its answer", func(in *mtaudit.Input) {
 			in.Calls[0].Idempotent = true
 			in.Events = append(in.Events, begin("b", 3, "r1", 2, 140), end("b", 3, 150))
 		}, mtaudit.RanAnyway},
-		{"nobody sent it", func(in *mtaudit.Input) {
+		{"request that no caller sent", func(in *mtaudit.Input) {
 			in.Events = append(in.Events, begin("b", 3, "r9", 2, 206), end("b", 3, 207))
 		}, mtaudit.NotSent},
-		{"part of the request", func(in *mtaudit.Input) { in.Events[0].Ask = "as" }, mtaudit.WrongAsk},
-		{"another key's request", func(in *mtaudit.Input) { in.Calls[0].Key = "hotel-8" }, mtaudit.WrongAsk},
-		{"another class", func(in *mtaudit.Input) { in.Calls[0].Class = "status" }, mtaudit.WrongAsk},
-		{"part of the answer", func(in *mtaudit.Input) { in.Calls[0].Reply = "rep" }, mtaudit.WrongAnswer},
+		{"truncated request body", func(in *mtaudit.Input) { in.Events[0].Ask = "as" }, mtaudit.WrongAsk},
+		{"request for another key", func(in *mtaudit.Input) { in.Calls[0].Key = "hotel-8" }, mtaudit.WrongAsk},
+		{"request of another class", func(in *mtaudit.Input) { in.Calls[0].Class = "status" }, mtaudit.WrongAsk},
+		{"truncated answer", func(in *mtaudit.Input) { in.Calls[0].Reply = "rep" }, mtaudit.WrongAnswer},
 		{"empty answer", func(in *mtaudit.Input) { in.Calls[0].Reply, in.Events[1].Reply = "", "" }, mtaudit.WrongAnswer},
-		{"someone else's answer", func(in *mtaudit.Input) { in.Calls[0].ReplyID = "r2" }, mtaudit.WrongAnswer},
-		{"answer of a run that was cut off", func(in *mtaudit.Input) {
+		{"reply to another request", func(in *mtaudit.Input) { in.Calls[0].ReplyID = "r2" }, mtaudit.WrongAnswer},
+		{"answer of an unfinished run", func(in *mtaudit.Input) {
 			in.Calls[3] = call("r3", 1, 200, 300, mtreply.Answered)
 		}, mtaudit.WrongAnswer},
 		{"answer without a run", func(in *mtaudit.Input) {
@@ -122,12 +123,12 @@
 		{"begun twice", func(in *mtaudit.Input) { in.Events = append(in.Events, begin("b", 2, "r3", 2, 211)) }, mtaudit.BadJournal},
 		{"ended twice", func(in *mtaudit.Input) { in.Events = append(in.Events, end("a", 1, 22)) }, mtaudit.BadJournal},
 		{"end without begin", func(in *mtaudit.Input) { in.Events = append(in.Events, end("a", 7, 22)) }, mtaudit.BadJournal},
-		{"unknown event", func(in *mtaudit.Input) { in.Events = append(in.Events, mtaudit.Event{Kind: "x"}) }, mtaudit.BadJournal},
+		{"event of unknown kind", func(in *mtaudit.Input) { in.Events = append(in.Events, mtaudit.Event{Kind: "x"}) }, mtaudit.BadJournal},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			in := sound()
-			tt.plant(&in)
+			in := validRun()
+			tt.modify(&in)
 			report := mtaudit.Audit(in)
 			assert.Equal(t, len(report.Findings), 1, "got %v", report.Findings)
 			assert.Equal(t, report.Findings[0].Kind, tt.want)
@@ -135,10 +136,10 @@
 	}
 }
 
-func TestWhatIsAllowed(t *testing.T) {
+func TestPermittedBehaviorHasNoFindings(t *testing.T) {
 	tests := []struct {
-		name  string
-		plant func(in *mtaudit.Input)
+		name   string
+		modify func(in *mtaudit.Input)
 	}{
 		{"idempotent request that ran twice", func(in *mtaudit.Input) {
 			in.Calls[3].Idempotent = true
@@ -148,16 +149,16 @@
 			in.Events[1].At, in.Events[0].Epoch = at(121), 0
 			in.Spread = map[mtid.Ref]bool{{Business: "ratins", Service: "dispatch"}: true}
 		}},
-		{"unknown outcome that ran late", func(in *mtaudit.Input) { in.Events[4].At = at(900) }},
-		{"one server at once", func(in *mtaudit.Input) {
+		{"request of unknown outcome that ran late", func(in *mtaudit.Input) { in.Events[4].At = at(900) }},
+		{"overlapping runs on one server", func(in *mtaudit.Input) {
 			in.Events = append(in.Events, begin("b", 3, "r4", 2, 125), end("b", 3, 135))
 			in.Calls[4] = call("r4", 1, 122, 140, mtreply.Answered)
 		}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			in := sound()
-			tt.plant(&in)
+			in := validRun()
+			tt.modify(&in)
 			report := mtaudit.Audit(in)
 			assert.Equal(t, len(report.Findings), 0, "got %v", report.Findings)
 		})
@@ -195,16 +196,16 @@
 		{
 			Name:    "rest",
 			Counts:  []mtaudit.Count{{Outcome: mtreply.NotRun, Calls: 3}},
-			Outages: 2, // more than a second lies between the first two failures
+			Outages: 2, // the first two failures are more than a second apart
 			Longest: mtaudit.Outage{Service: ref, Key: "hotel-7", From: at(1701), AtLeast: 99 * time.Millisecond, AtMost: 149 * time.Millisecond, Failed: 2, Open: true},
 		},
 	})
 }
 
-// The order in which journals are read must not change the verdict, as long as
-// each journal keeps its own order.
-func TestVerdictDoesNotDependOnTheOrderOfRecords(t *testing.T) {
-	in := sound()
+// Journals of several servers are read in any order, so the report must not depend
+// on how they interleave as long as each journal keeps its own order.
+func TestReportDoesNotDependOnRecordOrder(t *testing.T) {
+	in := validRun()
 	in.Events[1].At = at(121)
 	want := mtaudit.Audit(in)
 	rapid.Check(t, func(t *rapid.T) {
--- a/core/mtaudit/phase.go
+++ b/core/mtaudit/phase.go
@@ -8,57 +8,58 @@
 	"magnoliaturn/core/mtreply"
 )
 
-// Count is how many calls ended in one way.
+// Count is the number of calls with one outcome and cause.
 type Count struct {
 	Outcome mtreply.Outcome
 	Cause   mtreply.Cause
 	Calls   int
 }
 
-// Outage is a time in which no call for a key was answered. It is known as well
-// as the key was asked for often: AtLeast reaches from when the first of the
-// failed calls was due to when the last one was, AtMost to the first answer to a
-// call that was due later. Two failed calls further apart than maxGap, with none in
-// between, say nothing about that time, and count as two outages.
+// Outage is a period in which no call for a key was answered. Its length is only
+// known as precisely as the key was called: AtLeast lasts from the planned time of
+// the first failed call to that of the last one, AtMost until the first answer to
+// a call that was planned later. Two consecutive failed calls more than maxGap
+// apart give no evidence about the time between them, so they count as two
+// outages.
 type Outage struct {
 	Service mtid.Ref
 	Key     mtid.Key
 	From    time.Time
 	AtLeast time.Duration
 	AtMost  time.Duration
-	Failed  int  // calls that were not answered
-	Open    bool // the next call failed too, or there was none; AtMost ends with it
+	Failed  int  // number of calls that were not answered
+	Open    bool // no later answer is known: the next call failed too and AtMost ends with it, or there was none
 }
 
-// Phase sums up the calls that were due in one phase, by how they ended.
+// Phase summarizes the calls that were planned in one phase.
 type Phase struct {
 	Name    string
 	Counts  []Count
 	Outages int
-	// Longest is the outage that began in the phase and has the largest
-	// AtLeast; it is zero if every call was answered.
+	// Longest is the outage with the largest AtLeast among those that began in
+	// the phase; it is zero if there was none.
 	Longest Outage
-	// P50, P99 and Slowest are how long calls were waited for until their
-	// answer, from when they were due.
+	// P50, P99 and Slowest are latencies of the answered calls, measured from
+	// their planned time to the answer.
 	P50     time.Duration
 	P99     time.Duration
 	Slowest time.Duration
 }
 
-// maxGap is the longest time between two failed calls for a key that is taken as
-// one outage.
+// maxGap is the longest time between two consecutive failed calls for a key that
+// count as one outage.
 const maxGap = time.Second
 
-// firstPhase is the name of what comes before the first mark.
+// firstPhase is the name of the phase before the first mark.
 const firstPhase = "start"
 
-// callersFault are the refusals that say nothing about whether a key is
-// available: the same request would be refused by any server at any time.
-var callersFault = []mtreply.Cause{
+// callerErrors lists the refusals that are independent of a key's availability:
+// any server would refuse the same request at any time.
+var callerErrors = []mtreply.Cause{
 	mtreply.CauseMalformed, mtreply.CauseTooLarge, mtreply.CauseSkew, mtreply.CauseQuarantined, mtreply.CauseLimited,
 }
 
-// phases sums up the calls, which are ordered by when they were due.
+// phases summarizes the calls by phase. The calls are ordered by planned time.
 func phases(calls []tries, marks []Mark) []Phase {
 	marks = slices.Clone(marks)
 	slices.SortStableFunc(marks, func(a, b Mark) int { return a.At.Compare(b.At) })
@@ -66,7 +67,7 @@
 	for _, m := range marks {
 		out = append(out, Phase{Name: m.Name})
 	}
-	in := func(at time.Time) int {
+	phaseAt := func(at time.Time) int {
 		n := 0
 		for n < len(marks) && !marks[n].At.After(at) {
 			n++
@@ -75,17 +76,17 @@
 	}
 	waits := make([][]time.Duration, len(out))
 	for _, t := range calls {
-		n := in(t[0].Planned)
+		n := phaseAt(t[0].Planned)
 		out[n].add(t.last())
 		if t.last().Outcome == mtreply.Answered {
 			waits[n] = append(waits[n], t.last().Ended.Sub(t[0].Planned))
 		}
 	}
 	for n := range out {
-		out[n].rank(waits[n])
+		out[n].setQuantiles(waits[n])
 	}
 	for _, o := range outages(calls) {
-		phase := &out[in(o.From)]
+		phase := &out[phaseAt(o.From)]
 		phase.Outages++
 		if phase.Longest.Failed == 0 || o.AtLeast > phase.Longest.AtLeast {
 			phase.Longest = o
@@ -103,8 +104,8 @@
 	p.Counts[i].Calls++
 }
 
-// rank works the quantiles of the waits out.
-func (p *Phase) rank(waits []time.Duration) {
+// setQuantiles sets the latency quantiles from the waits of the answered calls.
+func (p *Phase) setQuantiles(waits []time.Duration) {
 	const percent = 100
 	if len(waits) == 0 {
 		return
@@ -114,28 +115,29 @@
 	p.P50, p.P99, p.Slowest = waits[last*50/percent], waits[last*99/percent], waits[last]
 }
 
-// outages returns the times in which keys were not available.
+// outages returns the outages of all keys, leaving out calls that were refused
+// because of the caller's own error.
 func outages(calls []tries) []Outage {
-	byPlace := make(map[place][]tries)
-	var order []place
+	byKey := make(map[keyRef][]tries)
+	var order []keyRef
 	for _, t := range calls {
-		if slices.Contains(callersFault, t.last().Cause) {
+		if slices.Contains(callerErrors, t.last().Cause) {
 			continue
 		}
-		at := t.place()
-		if byPlace[at] == nil {
+		at := t.keyRef()
+		if byKey[at] == nil {
 			order = append(order, at)
 		}
-		byPlace[at] = append(byPlace[at], t)
+		byKey[at] = append(byKey[at], t)
 	}
 	var found []Outage
 	for _, at := range order {
-		found = append(found, outagesOf(at, byPlace[at])...)
+		found = append(found, outagesOf(at, byKey[at])...)
 	}
 	return found
 }
 
-func outagesOf(at place, calls []tries) []Outage {
+func outagesOf(at keyRef, calls []tries) []Outage {
 	var found []Outage
 	for i := 0; i < len(calls); {
 		if calls[i].last().Outcome == mtreply.Answered {
@@ -143,14 +145,14 @@
 			continue
 		}
 		o := Outage{Service: at.service, Key: at.key, From: calls[i][0].Planned, Open: true}
-		until := o.From
-		for i < len(calls) && calls[i].last().Outcome != mtreply.Answered && calls[i][0].Planned.Sub(until) <= maxGap {
-			until = calls[i][0].Planned
+		lastFailed := o.From
+		for i < len(calls) && calls[i].last().Outcome != mtreply.Answered && calls[i][0].Planned.Sub(lastFailed) <= maxGap {
+			lastFailed = calls[i][0].Planned
 			o.Failed++
 			o.AtMost = calls[i].last().Ended.Sub(o.From)
 			i++
 		}
-		o.AtLeast = until.Sub(o.From)
+		o.AtLeast = lastFailed.Sub(o.From)
 		if i < len(calls) {
 			o.Open = calls[i].last().Outcome != mtreply.Answered
 			o.AtMost = calls[i].last().Ended.Sub(o.From)
