--- a/core/mtaudit/phase.go
+++ b/core/mtaudit/phase.go
@@ -15,10 +15,10 @@
 	Calls   int
 }
 
-// Outage is a period in which no call for a key was answered. Its length is only
-// known as precisely as the key was called: AtLeast lasts from the planned time of
-// the first failed call to that of the last one, AtMost until the first answer to
-// a call that was planned later. Two consecutive failed calls more than maxGap
+// Outage is a period in which no call for a key was answered. Its length can
+// only be bounded by the calls for the key: AtLeast is the time from when the first
+// failed call was planned to when the last one was, and AtMost the time to the first
+// answer to a call that was planned later. Two consecutive failed calls more than maxGap
 // apart give no evidence about the time between them, so they count as two
 // outages.
 type Outage struct {
--- a/core/mtscene/memory.go
+++ b/core/mtscene/memory.go
@@ -8,68 +8,72 @@
 	"magnoliaturn/core/mtload"
 )
 
-// dice is a supply of normally distributed numbers, drawn once and walked
-// through by chance strides, since a run needs hundreds of millions.
-type dice struct {
-	source *rand.Rand
-	drawn  []float64 // a power of two of them
+// noiseSource supplies normally distributed numbers. A run needs hundreds of
+// millions, so they come from a sample that is drawn once and read with random
+// strides.
+type noiseSource struct {
+	source  *rand.Rand
+	samples []float64 // the length is a power of two
 }
 
-func newDice(seed uint64) *dice {
+func newNoiseSource(seed uint64) *noiseSource {
 	const count = 1 << 14
-	d := &dice{source: rand.New(rand.NewPCG(seed, 1)), drawn: make([]float64, count)}
-	for i := range d.drawn {
-		d.drawn[i] = d.source.NormFloat64()
+	d := &noiseSource{source: rand.New(rand.NewPCG(seed, 1)), samples: make([]float64, count)}
+	for i := range d.samples {
+		d.samples[i] = d.source.NormFloat64()
 	}
 	return d
 }
 
-// walk returns where to begin and how far to go each time.
-func (d *dice) walk() (at, stride int) {
-	return d.source.IntN(len(d.drawn)), 2*d.source.IntN(len(d.drawn)) + 1
+// randomStride returns a random start index and an odd stride, which visits every
+// sample before it repeats one.
+func (d *noiseSource) randomStride() (at, stride int) {
+	return d.source.IntN(len(d.samples)), 2*d.source.IntN(len(d.samples)) + 1
 }
 
-// memory is an average that the meters keep of each key.
-type memory struct {
-	keep   float64   // what is left of it after a second
-	spread float64   // standard deviation by chance of a load of one slot
-	smooth []float64 // what it would be without chance
-	chance []float64 // in standard deviations
-	seen   []float64
+// keyAverages models the moving average that the meters maintain for each key.
+type keyAverages struct {
+	decay    float64   // weight of the previous average after a second
+	stdDev   float64   // standard deviation of the measurement noise at a load of one slot
+	expected []float64 // averages without noise
+	noise    []float64 // current noise, in standard deviations
+	measured []float64
 }
 
-func newMemory(halfLife, busy time.Duration, keys int) *memory {
+func newKeyAverages(halfLife, busy time.Duration, keys int) *keyAverages {
 	window := 2 * halfLife.Seconds() / math.Ln2
-	return &memory{
-		keep:   math.Exp2(-time.Second.Seconds() / halfLife.Seconds()),
-		spread: math.Sqrt(busy.Seconds() / window),
-		smooth: make([]float64, keys),
-		chance: make([]float64, keys),
-		seen:   make([]float64, keys),
+	return &keyAverages{
+		decay:    math.Exp2(-time.Second.Seconds() / halfLife.Seconds()),
+		stdDev:   math.Sqrt(busy.Seconds() / window),
+		expected: make([]float64, keys),
+		noise:    make([]float64, keys),
+		measured: make([]float64, keys),
 	}
 }
 
-// follow lets the average follow the load for a second. It is off by chance as
-// counts of requests are: the arrivals of a key are Poisson. A key's own average
-// may fall below zero by that; only sums over many are looked at.
-func (m *memory) follow(load []float64, d *dice) {
-	fresh := math.Sqrt(1 - m.keep*m.keep)
-	at, stride := d.walk()
+// update advances the averages by a second under the given load. The noise is
+// that of request counts, since the arrivals of a key are a Poisson process. It
+// can make the average of a single key negative, which is harmless: only sums over
+// many keys and the averages of hot keys are used.
+func (m *keyAverages) update(load []float64, d *noiseSource) {
+	noiseWeight := math.Sqrt(1 - m.decay*m.decay)
+	at, stride := d.randomStride()
 	for i := range load {
-		smooth := m.smooth[i]
-		if smooth == 0 {
-			smooth = load[i]
+		expected := m.expected[i]
+		if expected == 0 {
+			expected = load[i]
 		}
-		smooth = load[i] + (smooth-load[i])*m.keep
-		at = (at + stride) & (len(d.drawn) - 1)
-		chance := m.chance[i]*m.keep + d.drawn[at]*fresh
-		m.seen[i] = smooth + chance*m.spread*math.Sqrt(smooth)
-		m.smooth[i], m.chance[i] = smooth, chance
+		expected = load[i] + (expected-load[i])*m.decay
+		at = (at + stride) & (len(d.samples) - 1)
+		noise := m.noise[i]*m.decay + d.samples[at]*noiseWeight
+		m.measured[i] = expected + noise*m.stdDev*math.Sqrt(expected)
+		m.expected[i], m.noise[i] = expected, noise
 	}
 }
 
-// steady returns the load that a meter states, given its two averages of it.
-func (r *run[P]) steady(short, long float64) float64 {
-	busy := r.scene.Busy.Seconds()
+// smoothedLoad returns the load that a meter reports, given its short-term and
+// long-term averages.
+func (r *run[P]) smoothedLoad(short, long float64) float64 {
+	busy := r.scenario.Busy.Seconds()
 	return mtload.SmoothRate(max(0, short)/busy, max(0, long)/busy) * busy
 }
--- a/core/mtscene/mtscene.go
+++ b/core/mtscene/mtscene.go
@@ -1,11 +1,11 @@
-// Package mtscene is a small fluid model of shards and servers for tests and
-// reports of placement policies: keys with a load that changes by the second,
-// servers with slots, reports that may be late, frozen or wrong, and a policy
-// that plans on what the reports say.
+// Package mtscene is a small fluid model of shards and servers for testing and
+// comparing placement policies. It models keys whose load changes every second,
+// servers with slots, load reports that may be late, frozen or wrong, and a
+// policy that plans from these reports.
 //
-// It is no simulation of a cluster: there are no requests, messages or clocks
-// in it. Loads are numbers, a second is the only step, and each run gives the
-// same figures for the same scene and seed.
+// It does not simulate a cluster: there are no requests, messages or clocks.
+// Loads are numbers, time advances in steps of one second, and the same scenario
+// and seed always give the same result.
 //
 // # Usage
 //
@@ -13,7 +13,7 @@
 //		result := mtscene.Run(scene, mtplan.NewPlanner())
 //	}
 //
-// Nothing here is used by the router itself. A Scene may be run any number of
+// The router itself does not use this package. A Scene may be run any number of
 // times, but not by two goroutines at once.
 package mtscene
 
@@ -24,52 +24,52 @@
 	"magnoliaturn/core/mtid"
 )
 
-// Server is a server of a scene.
+// Server is a server of a scenario, with the times at which it joins and leaves.
 type Server struct {
 	Name  mtid.Daemon
 	Zone  mtid.Zone
 	Slots float64
-	// Times from the start of the scene; zero for Leaves and Lost means never.
+	// Times since the start of the scenario; zero means never for Leaves and Lost.
 	Joins  time.Duration
-	Leaves time.Duration // it asks to leave, and is gone once it owns nothing
-	Lost   time.Duration // it is lost without notice
+	Leaves time.Duration // starts to drain; the server is removed once it owns nothing
+	Lost   time.Duration // fails without draining
 }
 
-// Faults say what is wrong with the load reports.
+// Faults describes how load reports deviate from correct and immediate ones.
 type Faults struct {
-	Late time.Duration
-	// Frozen says whether a server's reports repeat an old measurement.
+	Late time.Duration // delay of every report
+	// Frozen reports whether a server repeats its last report instead of measuring.
 	Frozen func(server int, at time.Duration) bool
-	// Lies is what a server's reports multiply its load by; nil means that all
-	// are truthful.
+	// Lies returns the factor by which a server's reports scale its load; nil
+	// means that all reports are correct.
 	Lies func(server int) float64
 }
 
-// Scene is one load on one fleet.
+// Scene combines a load over time with a fleet of servers and its faults.
 type Scene struct {
 	Name   string
 	Ref    mtid.Ref
 	Length time.Duration
-	// WarmUp is left out of the figures: the planner knows nothing of the load
-	// when the first tables are laid. Zero means the usual WarmUp.
+	// WarmUp is excluded from the result, since no load is known yet when the
+	// first tables are created. Zero means the default, the constant WarmUp.
 	WarmUp  time.Duration
 	Servers []Server
-	Keys    []mtid.Point // in order
-	// Load fills in the offered load of each key, in slots.
+	Keys    []mtid.Point // in ascending order
+	// Load stores the offered load of each key at a time, in slots.
 	Load    func(at time.Duration, load []float64)
 	Shards  int
 	Chunks  int
 	Weights mtbundle.Weights
 	Faults  Faults
-	// Busy is how long a request keeps a slot. Meters count requests, so the
-	// longer it is the fewer there are of the same load, and the more the
-	// measured load is off by chance.
+	// Busy is how long a request occupies a slot. Meters count requests: the
+	// longer each takes, the fewer make up the same load and the noisier the
+	// measured load is.
 	Busy time.Duration
-	// Seed is that of this chance.
+	// Seed is the seed of this noise.
 	Seed uint64
 }
 
-// WarmTime returns the time that is left out of the figures.
+// WarmTime returns the initial time that is excluded from the result.
 func (s *Scene) WarmTime() time.Duration {
 	if s.WarmUp == 0 {
 		return WarmUp
@@ -79,60 +79,62 @@
 
 // Constants of the model.
 const (
-	// WarmUp is the usual time that is left out of the figures.
+	// WarmUp is the default time that is excluded from the result.
 	WarmUp = 2 * time.Minute
-	// MovePause is how long a planned move keeps a shard's requests waiting.
+	// MovePause is how long requests for a shard wait during a planned move.
 	MovePause = 20 * time.Millisecond
-	// LossPause is how long a lost server's shards have no owner.
+	// LossPause is how long the shards of a lost server have no owner.
 	LossPause = 1500 * time.Millisecond
-	// Aim is the imbalance that the planner is held to.
+	// Aim is the highest imbalance that the planner is supposed to allow.
 	Aim = 1.15
-	// roundTime is the time between two rounds of a policy, and soonTime the
-	// time to the next one when a round wrote splits.
-	roundTime = 5 * time.Second
-	soonTime  = time.Second
-	// moveTime is the time from a wish to the change of owner.
-	moveTime = time.Second
-	// movesPerOwner bounds the moves that one owner carries out in a second.
+	// planInterval is the time between two rounds of a policy, and replanDelay
+	// the time to the next round after one that split or merged shards.
+	planInterval = 5 * time.Second
+	replanDelay  = time.Second
+	// moveDelay is the time from the request for a move to the change of owner.
+	moveDelay = time.Second
+	// movesPerOwner limits the moves that one owner executes in a second.
 	movesPerOwner = 32
 )
 
-// Result is what a policy did with a scene.
+// Result holds the metrics of a policy in a scenario.
 type Result struct {
 	Scene  string
 	Policy string
-	// Series is the imbalance of each second from the start: the largest load
-	// per usable slot over the mean.
+	// Series is the imbalance in each second from the start: the highest load
+	// per usable slot of any server, divided by the mean.
 	Series []float64
-	// Mean and P99 are the imbalance after the warm-up, and Floor the load of
-	// the hottest key alone, in shares of a server's mean: if it is above one,
-	// no placement has less imbalance.
+	// Mean and P99 are the imbalance after the warm-up. Floor is the load of the
+	// hottest key divided by the mean load of a server: if it exceeds one, no
+	// placement has a lower imbalance.
 	Mean, P99, Floor float64
-	// Over is the share of time above Aim, and Longest the longest stretch.
+	// Over is the share of time above Aim, and Longest the longest continuous
+	// period above it.
 	Over    float64
 	Longest time.Duration
-	// Churn is the share of all load that moves each minute, Moves the moves.
+	// Churn is the share of the total load that moves per minute, and Moves the
+	// number of moves.
 	Churn float64
 	Moves int
-	// Unavailable is how long a key is without an owner each minute, averaged
-	// over keys by load.
+	// Unavailable is how long a key has no owner per minute, averaged over keys
+	// weighted by load.
 	Unavailable time.Duration
 	// Shed is the share of the load that exceeds the slots of its server.
 	Shed float64
-	// Returns counts shards that moved back to an owner they had left within
-	// the last two minutes: the sign of oscillation.
+	// Returns counts moves of a shard back to an owner that it left within the
+	// last two minutes, which indicates oscillation.
 	Returns int
-	// Splits and Merges count the changes of the table that move nothing, and
-	// Writes all writes of chunks, one for each move.
+	// Splits and Merges count table changes that move no shard. Writes counts all
+	// writes of chunks, with a separate write for each move.
 	Splits, Merges, Writes int
-	// Batches is what Writes would be if each owner wrote the moves of a
-	// second that lie in one chunk at once.
+	// Batches is what Writes would be if each owner combined its moves of one
+	// second within a chunk into a single write.
 	Batches int
-	Shards  int // at the end
+	Shards  int // number of shards at the end
 	// ChunkBytes is the mean size of a stored chunk at the end, and StepBytes
-	// that of a step, which is what daemons pass on.
+	// that of a step, the increment that daemons forward to each other.
 	ChunkBytes, StepBytes float64
-	// ReportRate is the bytes a second that reports cost the planner's daemon,
-	// and ReportPeak the most in any minute.
+	// ReportRate is the traffic of load reports at the planner's daemon in bytes
+	// per second, and ReportPeak the highest rate in any minute.
 	ReportRate, ReportPeak float64
 }
--- a/core/mtscene/result.go
+++ b/core/mtscene/result.go
@@ -9,34 +9,34 @@
 	"magnoliaturn/core/mtshard"
 )
 
-// score adds the present second to the figures.
-func (r *run[P]) score() {
-	loads := make([]float64, len(r.scene.Servers))
-	var total, room float64
-	for _, s := range r.table {
+// recordSecond adds the current second to the result.
+func (r *run[P]) recordSecond() {
+	loads := make([]float64, len(r.scenario.Servers))
+	var total, capacity float64
+	for _, s := range r.shardLoads {
 		total += s.load
-		if i, ok := r.places[s.shard.Owner]; ok {
+		if i, ok := r.serverIndex[s.shard.Owner]; ok {
 			loads[i] += s.load
 		}
 	}
 	servers := 0
 	for i := range loads {
-		if r.lives[i] == serving {
-			room += r.slots(i)
+		if r.states[i] == serving {
+			capacity += r.slots(i)
 			servers++
 		}
 	}
-	mean := total / room
+	mean := total / capacity
 	worst, shed := 0.0, 0.0
 	for i, load := range loads {
-		if r.lives[i] != serving {
+		if r.states[i] != serving {
 			continue
 		}
 		worst = max(worst, load/r.slots(i)/mean)
 		shed += max(0, load-r.slots(i))
 	}
 	r.result.Series = append(r.result.Series, worst)
-	if !r.warm() {
+	if !r.warmedUp() {
 		return
 	}
 	r.totals.load += total
@@ -44,17 +44,17 @@
 	r.totals.floors = append(r.totals.floors, slices.Max(r.load)/(total/float64(servers)))
 }
 
-func (r *run[P]) unavailable(load float64, pause time.Duration) {
-	if r.warm() {
+func (r *run[P]) addUnavailable(load float64, pause time.Duration) {
+	if r.warmedUp() {
 		r.totals.unavailable += load * pause.Seconds()
 	}
 }
 
-// finish makes the result from the sums.
-func (r *run[P]) finish() Result {
+// buildResult computes the result from the totals.
+func (r *run[P]) buildResult() Result {
 	result := &r.result
-	result.Scene, result.Policy = r.scene.Name, r.policy.Name()
-	measured := result.Series[int(r.scene.WarmTime()/time.Second):]
+	result.Scene, result.Policy = r.scenario.Name, r.policy.Name()
+	measured := result.Series[int(r.scenario.WarmTime()/time.Second):]
 	result.Mean = average(measured)
 	sorted := slices.Sorted(slices.Values(measured))
 	result.P99 = sorted[len(sorted)*99/100]
@@ -68,7 +68,7 @@
 		result.Shards += len(t.Shards)
 	}
 	result.ChunkBytes, result.StepBytes = sizes(r.tables)
-	counted := r.totals.perMinute[int(r.scene.WarmTime()/time.Minute):]
+	counted := r.totals.perMinute[int(r.scenario.WarmTime()/time.Minute):]
 	for _, bytes := range counted {
 		result.ReportRate += bytes / seconds
 		result.ReportPeak = max(result.ReportPeak, bytes/time.Minute.Seconds())
@@ -76,7 +76,7 @@
 	return *result
 }
 
-// sizes returns the mean size of a stored chunk and of a step.
+// sizes returns the mean size of a stored chunk and of a step in bytes.
 func sizes(tables []*mtshard.Table) (chunk, step float64) {
 	steps := 0
 	for _, t := range tables {
@@ -103,7 +103,8 @@
 	return sum / float64(len(values))
 }
 
-// above returns the share of seconds over a bound, and the longest stretch.
+// above returns the share of seconds above a bound, and the longest continuous
+// period above it.
 func above(series []float64, bound float64) (float64, time.Duration) {
 	count, stretch, longest := 0, 0, 0
 	for _, v := range series {
--- a/core/mtscene/run.go
+++ b/core/mtscene/run.go
@@ -12,169 +12,169 @@
 	"magnoliaturn/core/mtshard"
 )
 
-// life is how a server stands in a run.
-type life int
+// serverState is the lifecycle state of a server in a run.
+type serverState int
 
 const (
-	absent life = iota
+	absent serverState = iota
 	serving
 	leaving
 	lost
-	gone
+	removed
 )
 
-// run is one run of one policy.
+// run is the state of one policy running through one scenario.
 type run[P mtplan.Policy] struct {
-	scene  Scene
-	policy P
-	at     time.Duration
-
-	lives  []life
-	load   []float64 // of each key, offered
-	short  *memory
-	long   *memory
-	dice   *dice
-	tables []*mtshard.Table
-	table  []ownedLoad // shards in order, with true and measured load
-	places map[mtid.Holder]int
-
-	book     *mtload.Estimates
-	throttle mtload.Throttle
-	losses   mtplan.OwnerLosses
-	paces    []mtload.ReportScheduler
-	reports  []delivery
-	frozen   []*mtload.Report
-	sequence []uint64
-	mean     float64
-	next     time.Duration
-	wishes   []wish
-	left     map[departure]time.Duration
-	stamps   uint64
+	scenario Scene
+	policy   P
+	at       time.Duration
+
+	states      []serverState
+	load        []float64 // offered load of each key
+	short       *keyAverages
+	long        *keyAverages
+	noise       *noiseSource
+	tables      []*mtshard.Table
+	shardLoads  []ownedLoad // all shards in order, with actual and measured loads
+	serverIndex map[mtid.Holder]int
+
+	estimates     *mtload.Estimates
+	throttle      mtload.Throttle
+	losses        mtplan.OwnerLosses
+	schedulers    []mtload.ReportScheduler
+	reports       []delivery
+	frozen        []*mtload.Report
+	sequence      []uint64
+	mean          float64
+	next          time.Duration
+	pendingMoves  []pendingMove
+	left          map[departure]time.Duration
+	writeSequence uint64
 
 	totals totals
 	result Result
 }
 
-// ownedLoad is one shard with its loads.
+// ownedLoad is a shard with its actual and measured loads.
 type ownedLoad struct {
-	shard      mtshard.Shard
-	chunk      int
-	load       float64
-	seen, slow float64 // in the short and the long memory of the meters
+	shard       mtshard.Shard
+	chunk       int
+	load        float64
+	short, long float64 // short-term and long-term averages of the meters
 }
 
-// delivery is a report on its way.
+// delivery is a report in transit, with its time of arrival.
 type delivery struct {
 	at     time.Duration
 	report *mtload.Report
 }
 
-// wish is a move that an owner was asked for.
-type wish struct {
+// pendingMove is a requested move and the time at which the owner executes it.
+type pendingMove struct {
 	at   time.Duration
 	move mtplan.Move
 }
 
-// batch is the moves that an owner could write at once.
+// batch identifies the moves that an owner could combine into one write.
 type batch struct {
 	owner mtid.Holder
 	chunk int
 }
 
-// departure is a shard that left an owner.
+// departure identifies a shard and an owner that it moved away from.
 type departure struct {
 	low   mtid.Point
 	owner mtid.Holder
 }
 
-// totals are sums from which the result is made.
+// totals holds the sums from which the result is computed.
 type totals struct {
 	load, shed, moved, unavailable float64
-	perMinute                      []float64 // bytes of reports
+	perMinute                      []float64 // bytes of reports in each minute
 	floors                         []float64
 }
 
-// Run lets a policy plan for a scene, from its first table to the end.
-func Run[P mtplan.Policy](scene Scene, policy P) Result {
-	r := newRun(scene, policy)
-	for r.at = 0; r.at < scene.Length; r.at += time.Second {
+// Run executes a scenario from start to end with a policy as the planner.
+func Run[P mtplan.Policy](scenario Scene, policy P) Result {
+	r := newRun(scenario, policy)
+	for r.at = 0; r.at < scenario.Length; r.at += time.Second {
 		r.step()
 	}
-	return r.finish()
+	return r.buildResult()
 }
 
-func newRun[P mtplan.Policy](scene Scene, policy P) *run[P] {
-	n := len(scene.Servers)
+func newRun[P mtplan.Policy](scenario Scene, policy P) *run[P] {
+	n := len(scenario.Servers)
 	r := &run[P]{
-		scene: scene, policy: policy,
-		lives:    make([]life, n),
-		load:     make([]float64, len(scene.Keys)),
-		short:    newMemory(mtload.HalfLife, scene.Busy, len(scene.Keys)),
-		long:     newMemory(mtload.SlowHalfLife, scene.Busy, len(scene.Keys)),
-		dice:     newDice(scene.Seed),
-		places:   make(map[mtid.Holder]int, n),
-		book:     mtload.NewEstimates(),
-		paces:    make([]mtload.ReportScheduler, n),
-		frozen:   make([]*mtload.Report, n),
-		sequence: make([]uint64, n),
-		left:     make(map[departure]time.Duration),
+		scenario: scenario, policy: policy,
+		states:      make([]serverState, n),
+		load:        make([]float64, len(scenario.Keys)),
+		short:       newKeyAverages(mtload.HalfLife, scenario.Busy, len(scenario.Keys)),
+		long:        newKeyAverages(mtload.SlowHalfLife, scenario.Busy, len(scenario.Keys)),
+		noise:       newNoiseSource(scenario.Seed),
+		serverIndex: make(map[mtid.Holder]int, n),
+		estimates:   mtload.NewEstimates(),
+		schedulers:  make([]mtload.ReportScheduler, n),
+		frozen:      make([]*mtload.Report, n),
+		sequence:    make([]uint64, n),
+		left:        make(map[departure]time.Duration),
 	}
-	r.totals.perMinute = make([]float64, int(scene.Length/time.Minute)+1)
-	for i := range scene.Servers {
-		r.places[r.holder(i)] = i
+	r.totals.perMinute = make([]float64, int(scenario.Length/time.Minute)+1)
+	for i := range scenario.Servers {
+		r.serverIndex[r.holder(i)] = i
 	}
 	return r
 }
 
 func (r *run[P]) holder(server int) mtid.Holder {
-	return mtid.Holder{Daemon: r.scene.Servers[server].Name, Incarnation: 1}
+	return mtid.Holder{Daemon: r.scenario.Servers[server].Name, Incarnation: 1}
 }
 
-// now is the model's time as an instant. It starts past zero, which stands for
+// now returns the model time as an instant. It starts above zero, since zero means
 // "never" in some fields.
 func (r *run[P]) now() mtclock.Instant { return mtclock.Instant(time.Hour).Add(r.at) }
 
-func (r *run[P]) warm() bool { return r.at >= r.scene.WarmTime() }
+func (r *run[P]) warmedUp() bool { return r.at >= r.scenario.WarmTime() }
 
 func (r *run[P]) step() {
-	r.scene.Load(r.at, r.load)
-	r.measure()
-	r.comeAndGo()
-	r.create()
-	r.sum()
-	r.score()
-	r.report()
-	r.deliver()
+	r.scenario.Load(r.at, r.load)
+	r.updateMeters()
+	r.updateServers()
+	r.createTables()
+	r.sumShardLoads()
+	r.recordSecond()
+	r.sendReports()
+	r.deliverReports()
 	r.plan()
-	r.carryOut()
+	r.executeMoves()
 }
 
-// measure lets the meters follow the load.
-func (r *run[P]) measure() {
-	r.short.follow(r.load, r.dice)
-	r.long.follow(r.load, r.dice)
+// updateMeters advances the meters' averages by a second.
+func (r *run[P]) updateMeters() {
+	r.short.update(r.load, r.noise)
+	r.long.update(r.load, r.noise)
 }
 
-// comeAndGo changes the servers' lives.
-func (r *run[P]) comeAndGo() {
-	for i := range r.scene.Servers {
-		s := &r.scene.Servers[i]
+// updateServers applies the joins, drains, removals and losses that are due.
+func (r *run[P]) updateServers() {
+	for i := range r.scenario.Servers {
+		s := &r.scenario.Servers[i]
 		switch {
-		case r.lives[i] == absent && r.at >= s.Joins:
-			r.lives[i] = serving
-		case r.lives[i] == serving && s.Leaves > 0 && r.at >= s.Leaves:
-			r.lives[i] = leaving
-		case r.lives[i] == leaving && !r.owns(i):
-			r.lives[i] = gone
-		case (r.lives[i] == serving || r.lives[i] == leaving) && s.Lost > 0 && r.at >= s.Lost:
-			r.lives[i] = lost
+		case r.states[i] == absent && r.at >= s.Joins:
+			r.states[i] = serving
+		case r.states[i] == serving && s.Leaves > 0 && r.at >= s.Leaves:
+			r.states[i] = leaving
+		case r.states[i] == leaving && !r.owns(i):
+			r.states[i] = removed
+		case (r.states[i] == serving || r.states[i] == leaving) && s.Lost > 0 && r.at >= s.Lost:
+			r.states[i] = lost
 		}
 	}
 	r.failOver()
 }
 
 func (r *run[P]) owns(server int) bool {
-	for _, s := range r.table {
+	for _, s := range r.shardLoads {
 		if s.shard.Owner == r.holder(server) {
 			return true
 		}
@@ -182,67 +182,67 @@
 	return false
 }
 
-// failOver gives the shards of lost servers to the others, as every daemon of
-// the router would compute it.
+// failOver reassigns the shards of lost servers to the survivors by the same
+// computation as the daemons of the router.
 func (r *run[P]) failOver() {
-	var dead []mtid.Holder
-	for i := range r.scene.Servers {
-		if r.lives[i] == lost && r.owns(i) {
-			dead = append(dead, r.holder(i))
-			r.lives[i] = gone
+	var lostHolders []mtid.Holder
+	for i := range r.scenario.Servers {
+		if r.states[i] == lost && r.owns(i) {
+			lostHolders = append(lostHolders, r.holder(i))
+			r.states[i] = removed
 		}
 	}
-	if len(dead) == 0 {
+	if len(lostHolders) == 0 {
 		return
 	}
-	for _, s := range r.table {
-		if slices.Contains(dead, s.shard.Owner) {
+	for _, s := range r.shardLoads {
+		if slices.Contains(lostHolders, s.shard.Owner) {
 			r.losses.Record(r.now(), s.shard.Low)
-			r.unavailable(s.load, LossPause)
+			r.addUnavailable(s.load, LossPause)
 		}
 	}
 	survivors := r.holders(serving)
 	for chunk, table := range r.tables {
-		r.apply(chunk, mtshard.Failover{Lost: dead, Survivors: table.Survivors(survivors)})
+		r.apply(chunk, mtshard.Failover{Lost: lostHolders, Survivors: table.Survivors(survivors)})
 	}
 }
 
-func (r *run[P]) holders(l life) []mtid.Holder {
+func (r *run[P]) holders(state serverState) []mtid.Holder {
 	var found []mtid.Holder
-	for i := range r.scene.Servers {
-		if r.lives[i] == l {
+	for i := range r.scenario.Servers {
+		if r.states[i] == state {
 			found = append(found, r.holder(i))
 		}
 	}
 	return found
 }
 
-func (r *run[P]) create() {
+func (r *run[P]) createTables() {
 	if r.tables != nil {
 		return
 	}
 	var members []mtplan.Member
-	for i := range r.scene.Servers {
-		if r.lives[i] == serving {
+	for i := range r.scenario.Servers {
+		if r.states[i] == serving {
 			members = append(members, mtplan.Member{
 				Holder: r.holder(i),
-				Zone:   r.scene.Servers[i].Zone,
-				Slots:  r.scene.Servers[i].Slots,
+				Zone:   r.scenario.Servers[i].Zone,
+				Slots:  r.scenario.Servers[i].Slots,
 			})
 		}
 	}
-	for chunk, ops := range mtplan.InitialLayout(r.scene.Shards, r.scene.Chunks, members) {
-		r.tables = append(r.tables, mtshard.New(r.scene.Ref, chunk, r.scene.Chunks))
+	for chunk, ops := range mtplan.InitialLayout(r.scenario.Shards, r.scenario.Chunks, members) {
+		r.tables = append(r.tables, mtshard.New(r.scenario.Ref, chunk, r.scenario.Chunks))
 		r.apply(chunk, ops...)
 	}
 }
 
-// apply changes a chunk. Ops that don't fit are left out one by one, as a
-// compare-and-swap that lost would be planned anew.
+// apply writes ops to a chunk. If one of them does not apply, none is written, as
+// with a compare-and-swap that failed; the policy plans again in a later round.
 func (r *run[P]) apply(chunk int, ops ...mtshard.Op) bool {
-	r.stamps++
-	stamp := mtroster.WriteID{Writer: r.holder(0), Sequence: r.stamps}
-	next, err := r.tables[chunk].Apply(stamp, ops...)
+	r.writeSequence++
+	writeID := mtroster.WriteID{Writer: r.holder(0), Sequence: r.writeSequence}
+	next, err := r.tables[chunk].Apply(writeID, ops...)
 	if err != nil {
 		return false
 	}
@@ -250,59 +250,61 @@
 	return true
 }
 
-// sum adds up the loads of shards.
-func (r *run[P]) sum() {
-	r.table = r.table[:0]
+// sumShardLoads computes the loads of all shards from those of their keys.
+func (r *run[P]) sumShardLoads() {
+	r.shardLoads = r.shardLoads[:0]
 	key := 0
 	for chunk, t := range r.tables {
 		for i, s := range t.Shards {
 			last := chunk+1 == len(r.tables) && i+1 == len(t.Shards)
 			high, _ := t.High(s.Low)
 			o := ownedLoad{shard: s, chunk: chunk}
-			for key < len(r.scene.Keys) && (last || r.scene.Keys[key] <= high) {
+			for key < len(r.scenario.Keys) && (last || r.scenario.Keys[key] <= high) {
 				o.load += r.load[key]
-				o.seen += r.short.seen[key]
-				o.slow += r.long.seen[key]
+				o.short += r.short.measured[key]
+				o.long += r.long.measured[key]
 				key++
 			}
-			r.table = append(r.table, o)
+			r.shardLoads = append(r.shardLoads, o)
 		}
 	}
 }
 
-// slots returns what a server can use at present.
+// slots returns the usable slots of a server, fewer while it warms up after
+// joining.
 func (r *run[P]) slots(server int) float64 {
-	s := &r.scene.Servers[server]
+	s := &r.scenario.Servers[server]
 	if s.Joins == 0 {
 		return s.Slots
 	}
 	return s.Slots * mtplan.WarmShareAfter(r.at-s.Joins)
 }
 
-// plan runs a round of the policy if one is due.
+// plan runs a planning round if one is due, writes its splits and merges, and
+// queues its moves.
 func (r *run[P]) plan() {
 	if r.at < r.next {
 		return
 	}
-	r.next = r.at + roundTime
+	r.next = r.at + planInterval
 	state := r.state()
 	plan := r.policy.Plan(r.now(), state)
 	r.mean = state.Mean()
 	for chunk := range r.tables {
 		if ops := plan.Ops[chunk]; len(ops) > 0 {
-			r.write(chunk, ops)
+			r.writeOps(chunk, ops)
 		}
 	}
 	if len(plan.Ops) > 0 {
-		r.next = r.at + soonTime
+		r.next = r.at + replanDelay
 	}
 	for _, move := range plan.Moves {
-		r.wishes = append(r.wishes, wish{at: r.at + moveTime, move: move})
+		r.pendingMoves = append(r.pendingMoves, pendingMove{at: r.at + moveDelay, move: move})
 	}
 }
 
-func (r *run[P]) write(chunk int, ops []mtshard.Op) {
-	if !r.apply(chunk, ops...) || !r.warm() {
+func (r *run[P]) writeOps(chunk int, ops []mtshard.Op) {
+	if !r.apply(chunk, ops...) || !r.warmedUp() {
 		return
 	}
 	r.result.Writes++
@@ -317,56 +319,57 @@
 	}
 }
 
-// state is what the policy sees.
+// state returns the input of the policy.
 func (r *run[P]) state() *mtplan.State {
-	state := &mtplan.State{Weights: r.scene.Weights, Target: r.scene.Shards}
-	for i := range r.scene.Servers {
-		if r.lives[i] != serving && r.lives[i] != leaving {
+	state := &mtplan.State{Weights: r.scenario.Weights, Target: r.scenario.Shards}
+	for i := range r.scenario.Servers {
+		if r.states[i] != serving && r.states[i] != leaving {
 			continue
 		}
-		s := &r.scene.Servers[i]
-		heardAt, _ := r.book.LastReport(r.holder(i))
+		s := &r.scenario.Servers[i]
+		lastReport, _ := r.estimates.LastReport(r.holder(i))
 		state.Servers = append(state.Servers, mtplan.Server{
 			Holder:     r.holder(i),
 			Zone:       s.Zone,
 			Slots:      s.Slots,
 			WarmShare:  r.slots(i) / s.Slots,
-			Leaving:    r.lives[i] == leaving,
-			LoadKnown:  r.book.LoadKnown(r.now(), r.holder(i)),
-			LastReport: heardAt,
+			Leaving:    r.states[i] == leaving,
+			LoadKnown:  r.estimates.LoadKnown(r.now(), r.holder(i)),
+			LastReport: lastReport,
 		})
 	}
 	mtplan.SortServers(state.Servers)
-	state.Shards = mtplan.CollectShards(r.now(), r.tables, state.Servers, r.book)
-	state.HotKeys = r.book.HotKeys()
-	state.Total = r.book.Total()
+	state.Shards = mtplan.CollectShards(r.now(), r.tables, state.Servers, r.estimates)
+	state.HotKeys = r.estimates.HotKeys()
+	state.Total = r.estimates.Total()
 	r.losses.Pin(r.now(), state.Shards)
 	return state
 }
 
-// carryOut lets owners do the moves that are due.
-func (r *run[P]) carryOut() {
+// executeMoves executes the moves that are due, up to movesPerOwner for each
+// owner.
+func (r *run[P]) executeMoves() {
 	done := make(map[mtid.Holder]int)
-	var later []wish
+	var later []pendingMove
 	byChunk := make([][]mtshard.Op, len(r.tables))
 	batches := make(map[batch]bool)
-	for _, w := range r.wishes {
-		if w.at > r.at {
-			later = append(later, w)
+	for _, p := range r.pendingMoves {
+		if p.at > r.at {
+			later = append(later, p)
 			continue
 		}
-		if done[w.move.From] >= movesPerOwner {
-			later = append(later, w)
+		if done[p.move.From] >= movesPerOwner {
+			later = append(later, p)
 			continue
 		}
-		if op, chunk, ok := r.accept(w.move); ok {
-			done[w.move.From]++
-			batches[batch{owner: w.move.From, chunk: chunk}] = true
+		if op, chunk, ok := r.checkMove(p.move); ok {
+			done[p.move.From]++
+			batches[batch{owner: p.move.From, chunk: chunk}] = true
 			byChunk[chunk] = append(byChunk[chunk], op)
 		}
 	}
-	r.wishes = later
-	if r.warm() {
+	r.pendingMoves = later
+	if r.warmedUp() {
 		r.result.Batches += len(batches)
 	}
 	for chunk, ops := range byChunk {
@@ -376,24 +379,24 @@
 	}
 }
 
-// accept checks a wish as the owner would, and counts it.
-func (r *run[P]) accept(m mtplan.Move) (mtshard.Op, int, bool) {
-	to := r.places[m.To]
+// checkMove validates a move as its owner would, and counts it if it is valid.
+func (r *run[P]) checkMove(m mtplan.Move) (mtshard.Op, int, bool) {
+	to := r.serverIndex[m.To]
 	chunk := mtshard.ChunkOf(m.Low, len(r.tables))
 	s, ok := r.tables[chunk].Lookup(m.Low)
-	if !ok || s.Low != m.Low || s.Owner != m.From || r.lives[to] != serving {
+	if !ok || s.Low != m.Low || s.Owner != m.From || r.states[to] != serving {
 		return nil, 0, false
 	}
-	if r.warm() {
-		r.count(m)
+	if r.warmedUp() {
+		r.countMove(m)
 	}
 	return mtshard.Move{Low: m.Low, To: m.To}, chunk, true
 }
 
-// count adds a move to the figures.
-func (r *run[P]) count(m mtplan.Move) {
+// countMove adds a move to the result.
+func (r *run[P]) countMove(m mtplan.Move) {
 	const backWithin = 2 * time.Minute
-	i, _ := slices.BinarySearchFunc(r.table, m.Low, func(s ownedLoad, low mtid.Point) int {
+	i, _ := slices.BinarySearchFunc(r.shardLoads, m.Low, func(s ownedLoad, low mtid.Point) int {
 		if s.shard.Low < low {
 			return -1
 		}
@@ -402,9 +405,9 @@
 		}
 		return 0
 	})
-	if i < len(r.table) && r.table[i].shard.Low == m.Low {
-		r.totals.moved += r.table[i].load
-		r.unavailable(r.table[i].load, MovePause)
+	if i < len(r.shardLoads) && r.shardLoads[i].shard.Low == m.Low {
+		r.totals.moved += r.shardLoads[i].load
+		r.addUnavailable(r.shardLoads[i].load, MovePause)
 	}
 	r.result.Moves++
 	r.result.Writes++
--- a/core/mtscene/scenes.go
+++ b/core/mtscene/scenes.go
@@ -11,7 +11,7 @@
 	"magnoliaturn/core/mtid"
 )
 
-// The two businesses' services and what they weigh.
+// The services of the two businesses and the weights of their planning goals.
 var (
 	hotels = mtid.Ref{Business: "ratins", Service: "mapsvc"}
 	loans  = mtid.Ref{Business: "landmaschinen", Service: "registry"}
@@ -31,11 +31,11 @@
 	hotelBusy  = 5 * time.Millisecond
 	loanBusy   = 5 * time.Millisecond
 	slowBusy   = 200 * time.Millisecond
-	// usual is the load per slot of a quiet fleet.
-	usual = 0.4
+	// usualLoad is the load per slot of a fleet without peaks.
+	usualLoad = 0.4
 )
 
-// servers returns n servers spread over zones.
+// servers returns n servers, distributed over the zones in turn.
 func servers(n int, zones []mtid.Zone, slots float64) []Server {
 	var list []Server
 	for i := range n {
@@ -48,21 +48,22 @@
 	return list
 }
 
-// population is a set of keys with a base load each and a slow sway of it.
+// population is a set of keys, each with a base load that varies slowly.
 type population struct {
 	points []mtid.Point
 	base   []float64
-	group  []int // hotel or canton of each key
+	group  []int // index of the hotel or canton of each key
 	phase  []float64
 	period []float64
-	// swayed is the load of the present step, which is counted from one.
-	swayed []float64
-	step   int
+	// current is the load of each key in the current step. Steps count from one, so
+	// that zero means not computed yet.
+	current []float64
+	step    int
 }
 
-// newPopulation returns keys named group/number, with a base load that the
-// weights divide, in the order of their points.
-func newPopulation(ref mtid.Ref, groups, each int, total float64, weight func(i int) float64, source *rand.Rand) *population {
+// newPopulation returns keys named group-G/key-N in the order of their points. The
+// total load is divided among them in proportion to their weights.
+func newPopulation(ref mtid.Ref, groups, perGroup int, total float64, weight func(i int) float64, source *rand.Rand) *population {
 	type key struct {
 		point mtid.Point
 		group int
@@ -70,9 +71,9 @@
 	}
 	var keys []key
 	sum := 0.0
-	for i := range groups * each {
-		name := mtid.Key(fmt.Sprintf("group-%d/key-%d", i/each, i%each))
-		k := key{point: ref.Point(name), group: i / each, load: weight(i)}
+	for i := range groups * perGroup {
+		name := mtid.Key(fmt.Sprintf("group-%d/key-%d", i/perGroup, i%perGroup))
+		k := key{point: ref.Point(name), group: i / perGroup, load: weight(i)}
 		sum += k.load
 		keys = append(keys, k)
 	}
@@ -93,139 +94,146 @@
 	return p
 }
 
-// sway is how far a key's load swings around its base, and swayStep how often
-// it changes.
+// variation is the relative amplitude by which a key's load varies around its
+// base, and variationStep the interval at which it changes.
 const (
-	sway     = 0.2
-	swayStep = 5 * time.Second
+	variation     = 0.2
+	variationStep = 5 * time.Second
 )
 
-// at fills in the swaying base load.
-func (p *population) at(at time.Duration, load []float64) {
-	if step := int(at/swayStep) + 1; step != p.step {
+// fillLoads stores the varying base load of each key at a time.
+func (p *population) fillLoads(at time.Duration, load []float64) {
+	if step := int(at/variationStep) + 1; step != p.step {
 		p.step = step
-		p.swing(at.Truncate(swayStep))
+		p.updateLoads(at.Truncate(variationStep))
 	}
-	copy(load, p.swayed)
+	copy(load, p.current)
 }
 
-func (p *population) swing(at time.Duration) {
-	if p.swayed == nil {
-		p.swayed = make([]float64, len(p.base))
+func (p *population) updateLoads(at time.Duration) {
+	if p.current == nil {
+		p.current = make([]float64, len(p.base))
 	}
-	for i := range p.swayed {
-		p.swayed[i] = p.base[i] * (1 + sway*math.Sin(2*math.Pi*at.Seconds()/p.period[i]+p.phase[i]))
+	for i := range p.current {
+		p.current[i] = p.base[i] * (1 + variation*math.Sin(2*math.Pi*at.Seconds()/p.period[i]+p.phase[i]))
 	}
 }
 
-func even(int) float64 { return 1 }
+func equalWeight(int) float64 { return 1 }
 
-// zipf returns weights of rank to the power of -s.
+// zipf returns a function that gives each rank the weight of that rank to the
+// power of -s.
 func zipf(s float64) func(int) float64 {
 	return func(i int) float64 { return math.Pow(float64(i+1), -s) }
 }
 
-// bump rises from 0 to 1 and falls again over a length, with ramps of a tenth.
-func bump(at, start, length time.Duration) float64 {
+// trapezoid rises from 0 to 1 and falls back to 0 within a length; each ramp
+// takes a tenth of it.
+func trapezoid(at, start, length time.Duration) float64 {
 	x := float64(at-start) / float64(length)
 	const ramp = 0.1
 	return max(0, min(1, x/ramp, (1-x)/ramp))
 }
 
-// Breakfast is a peak that moves from hotel to hotel.
+// Breakfast returns a scenario with a peak that moves from hotel to hotel.
 func Breakfast(seed uint64) Scene {
 	const count, peak = 40, 12.0
 	fleet := servers(6, riga, hotelSlots)
-	p := newPopulation(hotels, count, 50, 6*hotelSlots*usual, even, source(seed))
+	p := newPopulation(hotels, count, 50, 6*hotelSlots*usualLoad, equalWeight, newRand(seed))
 	return Scene{
 		Name: "breakfast", Ref: hotels, Length: 40 * time.Minute, Servers: fleet, Keys: p.points,
 		Shards: 240, Chunks: 4, Weights: hotelWeights, Busy: hotelBusy, Seed: seed,
 		Load: func(at time.Duration, load []float64) {
-			p.at(at, load)
+			p.fillLoads(at, load)
 			for i := range load {
-				// Five hotels have breakfast at any time; the next begin as
-				// the first end.
+				// Each hotel's peak lasts five minutes and the next one starts
+				// a minute later, so five hotels peak at any time.
 				start := time.Duration(p.group[i]) * time.Minute
-				load[i] *= 1 + peak*bump(at, start, 5*time.Minute)
+				load[i] *= 1 + peak*trapezoid(at, start, 5*time.Minute)
 			}
 		},
 	}
 }
 
-// Harvest is a canton whose farmers all call for half an hour, and then another.
+// Harvest returns a scenario in which the load of all keys of one canton peaks for
+// 16 minutes, and later that of another canton.
 func Harvest(seed uint64) Scene {
 	const cantons, peak = 26, 15.0
 	fleet := servers(5, bern, loanSlots)
-	p := newPopulation(loans, cantons, 100, 5*loanSlots*usual*0.7, even, source(seed))
+	p := newPopulation(loans, cantons, 100, 5*loanSlots*usualLoad*0.7, equalWeight, newRand(seed))
 	return Scene{
 		Name: "harvest", Ref: loans, Length: 40 * time.Minute, Servers: fleet, Keys: p.points,
 		Shards: 200, Chunks: 4, Weights: loanWeights, Busy: loanBusy, Seed: seed,
 		Load: func(at time.Duration, load []float64) {
-			p.at(at, load)
+			p.fillLoads(at, load)
 			for i := range load {
 				switch p.group[i] {
 				case 7:
-					load[i] *= 1 + peak*bump(at, 4*time.Minute, 16*time.Minute)
+					load[i] *= 1 + peak*trapezoid(at, 4*time.Minute, 16*time.Minute)
 				case 19:
-					load[i] *= 1 + peak*bump(at, 22*time.Minute, 16*time.Minute)
+					load[i] *= 1 + peak*trapezoid(at, 22*time.Minute, 16*time.Minute)
 				}
 			}
 		},
 	}
 }
 
-// Zipf is a steady load whose keys follow Zipf's law.
+// Zipf returns a scenario with a steady load that is distributed over the keys by
+// Zipf's law with exponent s.
 func Zipf(seed uint64, s float64) Scene {
 	const n = 12
-	p := newPopulation(hotels, 200, 100, n*hotelSlots*usual, zipf(s), source(seed))
+	p := newPopulation(hotels, 200, 100, n*hotelSlots*usualLoad, zipf(s), newRand(seed))
 	return Scene{
 		Name: fmt.Sprintf("zipf %.1f", s), Ref: hotels, Length: 15 * time.Minute, Servers: servers(n, riga, hotelSlots), Keys: p.points,
-		Shards: 480, Chunks: 8, Weights: hotelWeights, Busy: hotelBusy, Seed: seed, Load: p.at,
+		Shards: 480, Chunks: 8, Weights: hotelWeights, Busy: hotelBusy, Seed: seed, Load: p.fillLoads,
 	}
 }
 
-// hotKeys and hotTime are how many keys are hot, and for how long.
+// hotKeys is the number of keys that are hot at a time, and hotTime how long they
+// stay hot.
 const (
 	hotKeys = 11
 	hotTime = 3 * time.Minute
 )
 
-// HotKeys is a load whose hottest keys are others every three minutes.
+// HotKeys returns a scenario in which different keys become hot every three
+// minutes.
 func HotKeys(seed uint64, n, keys, shards, chunks int, length time.Duration) Scene {
-	p := newPopulation(hotels, keys/100, 100, float64(n)*hotelSlots*usual*0.85, even, source(seed))
+	p := newPopulation(hotels, keys/100, 100, float64(n)*hotelSlots*usualLoad*0.85, equalWeight, newRand(seed))
 	return Scene{
 		Name: "hot keys", Ref: hotels, Length: length, Servers: servers(n, riga, hotelSlots), Keys: p.points,
 		Shards: shards, Chunks: chunks, Weights: hotelWeights, Busy: hotelBusy, Seed: seed,
 		Load: func(at time.Duration, load []float64) {
-			p.at(at, load)
-			picks := source(seed + uint64(at/hotTime) + 1)
+			p.fillLoads(at, load)
+			picks := newRand(seed + uint64(at/hotTime) + 1)
 			for range hotKeys {
-				// Half a server's usual load on one key.
-				load[picks.IntN(len(load))] += hotelSlots * usual * 0.5
+				// One key gets half of the usual load of a server.
+				load[picks.IntN(len(load))] += hotelSlots * usualLoad * 0.5
 			}
 		},
 	}
 }
 
-func source(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 0)) }
+func newRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 0)) }
 
-// HotFleet is the usual fleet under hot keys.
+// HotFleet returns the scenario of hot keys on a fleet of 24 servers.
 func HotFleet(seed uint64) Scene { return HotKeys(seed, 24, 10000, 960, 8, 20*time.Minute) }
 
-// Flash is one key that wants more than any server has, for five minutes.
+// Flash returns a scenario in which a single key needs more slots than any server
+// has, for five minutes.
 func Flash(seed uint64) Scene {
-	p := newPopulation(hotels, 40, 50, 6*hotelSlots*usual, even, source(seed))
+	p := newPopulation(hotels, 40, 50, 6*hotelSlots*usualLoad, equalWeight, newRand(seed))
 	return Scene{
 		Name: "flash", Ref: hotels, Length: 15 * time.Minute, Servers: servers(6, riga, hotelSlots), Keys: p.points,
 		Shards: 240, Chunks: 4, Weights: hotelWeights, Busy: hotelBusy, Seed: seed,
 		Load: func(at time.Duration, load []float64) {
-			p.at(at, load)
-			load[len(load)/3] += 1.5 * hotelSlots * bump(at, 5*time.Minute, 5*time.Minute)
+			p.fillLoads(at, load)
+			load[len(load)/3] += 1.5 * hotelSlots * trapezoid(at, 5*time.Minute, 5*time.Minute)
 		},
 	}
 }
 
-// JoinLeave is servers that come, leave in order and are lost.
+// JoinLeave returns a scenario in which servers join, drain and are lost.
 func JoinLeave(seed uint64) Scene {
 	const n = 12
 	fleet := servers(n+3, riga, hotelSlots)
@@ -237,14 +245,15 @@
 	fleet[8].Leaves = 14 * time.Minute
 	fleet[n+2].Joins = 16 * time.Minute
 	fleet[n+2].Slots = 2 * hotelSlots
-	p := newPopulation(hotels, 200, 100, n*hotelSlots*usual, zipf(0.7), source(seed))
+	p := newPopulation(hotels, 200, 100, n*hotelSlots*usualLoad, zipf(0.7), newRand(seed))
 	return Scene{
 		Name: "join, leave, loss", Ref: hotels, Length: 20 * time.Minute, Servers: fleet, Keys: p.points,
-		Shards: 480, Chunks: 8, Weights: hotelWeights, Busy: hotelBusy, Seed: seed, Load: p.at,
+		Shards: 480, Chunks: 8, Weights: hotelWeights, Busy: hotelBusy, Seed: seed, Load: p.fillLoads,
 	}
 }
 
-// ZoneLoss is the loss of every server of an availability zone at once.
+// ZoneLoss returns a scenario in which all servers of an availability zone are
+// lost at once.
 func ZoneLoss(seed uint64) Scene {
 	const n = 24
 	fleet := servers(n, riga, hotelSlots)
@@ -253,38 +262,38 @@
 			fleet[i].Lost = 6 * time.Minute
 		}
 	}
-	p := newPopulation(hotels, 200, 100, n*hotelSlots*usual, zipf(0.7), source(seed))
+	p := newPopulation(hotels, 200, 100, n*hotelSlots*usualLoad, zipf(0.7), newRand(seed))
 	return Scene{
 		Name: "zone loss", Ref: hotels, Length: 12 * time.Minute, Servers: fleet, Keys: p.points,
-		Shards: 960, Chunks: 8, Weights: hotelWeights, Busy: hotelBusy, Seed: seed, Load: p.at,
+		Shards: 960, Chunks: 8, Weights: hotelWeights, Busy: hotelBusy, Seed: seed, Load: p.fillLoads,
 	}
 }
 
-// Rest is a quiet load that only sways.
+// Rest returns a scenario without peaks, whose load only varies slowly.
 func Rest(seed uint64) Scene {
 	const n = 12
-	p := newPopulation(loans, 200, 100, n*loanSlots*usual, zipf(0.7), source(seed))
+	p := newPopulation(loans, 200, 100, n*loanSlots*usualLoad, zipf(0.7), newRand(seed))
 	return Scene{
 		Name: "rest", Ref: loans, Length: 60 * time.Minute, Servers: servers(n, bern, loanSlots), Keys: p.points,
-		Shards: 480, Chunks: 8, Weights: loanWeights, Busy: loanBusy, Seed: seed, Load: p.at,
+		Shards: 480, Chunks: 8, Weights: loanWeights, Busy: loanBusy, Seed: seed, Load: p.fillLoads,
 	}
 }
 
-// Capacities is a fleet of servers of three sizes.
+// Capacities returns a scenario with a fleet of servers of three sizes.
 func Capacities(seed uint64) Scene {
 	const n = 12
 	list := servers(n, riga, hotelSlots)
 	for i := range list {
 		list[i].Slots = hotelSlots / 2 * float64(1+i%3)
 	}
-	p := newPopulation(hotels, 200, 100, n*hotelSlots*usual, zipf(0.7), source(seed))
+	p := newPopulation(hotels, 200, 100, n*hotelSlots*usualLoad, zipf(0.7), newRand(seed))
 	return Scene{
 		Name: "capacities", Ref: hotels, Length: 15 * time.Minute, Servers: list, Keys: p.points,
-		Shards: 480, Chunks: 8, Weights: hotelWeights, Busy: hotelBusy, Seed: seed, Load: p.at,
+		Shards: 480, Chunks: 8, Weights: hotelWeights, Busy: hotelBusy, Seed: seed, Load: p.fillLoads,
 	}
 }
 
-// withFaults returns the scene of hot keys under faulty reports.
+// withFaults returns the scenario of hot keys with faulty reports.
 func withFaults(seed uint64, name string, faults Faults) Scene {
 	s := HotFleet(seed)
 	s.Name = name
@@ -292,19 +301,20 @@
 	return s
 }
 
-// lateness is how late reports are in the scenes of late reports.
-const lateness = 5 * time.Second
+// reportDelay is the delay of reports in the scenarios with late reports.
+const reportDelay = 5 * time.Second
 
-// LateRest is a quiet load with reports that come late.
+// LateRest returns the scenario of Rest with delayed reports.
 func LateRest(seed uint64) Scene {
 	s := Rest(seed)
 	s.Name = "rest, late"
-	s.Faults = Faults{Late: lateness}
+	s.Faults = Faults{Late: reportDelay}
 	return s
 }
 
-// SlowRest is a quiet load of slow requests: a server of nine slots sees some
-// twenty a second, and its measured load is off by a tenth now and then.
+// SlowRest returns the scenario of Rest with slow requests: a server of nine slots
+// receives only about twenty per second, so its measured load is occasionally off
+// by a tenth.
 func SlowRest(seed uint64) Scene {
 	s := Rest(seed)
 	s.Name = "rest, slow requests"
@@ -312,12 +322,12 @@
 	return s
 }
 
-// LateFleet is the usual fleet under hot keys, with reports that come late.
+// LateFleet returns the scenario of HotFleet with delayed reports.
 func LateFleet(seed uint64) Scene {
-	return withFaults(seed, "hot keys, late", Faults{Late: lateness})
+	return withFaults(seed, "hot keys, late", Faults{Late: reportDelay})
 }
 
-// Scenes returns all scenes of the report.
+// Scenes returns all scenarios in which policies are compared.
 func Scenes(seed uint64) []Scene {
 	frozen := func(server int, at time.Duration) bool {
 		return server%6 == 1 && at > 5*time.Minute && at < 12*time.Minute
@@ -352,12 +362,12 @@
 	}
 }
 
-// largeWarmUp covers the four minutes over which several hundred servers report
-// to a new planner.
+// largeWarmUp covers the four minutes that several hundred servers take to send
+// their first reports to a new planner.
 const largeWarmUp = 5 * time.Minute
 
-// Fleet480 is the largest fleet that is planned for, its tables in that many
-// chunks.
+// Fleet480 returns the scenario of hot keys on the largest supported fleet, with
+// the table divided into the given number of chunks.
 func Fleet480(seed uint64, chunks int) Scene {
 	s := HotKeys(seed, 480, 100000, 25000, chunks, 14*time.Minute)
 	s.WarmUp = largeWarmUp
@@ -365,13 +375,13 @@
 	return s
 }
 
-// Rest480 is the largest fleet under a quiet load.
+// Rest480 returns a scenario of the largest fleet under a load without peaks.
 func Rest480(seed uint64, chunks int) Scene {
 	const n, keys = 480, 100000
-	p := newPopulation(hotels, keys/100, 100, n*hotelSlots*usual, even, source(seed))
+	p := newPopulation(hotels, keys/100, 100, n*hotelSlots*usualLoad, equalWeight, newRand(seed))
 	return Scene{
 		Name: fmt.Sprintf("480 servers at rest, %d chunks", chunks), Ref: hotels, Length: 14 * time.Minute, WarmUp: largeWarmUp,
 		Servers: servers(n, riga, hotelSlots), Keys: p.points,
-		Shards: 25000, Chunks: chunks, Weights: hotelWeights, Busy: hotelBusy, Seed: seed, Load: p.at,
+		Shards: 25000, Chunks: chunks, Weights: hotelWeights, Busy: hotelBusy, Seed: seed, Load: p.fillLoads,
 	}
 }
