--- a/cmd/capacity/fleet.go
+++ b/cmd/capacity/fleet.go
@@ -34,11 +34,12 @@
 	business     = "ratins"
 	forceTimeout = 30 * time.Second
 	forcePoll    = time.Millisecond
-	// changePause keeps changes apart, as 1,900 a day are.
+	// changePause separates changes so that they do not overlap, which they would
+	// not do at 1,900 a day either.
 	changePause = 1230 * time.Millisecond
 )
 
-// fleetCommand measures whole daemons, all in this process.
+// fleetCommand measures complete daemons that all run in this process.
 type fleetCommand struct {
 	sizes   string
 	settle  time.Duration
@@ -74,7 +75,7 @@
 	for _, text := range strings.Split(c.sizes, ",") {
 		size, err := strconv.Atoi(text)
 		if err != nil || size < 2 {
-			fmt.Fprintf(os.Stderr, "sizes: %q: accepted are whole numbers from 2\n", text)
+			fmt.Fprintf(os.Stderr, "sizes: %q: want a whole number of at least 2\n", text)
 			return subcommands.ExitUsageError
 		}
 		if err := c.measure(w, size); err != nil {
@@ -86,7 +87,8 @@
 	return subcommands.ExitSuccess
 }
 
-// deployment returns a fleet of that size over the zones of Riga.
+// deployment returns a fleet of the given size, distributed over the zones of the
+// region "riga".
 func deployment(size int) mtfleet.Deployment {
 	return mtfleet.Deployment{
 		Business: business, Bundle: bundles.Ratins, Region: "riga",
@@ -107,14 +109,14 @@
 	defer cleanUp()
 	time.Sleep(c.settle)
 	memory := heap() - before
-	first := read(f)
+	first := readCounters(f)
 	time.Sleep(c.rest)
-	last := read(f)
+	last := readCounters(f)
 	spread, err := c.force(f)
 	if err != nil {
 		return err
 	}
-	pulled := read(f).pulls - last.pulls
+	pulled := readCounters(f).pulls - last.pulls
 	seconds := c.rest.Seconds()
 	each := func(v float64) float64 { return v / float64(size) }
 	const mega = 1 << 20
@@ -127,8 +129,8 @@
 	return err
 }
 
-// reading is what the counters of a whole fleet say at one moment.
-type reading struct {
+// fleetCounters holds the counters of a fleet, summed over its daemons, at one time.
+type fleetCounters struct {
 	bytes, messages int64
 	pulls           int64
 	cpu             time.Duration
@@ -136,8 +138,9 @@
 	watching        int64
 }
 
-func read(f *mtfleet.Fleet) reading {
-	var r reading
+// readCounters sums the counters of all daemons and adds those of the store.
+func readCounters(f *mtfleet.Fleet) fleetCounters {
+	var r fleetCounters
 	for _, d := range f.Daemons() {
 		duty, err := mtkernel.Lookup[*mtrenew.Duty](d.Kernel(), mtdaemon.NameRenew)
 		must(err)
@@ -160,20 +163,20 @@
 	return r
 }
 
-// cpuTime returns what this process has used of the processors.
+// cpuTime returns the user and system CPU time that this process has used.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	must(syscall.Getrusage(syscall.RUSAGE_SELF, &u))
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// force brings bundles into force one after another and returns, in order, how
-// long each took until every daemon had it.
+// force activates bundles one after another and returns how long each took to
+// reach every daemon, in ascending order.
 func (c *fleetCommand) force(f *mtfleet.Fleet) ([]time.Duration, error) {
 	var took []time.Duration
 	for i := range c.changes {
 		version := mtid.Version(i + 2)
-		d, err := forceOne(f, version)
+		d, err := forceVersion(f, version)
 		if err != nil {
 			return nil, err
 		}
@@ -184,15 +187,18 @@
 	return took, nil
 }
 
-// NotForcedError says that a bundle did not come into force everywhere in time.
+// NotForcedError reports that some daemon did not activate a bundle within
+// forceTimeout.
 type NotForcedError struct{ Version mtid.Version }
 
 // Error implements error.
 func (e *NotForcedError) Error() string {
-	return fmt.Sprintf("bundle %d was not in force everywhere after %s", e.Version, forceTimeout)
+	return fmt.Sprintf("bundle version %d was not in force on every daemon after %s", e.Version, forceTimeout)
 }
 
-func forceOne(f *mtfleet.Fleet, version mtid.Version) (time.Duration, error) {
+// forceVersion writes a bundle version to the store and returns how long it took until
+// every daemon had activated it.
+func forceVersion(f *mtfleet.Fleet, version mtid.Version) (time.Duration, error) {
 	text := bytes.Replace(bundles.Ratins, []byte("version    = 1"), fmt.Appendf(nil, "version    = %d", version), 1)
 	stored := mtbundle.Stored{Business: business, Version: version, Text: text, Accepted: time.Now()}
 	value, err := stored.Encode()
@@ -216,6 +222,7 @@
 	return time.Since(begin), nil
 }
 
+// inForce reports whether a daemon's view has the bundle version or a newer one.
 func inForce(view *mtview.View, version mtid.Version) bool {
 	bundle, ok := view.Snapshot().Bundle(business)
 	return ok && bundle.Version >= version
--- a/cmd/capacity/loss.go
+++ b/cmd/capacity/loss.go
@@ -21,8 +21,8 @@
 	"magnoliaturn/io/mtfleet"
 )
 
-// lossCommand measures how long it takes until every daemon left knows a live
-// owner for every key, after a VM and after an availability zone is lost.
+// lossCommand measures how long it takes after the loss of a VM, and of an
+// availability zone, until every remaining daemon has a live owner for every key.
 type lossCommand struct {
 	sizes  string
 	settle time.Duration
@@ -56,7 +56,7 @@
 	for _, text := range strings.Split(c.sizes, ",") {
 		size, err := strconv.Atoi(text)
 		if err != nil || size < 8 {
-			fmt.Fprintf(os.Stderr, "sizes: %q: accepted are whole numbers from 8\n", text)
+			fmt.Fprintf(os.Stderr, "sizes: %q: want a whole number of at least 8\n", text)
 			return subcommands.ExitUsageError
 		}
 		if err := c.measure(w, size); err != nil {
@@ -77,9 +77,9 @@
 	time.Sleep(c.settle)
 	var singles []time.Duration
 	for i := range c.rounds {
-		// Daemons go round the four zones; the ones lost here are of zones
-		// other than the first, which is lost as a whole in the end.
-		took, err := lose(f, []int{1 + 4*i/3 + i%3})
+		// Daemons are assigned to the four zones in turn. The ones lost here
+		// are not in the first zone, which is lost as a whole at the end.
+		took, err := measureLoss(f, []int{1 + 4*i/3 + i%3})
 		if err != nil {
 			return err
 		}
@@ -90,7 +90,7 @@
 	for i := 0; i < size; i += 4 {
 		zone = append(zone, i)
 	}
-	took, err := lose(f, zone)
+	took, err := measureLoss(f, zone)
 	if err != nil {
 		return err
 	}
@@ -100,21 +100,24 @@
 	return err
 }
 
-// LossError says that keys were still without a live owner after a loss.
+// LossError reports that some keys still had no live owner when the time limit
+// after a loss had passed.
 type LossError struct{ After time.Duration }
 
 // Error implements error.
-func (e *LossError) Error() string { return fmt.Sprintf("keys had no live owner after %s", e.After) }
+func (e *LossError) Error() string {
+	return fmt.Sprintf("some keys still had no live owner %s after the loss", e.After)
+}
 
-// lose ends daemons with their servers and returns when all that are left know
-// a live owner for each shard.
-func lose(f *mtfleet.Fleet, places []int) (time.Duration, error) {
+// measureLoss terminates daemons together with their servers and returns how long it took
+// until all remaining daemons had a live owner for each shard.
+func measureLoss(f *mtfleet.Fleet, indexes []int) (time.Duration, error) {
 	lost := map[mtid.Holder]bool{}
-	for _, i := range places {
+	for _, i := range indexes {
 		lost[f.Daemons()[i].Self()] = true
 	}
 	begin := time.Now()
-	f.Lose(places...)
+	f.Lose(indexes...)
 	for {
 		if recovered(f, lost) {
 			return time.Since(begin), nil
@@ -126,7 +129,8 @@
 	}
 }
 
-// recovered reports whether no daemon left knows a lost one as an owner.
+// recovered reports whether no remaining daemon has a lost one as the owner of a
+// shard.
 func recovered(f *mtfleet.Fleet, lost map[mtid.Holder]bool) bool {
 	ref := mtid.Ref{Business: business, Service: "dispatch"}
 	for _, d := range f.Living() {
--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -1,14 +1,15 @@
-// Command capacity measures the slopes that docs/CAPACITY.md is worked out from.
+// Command capacity measures how the costs of the router grow with the size of the
+// fleet. The capacity plan in docs/CAPACITY.md is calculated from its results.
 //
 // # Usage
 //
-//	go run ./cmd/capacity state   sizes, memory and time of the copied state
-//	go run ./cmd/capacity fleet   daemons at rest, and the spread of a change
-//	go run ./cmd/capacity loss    recovery from a lost VM and a lost zone
-//	go run ./cmd/capacity moves   how long moving shards take no work
+//	go run ./cmd/capacity state   sizes, memory and times of the replicated state
+//	go run ./cmd/capacity fleet   idle daemons, and the propagation of a change
+//	go run ./cmd/capacity loss    recovery from the loss of a VM and of a zone
+//	go run ./cmd/capacity moves   how long moving shards accept no requests
 //
-// Everything runs in this process and on loopback. Figures of time depend on
-// the machine; compare only within one run.
+// Everything runs in this process and over loopback. Measured times depend on the
+// machine, so only times of the same run are comparable.
 package main
 
 import (
--- a/cmd/capacity/moves.go
+++ b/cmd/capacity/moves.go
@@ -24,7 +24,7 @@
 	iostore "magnoliaturn/io/mtstore"
 )
 
-// movesCommand measures how long a shard takes no work while it moves.
+// movesCommand measures how long a shard accepts no requests while it moves.
 type movesCommand struct {
 	size  int
 	moves int
@@ -62,7 +62,7 @@
 }
 
 const (
-	perMove     = 25 * time.Millisecond // about the time that one move is given
+	movePause   = 25 * time.Millisecond // pause after each move, and the time that send allows for one
 	movesSettle = 15 * time.Second
 	moveSeed    = 3
 )
@@ -75,7 +75,7 @@
 	defer cleanUp()
 	time.Sleep(movesSettle)
 	f.Store().SetFaults(iostore.Faults{Slow: c.slow})
-	before := stopped(f)
+	before := stopTimes(f)
 	done := make(chan error, 1)
 	go func() {
 		done <- c.send(ctx, f)
@@ -84,22 +84,22 @@
 	if err := <-done; err != nil {
 		return err
 	}
-	after := stopped(f).Summary()
+	after := stopTimes(f).Summary()
 	const padding = 2
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, padding, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(w, "asked\trefused\tmoved\tstopped p50 ms\tp99 ms\tlongest ms\t")
 	_, _ = fmt.Fprintf(w, "%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t\n", c.moves, refused, after.Count-before.Summary().Count,
-		milli(after.P50), milli(after.P99), milli(after.Max))
+		milliseconds(after.P50), milliseconds(after.P99), milliseconds(after.Max))
 	if err := w.Flush(); err != nil {
 		return err
 	}
 	return f.Audit(os.Stdout)
 }
 
-// milli returns microseconds as milliseconds.
-func milli(us int64) float64 { return float64(us) / 1000 }
+// milliseconds converts microseconds to milliseconds.
+func milliseconds(us int64) float64 { return float64(us) / 1000 }
 
-// send keeps callers at work until all moves are over.
+// send sends requests at the configured rate for about as long as the moves take.
 func (c *movesCommand) send(ctx context.Context, f *mtfleet.Fleet) error {
 	s := deployment(c.size).Services[0]
 	s.Rate, s.Keys = c.rate, 500
@@ -107,15 +107,14 @@
 		{Name: "status", Idempotent: true, Weight: 4, Timeout: 400 * time.Millisecond},
 		{Name: "send", Weight: 1, Timeout: 3 * time.Second, Body: 32},
 	}
-	summary, err := f.Send(ctx, s, time.Duration(c.moves)*perMove+time.Second, 0)
+	summary, err := f.Send(ctx, s, time.Duration(c.moves)*movePause+time.Second, 0)
 	if err != nil {
 		return err
 	}
 	return summary.Print(os.Stdout)
 }
 
-// move asks for one random move after another and returns how many were
-// refused.
+// move requests random moves one after another and returns how many were refused.
 func (c *movesCommand) move(ctx context.Context, f *mtfleet.Fleet) int {
 	random := rand.New(rand.NewPCG(moveSeed, moveSeed))
 	daemons := f.Daemons()
@@ -124,18 +123,18 @@
 	must(err)
 	refused := 0
 	for range c.moves {
-		shard := pick(random, daemons[0], ref)
+		shard := randomShard(random, daemons[0], ref)
 		to := daemons[random.IntN(len(daemons))].Self()
 		if to == shard.Owner || mover.Move(ctx, shard.Owner, ref, shard.Low, to) != nil {
 			refused++
 		}
-		time.Sleep(perMove)
+		time.Sleep(movePause)
 	}
 	return refused
 }
 
-// pick returns a random shard as a daemon knows it.
-func pick(random *rand.Rand, d *mtdaemon.Daemon, ref mtid.Ref) mtshard.Shard {
+// randomShard returns a random shard from a daemon's view.
+func randomShard(random *rand.Rand, d *mtdaemon.Daemon, ref mtid.Ref) mtshard.Shard {
 	view, err := mtkernel.Lookup[*mtview.View](d.Kernel(), mtdaemon.NameView)
 	must(err)
 	tables := view.Snapshot().Tables(ref)
@@ -143,8 +142,8 @@
 	return table.Shards[random.IntN(len(table.Shards))]
 }
 
-// stopped sums up what all daemons recorded.
-func stopped(f *mtfleet.Fleet) *mtmetric.Durations {
+// stopTimes merges the stop times of shards that all daemons recorded.
+func stopTimes(f *mtfleet.Fleet) *mtmetric.Durations {
 	all := mtmetric.NewDurations()
 	for _, d := range f.Daemons() {
 		all.Merge(d.StopTimes())
