--- a/cmd/capacity/fleet.go
+++ b/cmd/capacity/fleet.go
@@ -196,8 +196,8 @@
 	return fmt.Sprintf("bundle version %d was not in force on every daemon after %s", e.Version, forceTimeout)
 }
 
-// forceVersion writes a bundle version to the store and returns how long it took until
-// every daemon had activated it.
+// forceVersion writes a bundle version to the store and returns how long it took
+// until every daemon had activated it.
 func forceVersion(f *mtfleet.Fleet, version mtid.Version) (time.Duration, error) {
 	text := bytes.Replace(bundles.Ratins, []byte("version    = 1"), fmt.Appendf(nil, "version    = %d", version), 1)
 	stored := mtbundle.Stored{Business: business, Version: version, Text: text, Accepted: time.Now()}
--- a/cmd/capacity/loss.go
+++ b/cmd/capacity/loss.go
@@ -109,8 +109,8 @@
 	return fmt.Sprintf("some keys still had no live owner %s after the loss", e.After)
 }
 
-// measureLoss terminates daemons together with their servers and returns how long it took
-// until all remaining daemons had a live owner for each shard.
+// measureLoss terminates daemons together with their servers and returns how long
+// it took until all remaining daemons had a live owner for each shard.
 func measureLoss(f *mtfleet.Fleet, indexes []int) (time.Duration, error) {
 	lost := map[mtid.Holder]bool{}
 	for _, i := range indexes {
--- a/cmd/policies/placement.go
+++ b/cmd/policies/placement.go
@@ -44,7 +44,7 @@
 
 func (c *placement) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	fmt.Printf("placement, seed %d; loads and faults: core/mtscene\n", c.seed)
-	for _, scene := range mtscene.Scenes(c.seed) {
+	for _, scene := range mtscene.Scenarios(c.seed) {
 		if c.scene != "" && c.scene != scene.Name {
 			continue
 		}
@@ -62,7 +62,7 @@
 }
 
 // compare runs a scene under each policy.
-func compare(scene mtscene.Scene) []mtscene.Result {
+func compare(scene mtscene.Scenario) []mtscene.Result {
 	return []mtscene.Result{
 		mtscene.Run(scene, mtplan.NewRendezvous()),
 		mtscene.Run(scene, mtplan.NewBounded()),
@@ -72,7 +72,7 @@
 
 // write prints the table of one scene.
 func write(out io.Writer, results []mtscene.Result) {
-	fmt.Fprintf(out, "\n%s (hottest key alone: %.2f of a server's mean)\n", results[0].Scene, results[0].Floor)
+	fmt.Fprintf(out, "\n%s (hottest key alone: %.2f of a server's mean)\n", results[0].Scenario, results[0].Floor)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "policy\timbalance\tp99\tover 1.15\tlongest\tchurn/min\tmoves\treturns\tunavailable/min\tshed\tsplits\tmerges\tshards\treports B/s\tpeak\t")
 	for _, r := range results {
@@ -112,7 +112,7 @@
 	writeFleet(out, mtscene.Rest480(seed, largeChunks[len(largeChunks)-1]))
 }
 
-func writeFleet(out io.Writer, scene mtscene.Scene) {
+func writeFleet(out io.Writer, scene mtscene.Scenario) {
 	policy := &timed{Policy: mtplan.NewPlanner()}
 	r := mtscene.Run(scene, policy)
 	write(out, []mtscene.Result{r})
--- a/cmd/policies/plot.go
+++ b/cmd/policies/plot.go
@@ -39,7 +39,7 @@
 // draw writes the imbalance over time of each policy, if the scene is one that
 // is drawn.
 func (c *placement) draw(results []mtscene.Result) error {
-	scene := results[0].Scene
+	scene := results[0].Scenario
 	if c.plot == "" || !plotted[scene] {
 		return nil
 	}
--- a/cmd/standin/audit.go
+++ b/cmd/standin/audit.go
@@ -129,7 +129,7 @@
 }
 
 func (c *auditCommand) print(r mtaudit.Report) {
-	fmt.Printf("%d calls in %d tries, %d runs of which %d were cut off\n", r.Calls, r.Tries, r.Runs, r.Cut)
+	fmt.Printf("%d calls in %d tries, %d runs of which %d were cut off\n", r.Calls, r.Tries, r.Runs, r.Unfinished)
 	for _, p := range r.Phases {
 		fmt.Printf("phase %s: answers p50 %s, p99 %s, slowest %s\n", p.Name, round(p.P50), round(p.P99), round(p.Slowest))
 		for _, count := range p.Counts {
--- a/core/mtaudit/mtaudit.go
+++ b/core/mtaudit/mtaudit.go
@@ -65,7 +65,7 @@
 	Key      mtid.Key      `json:"key"`
 	Class    mtid.Class    `json:"class"`
 	Epoch    mtid.Epoch    `json:"epoch"`
-	Ask      Digest        `json:"ask,omitempty"`   // of the received body; set on Begin
+	Request  Digest        `json:"ask,omitempty"`   // of the received body; set on Begin
 	Reply    Digest        `json:"reply,omitempty"` // of the body to be sent; set on End, empty if the run was cancelled
 }
 
@@ -86,7 +86,7 @@
 	Outcome    mtreply.Outcome `json:"outcome"`
 	Cause      mtreply.Cause   `json:"cause,omitempty"`
 	Owner      string          `json:"owner,omitempty"`
-	Ask        Digest          `json:"ask"`
+	Request    Digest          `json:"ask"`
 	Reply      Digest          `json:"reply,omitempty"`
 	ReplyID    ID              `json:"reply_id,omitempty"` // request ID that the reply carries
 }
@@ -141,12 +141,12 @@
 
 // Report is the result of an audit.
 type Report struct {
-	Runs     int // runs that servers began
-	Cut      int // runs without an End event
-	Calls    int // requests, each with all of its tries
-	Tries    int // tries that callers sent
-	Findings []Finding
-	Phases   []Phase
+	Runs       int // runs that servers began
+	Unfinished int // runs without an End event
+	Calls      int // requests, each with all of its tries
+	Tries      int // tries that callers sent
+	Findings   []Finding
+	Phases     []Phase
 }
 
 // run is the execution of a request by a server, joined from its events.
@@ -175,7 +175,7 @@
 	report := Report{Runs: len(runs), Calls: len(calls), Tries: len(in.Calls), Findings: findings}
 	for _, r := range runs {
 		if !r.ended {
-			report.Cut++
+			report.Unfinished++
 		}
 	}
 	report.Findings = append(report.Findings, checkOwners(runs, in.Spread)...)
@@ -383,9 +383,9 @@
 		if !t.accountsFor(r) {
 			addFinding(RanAnyway, fmt.Sprintf("at %s at %s; told %s", r.Server, r.At.Format(time.RFC3339Nano), t.formatOutcomes()))
 		}
-		if r.Ask != t[0].Ask || r.keyRef() != t.keyRef() || r.Class != t[0].Class {
+		if r.Request != t[0].Request || r.keyRef() != t.keyRef() || r.Class != t[0].Class {
 			addFinding(WrongAsk, fmt.Sprintf("%s got body %s of key %q class %s, sent was %s class %s",
-				r.Server, r.Ask, r.Key, r.Class, t[0].Ask, t[0].Class))
+				r.Server, r.Request, r.Key, r.Class, t[0].Request, t[0].Class))
 		}
 	}
 	return findings
--- a/core/mtaudit/mtaudit_test.go
+++ b/core/mtaudit/mtaudit_test.go
@@ -18,7 +18,7 @@
 func begin(server string, run uint64, id mtaudit.ID, epoch mtid.Epoch, ms int) mtaudit.Event {
 	return mtaudit.Event{
 		Kind: mtaudit.Begin, At: at(ms), Server: server, Run: run, ID: id, Business: "ratins", Service: "dispatch",
-		Key: "hotel-7", Class: "send", Epoch: epoch, Ask: "ask",
+		Key: "hotel-7", Class: "send", Epoch: epoch, Request: "ask",
 	}
 }
 
@@ -29,7 +29,7 @@
 func call(id mtaudit.ID, try, from, to int, outcome mtreply.Outcome) mtaudit.Call {
 	c := mtaudit.Call{
 		ID: id, Try: try, Business: "ratins", Service: "dispatch", Key: "hotel-7", Class: "send",
-		Planned: at(from), Sent: at(from), Ended: at(to), Outcome: outcome, Ask: "ask",
+		Planned: at(from), Sent: at(from), Ended: at(to), Outcome: outcome, Request: "ask",
 	}
 	if outcome == mtreply.Answered {
 		c.Reply, c.ReplyID = "reply", id
@@ -61,7 +61,7 @@
 	report := mtaudit.Audit(validRun())
 	assert.Equal(t, len(report.Findings), 0, "got %v", report.Findings)
 	assert.Equal(t, report.Runs, 3)
-	assert.Equal(t, report.Cut, 1)
+	assert.Equal(t, report.Unfinished, 1)
 	assert.Equal(t, report.Calls, 4)
 	assert.Equal(t, report.Tries, 5)
 }
@@ -108,7 +108,7 @@
 		{"request that no caller sent", func(in *mtaudit.Input) {
 			in.Events = append(in.Events, begin("b", 3, "r9", 2, 206), end("b", 3, 207))
 		}, mtaudit.NotSent},
-		{"truncated request body", func(in *mtaudit.Input) { in.Events[0].Ask = "as" }, mtaudit.WrongAsk},
+		{"truncated request body", func(in *mtaudit.Input) { in.Events[0].Request = "as" }, mtaudit.WrongAsk},
 		{"request for another key", func(in *mtaudit.Input) { in.Calls[0].Key = "hotel-8" }, mtaudit.WrongAsk},
 		{"request of another class", func(in *mtaudit.Input) { in.Calls[0].Class = "status" }, mtaudit.WrongAsk},
 		{"truncated answer", func(in *mtaudit.Input) { in.Calls[0].Reply = "rep" }, mtaudit.WrongAnswer},
--- a/core/mtscene/memory.go
+++ b/core/mtscene/memory.go
@@ -74,6 +74,6 @@
 // smoothedLoad returns the load that a meter reports, given its short-term and
 // long-term averages.
 func (r *run[P]) smoothedLoad(short, long float64) float64 {
-	busy := r.scenario.Busy.Seconds()
+	busy := r.scenario.ServiceTime.Seconds()
 	return mtload.SmoothRate(max(0, short)/busy, max(0, long)/busy) * busy
 }
--- a/core/mtscene/mtscene.go
+++ b/core/mtscene/mtscene.go
@@ -9,12 +9,12 @@
 //
 // # Usage
 //
-//	for _, scene := range mtscene.Scenes(seed) {
-//		result := mtscene.Run(scene, mtplan.NewPlanner())
+//	for _, scenario := range mtscene.Scenarios(seed) {
+//		result := mtscene.Run(scenario, mtplan.NewPlanner())
 //	}
 //
-// The router itself does not use this package. A Scene may be run any number of
-// times, but not by two goroutines at once.
+// The router itself does not use this package. A Scenario may be run any number
+// of times, but not by two goroutines at once.
 package mtscene
 
 import (
@@ -37,16 +37,16 @@
 
 // Faults describes how load reports deviate from correct and immediate ones.
 type Faults struct {
-	Late time.Duration // delay of every report
+	ReportDelay time.Duration // delay of every report
 	// Frozen reports whether a server repeats its last report instead of measuring.
 	Frozen func(server int, at time.Duration) bool
-	// Lies returns the factor by which a server's reports scale its load; nil
+	// LoadFactor returns the factor by which a server's reports scale its load; nil
 	// means that all reports are correct.
-	Lies func(server int) float64
+	LoadFactor func(server int) float64
 }
 
-// Scene combines a load over time with a fleet of servers and its faults.
-type Scene struct {
+// Scenario combines a load over time, a fleet of servers and faults of reports.
+type Scenario struct {
 	Name   string
 	Ref    mtid.Ref
 	Length time.Duration
@@ -61,16 +61,16 @@
 	Chunks  int
 	Weights mtbundle.Weights
 	Faults  Faults
-	// Busy is how long a request occupies a slot. Meters count requests: the
+	// ServiceTime is how long a request occupies a slot. Meters count requests: the
 	// longer each takes, the fewer make up the same load and the noisier the
 	// measured load is.
-	Busy time.Duration
+	ServiceTime time.Duration
 	// Seed is the seed of this noise.
 	Seed uint64
 }
 
 // WarmTime returns the initial time that is excluded from the result.
-func (s *Scene) WarmTime() time.Duration {
+func (s *Scenario) WarmTime() time.Duration {
 	if s.WarmUp == 0 {
 		return WarmUp
 	}
@@ -85,8 +85,8 @@
 	MovePause = 20 * time.Millisecond
 	// LossPause is how long the shards of a lost server have no owner.
 	LossPause = 1500 * time.Millisecond
-	// Aim is the highest imbalance that the planner is supposed to allow.
-	Aim = 1.15
+	// TargetImbalance is the highest imbalance that the planner is supposed to allow.
+	TargetImbalance = 1.15
 	// planInterval is the time between two rounds of a policy, and replanDelay
 	// the time to the next round after one that split or merged shards.
 	planInterval = 5 * time.Second
@@ -99,8 +99,8 @@
 
 // Result holds the metrics of a policy in a scenario.
 type Result struct {
-	Scene  string
-	Policy string
+	Scenario string
+	Policy   string
 	// Series is the imbalance in each second from the start: the highest load
 	// per usable slot of any server, divided by the mean.
 	Series []float64
@@ -108,8 +108,8 @@
 	// hottest key divided by the mean load of a server: if it exceeds one, no
 	// placement has a lower imbalance.
 	Mean, P99, Floor float64
-	// Over is the share of time above Aim, and Longest the longest continuous
-	// period above it.
+	// Over is the share of time above TargetImbalance, and Longest the longest
+	// continuous period above it.
 	Over    float64
 	Longest time.Duration
 	// Churn is the share of the total load that moves per minute, and Moves the
--- a/core/mtscene/mtscene_test.go
+++ b/core/mtscene/mtscene_test.go
@@ -13,7 +13,7 @@
 const seed = 1
 
 // shorten limits a scenario to its beginning to keep the tests fast.
-func shorten(scenario mtscene.Scene, length time.Duration) mtscene.Scene {
+func shorten(scenario mtscene.Scenario, length time.Duration) mtscene.Scenario {
 	scenario.Length = min(scenario.Length, length)
 	return scenario
 }
@@ -34,7 +34,7 @@
 func TestPlannerMeetsItsTargets(t *testing.T) {
 	const restChurn = 0.01 // share of the load that may move per minute under a steady load
 	tests := []struct {
-		scenario mtscene.Scene
+		scenario mtscene.Scenario
 		longest  time.Duration // continuous time above the target imbalance
 		churn    float64
 	}{
@@ -53,7 +53,7 @@
 	for _, tt := range tests {
 		t.Run(tt.scenario.Name, func(t *testing.T) {
 			got := mtscene.Run(tt.scenario, mtplan.NewPlanner())
-			assert.Assert(t, got.Longest <= tt.longest, "got %v above %v, want at most %v", got.Longest, mtscene.Aim, tt.longest)
+			assert.Assert(t, got.Longest <= tt.longest, "got %v above %v, want at most %v", got.Longest, mtscene.TargetImbalance, tt.longest)
 			assert.Assert(t, got.Churn <= tt.churn, "got %.4f of the load moved a minute, want at most %v", got.Churn, tt.churn)
 			// A return within two minutes indicates oscillation.
 			assert.Assert(t, float64(got.Returns) <= 0.02*float64(got.Moves)+1, "got %d returns in %d moves", got.Returns, got.Moves)
@@ -64,7 +64,7 @@
 // To justify its complexity, the planner must have less imbalance than both
 // baselines under a moving peak, and fewer returns than the load-aware baseline.
 func TestPlannerOutperformsBaselines(t *testing.T) {
-	for _, scenario := range []mtscene.Scene{shorten(mtscene.Breakfast(seed), 8*time.Minute), shorten(mtscene.HotFleet(seed), 7*time.Minute)} {
+	for _, scenario := range []mtscene.Scenario{shorten(mtscene.Breakfast(seed), 8*time.Minute), shorten(mtscene.HotFleet(seed), 7*time.Minute)} {
 		t.Run(scenario.Name, func(t *testing.T) {
 			planner := mtscene.Run(scenario, mtplan.NewPlanner())
 			rendezvous := mtscene.Run(scenario, mtplan.NewRendezvous())
--- a/core/mtscene/report.go
+++ b/core/mtscene/report.go
@@ -53,7 +53,7 @@
 		}
 		r.schedulers[i].Sent(r.now(), load)
 		report := r.buildReport(i, byServer[i])
-		r.reports = append(r.reports, delivery{at: r.at + r.scenario.Faults.Late, report: report})
+		r.reports = append(r.reports, delivery{at: r.at + r.scenario.Faults.ReportDelay, report: report})
 		r.totals.perMinute[int(r.at/time.Minute)] += reportBytes(report)
 	}
 }
@@ -80,10 +80,10 @@
 
 // loadFactor returns the factor by which a server's reports scale its load.
 func (r *run[P]) loadFactor(server int) float64 {
-	if r.scenario.Faults.Lies == nil {
+	if r.scenario.Faults.LoadFactor == nil {
 		return 1
 	}
-	return r.scenario.Faults.Lies(server)
+	return r.scenario.Faults.LoadFactor(server)
 }
 
 // reportedLoad returns the total load that a server would report at present.
--- a/core/mtscene/result.go
+++ b/core/mtscene/result.go
@@ -53,13 +53,13 @@
 // buildResult computes the result from the totals.
 func (r *run[P]) buildResult() Result {
 	result := &r.result
-	result.Scene, result.Policy = r.scenario.Name, r.policy.Name()
+	result.Scenario, result.Policy = r.scenario.Name, r.policy.Name()
 	measured := result.Series[int(r.scenario.WarmTime()/time.Second):]
 	result.Mean = average(measured)
 	sorted := slices.Sorted(slices.Values(measured))
 	result.P99 = sorted[len(sorted)*99/100]
 	result.Floor = average(r.totals.floors)
-	result.Over, result.Longest = above(measured, Aim)
+	result.Over, result.Longest = above(measured, TargetImbalance)
 	seconds := float64(len(measured))
 	result.Churn = r.totals.moved / r.totals.load * time.Minute.Seconds()
 	result.Unavailable = time.Duration(r.totals.unavailable / r.totals.load * float64(time.Minute))
--- a/core/mtscene/run.go
+++ b/core/mtscene/run.go
@@ -25,7 +25,7 @@
 
 // run is the state of one policy running through one scenario.
 type run[P mtplan.Policy] struct {
-	scenario Scene
+	scenario Scenario
 	policy   P
 	at       time.Duration
 
@@ -95,7 +95,7 @@
 }
 
 // Run executes a scenario from start to end with a policy as the planner.
-func Run[P mtplan.Policy](scenario Scene, policy P) Result {
+func Run[P mtplan.Policy](scenario Scenario, policy P) Result {
 	r := newRun(scenario, policy)
 	for r.at = 0; r.at < scenario.Length; r.at += time.Second {
 		r.step()
@@ -103,14 +103,14 @@
 	return r.buildResult()
 }
 
-func newRun[P mtplan.Policy](scenario Scene, policy P) *run[P] {
+func newRun[P mtplan.Policy](scenario Scenario, policy P) *run[P] {
 	n := len(scenario.Servers)
 	r := &run[P]{
 		scenario: scenario, policy: policy,
 		states:      make([]serverState, n),
 		load:        make([]float64, len(scenario.Keys)),
-		short:       newKeyAverages(mtload.HalfLife, scenario.Busy, len(scenario.Keys)),
-		long:        newKeyAverages(mtload.SlowHalfLife, scenario.Busy, len(scenario.Keys)),
+		short:       newKeyAverages(mtload.HalfLife, scenario.ServiceTime, len(scenario.Keys)),
+		long:        newKeyAverages(mtload.SlowHalfLife, scenario.ServiceTime, len(scenario.Keys)),
 		noise:       newNoiseSource(scenario.Seed),
 		serverIndex: make(map[mtid.Holder]int, n),
 		estimates:   mtload.NewEstimates(),
--- a/core/mtscene/scenes.go
+++ b/core/mtscene/scenes.go
@@ -136,13 +136,13 @@
 }
 
 // Breakfast returns a scenario with a peak that moves from hotel to hotel.
-func Breakfast(seed uint64) Scene {
+func Breakfast(seed uint64) Scenario {
 	const count, peak = 40, 12.0
 	fleet := servers(6, riga, hotelSlots)
 	p := newPopulation(hotels, count, 50, 6*hotelSlots*usualLoad, equalWeight, newRand(seed))
-	return Scene{
+	return Scenario{
 		Name: "breakfast", Ref: hotels, Length: 40 * time.Minute, Servers: fleet, Keys: p.points,
-		Shards: 240, Chunks: 4, Weights: hotelWeights, Busy: hotelBusy, Seed: seed,
+		Shards: 240, Chunks: 4, Weights: hotelWeights, ServiceTime: hotelBusy, Seed: seed,
 		Load: func(at time.Duration, load []float64) {
 			p.fillLoads(at, load)
 			for i := range load {
@@ -157,13 +157,13 @@
 
 // Harvest returns a scenario in which the load of all keys of one canton peaks for
 // 16 minutes, and later that of another canton.
-func Harvest(seed uint64) Scene {
+func Harvest(seed uint64) Scenario {
 	const cantons, peak = 26, 15.0
 	fleet := servers(5, bern, loanSlots)
 	p := newPopulation(loans, cantons, 100, 5*loanSlots*usualLoad*0.7, equalWeight, newRand(seed))
-	return Scene{
+	return Scenario{
 		Name: "harvest", Ref: loans, Length: 40 * time.Minute, Servers: fleet, Keys: p.points,
-		Shards: 200, Chunks: 4, Weights: loanWeights, Busy: loanBusy, Seed: seed,
+		Shards: 200, Chunks: 4, Weights: loanWeights, ServiceTime: loanBusy, Seed: seed,
 		Load: func(at time.Duration, load []float64) {
 			p.fillLoads(at, load)
 			for i := range load {
@@ -180,12 +180,12 @@
 
 // Zipf returns a scenario with a steady load that is distributed over the keys by
 // Zipf's law with exponent s.
-func Zipf(seed uint64, s float64) Scene {
+func Zipf(seed uint64, s float64) Scenario {
 	const n = 12
 	p := newPopulation(hotels, 200, 100, n*hotelSlots*usualLoad, zipf(s), newRand(seed))
-	return Scene{
+	return Scenario{
 		Name: fmt.Sprintf("zipf %.1f", s), Ref: hotels, Length: 15 * time.Minute, Servers: servers(n, riga, hotelSlots), Keys: p.points,
-		Shards: 480, Chunks: 8, Weights: hotelWeights, Busy: hotelBusy, Seed: seed, Load: p.fillLoads,
+		Shards: 480, Chunks: 8, Weights: hotelWeights, ServiceTime: hotelBusy, Seed: seed, Load: p.fillLoads,
 	}
 }
 
@@ -198,11 +198,11 @@
 
 // HotKeys returns a scenario in which different keys become hot every three
 // minutes.
-func HotKeys(seed uint64, n, keys, shards, chunks int, length time.Duration) Scene {
+func HotKeys(seed uint64, n, keys, shards, chunks int, length time.Duration) Scenario {
 	p := newPopulation(hotels, keys/100, 100, float64(n)*hotelSlots*usualLoad*0.85, equalWeight, newRand(seed))
-	return Scene{
+	return Scenario{
 		Name: "hot keys", Ref: hotels, Length: length, Servers: servers(n, riga, hotelSlots), Keys: p.points,
-		Shards: shards, Chunks: chunks, Weights: hotelWeights, Busy: hotelBusy, Seed: seed,
+		Shards: shards, Chunks: chunks, Weights: hotelWeights, ServiceTime: hotelBusy, Seed: seed,
 		Load: func(at time.Duration, load []float64) {
 			p.fillLoads(at, load)
 			picks := newRand(seed + uint64(at/hotTime) + 1)
@@ -217,15 +217,15 @@
 func newRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 0)) }
 
 // HotFleet returns the scenario of hot keys on a fleet of 24 servers.
-func HotFleet(seed uint64) Scene { return HotKeys(seed, 24, 10000, 960, 8, 20*time.Minute) }
+func HotFleet(seed uint64) Scenario { return HotKeys(seed, 24, 10000, 960, 8, 20*time.Minute) }
 
 // Flash returns a scenario in which a single key needs more slots than any server
 // has, for five minutes.
-func Flash(seed uint64) Scene {
+func Flash(seed uint64) Scenario {
 	p := newPopulation(hotels, 40, 50, 6*hotelSlots*usualLoad, equalWeight, newRand(seed))
-	return Scene{
+	return Scenario{
 		Name: "flash", Ref: hotels, Length: 15 * time.Minute, Servers: servers(6, riga, hotelSlots), Keys: p.points,
-		Shards: 240, Chunks: 4, Weights: hotelWeights, Busy: hotelBusy, Seed: seed,
+		Shards: 240, Chunks: 4, Weights: hotelWeights, ServiceTime: hotelBusy, Seed: seed,
 		Load: func(at time.Duration, load []float64) {
 			p.fillLoads(at, load)
 			load[len(load)/3] += 1.5 * hotelSlots * trapezoid(at, 5*time.Minute, 5*time.Minute)
@@ -234,7 +234,7 @@
 }
 
 // JoinLeave returns a scenario in which servers join, drain and are lost.
-func JoinLeave(seed uint64) Scene {
+func JoinLeave(seed uint64) Scenario {
 	const n = 12
 	fleet := servers(n+3, riga, hotelSlots)
 	fleet[1].Leaves = 4 * time.Minute
@@ -246,15 +246,15 @@
 	fleet[n+2].Joins = 16 * time.Minute
 	fleet[n+2].Slots = 2 * hotelSlots
 	p := newPopulation(hotels, 200, 100, n*hotelSlots*usualLoad, zipf(0.7), newRand(seed))
-	return Scene{
+	return Scenario{
 		Name: "join, leave, loss", Ref: hotels, Length: 20 * time.Minute, Servers: fleet, Keys: p.points,
-		Shards: 480, Chunks: 8, Weights: hotelWeights, Busy: hotelBusy, Seed: seed, Load: p.fillLoads,
+		Shards: 480, Chunks: 8, Weights: hotelWeights, ServiceTime: hotelBusy, Seed: seed, Load: p.fillLoads,
 	}
 }
 
 // ZoneLoss returns a scenario in which all servers of an availability zone are
 // lost at once.
-func ZoneLoss(seed uint64) Scene {
+func ZoneLoss(seed uint64) Scenario {
 	const n = 24
 	fleet := servers(n, riga, hotelSlots)
 	for i := range fleet {
@@ -263,38 +263,38 @@
 		}
 	}
 	p := newPopulation(hotels, 200, 100, n*hotelSlots*usualLoad, zipf(0.7), newRand(seed))
-	return Scene{
+	return Scenario{
 		Name: "zone loss", Ref: hotels, Length: 12 * time.Minute, Servers: fleet, Keys: p.points,
-		Shards: 960, Chunks: 8, Weights: hotelWeights, Busy: hotelBusy, Seed: seed, Load: p.fillLoads,
+		Shards: 960, Chunks: 8, Weights: hotelWeights, ServiceTime: hotelBusy, Seed: seed, Load: p.fillLoads,
 	}
 }
 
 // Rest returns a scenario without peaks, whose load only varies slowly.
-func Rest(seed uint64) Scene {
+func Rest(seed uint64) Scenario {
 	const n = 12
 	p := newPopulation(loans, 200, 100, n*loanSlots*usualLoad, zipf(0.7), newRand(seed))
-	return Scene{
+	return Scenario{
 		Name: "rest", Ref: loans, Length: 60 * time.Minute, Servers: servers(n, bern, loanSlots), Keys: p.points,
-		Shards: 480, Chunks: 8, Weights: loanWeights, Busy: loanBusy, Seed: seed, Load: p.fillLoads,
+		Shards: 480, Chunks: 8, Weights: loanWeights, ServiceTime: loanBusy, Seed: seed, Load: p.fillLoads,
 	}
 }
 
 // Capacities returns a scenario with a fleet of servers of three sizes.
-func Capacities(seed uint64) Scene {
+func Capacities(seed uint64) Scenario {
 	const n = 12
 	list := servers(n, riga, hotelSlots)
 	for i := range list {
 		list[i].Slots = hotelSlots / 2 * float64(1+i%3)
 	}
 	p := newPopulation(hotels, 200, 100, n*hotelSlots*usualLoad, zipf(0.7), newRand(seed))
-	return Scene{
+	return Scenario{
 		Name: "capacities", Ref: hotels, Length: 15 * time.Minute, Servers: list, Keys: p.points,
-		Shards: 480, Chunks: 8, Weights: hotelWeights, Busy: hotelBusy, Seed: seed, Load: p.fillLoads,
+		Shards: 480, Chunks: 8, Weights: hotelWeights, ServiceTime: hotelBusy, Seed: seed, Load: p.fillLoads,
 	}
 }
 
 // withFaults returns the scenario of hot keys with faulty reports.
-func withFaults(seed uint64, name string, faults Faults) Scene {
+func withFaults(seed uint64, name string, faults Faults) Scenario {
 	s := HotFleet(seed)
 	s.Name = name
 	s.Faults = faults
@@ -305,30 +305,30 @@
 const reportDelay = 5 * time.Second
 
 // LateRest returns the scenario of Rest with delayed reports.
-func LateRest(seed uint64) Scene {
+func LateRest(seed uint64) Scenario {
 	s := Rest(seed)
 	s.Name = "rest, late"
-	s.Faults = Faults{Late: reportDelay}
+	s.Faults = Faults{ReportDelay: reportDelay}
 	return s
 }
 
 // SlowRest returns the scenario of Rest with slow requests: a server of nine slots
 // receives only about twenty per second, so its measured load is occasionally off
 // by a tenth.
-func SlowRest(seed uint64) Scene {
+func SlowRest(seed uint64) Scenario {
 	s := Rest(seed)
 	s.Name = "rest, slow requests"
-	s.Busy = slowBusy
+	s.ServiceTime = slowBusy
 	return s
 }
 
 // LateFleet returns the scenario of HotFleet with delayed reports.
-func LateFleet(seed uint64) Scene {
-	return withFaults(seed, "hot keys, late", Faults{Late: reportDelay})
+func LateFleet(seed uint64) Scenario {
+	return withFaults(seed, "hot keys, late", Faults{ReportDelay: reportDelay})
 }
 
-// Scenes returns all scenarios in which policies are compared.
-func Scenes(seed uint64) []Scene {
+// Scenarios returns all scenarios in which policies are compared.
+func Scenarios(seed uint64) []Scenario {
 	frozen := func(server int, at time.Duration) bool {
 		return server%6 == 1 && at > 5*time.Minute && at < 12*time.Minute
 	}
@@ -341,7 +341,7 @@
 		}
 		return 1
 	}
-	return []Scene{
+	return []Scenario{
 		Rest(seed),
 		LateRest(seed),
 		SlowRest(seed),
@@ -354,7 +354,7 @@
 		HotFleet(seed),
 		LateFleet(seed),
 		withFaults(seed, "hot keys, frozen", Faults{Frozen: frozen}),
-		withFaults(seed, "hot keys, lying", Faults{Lies: lies}),
+		withFaults(seed, "hot keys, lying", Faults{LoadFactor: lies}),
 		Flash(seed),
 		Capacities(seed),
 		JoinLeave(seed),
@@ -368,7 +368,7 @@
 
 // Fleet480 returns the scenario of hot keys on the largest supported fleet, with
 // the table divided into the given number of chunks.
-func Fleet480(seed uint64, chunks int) Scene {
+func Fleet480(seed uint64, chunks int) Scenario {
 	s := HotKeys(seed, 480, 100000, 25000, chunks, 14*time.Minute)
 	s.WarmUp = largeWarmUp
 	s.Name = fmt.Sprintf("480 servers, %d chunks", chunks)
@@ -376,12 +376,12 @@
 }
 
 // Rest480 returns a scenario of the largest fleet under a load without peaks.
-func Rest480(seed uint64, chunks int) Scene {
+func Rest480(seed uint64, chunks int) Scenario {
 	const n, keys = 480, 100000
 	p := newPopulation(hotels, keys/100, 100, n*hotelSlots*usualLoad, equalWeight, newRand(seed))
-	return Scene{
+	return Scenario{
 		Name: fmt.Sprintf("480 servers at rest, %d chunks", chunks), Ref: hotels, Length: 14 * time.Minute, WarmUp: largeWarmUp,
 		Servers: servers(n, riga, hotelSlots), Keys: p.points,
-		Shards: 25000, Chunks: chunks, Weights: hotelWeights, Busy: hotelBusy, Seed: seed, Load: p.fillLoads,
+		Shards: 25000, Chunks: chunks, Weights: hotelWeights, ServiceTime: hotelBusy, Seed: seed, Load: p.fillLoads,
 	}
 }
--- a/io/mtstandin/load.go
+++ b/io/mtstandin/load.go
@@ -217,7 +217,7 @@
 	base := l.record(o)
 	body := make([]byte, o.class.Body)
 	copy(body, base.ID)
-	base.Ask = mtaudit.DigestOf(body)
+	base.Request = mtaudit.DigestOf(body)
 	until := o.planned.Add(o.class.Timeout)
 	for try := 1; ; try++ {
 		c := base
--- a/io/mtstandin/server.go
+++ b/io/mtstandin/server.go
@@ -163,7 +163,7 @@
 	event := mtaudit.Event{
 		Kind: mtaudit.Begin, At: time.Now(), Server: s.setting.Name, Run: s.runs.Add(1), ID: mtaudit.ID(a.id),
 		Business: s.setting.Service.Business, Service: s.setting.Service.Service, Key: a.key, Class: a.class,
-		Epoch: a.epoch, Ask: a.digest,
+		Epoch: a.epoch, Request: a.digest,
 	}
 	s.journal.Write(event)
 	if s.setting.Crash != "" && a.rest == s.setting.Crash {
--- a/io/mtstandin/server_test.go
+++ b/io/mtstandin/server_test.go
@@ -136,7 +136,7 @@
 	assert.Equal(t, events[0].Key, mtid.Key("room/7"))
 	assert.Equal(t, events[0].Epoch, mtid.Epoch(2))
 	assert.Equal(t, events[0].Class, mtid.Class("send"))
-	assert.Equal(t, events[0].Ask, mtaudit.DigestOf([]byte("towels")))
+	assert.Equal(t, events[0].Request, mtaudit.DigestOf([]byte("towels")))
 	assert.Equal(t, events[1].Kind, mtaudit.End)
 	assert.Equal(t, events[1].Reply, mtaudit.DigestOf([]byte(body)))
 }
