--- a/io/mtstandin/load.go
+++ b/io/mtstandin/load.go
@@ -217,7 +217,7 @@
 	base := l.record(o)
 	body := make([]byte, o.class.Body)
 	copy(body, base.ID)
-	base.Ask = mtaudit.DigestOf(body)
+	base.Request = mtaudit.DigestOf(body)
 	deadline := o.planned.Add(o.class.Timeout)
 	for try := 1; ; try++ {
 		c := base
