--- a/core/mtattempt/mtattempt_test.go
+++ b/core/mtattempt/mtattempt_test.go
@@ -18,7 +18,7 @@
 // A caller with a deadline of 3 s is refused at once and retries after 400 ms with the
 // remaining time. Another caller's first try has a deadline of 2.6 s. The two requests
 // differ only in the time at which their deadlines end.
-func TestRecallMatchesRetriesByDeadline(t *testing.T) {
+func TestFirstArrivalMatchesRetryByDeadline(t *testing.T) {
 	const plan, status = mtpoison.Fingerprint(1), mtpoison.Fingerprint(2)
 	for _, test := range []struct {
 		name        string
--- a/core/mtbackend/mtbackend.go
+++ b/core/mtbackend/mtbackend.go
@@ -50,7 +50,7 @@
 	Address     string                 `json:"address"` // of the daemon, for other daemons
 	Zone        mtid.Zone              `json:"zone"`
 	Service     mtid.Service           `json:"service"`
-	Incarnation mtid.ServerIncarnation `json:"-"` // the current incarnation, or the last one if it has terminated
+	Incarnation mtid.ServerIncarnation `json:"-"` // the last one if none runs
 	Slots       int                    `json:"slots"`
 	State       State                  `json:"state"`
 	// Link is the bandwidth of the VM's network link. The daemons with the fastest
@@ -74,7 +74,7 @@
 	// Sequence grows with each heartbeat of an incarnation, so that a late one is
 	// recognized.
 	Sequence uint64
-	// Cold is the remaining time for which the server is slow after its start.
+	// Cold is the remaining time for which the server is cold.
 	Cold time.Duration
 	// Connected is when the connection that carried the heartbeat was accepted. Its
 	// sender was alive then, however late the heartbeat is. Zero if unknown.
@@ -89,8 +89,9 @@
 // AcceptsWork reports whether the server accepts new work.
 func (r Record) AcceptsWork() bool { return r.State == Ready && !r.Leaving }
 
-// MayHoldKeys reports whether, by this record, an incarnation of the server may still hold
-// keys: it is the one that the daemon knows, or the daemon knows none yet.
+// MayHoldKeys reports whether, by this record, an incarnation of the server may still
+// hold keys: either it is the one that the record names and has not terminated, or the
+// daemon does not know yet which one runs.
 func (r Record) MayHoldKeys(incarnation mtid.ServerIncarnation) bool {
 	if r.State == Unknown {
 		return true
@@ -114,7 +115,7 @@
 	Born   mtid.StartTime `json:"born,omitempty"`
 }
 
-// Encode returns the storedRecord form of r.
+// Encode returns the stored form of r.
 func (r Record) Encode() ([]byte, error) {
 	return json.Marshal(storedRecord{Record: r, Server: r.Incarnation.Server, Born: r.Incarnation.Started})
 }
--- a/core/mtbackend/warmup.go
+++ b/core/mtbackend/warmup.go
@@ -14,12 +14,13 @@
 // treated as cold until it reports otherwise: a second of little work costs less than a
 // crash.
 //
-// Times are of a clock that never jumps ahead, except the one passed to
-// MarkPossiblyCold, which is of the clock that timestamps connections. The zero value
-// is for a server of which nothing is known. A WarmupTracker is not safe for concurrent use.
+// Times are read from a clock that never jumps ahead, except the one passed to
+// MarkPossiblyCold, which is from the clock that timestamps connections. The zero value
+// is for a server of which nothing is known. A WarmupTracker is not safe for concurrent
+// use.
 type WarmupTracker struct {
 	confirmed   bool            // a heartbeat arrived since the server last became possibly cold
-	uncertainAt mtclock.Instant // heartbeats on connections made up to then prove nothing
+	uncertainAt mtclock.Instant // heartbeats on connections made up to then confirm nothing
 	until       mtclock.Instant // end of the cold time, by the heartbeats
 }
 
@@ -27,8 +28,8 @@
 func (w *WarmupTracker) MarkPossiblyCold(at mtclock.Instant) { w.confirmed, w.uncertainAt = false, at }
 
 // ObserveHeartbeat processes a heartbeat that arrives now. Its remaining cold time is
-// counted from the arrival, so a late heartbeat makes the server count as cold for too long, but
-// never for too short.
+// counted from the arrival, so a late heartbeat makes the server count as cold for too
+// long, but never for too short a time.
 //
 // A heartbeat that was in transit when the server became possibly cold may have been
 // sent before that. It confirms the state only if its connection was made later, or if
--- a/core/mtbackend/warmup_test.go
+++ b/core/mtbackend/warmup_test.go
@@ -51,7 +51,7 @@
 
 // A heartbeat that was in transit when the server became possibly cold must not confirm
 // that it is warm; the next one does.
-func TestHeartbeatInTransitDoesNotConfirmWarmth(t *testing.T) {
+func TestHeartbeatInTransitDoesNotConfirmWarmState(t *testing.T) {
 	var tracker mtbackend.WarmupTracker
 	tracker.MarkPossiblyCold(100)
 	tracker.ObserveHeartbeat(200, mtbackend.Heartbeat{Connected: 90})
--- a/core/mtcall/mtcall.go
+++ b/core/mtcall/mtcall.go
@@ -103,8 +103,8 @@
 	Running int
 	Waiting int
 	Slots   int
-	// ServiceTime is the current service time there of a request that usually takes a
-	// tenth of a second. Only its ratio to that of other servers is significant.
+	// ServiceTime is the current service time of a request that usually takes a tenth
+	// of a second. Only its ratio to that of other servers is significant.
 	ServiceTime time.Duration
 	Demand      float64 // offered load, in slots
 }
--- a/core/mtgate/mtgate.go
+++ b/core/mtgate/mtgate.go
@@ -190,8 +190,8 @@
 }
 
 // Resize sets the backend server's slots and connections. It is called when the
-// server announces itself, and with zero slots when it is gone. Requests in flight
-// above a lower limit are allowed to finish.
+// server announces itself, and with zero slots when it has terminated. Requests in
+// flight above a lower limit are allowed to finish.
 func (g *Gate[O]) Resize(now mtclock.Instant, slots, connections int) []Effect {
 	g.begin(now)
 	g.limits.Slots, g.limits.Connections = slots, connections
@@ -248,7 +248,7 @@
 	g.begin(now)
 	if e, ok := g.waiting[number]; ok {
 		g.removeWaiting(e)
-		g.refuse(e, refusal(mtreply.CauseExpired, -1, "the caller went away"))
+		g.refuse(e, refusal(mtreply.CauseExpired, -1, "the caller disconnected"))
 	}
 	return g.end(now)
 }
@@ -356,7 +356,7 @@
 	}
 	wait := max(g.order.Wait(now, e, g.capacity()), g.startDelay(now, e))
 	if !e.GiveUp.After(now) || g.order.TooLate(now, e, wait) {
-		g.refuse(e, refusal(mtreply.CauseShed, clampRetry(g.order.Retry(e, wait)), "the queue is longer than its time allows"))
+		g.refuse(e, refusal(mtreply.CauseShed, clampRetry(g.order.Retry(e, wait)), "the estimated wait is too long for the deadline or objective"))
 		return
 	}
 	if e.Flow.Waiting() >= e.Flow.Queue {
--- a/core/mtgate/mtgate_test.go
+++ b/core/mtgate/mtgate_test.go
@@ -107,7 +107,7 @@
 			{offer(0, 8, "send"), []string{"refuse 4 shed"}},
 			{offer(0, 9, "status"), []string{"refuse 9 shed"}},
 		}},
-		{"a request waits for at most half of its time", []step{
+		{"a request waits for at most half of the time to its deadline", []step{
 			{offer(0, 1, "send"), []string{"start 1"}},
 			{offer(0, 2, "status"), []string{}},
 			{func(g gate) []mtgate.Effect { return g.Expire(at(499 * ms)) }, []string{}},
--- a/core/mtgate/startrate.go
+++ b/core/mtgate/startrate.go
@@ -26,33 +26,33 @@
 }
 
 // record records a start.
-func (p *startLimiter) record(now mtclock.Instant) {
-	p.prune(now)
-	p.starts = append(p.starts, now)
+func (l *startLimiter) record(now mtclock.Instant) {
+	l.prune(now)
+	l.starts = append(l.starts, now)
 }
 
 // prune removes the starts that have left the window.
-func (p *startLimiter) prune(now mtclock.Instant) {
-	recent := slices.IndexFunc(p.starts, func(at mtclock.Instant) bool { return at.Add(startWindow).After(now) })
+func (l *startLimiter) prune(now mtclock.Instant) {
+	recent := slices.IndexFunc(l.starts, func(at mtclock.Instant) bool { return at.Add(startWindow).After(now) })
 	if recent < 0 {
-		recent = len(p.starts)
+		recent = len(l.starts)
 	}
-	p.starts = slices.Delete(p.starts, 0, recent)
+	l.starts = slices.Delete(l.starts, 0, recent)
 }
 
 // allows reports whether a request may start now.
-func (p *startLimiter) allows(now mtclock.Instant) bool { return !p.at(now, 1).After(now) }
+func (l *startLimiter) allows(now mtclock.Instant) bool { return !l.at(now, 1).After(now) }
 
 // at returns the earliest time at which the nth request from now may start.
-func (p *startLimiter) at(now mtclock.Instant, n int) mtclock.Instant {
-	if p.rate <= 0 {
+func (l *startLimiter) at(now mtclock.Instant, n int) mtclock.Instant {
+	if l.rate <= 0 {
 		return now
 	}
-	p.prune(now)
-	starts, at := slices.Clone(p.starts), now
+	l.prune(now)
+	starts, at := slices.Clone(l.starts), now
 	for range n {
-		at = max(now, p.unknownUntil)
-		if i := len(starts) - int(p.rate); i >= 0 {
+		at = max(now, l.unknownUntil)
+		if i := len(starts) - int(l.rate); i >= 0 {
 			at = max(at, starts[i].Add(startWindow))
 		}
 		starts = append(starts, at)
@@ -62,15 +62,15 @@
 
 // shift moves the recorded starts by the amount of a clock jump. Without it a clock
 // that jumps ahead would make the starts of the last second look old.
-func (p *startLimiter) shift(by time.Duration) {
-	for i := range p.starts {
-		p.starts[i] = p.starts[i].Add(by)
+func (l *startLimiter) shift(by time.Duration) {
+	for i := range l.starts {
+		l.starts[i] = l.starts[i].Add(by)
 	}
-	p.unknownUntil = p.unknownUntil.Add(by)
+	l.unknownUntil = l.unknownUntil.Add(by)
 }
 
-// LimitStartRate limits the number of starts per second, for a newly started server with
-// little capacity. Starts before the call count as well.
+// LimitStartRate limits the number of starts per second, for a cold server, which can
+// handle only few. Starts before the call count as well.
 func (g *Gate[O]) LimitStartRate(now mtclock.Instant, rate StartRate) []Effect {
 	g.begin(now)
 	g.starts.rate = rate
@@ -93,8 +93,8 @@
 	return g.starts.at(now, g.order.Ahead(now, e)+1).Sub(now)
 }
 
-// SetSlowdown sets the server's current service time as a multiple of the average. The gate
-// uses it to judge which requests can end in time.
+// SetSlowdown sets the server's current service time as a multiple of the average. The
+// gate uses it to estimate which requests can end in time.
 func (g *Gate[O]) SetSlowdown(now mtclock.Instant, factor float64) []Effect {
 	g.begin(now)
 	g.slowdown = factor
--- a/core/mtgate/startrate_test.go
+++ b/core/mtgate/startrate_test.go
@@ -11,12 +11,12 @@
 	"magnoliaturn/core/mtgate"
 )
 
-// A cold server crashes if it receives more requests in a second than it can take.
+// A cold server crashes if it receives more requests in a second than it can handle.
 // For any sequence of calls, the starts in each second stay within the limit,
 // including those from before the server became cold.
 func TestStartsStayWithinRateLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limit := rapid.IntRange(1, 6).Draw(t, "pace")
+		limit := rapid.IntRange(1, 6).Draw(t, "limit")
 		gate := urgentGate(rapid.IntRange(1, 9).Draw(t, "slots"))
 		var now mtclock.Instant
 		var starts []mtclock.Instant
@@ -81,7 +81,7 @@
 
 // A request that the start rate limit delays past its objective is refused on arrival,
 // with the time after which it can start.
-func TestRefusesOnArrivalWhatRateLimitMakesLate(t *testing.T) {
+func TestRequestsDelayedPastObjectiveAreRefusedOnArrival(t *testing.T) {
 	gate := urgentGate(9)
 	gate.LimitStartRate(0, 1)
 	ticket := func(n mtgate.Number) mtgate.Ticket {
@@ -98,7 +98,7 @@
 
 // A daemon restarts while its server is cold. The starts of the previous process in
 // the last second may already use up the server's limit.
-func TestCountsStartsBeforeRestart(t *testing.T) {
+func TestStartsBeforeRestartCount(t *testing.T) {
 	gate := urgentGate(9)
 	gate.AssumeUnknownStarts(0)
 	gate.LimitStartRate(0, 3)
@@ -135,8 +135,9 @@
 }
 
 // A server's machine is briefly three times slower than usual. A request that can no
-// longer end in time behind others there is refused at once, while it can still go to
-// another server; judged by the average it was refused only after its time was over.
+// longer end in time behind others there must be refused at once, while it can still
+// go to another server. An estimate from the average service time alone would admit it
+// and refuse it only after it has waited too long.
 func TestSlowdownRefusesLateRequests(t *testing.T) {
 	gate := urgentGate(1)
 	gate.SetExpectedService("", "look", 200*time.Millisecond)
--- a/core/mtgate/urgent.go
+++ b/core/mtgate/urgent.go
@@ -20,7 +20,7 @@
 // tie:
 //
 //  1. Nested requests first: each occupies a slot at another server until it ends,
-//     so that every second of waiting costs two servers a second.
+//     so every second that it waits uses up a second of that slot as well.
 //  2. Requests that can still meet their objective before those that can't.
 //  3. The higher priority of the class.
 //  4. The earlier latest start: the objective less the expected service time.
@@ -78,7 +78,7 @@
 )
 
 // Admits implements Order. Requests that can't meet their objective come last in the
-// order, so that refusing one a slot delays no other.
+// order, so denying one of them a slot delays no other request.
 func (o *Urgent) Admits(now mtclock.Instant, e *Entry, slots int) bool {
 	if e.Ticket.Nested || !missesObjective(now, e) || now.Sub(o.lastNested) > nestedWindow {
 		return true
@@ -203,9 +203,9 @@
 	return max(latestStart(e), now.Add(e.service()/minQueueDivisor))
 }
 
-// GiveUp implements Order. A late request starts only while none that is in time
-// waits. If it waited until its deadline, it would mostly be refused anyway, with no
-// time left for its caller to retry.
+// GiveUp implements Order. A late request starts only while no request that can still
+// meet its objective waits. If it waited until its deadline, it would mostly be refused
+// anyway, with no time left for its caller to retry.
 func (*Urgent) GiveUp(now mtclock.Instant, e *Entry, waitUntil mtclock.Instant) mtclock.Instant {
 	waitUntil = latestGiveUp(e, waitUntil)
 	if e.Ticket.Objective == 0 || e.Ticket.Nested {
@@ -216,8 +216,9 @@
 }
 
 // TooLate implements Order. A request with an objective must be expected to meet it:
-// during an overload a longer queue makes every answer late and yields none more,
-// and a request that is refused at once can still be served when its caller retries.
+// during an overload a longer queue makes every answer late without producing more of
+// them, and a request that is refused at once can still be served when its caller
+// retries.
 // A nested request only has to start in time, since refusing it wastes the work of
 // the server that waits for it.
 func (o *Urgent) TooLate(now mtclock.Instant, e *Entry, wait time.Duration) bool {
@@ -232,8 +233,8 @@
 
 // Retry implements Order. The queue is so short that its length says little about
 // when the overload ends: an overload lasts for seconds, and a caller that retries
-// after the estimated wait is refused again. With minOverloadRetry 2 in 100 more of
-// all requests were served on the heaviest days of two deployments.
+// after the estimated wait is refused again. With minOverloadRetry, another 2% of all
+// requests were served on the heaviest days of two deployments.
 func (*Urgent) Retry(e *Entry, wait time.Duration) time.Duration {
 	if e.Ticket.Objective == 0 {
 		return wait
--- a/core/mtgate/urgent_test.go
+++ b/core/mtgate/urgent_test.go
@@ -79,9 +79,9 @@
 	assert.Equal(t, refused.Ticket.Number, mtgate.Number(2))
 }
 
-// After a loss of power at all VMs every key is cold: valuations take 2.5 s, three
-// times their objective. They occupied every slot, and the loan desk's collateral
-// checks, which take a quarter of a second, found none before their deadline.
+// After a power loss of all VMs every key is cold: valuations take 2.5 s, three times
+// their objective. If they occupied every slot, the loan desk's collateral checks, which
+// take a quarter of a second, would get none before their deadline.
 func TestLateRequestsLeaveSlotsForNestedOnes(t *testing.T) {
 	gate := urgentGate(4)
 	gate.SetExpectedService("", "look", 2500*time.Millisecond)
--- a/core/mtheader/names.go
+++ b/core/mtheader/names.go
@@ -12,7 +12,7 @@
 	AnsweringServer string // incarnation of the server that answers
 	Signature       string // marks an answer as coming from the server itself
 	NotRun          string // present if the server did not run the request
-	ColdRemaining   string // in answers to health checks: for how many more milliseconds the server is cold
+	ColdRemaining   string // remaining cold time in milliseconds, in answers to health checks
 }
 
 // DefaultNames are the product's own header names. ColdRemaining is empty, so that health
--- a/core/mtlease/mtlease.go
+++ b/core/mtlease/mtlease.go
@@ -295,18 +295,18 @@
 
 // Defects reports what is wrong with the current set.
 func (l *Lease) Defects(now mtclock.Instant) Defects {
-	var want Defects
+	var defects Defects
 	for _, w := range l.current.Witnesses {
 		p, ok := l.promises[w]
 		switch {
 		case !ok:
 		case p.unusable() || p.unresponsive(now):
-			want.Lost = append(want.Lost, w)
+			defects.Lost = append(defects.Lost, w)
 		case p.refusal == Revoked || p.floor >= l.current.Version:
-			want.Revoked = true
+			defects.Revoked = true
 		}
 	}
-	return want
+	return defects
 }
 
 // Unpromised returns the witnesses of the proposed set without a valid promise, so
--- a/core/mtrange/codec.go
+++ b/core/mtrange/codec.go
@@ -10,11 +10,11 @@
 	"magnoliaturn/core/mtwire"
 )
 
-// Patch holds the changes to a table since the epoch Since was its next one. Every
-// key that has changed owner since lies in one of the ranges; all other keys are
-// unchanged. Daemons exchange patches instead of whole tables: a move among 39
+// Patch holds the changes to a table since its next epoch was Since. Every key that
+// has changed owner since then lies in one of the ranges; all other keys are
+// unchanged. Daemons exchange patches instead of full tables: a move among 39
 // servers that share 250 ranges changes two or three of them, and sending the
-// whole table to every daemon for each move saturated links of 10 Mbit/s.
+// full table to every daemon for each move saturated links of 10 Mbit/s.
 type Patch struct {
 	Service mtid.Service
 	Since   mtid.Epoch
@@ -22,7 +22,7 @@
 	Ranges  []Range // in order; only those whose epoch is at least Since
 }
 
-// Since returns the changes made since the given epoch was the next one.
+// Since returns the changes made since the table's next epoch was the given one.
 func (t *Table) Since(epoch mtid.Epoch) *Patch {
 	p := &Patch{Service: t.Service, Since: epoch, Next: t.Next}
 	for _, r := range t.Ranges {
@@ -153,7 +153,7 @@
 	return &Table{Service: mtid.Service(w.GetService()), Next: mtid.Epoch(w.GetNext()), Ranges: ranges}, nil
 }
 
-// DecodePatch reads a patch. It returns nil if the value is a whole table, and
+// DecodePatch reads a patch. It returns nil if the value is a full table, and
 // fails with a *DecodeError if the value is invalid.
 func DecodePatch(value []byte) (*Patch, error) {
 	w, ranges, err := decode(value)
--- a/core/mtrange/codec_test.go
+++ b/core/mtrange/codec_test.go
@@ -104,7 +104,7 @@
 		"end missing":              encodedTable(t, 3, 0, [3]uint32{0, 65534, 1}),
 		"epoch not assigned yet":   encodedTable(t, 1, 0, [3]uint32{0, 65535, 1}),
 		"no ranges":                encodedTable(t, 1, 0),
-		"key out of 16b":           encodedTable(t, 3, 0, [3]uint32{0, 65536, 1}),
+		"key above 16 bits":        encodedTable(t, 3, 0, [3]uint32{0, 65536, 1}),
 		"a patch":                  encodedTable(t, 3, 2, [3]uint32{0, 65535, 2}),
 		"owner index out of range": badIndex,
 		"columns differ in length": ragged,
@@ -122,9 +122,9 @@
 	f.Fuzz(func(t *testing.T, value []byte) {
 		patch, err := mtrange.DecodePatch(value)
 		if err == nil && patch != nil {
-			whole, err := mtrange.Spread(patch.Service, owners(3))
+			full, err := mtrange.Spread(patch.Service, owners(3))
 			assert.NilError(t, err)
-			if next, err := whole.Apply(patch); err == nil {
+			if next, err := full.Apply(patch); err == nil {
 				checkCoverage(t, next)
 			}
 			return
--- a/core/mtrange/meter.go
+++ b/core/mtrange/meter.go
@@ -11,8 +11,8 @@
 
 // MeterMemory is the time constant of the measurement: an arrival this old counts
 // for 1/e. Hot keys change within seconds, and a typical server receives some
-// twenty requests a second, so two seconds hold enough of them to tell a hot key
-// from chance.
+// twenty requests a second, so two seconds contain enough of them to distinguish a
+// hot key from chance.
 const MeterMemory = 2 * time.Second
 
 // Meter measures the offered work of each key on one server, in slots: the
--- a/core/mtrange/mtrange.go
+++ b/core/mtrange/mtrange.go
@@ -156,11 +156,11 @@
 
 // KeyCounts returns the number of keys of each owner.
 func (t *Table) KeyCounts() map[Owner]int {
-	shares := make(map[Owner]int)
+	counts := make(map[Owner]int)
 	for _, r := range t.Ranges {
-		shares[r.Owner] += r.Keys()
+		counts[r.Owner] += r.Keys()
 	}
-	return shares
+	return counts
 }
 
 // Move assigns the keys from low to high, which must have a single owner, to
@@ -178,9 +178,9 @@
 	if i < 0 || !t.Ranges[i].Covers(high) {
 		return nil, &RangeError{Low: low, High: high, Reason: "keys are not contained in a single range"}
 	}
-	whole := t.Ranges[i]
+	containing := t.Ranges[i]
 	next := &Table{Service: t.Service, Next: t.Next + 1}
-	before, after := whole.remainder(low, high)
+	before, after := containing.remainder(low, high)
 	moved := Range{Low: low, High: high, Owner: to, Epoch: t.Next, WarmupState: warmupState}
 	next.Ranges = slices.Concat(t.Ranges[:i], before, []Range{moved}, after, t.Ranges[i+1:])
 	return next, nil
@@ -209,8 +209,8 @@
 const maxPieces = 8
 
 // TakeOver assigns all ranges of lost owners to the survivors. If a new incarnation of
-// the same server is among them it gets all its former ranges, since these were
-// balanced by load before; otherwise the survivors with the fewest keys get the
+// the same server is among them, it gets all ranges of the previous one, since these
+// were balanced by load before; otherwise the survivors with the fewest keys get the
 // most. Without the preference for the same server, the first server to come up
 // after a power loss of all VMs was assigned every key.
 //
@@ -220,11 +220,11 @@
 		return nil, &RangeError{High: mtid.LastKeyNumber, Reason: "no surviving server to take over the keys"}
 	}
 	next := &Table{Service: t.Service, Next: t.Next}
-	shares := t.KeyCounts()
+	counts := t.KeyCounts()
 	keys := make(map[Owner]int, len(survivors))
 	successors := make(map[mtid.Daemon]Owner, len(survivors))
 	for _, s := range survivors {
-		keys[s] = shares[s]
+		keys[s] = counts[s]
 		successors[s.Daemon] = s
 	}
 	piecesPerRange := t.piecesPerRange(lost, len(survivors))
@@ -254,9 +254,9 @@
 }
 
 // piecesPerRange returns the number of runs that each lost range is cut into: just
-// enough for every survivor to get one. If many ranges are lost already, they stay
-// whole: with a cut each time, the ranges grew from 41 to 116 in one takeover, and
-// each range costs a command to a server every few seconds.
+// enough for every survivor to get one. If there are at least as many lost ranges as
+// survivors, they are not cut: with a cut each time, the ranges grew from 41 to 116 in
+// one takeover, and each range costs a command to a server every few seconds.
 func (t *Table) piecesPerRange(lost func(Owner) bool, survivors int) int {
 	ranges := 0
 	for _, r := range t.Ranges {
--- a/core/mtrange/mtrange_test.go
+++ b/core/mtrange/mtrange_test.go
@@ -208,7 +208,7 @@
 	assert.Equal(t, len(after.Ranges), len(table.Ranges))
 }
 
-func TestCutLeavesSingleHotKey(t *testing.T) {
+func TestSelectKeysLeavesSingleHotKey(t *testing.T) {
 	now := second
 	meter := mtrange.NewMeter(now)
 	for range 100 {
@@ -218,7 +218,7 @@
 	meter.RecordArrival(now, 900, time.Second)
 	low, high, ok := mtrange.SelectKeys(now, []mtrange.Range{{Low: 0, High: 999}}, meter, 5)
 	assert.Assert(t, ok)
-	assert.Assert(t, high < 500 || low > 500, "cut %d to %d moves the hot key", low, high)
+	assert.Assert(t, high < 500 || low > 500, "run %d to %d contains the hot key", low, high)
 }
 
 func TestMeterForgetsMovedAndOldWork(t *testing.T) {
@@ -269,9 +269,9 @@
 	offloaded := 0.0
 	for n, self := range owned {
 		others := append([]mtrange.LoadReport{empty}, owned[:n]...)
-		for _, g := range mtrange.PlanOffload(self, append(others, owned[n+1:]...)) {
-			assert.Equal(t, g.To, empty.Owner)
-			offloaded += g.Amount
+		for _, o := range mtrange.PlanOffload(self, append(others, owned[n+1:]...)) {
+			assert.Equal(t, o.To, empty.Owner)
+			offloaded += o.Amount
 		}
 	}
 	assert.Assert(t, offloaded >= 2 && offloaded <= 12, "%.1f slots", offloaded)
--- a/core/mtrange/offload.go
+++ b/core/mtrange/offload.go
@@ -48,18 +48,18 @@
 	Known       bool          // whether a recent report of the load is available
 }
 
-func (s LoadReport) slots() float64 { return float64(max(s.Slots, 1)) }
+func (r LoadReport) slots() float64 { return float64(max(r.Slots, 1)) }
 
 // load returns the offered work relative to the slots.
-func (s LoadReport) load() float64 { return s.Demand / s.slots() }
+func (r LoadReport) load() float64 { return r.Demand / r.slots() }
 
 // empty reports whether the server owns no keys. No report of its load is needed
 // then.
-func (s LoadReport) empty() bool { return s.Keys == 0 }
+func (r LoadReport) empty() bool { return r.Keys == 0 }
 
 // Overloaded reports whether the server may have to offload work, so that it is
 // worth querying the load of others.
-func (s LoadReport) Overloaded() bool { return s.load() >= busyLoad }
+func (r LoadReport) Overloaded() bool { return r.load() >= busyLoad }
 
 // Offload is an amount of work that an owner offloads to another server.
 type Offload struct {
@@ -71,9 +71,9 @@
 // how much. It handles a key, or a run of adjacent keys, that attracts much of the
 // traffic within a second: its owner gets the work of several servers while the
 // others have spare capacity. So the owner offloads to several servers at once, as
-// much as brings all of them to the same load. When it moved half of the work to
-// one other server every 1.5 s, a run that was hot for five seconds was never
-// spread.
+// much as is needed to bring all of them to the same load. When it moved half of
+// the work to one other server every 1.5 s, a run that was hot for five seconds was
+// never spread.
 //
 // The largest offload comes first.
 func PlanOffload(self LoadReport, others []LoadReport) []Offload {
@@ -123,21 +123,21 @@
 const bisections = 10
 
 // spareCapacity returns how much of the owner's work brings the server up to a load.
-func (s LoadReport) spareCapacity(owner LoadReport, level float64) float64 {
-	return max(level-s.load(), 0) * s.slots() / costRatio(s.ServiceTime, owner.ServiceTime)
+func (r LoadReport) spareCapacity(owner LoadReport, level float64) float64 {
+	return max(level-r.load(), 0) * r.slots() / costRatio(r.ServiceTime, owner.ServiceTime)
 }
 
 // offloadAmount returns how much of the owner's work is offloaded to the server.
-func (s LoadReport) offloadAmount(owner LoadReport, level float64, others int) float64 {
-	spare := s.spareCapacity(owner, level)
-	if !s.empty() {
+func (r LoadReport) offloadAmount(owner LoadReport, level float64, others int) float64 {
+	spare := r.spareCapacity(owner, level)
+	if !r.empty() {
 		return spare
 	}
 	// All owners offload to an empty server at the same time. Where there are
 	// many, an equal part of each one's work would not be worth a move. Instead a
 	// pseudo-random choice of them offloads the minimum amount.
 	part := min(spare, owner.Demand/float64(others+1))
-	if part < minOffload && part > minOffload*pairDraw(owner.Owner, s.Owner) {
+	if part < minOffload && part > minOffload*pairDraw(owner.Owner, r.Owner) {
 		return minOffload
 	}
 	return part
@@ -169,12 +169,12 @@
 // overlap. Offloads without a suitable run are left out.
 func SelectMoves(now mtclock.Instant, ranges []Range, meter *Meter, offloads []Offload) []KeyMove {
 	var runs []KeyMove
-	for _, g := range offloads {
-		low, high, ok := SelectKeys(now, ranges, meter, g.Amount)
+	for _, o := range offloads {
+		low, high, ok := SelectKeys(now, ranges, meter, o.Amount)
 		if !ok {
 			continue
 		}
-		runs = append(runs, KeyMove{Low: low, High: high, To: g.To})
+		runs = append(runs, KeyMove{Low: low, High: high, To: o.To})
 		i := slices.IndexFunc(ranges, func(r Range) bool { return r.Covers(low) })
 		before, after := ranges[i].remainder(low, high)
 		ranges = slices.Concat(ranges[:i], before, after, ranges[i+1:])
@@ -187,8 +187,8 @@
 // moves the overload.
 const maxOvershoot = 1.3
 
-// SelectKeys finds the run of keys with the most work, up to about amount, at either end of
-// one of the ranges. It may cut off a whole range, but never the only one.
+// SelectKeys finds the run of keys with the most work, up to about amount, at either
+// end of one of the ranges. The run may be an entire range, unless there is only one.
 func SelectKeys(now mtclock.Instant, ranges []Range, meter *Meter, amount float64) (low, high mtid.KeyNumber, ok bool) {
 	bestWork := 0.0
 	for _, r := range ranges {
--- a/core/mtrange/transfer.go
+++ b/core/mtrange/transfer.go
@@ -36,7 +36,7 @@
 	Transfers  []Transfer
 }
 
-// Outcome is the known result of a write.
+// Outcome is the result of a write.
 type Outcome int
 
 // Outcomes of a write.
@@ -44,7 +44,7 @@
 	Refused    Outcome = iota // not written, and never will be
 	Conflicted                // not written, and never will be: a conflicting write won
 	Written
-	OutcomeUnknown // unknown: it may have been written, or may be later
+	OutcomeUnknown // it may have been written, or may still be
 )
 
 // Wire returns the form of b that daemons exchange.
--- a/core/mtrange/transfer_test.go
+++ b/core/mtrange/transfer_test.go
@@ -12,10 +12,10 @@
 	"magnoliaturn/core/mtwire"
 )
 
-// A daemon decodes a batch that another one asks it to write. Any input must yield
-// either an error or a batch that encodes to the same batch again.
+// A daemon decodes a batch that another one sends it to write. Any input must yield
+// either an error or a batch that is unchanged by encoding and decoding.
 func FuzzBatch(f *testing.F) {
-	whole, err := proto.Marshal(mtrange.Batch{
+	encoded, err := proto.Marshal(mtrange.Batch{
 		Service: "maps", Daemon: "a", RecordVersion: 7, KnownEpoch: 5,
 		Transfers: []mtrange.Transfer{{
 			From: mtrange.Owner{Daemon: "a", Incarnation: mtid.ServerIncarnation{Server: "s", Started: 3}}, Epoch: 4, Low: 10, High: mtid.LastKeyNumber,
@@ -23,7 +23,7 @@
 		}},
 	}.Wire())
 	assert.NilError(f, err)
-	f.Add(whole)
+	f.Add(encoded)
 	f.Add([]byte{})
 	f.Add([]byte("nonsense"))
 	f.Fuzz(func(t *testing.T, value []byte) {
@@ -46,8 +46,8 @@
 	})
 }
 
-// A transfer can be applied only while its keys have the owner and epoch that they had when it
-// began: the keys may have returned to the same owner under a new epoch.
+// A transfer can be applied only while its keys have the owner and epoch that they had
+// when it began: the keys may have returned to the same owner under a new epoch.
 func TestTransferAppliesUnderItsEpochOnly(t *testing.T) {
 	a, b := mtrange.Owner{Daemon: "a"}, mtrange.Owner{Daemon: "b"}
 	table, err := mtrange.Spread("maps", []mtrange.Owner{a, b})
--- a/core/mtreply/mtreply.go
+++ b/core/mtreply/mtreply.go
@@ -1,8 +1,8 @@
 // Package mtreply defines the outcomes of requests and the causes that are reported
 // to callers.
 //
-// There are three outcomes, which are never mixed up. Answered: the caller gets the
-// complete reply of the backend server to this very request. NotRun: it is proved
+// There are three outcomes, which must never be confused. Answered: the caller gets the
+// complete reply of the backend server to this very request. NotRun: it is certain
 // that no backend server began the request, so that it is safe to send again.
 // Unknown: the request may have run, or may still be running.
 //
@@ -43,19 +43,19 @@
 	CauseNoOwner     Cause = "no-owner"    // the key currently has no owner
 	CauseStaleRoute  Cause = "stale-route" // sent to a daemon that isn't the owner
 	CauseNoLease     Cause = "no-lease"    // the owner has no valid lease now
-	CauseMoving      Cause = "moving"      // the shard is moving, and the request could not wait for that
+	CauseMoving      Cause = "moving"      // the shard is moving, and the request could not wait
 	CauseUnreachable Cause = "unreachable" // never sent: no connection to the owner
 	CauseQueueFull   Cause = "queue-full"  // the class's queue is full
 	CauseShed        Cause = "shed"        // gave way to more important work
 	CauseExpired     Cause = "expired"     // the deadline passed before the request was begun
 	CauseLimited     Cause = "limited"     // over the rate limit of the business or class
 	CauseDraining    Cause = "draining"    // the backend server is being drained
-	CauseNoServer    Cause = "no-server"   // no backend server is announced here
+	CauseNoServer    Cause = "no-server"   // no backend server has announced itself here
 	CauseFenced      Cause = "fenced"      // the backend server refused the epoch or start-by time
-	CauseRefused     Cause = "refused"     // the backend server reported that it did not run the request
+	CauseRefused     Cause = "refused"     // the backend server reported that it was not run
 	CauseQuarantined Cause = "quarantined" // found to crash backend servers
 	CauseRecentFull  Cause = "recent-full" // no capacity left to remember the request identifier
-	CauseSkew        Cause = "skew"        // the identifier's time is further in the future than allowed
+	CauseSkew        Cause = "skew"        // the identifier's time is too far in the future
 	CauseTooLarge    Cause = "too-large"   // the body exceeds the size limit
 	CauseStopping    Cause = "stopping"    // this daemon is shutting down
 	CauseZoneOut     Cause = "zone-out"    // the server's availability zone is out of service
--- a/core/mtretry/mtretry.go
+++ b/core/mtretry/mtretry.go
@@ -8,7 +8,7 @@
 // immediately, not only at its deadline.
 //
 // The budget keeps retries from overloading the servers: each request earns the
-// fraction of a retry that its class declares, and each retry costs a whole one.
+// fraction of a retry that its class declares, and each retry costs one.
 // Budgeted is the policy for production, Fixed the baseline for comparison.
 //
 // # Usage
@@ -82,17 +82,18 @@
 
 // Limits on the credit of a budget, in retries.
 const (
-	// firstCredit allows retries in classes with little traffic.
-	firstCredit = 3.0
+	// initialCredit allows retries in classes with little traffic.
+	initialCredit = 3.0
 	// maxCredit limits the credit that accumulates while few requests fail.
 	maxCredit = 20.0
 )
 
-// DefaultRetries is what each request earns in a class that is not declared.
+// DefaultRetries is the fraction of a retry that each request earns in a class that is
+// not declared.
 const DefaultRetries = 0.1
 
-// minTry is the least time before the deadline for which a try is worthwhile.
-const minTry = 5 * time.Millisecond
+// minTryTime is the least time before the deadline for which a try is worthwhile.
+const minTryTime = 5 * time.Millisecond
 
 // Fixed allows a fixed number of tries, with backoff but without a budget, for every
 // request that may be sent again.
@@ -156,13 +157,13 @@
 	// so it needs neither a wait nor credit. After a planned move all held requests
 	// are redirected to the new owner at the same time.
 	if isRedirect(a.Err) {
-		return 0, a.Redirects < MaxRedirects && now.Add(minTry).Before(a.Deadline)
+		return 0, a.Redirects < MaxRedirects && now.Add(minTryTime).Before(a.Deadline)
 	}
 	if a.Tries-a.Redirects >= MaxTries {
 		return 0, false
 	}
 	wait := max(backoff(p.random, a.Tries-a.Redirects), requestedWait(a))
-	if !now.Add(wait + minTry).Before(a.Deadline) {
+	if !now.Add(wait + minTryTime).Before(a.Deadline) {
 		return 0, false
 	}
 	b := p.budget(a.Flow)
@@ -180,7 +181,7 @@
 func (p *Budgeted) budget(flow Flow) *budget {
 	b, ok := p.flows[flow]
 	if !ok {
-		b = &budget{earn: DefaultRetries, credit: firstCredit}
+		b = &budget{earn: DefaultRetries, credit: initialCredit}
 		p.flows[flow] = b
 	}
 	return b
--- a/core/mtsilence/mtsilence.go
+++ b/core/mtsilence/mtsilence.go
@@ -63,18 +63,18 @@
 // New returns a detector to which all daemons are unknown.
 func New() *Detector { return &Detector{peers: make(map[string]*peer)} }
 
-func (s *Detector) at(address string) *peer {
-	p, ok := s.peers[address]
+func (d *Detector) at(address string) *peer {
+	p, ok := d.peers[address]
 	if !ok {
 		p = &peer{}
-		s.peers[address] = p
+		d.peers[address] = p
 	}
 	return p
 }
 
 // Answered records that a daemon acknowledged a call or a probe after the given time.
-func (s *Detector) Answered(address string, took time.Duration) {
-	p := s.at(address)
+func (d *Detector) Answered(address string, took time.Duration) {
+	p := d.at(address)
 	p.unresponsive = false
 	if p.mean == 0 {
 		p.mean, p.deviation = took, took/2
@@ -86,8 +86,8 @@
 }
 
 // Timeout returns how long to wait for an acknowledgment from a daemon.
-func (s *Detector) Timeout(address string) time.Duration {
-	p, ok := s.peers[address]
+func (d *Detector) Timeout(address string) time.Duration {
+	p, ok := d.peers[address]
 	if !ok {
 		return maxTimeout
 	}
@@ -96,8 +96,8 @@
 
 // Suspect records that no acknowledgment arrived in time. It returns true if the daemon
 // was not unresponsive before, so that the caller has to start probing it.
-func (s *Detector) Suspect(now mtclock.Instant, address string) bool {
-	p := s.at(address)
+func (d *Detector) Suspect(now mtclock.Instant, address string) bool {
+	p := d.at(address)
 	if p.unresponsive {
 		return false
 	}
@@ -105,10 +105,10 @@
 	return true
 }
 
-// Unresponsive reports whether a daemon is unresponsive, so that no calls should be sent to
-// it. It must be called for each call intended for the daemon.
-func (s *Detector) Unresponsive(now mtclock.Instant, address string) bool {
-	p, ok := s.peers[address]
+// Unresponsive reports whether a daemon is unresponsive, so that no calls should be sent
+// to it. It must be called for each call intended for the daemon.
+func (d *Detector) Unresponsive(now mtclock.Instant, address string) bool {
+	p, ok := d.peers[address]
 	if !ok || !p.unresponsive {
 		return false
 	}
@@ -119,10 +119,10 @@
 // ProbeFailed records that a probe was not acknowledged, and returns the pause before the
 // next one. It returns false if no call has been intended for the daemon for a while;
 // its state is dropped then, and the next call goes through.
-func (s *Detector) ProbeFailed(now mtclock.Instant, address string) (time.Duration, bool) {
-	p, ok := s.peers[address]
+func (d *Detector) ProbeFailed(now mtclock.Instant, address string) (time.Duration, bool) {
+	p, ok := d.peers[address]
 	if !ok || !p.unresponsive || now.Sub(p.lastCall) > probeIdleLimit {
-		delete(s.peers, address)
+		delete(d.peers, address)
 		return 0, false
 	}
 	pause := p.pause
--- a/core/mttakeover/model_test.go
+++ b/core/mttakeover/model_test.go
@@ -552,9 +552,9 @@
 // writeRevoked writes the record that fences the target of t.
 func (m *model) writeRevoked(p *process, t *mttakeover.Takeover) {
 	m.sequence++
-	stamp := mtroster.WriteID{Writer: mtid.Holder{Daemon: p.name}, Sequence: m.sequence}
+	writeID := mtroster.WriteID{Writer: mtid.Holder{Daemon: p.name}, Sequence: m.sequence}
 	name := string(t.Target().Daemon)
-	got, err := m.swap(stored{name: name, version: t.Version(), record: t.RevokedRecord(stamp)})
+	got, err := m.swap(stored{name: name, version: t.Version(), record: t.RevokedRecord(writeID)})
 	var conflict *conflictError
 	if err != nil && !errors.As(err, &conflict) {
 		if m.pick(2) == 0 {
@@ -589,38 +589,38 @@
 // or create the table if p knows none.
 func (m *model) writeFailover(p *process) {
 	m.sequence++
-	stamp := mtroster.WriteID{Writer: mtid.Holder{Daemon: p.name}, Sequence: m.sequence}
+	writeID := mtroster.WriteID{Writer: mtid.Holder{Daemon: p.name}, Sequence: m.sequence}
 	if p.table == nil {
-		m.createTable(p, stamp)
+		m.createTable(p, writeID)
 		return
 	}
 	op, ok := mttakeover.Failover(p.table, p.roster)
 	if !ok {
 		return
 	}
-	next, err := p.table.Apply(stamp, op)
+	next, err := p.table.Apply(writeID, op)
 	if err != nil {
 		m.fail("failover op was rejected: %v", err)
 		return
 	}
-	m.writeTable(p, stamp, next)
+	m.writeTable(p, writeID, next)
 }
 
-func (m *model) createTable(p *process, stamp mtroster.WriteID) {
+func (m *model) createTable(p *process, writeID mtroster.WriteID) {
 	var among []mtid.Holder
 	for _, q := range m.procs {
 		if r, ok := p.roster[q.name]; ok && r.MayHoldLease() {
 			among = append(among, r.Holder)
 		}
 	}
-	next, err := mtshard.New(modelRef, 0, 1).Apply(stamp, mtshard.Create{Shards: 8, Holders: among})
+	next, err := mtshard.New(modelRef, 0, 1).Apply(writeID, mtshard.Create{Shards: 8, Holders: among})
 	if err == nil {
-		m.writeTable(p, stamp, next)
+		m.writeTable(p, writeID, next)
 	}
 }
 
-func (m *model) writeTable(p *process, stamp mtroster.WriteID, next *mtshard.Table) {
-	got, err := m.swap(stored{name: tableName, version: next.Version - 1, table: next, writeID: stamp})
+func (m *model) writeTable(p *process, writeID mtroster.WriteID, next *mtshard.Table) {
+	got, err := m.swap(stored{name: tableName, version: next.Version - 1, table: next, writeID: writeID})
 	var conflict *conflictError
 	switch {
 	case err == nil:
--- a/core/mttakeover/mttakeover.go
+++ b/core/mttakeover/mttakeover.go
@@ -3,7 +3,7 @@
 // There are two steps. Both are compare-and-swap writes to the platform's store,
 // and any daemon can restart either of them at any time. First the lost
 // incarnation is fenced: a majority of the witnesses named in its record agree
-// never to renew its lease, and then the record is written with Revoked above
+// never to renew its lease, and then the record is written with RevokedBelow above
 // its incarnation. Second, each chunk of an assignment that still names a fenced
 // holder is written with a failover op. The records and tables alone show what
 // is left to do, so a claimant that crashes half-way leaves no state to clean up.
@@ -14,7 +14,7 @@
 //	for {
 //		switch step := t.Next(now); step.Kind {
 //		case mttakeover.Ask:    ... send t.Request to step.Witnesses; then t.Replied or t.Failed
-//		case mttakeover.Write:  ... swap in t.RevokedRecord(stamp); then t.Observe with the stored record
+//		case mttakeover.Write:  ... swap in t.RevokedRecord(writeID); then t.Observe what is stored
 //		case mttakeover.Wait:   ... sleep step.Wait
 //		case mttakeover.Done:   ... the incarnation is fenced
 //		}
@@ -177,9 +177,9 @@
 
 // RevokedRecord returns the record that fences the incarnation. It may be
 // written only after Next returned Write, and the write must expect Version.
-func (t *Takeover) RevokedRecord(stamp mtroster.WriteID) *mtroster.Record {
+func (t *Takeover) RevokedRecord(writeID mtroster.WriteID) *mtroster.Record {
 	next := *t.record
-	next.WriteID = stamp
+	next.WriteID = writeID
 	next.RevokedBelow = t.target.Incarnation + 1
 	return &next
 }
--- a/core/mttakeover/mttakeover_test.go
+++ b/core/mttakeover/mttakeover_test.go
@@ -172,11 +172,11 @@
 	op, due := mttakeover.Failover(table, roster)
 	assert.Assert(t, due)
 	assert.DeepEqual(t, op, mtshard.Failover{Lost: []mtid.Holder{lost}, Survivors: []mtid.Holder{w1}})
-	gone := lostRecord()
-	gone.State = mtroster.Gone
-	roster["lost"] = gone
+	shutDown := lostRecord()
+	shutDown.State = mtroster.Gone
+	roster["lost"] = shutDown
 	op, due = mttakeover.Failover(table, roster)
-	assert.Assert(t, due, "a daemon that shut down in order keeps no shards")
+	assert.Assert(t, due, "a daemon that shut down cleanly keeps no shards")
 	assert.DeepEqual(t, op.Lost, []mtid.Holder{lost})
 	delete(roster, "w1")
 	_, due = mttakeover.Failover(table, roster)
