--- a/core/mtgate/mtgate.go
+++ b/core/mtgate/mtgate.go
@@ -71,7 +71,7 @@
 type Effect interface{ effect() }
 
 // Start means that the request is to be sent to the backend server now. Done must
-// be called when it has ended, with whatever outcome.
+// be called when it has ended, whatever its outcome.
 type Start struct{ Ticket Ticket }
 
 // Refuse means that the caller is to receive Err. The request was not run.
@@ -266,8 +266,8 @@
 	if len(g.waiting) == 0 {
 		return 0, false
 	}
-	// No other event starts a request that runs alone once the others' time has
-	// ended, or one that waits only for the start rate limit.
+	// No other call would start a request that has to run alone once sharedUntil has
+	// passed, or one that waits only for the start rate limit.
 	if len(g.alone) > 0 && g.canStart(g.now) && !g.aloneWindow.blocking {
 		return min(g.nextGiveUp, g.aloneWindow.sharedUntil), true
 	}
@@ -432,13 +432,14 @@
 	}
 }
 
-// aloneNext reports whether a request that runs alone is next. From then on no
-// other request starts, so that those in flight can end.
+// aloneNext reports whether a request that has to run alone is next. From then on
+// no other request starts, so that those in flight can end.
 func (g *Gate[O]) aloneNext(now mtclock.Instant) bool {
 	return len(g.alone) > 0 && !now.Before(g.aloneWindow.sharedUntil)
 }
 
-// startAlone starts the oldest request that runs alone once nothing is in flight.
+// startAlone starts the oldest request that has to run alone, once nothing is in
+// flight.
 func (g *Gate[O]) startAlone(now mtclock.Instant) {
 	if !g.aloneWindow.blocking {
 		g.aloneWindow.blocking = true
--- a/core/mtgate/startrate_test.go
+++ b/core/mtgate/startrate_test.go
@@ -64,8 +64,9 @@
 	})
 }
 
-// A request waits only for the start rate limit while slots are free. No request ends
-// that would start it, so unless Next returns a time it waits until it expires.
+// While slots are free, a request waits only because of the start rate limit. The end of
+// another request would not start it, so unless Next returns a time, it waits until it
+// expires.
 func TestNextCoversStartRateLimit(t *testing.T) {
 	gate := urgentGate(9)
 	gate.LimitStartRate(0, 1)
--- a/core/mttakeover/failover.go
+++ b/core/mttakeover/failover.go
@@ -76,11 +76,11 @@
 
 // staggered returns the delay of self according to its rank at p among the given
 // daemons, or false if its rank is too low to take part.
-func staggered(self mtid.Daemon, p mtid.Point, among []mtid.Daemon) (time.Duration, bool) {
-	slices.SortFunc(among, func(a, b mtid.Daemon) int {
+func staggered(self mtid.Daemon, p mtid.Point, daemons []mtid.Daemon) (time.Duration, bool) {
+	slices.SortFunc(daemons, func(a, b mtid.Daemon) int {
 		return cmp.Or(cmp.Compare(mtid.Rank(b, p), mtid.Rank(a, p)), cmp.Compare(a, b))
 	})
-	i := slices.Index(among, self)
+	i := slices.Index(daemons, self)
 	if i < 0 || i >= maxClaimants {
 		return 0, false
 	}
--- a/core/mttakeover/model_test.go
+++ b/core/mttakeover/model_test.go
@@ -607,13 +607,13 @@
 }
 
 func (m *model) createTable(p *process, writeID mtroster.WriteID) {
-	var among []mtid.Holder
+	var holders []mtid.Holder
 	for _, q := range m.procs {
 		if r, ok := p.roster[q.name]; ok && r.MayHoldLease() {
-			among = append(among, r.Holder)
+			holders = append(holders, r.Holder)
 		}
 	}
-	next, err := mtshard.New(modelRef, 0, 1).Apply(writeID, mtshard.Create{Shards: 8, Holders: among})
+	next, err := mtshard.New(modelRef, 0, 1).Apply(writeID, mtshard.Create{Shards: 8, Holders: holders})
 	if err == nil {
 		m.writeTable(p, writeID, next)
 	}
--- a/core/mtwitness/choose.go
+++ b/core/mtwitness/choose.go
@@ -41,15 +41,15 @@
 // Witnesses in keep remain selected if they are among the peers. The selection is
 // deterministic, and tends to be mutual because two daemons rank each other by the
 // same number.
-func Choose(self Candidate, among []Candidate, keep []mtid.Holder) []mtid.Holder {
-	peers := ranked(self, among)
+func Choose(self Candidate, candidates []Candidate, keep []mtid.Holder) []mtid.Holder {
+	peers := ranked(self, candidates)
 	var chosen []Candidate
 	for _, p := range peers {
 		if slices.Contains(keep, p.Holder) && len(chosen) < SetSize {
 			chosen = append(chosen, p)
 		}
 	}
-	for _, matches := range locations(self, among) {
+	for _, matches := range locations(self, candidates) {
 		if len(chosen) < SetSize && !slices.ContainsFunc(chosen, matches) {
 			chosen = appendBest(chosen, peers, matches)
 		}
@@ -74,8 +74,8 @@
 // It is called periodically, since daemons that select at the same time don't see
 // each other's selections. A replacement costs one write, and halves the renewal
 // traffic between the two daemons from then on.
-func Pair(self Candidate, among []Candidate, set []mtid.Holder) []mtid.Holder {
-	peers := ranked(self, among)
+func Pair(self Candidate, candidates []Candidate, set []mtid.Holder) []mtid.Holder {
+	peers := ranked(self, candidates)
 	mutual := func(p Candidate) bool { return p.Mutual }
 	unpaired := func(p Candidate) bool { return p.Unpaired }
 	for _, better := range []filter{mutual, unpaired} {
@@ -111,9 +111,9 @@
 }
 
 // locations returns a filter for each location where self should have a witness.
-func locations(self Candidate, among []Candidate) []filter {
+func locations(self Candidate, candidates []Candidate) []filter {
 	zones := make(map[mtid.Zone]bool)
-	for _, c := range among {
+	for _, c := range candidates {
 		if c.Region == self.Region && c.Zone != self.Zone {
 			zones[c.Zone] = true
 		}
@@ -145,8 +145,8 @@
 
 // ranked returns the peers of self, best first: mutual ones before others, then
 // those with less load, then by rank.
-func ranked(self Candidate, among []Candidate) []Candidate {
-	peers := slices.DeleteFunc(slices.Clone(among), func(c Candidate) bool {
+func ranked(self Candidate, candidates []Candidate) []Candidate {
+	peers := slices.DeleteFunc(slices.Clone(candidates), func(c Candidate) bool {
 		return c.Holder.Daemon == self.Holder.Daemon
 	})
 	slices.SortFunc(peers, func(a, b Candidate) int {
