--- a/cmd/policies/retry.go
+++ b/cmd/policies/retry.go
@@ -155,7 +155,7 @@
 		gap := time.Duration(t.random.ExpFloat64() / perSecond * float64(time.Second))
 		t.events.at(t.now.Add(gap), arrive)
 		t.requests++
-		t.policy.First(retryFlow)
+		t.policy.RecordRequest(retryFlow)
 		t.send(t.now, t.random.IntN(retryServers), 1)
 	}
 	t.events.at(0, arrive)
--- a/core/mtgate/mtgate.go
+++ b/core/mtgate/mtgate.go
@@ -539,7 +539,7 @@
 		f = newFlow(key)
 		f.slowdown = g.slowdown
 		g.flows[key] = f
-		g.order.Join(f)
+		g.order.AddFlow(f)
 	}
 	return f
 }
--- a/core/mtgate/order.go
+++ b/core/mtgate/order.go
@@ -9,8 +9,8 @@
 // Order is the scheduling policy of a gate: it decides which waiting request starts
 // next and which one is shed.
 type Order interface {
-	// Join adds a flow. It is called before the first entry of the flow is pushed.
-	Join(f *Flow)
+	// AddFlow registers a flow. It is called before the first entry of the flow is pushed.
+	AddFlow(f *Flow)
 	// Push adds e to the waiting entries.
 	Push(e *Entry)
 	// Next removes and returns the entry to start now, or returns nil. slots is the
@@ -91,8 +91,8 @@
 // NewFIFO returns a FIFO without entries.
 func NewFIFO() *FIFO { return &FIFO{} }
 
-// Join implements Order.
-func (*FIFO) Join(*Flow) {}
+// AddFlow implements Order.
+func (*FIFO) AddFlow(*Flow) {}
 
 // Push implements Order.
 func (o *FIFO) Push(e *Entry) {
@@ -184,8 +184,8 @@
 // among its classes, one is pure fair queuing.
 func NewFair(guaranteed float64) *Fair { return &Fair{guaranteed: guaranteed} }
 
-// Join implements Order.
-func (o *Fair) Join(f *Flow) {
+// AddFlow implements Order.
+func (o *Fair) AddFlow(f *Flow) {
 	for _, t := range o.tenants {
 		if t.flows[0].Key.Business == f.Key.Business {
 			t.flows = append(t.flows, f)
--- a/core/mtgate/urgent.go
+++ b/core/mtgate/urgent.go
@@ -42,8 +42,8 @@
 // NewUrgent returns an Urgent without entries.
 func NewUrgent() *Urgent { return &Urgent{} }
 
-// Join implements Order.
-func (*Urgent) Join(*Flow) {}
+// AddFlow implements Order.
+func (*Urgent) AddFlow(*Flow) {}
 
 // Push implements Order.
 func (o *Urgent) Push(e *Entry) {
--- a/core/mtretry/mtretry.go
+++ b/core/mtretry/mtretry.go
@@ -15,7 +15,7 @@
 //
 //	policy := mtretry.NewBudgeted(rand.New(rand.NewPCG(seed, 0)))
 //	policy.Declare(flow, class.Retries)
-//	policy.First(flow)
+//	policy.RecordRequest(flow)
 //	for tries := 1; ; tries++ {
 //		err := try()
 //		wait, ok := policy.Next(now, mtretry.Attempt{Flow: flow, Tries: tries, Err: err, ...})
@@ -57,8 +57,8 @@
 
 // Policy decides on retries. The ingress has one.
 type Policy interface {
-	// First records a new request before its first try.
-	First(flow Flow)
+	// RecordRequest records a new request before its first try.
+	RecordRequest(flow Flow)
 	// Next returns how long to wait before the next try, or false if the request
 	// must not be retried and the caller gets a.Err now.
 	Next(now mtclock.Instant, a Attempt) (time.Duration, bool)
@@ -102,8 +102,8 @@
 	Random *rand.Rand
 }
 
-// First implements Policy.
-func (*Fixed) First(Flow) {}
+// RecordRequest implements Policy.
+func (*Fixed) RecordRequest(Flow) {}
 
 // Next implements Policy.
 func (p *Fixed) Next(now mtclock.Instant, a Attempt) (time.Duration, bool) {
@@ -142,8 +142,8 @@
 	}
 }
 
-// First implements Policy.
-func (p *Budgeted) First(flow Flow) {
+// RecordRequest implements Policy.
+func (p *Budgeted) RecordRequest(flow Flow) {
 	b := p.budget(flow)
 	b.credit = min(b.credit+b.earn, maxCredit)
 }
--- a/core/mtretry/mtretry_test.go
+++ b/core/mtretry/mtretry_test.go
@@ -66,7 +66,7 @@
 func TestNoRetriesWithZeroBudget(t *testing.T) {
 	p := budgeted(0)
 	for range 100 {
-		p.First(flow)
+		p.RecordRequest(flow)
 	}
 	_, again := p.Next(0, mtretry.Attempt{Flow: flow, Tries: 1, Err: refused(mtreply.CauseUnreachable, 0), Deadline: mtclock.Instant(time.Second)})
 	assert.Assert(t, !again)
@@ -81,7 +81,7 @@
 	p := budgeted(0.2)
 	tries := 0
 	for range requests {
-		p.First(flow)
+		p.RecordRequest(flow)
 		for n := 1; ; n++ {
 			tries++
 			if random.Float64() >= 0.3 {
--- a/io/mtingress/send.go
+++ b/io/mtingress/send.go
@@ -145,7 +145,7 @@
 	flow := mtretry.Flow{Class: mtid.Class(call.Service)}
 	s.mu.Lock()
 	s.retry.Declare(flow, RetryFraction)
-	s.retry.First(flow)
+	s.retry.RecordRequest(flow)
 	s.mu.Unlock()
 	state := &sending{}
 	fingerprint := call.Fingerprint()
--- a/io/mtrouter/mtrouter.go
+++ b/io/mtrouter/mtrouter.go
@@ -201,7 +201,7 @@
 			d.Declare(flow, class.Retries)
 		}
 	}
-	r.Retry.First(flow)
+	r.Retry.RecordRequest(flow)
 }
 
 func (r *Router) nextTry(attempt mtretry.Attempt) (time.Duration, bool) {
