--- a/core/mtreply/mtreply.go
+++ b/core/mtreply/mtreply.go
@@ -50,7 +50,7 @@
 	CauseExpired     Cause = "expired"     // the deadline passed before the request was begun
 	CauseLimited     Cause = "limited"     // over the rate limit of the business or class
 	CauseDraining    Cause = "draining"    // the backend server is being drained
-	CauseNoServer    Cause = "no-server"   // no backend server has announced itself here
+	CauseNoServer    Cause = "no-server"   // this daemon has no backend server in operation
 	CauseFenced      Cause = "fenced"      // the backend server refused the epoch or start-by time
 	CauseRefused     Cause = "refused"     // the backend server reported that it was not run
 	CauseQuarantined Cause = "quarantined" // found to crash backend servers
