--- a/core/mtgate/mtgate.go
+++ b/core/mtgate/mtgate.go
@@ -248,7 +248,7 @@
 	g.begin(now)
 	if e, ok := g.waiting[number]; ok {
 		g.removeWaiting(e)
-		g.refuse(e, refusal(mtreply.CauseExpired, -1, "the caller disconnected"))
+		g.refuse(e, refusal(mtreply.CauseExpired, -1, "the caller went away"))
 	}
 	return g.end(now)
 }
@@ -356,7 +356,7 @@
 	}
 	wait := max(g.order.Wait(now, e, g.capacity()), g.startDelay(now, e))
 	if !e.GiveUp.After(now) || g.order.TooLate(now, e, wait) {
-		g.refuse(e, refusal(mtreply.CauseShed, clampRetry(g.order.Retry(e, wait)), "the estimated wait is too long for the deadline or objective"))
+		g.refuse(e, refusal(mtreply.CauseShed, clampRetry(g.order.Retry(e, wait)), "the queue is longer than its time allows"))
 		return
 	}
 	if e.Flow.Waiting() >= e.Flow.Queue {
