--- a/io/mtcaller/mtcaller.go
+++ b/io/mtcaller/mtcaller.go
@@ -4,8 +4,8 @@
 // Status codes: an answer has the backend server's own. A request that was not run
 // has 400 (malformed), 404 (no such service or class), 413 (too large), 429 (over a
 // limit or quarantined) or 503, and one whose outcome is unknown has 504. The
-// headers Request-Outcome and Request-Cause always say which it was, and Retry-After
-// is set if a retry may succeed.
+// headers Request-Outcome and Request-Cause always distinguish these cases, and
+// Retry-After is set if a retry may succeed.
 //
 // # Usage
 //
--- a/io/mtforward/mtforward.go
+++ b/io/mtforward/mtforward.go
@@ -162,8 +162,8 @@
 	c.probes.Go(func() { c.probe(daemon, address) })
 }
 
-// probe requests the load of an unresponsive daemon until it replies, or until no calls
-// have been intended for it for some time.
+// probe requests the load of an unresponsive daemon until it replies, or until nobody has
+// tried to call it for some time.
 func (c *Client) probe(daemon mtid.Daemon, address string) {
 	for {
 		ctx, cancel := context.WithTimeout(c.ctx, c.responseTimeout(address))
--- a/io/mtingress/mtingress.go
+++ b/io/mtingress/mtingress.go
@@ -40,7 +40,8 @@
 
 type clock interface{ Now() mtclock.Instant }
 
-// sender sends a call to a backend server, to at most that many of them in turn.
+// sender sends a call to backend servers one after the other, to at most attempts of them,
+// until one answers.
 type sender interface {
 	Send(ctx context.Context, call *mtcall.Call, attempts int) (*mtcall.Answer, error)
 }
@@ -82,8 +83,8 @@
 	splitter *mtroute.Splitter
 	attempts *mtattempt.Attempts
 	closing  atomic.Bool
-	// lifetime is canceled at the instant end of a shutdown. Calls that are still in
-	// flight get their final responses then.
+	// lifetime is canceled when the grace period of a shutdown ends. Calls that are still
+	// in flight get their final responses then.
 	lifetime    context.Context
 	endLifetime context.CancelFunc
 	end         atomic.Int64
@@ -117,8 +118,8 @@
 func (in *Ingress) Configuration() *mtroute.Config { return in.config.Load() }
 
 // BeginShutdown begins a shutdown: each response from now on closes its connection. Calls that
-// are still in flight at the instant end get their final responses then, because the
-// caller of a connection that closes without a response can't tell what happened.
+// are still in flight when the time end is reached get their final responses then, because
+// a caller whose connection closes without a response can't know whether its call was run.
 func (in *Ingress) BeginShutdown(end mtclock.Instant) {
 	in.end.Store(int64(end))
 	in.closing.Store(true)
--- a/io/mtingress/send.go
+++ b/io/mtingress/send.go
@@ -52,7 +52,7 @@
 	ownerWait       = 15 * time.Millisecond
 	ownerWaitGrowth = 1.6
 	// ownerWaitLimit bounds all waits of a call together: the time that a notification by
-	// another daemon and a read from the store take if the own watch missed the update.
+	// another daemon and a read from the store take if this daemon's watch missed the update.
 	ownerWaitLimit = 300 * time.Millisecond
 	// ownerRetry is the Retry-After for keys whose owner can't be reached: about the time
 	// that a daemon needs to become available again.
@@ -61,10 +61,10 @@
 	emptyRetry = 500 * time.Millisecond
 	// maxRedirects is how often a call is sent again because a daemon does not own its key.
 	maxRedirects = 20
-	// lapsedUse is how long a member is still used after its record has been removed from
+	// expiredMemberUse is how long a member is still used after its record has been removed from
 	// the store. While the store is unavailable leases may expire, and the records are
 	// written again within two seconds after it has become available.
-	lapsedUse = 3 * time.Second
+	expiredMemberUse = 3 * time.Second
 	// otherZoneCost is the extra cost of a server in another availability zone: as much as
 	// that of having all slots in use, because traffic between zones is billed.
 	otherZoneCost = 1.0
@@ -98,10 +98,10 @@
 
 // choice selects among the servers of one service.
 type choice struct {
-	policy *mtchoice.LeastLoaded
-	set    bool            // whether the policy has candidates from a view
-	roll   uint64          // Roll of the view that the candidates come from
-	at     mtclock.Instant // when the candidates were last updated
+	policy            *mtchoice.LeastLoaded
+	initialized       bool            // whether the policy has candidates from a view
+	membershipVersion uint64          // of the view that the candidates come from
+	updatedAt         mtclock.Instant // when the candidates were last updated
 }
 
 // NewSender returns a Sender for the servers in the directory of config.
@@ -289,11 +289,11 @@
 // assignment than the local one, so that the call is sent there at once. The update of a
 // moved key takes a tenth of a second to arrive, and without redirection one in ten lookups
 // was sent to the previous owner again and again until its deadline.
-func (s *Sender) redirected(call *mtcall.Call, state *sending, asked mtdirectory.Member, refused *mtreply.RefusedError) bool {
+func (s *Sender) redirected(call *mtcall.Call, state *sending, sentTo mtdirectory.Member, refused *mtreply.RefusedError) bool {
 	previous := state.owner
 	state.owner = ""
 	newer := refused.Epoch > s.Directory.View().Assignments[call.Service].NextEpoch()
-	if refused.Cause != mtreply.CauseStaleRoute || refused.Owner == "" || refused.Owner == asked.Daemon || !newer {
+	if refused.Cause != mtreply.CauseStaleRoute || refused.Owner == "" || refused.Owner == sentTo.Daemon || !newer {
 		if refused.Cause == mtreply.CauseNoLease {
 			state.owner = previous // the key is about to be granted there
 		}
@@ -356,10 +356,10 @@
 		s.choices[service] = c
 	}
 	now := s.Steady()
-	if c.set && c.roll == view.MembershipVersion && now.Sub(c.at) < lapsedUse/4 {
+	if c.initialized && c.membershipVersion == view.MembershipVersion && now.Sub(c.updatedAt) < expiredMemberUse/4 {
 		return c
 	}
-	c.set, c.roll, c.at = true, view.MembershipVersion, now
+	c.initialized, c.membershipVersion, c.updatedAt = true, view.MembershipVersion, now
 	var candidates []mtchoice.Candidate
 	for _, m := range view.Members {
 		if m.Service == service && !view.OutOfService.Has(m.Zone) && s.usable(m, now) {
@@ -380,7 +380,7 @@
 	}
 	// While the store is unavailable, no daemon can renew its record.
 	up, ok := s.Directory.StoreUpSince()
-	return !ok || now.Sub(max(up, m.ExpiredSince)) < lapsedUse
+	return !ok || now.Sub(max(up, m.ExpiredSince)) < expiredMemberUse
 }
 
 // try sends the call to a member once, and informs the choice policy of its start and end.
--- a/io/mtingress/send_test.go
+++ b/io/mtingress/send_test.go
@@ -93,10 +93,10 @@
 }
 
 var (
-	lost    = &mtreply.UnknownError{Cause: mtreply.CauseLost, Err: errors.New("connection reset")}
-	shed    = &mtreply.RefusedError{Cause: mtreply.CauseShed, RetryAfter: time.Second}
-	notRun  = &mtreply.RefusedError{Cause: mtreply.CauseRefused, RetryAfter: time.Second}
-	wholeOK = &mtcall.Answer{Status: http.StatusOK}
+	lost     = &mtreply.UnknownError{Cause: mtreply.CauseLost, Err: errors.New("connection reset")}
+	shed     = &mtreply.RefusedError{Cause: mtreply.CauseShed, RetryAfter: time.Second}
+	notRun   = &mtreply.RefusedError{Cause: mtreply.CauseRefused, RetryAfter: time.Second}
+	answerOK = &mtcall.Answer{Status: http.StatusOK}
 )
 
 // withKey gives the call a key, and makes daemon b the owner of all keys of its service.
@@ -119,12 +119,12 @@
 		if n == 1 {
 			return nil, &mtreply.RefusedError{Cause: mtreply.CauseStaleRoute, Owner: "c", Epoch: 99}
 		}
-		return wholeOK, nil
+		return answerOK, nil
 	}
 	s, clock := newSender(t, p)
 	answer, err := s.Send(t.Context(), withKey(t, s, newCall(clock.Now(), true)), 2)
 	assert.NilError(t, err)
-	assert.Equal(t, answer, wholeOK)
+	assert.Equal(t, answer, answerOK)
 	assert.DeepEqual(t, p.sent, []mtid.Daemon{"b", "c"})
 }
 
@@ -144,7 +144,7 @@
 	call := withKey(t, s, newCall(clock.Now(), true))
 	p.answer = func(n int) (*mtcall.Answer, error) {
 		if n > 4 {
-			return wholeOK, nil
+			return answerOK, nil
 		}
 		if n == 4 {
 			own := s.Directory.View().Assignments["desk"]
@@ -169,7 +169,7 @@
 			if n == 1 {
 				return nil, &mtreply.RefusedError{Cause: mtreply.CauseNoLease, RetryAfter: retry}
 			}
-			return wholeOK, nil
+			return answerOK, nil
 		}
 		s, clock := newSender(t, p)
 		_, err := s.Send(t.Context(), withKey(t, s, newCall(clock.Now(), true)), 2)
@@ -183,14 +183,14 @@
 }
 
 // A refusal names an owner from an assignment older than the local one. It must not be
-// followed: two daemons that named each other would get the call in turn.
+// followed: two daemons that named each other would get the call alternately.
 func TestRedirectToOutdatedOwnerIsIgnored(t *testing.T) {
 	p := &fakePeers{}
 	p.answer = func(n int) (*mtcall.Answer, error) {
 		if n == 1 {
 			return nil, &mtreply.RefusedError{Cause: mtreply.CauseStaleRoute, Owner: "c", Epoch: 1}
 		}
-		return wholeOK, nil
+		return answerOK, nil
 	}
 	s, clock := newSender(t, p)
 	_, err := s.Send(t.Context(), withKey(t, s, newCall(clock.Now(), true)), 2)
@@ -227,7 +227,7 @@
 		{"idempotent, lost", true, 3, lost, 2, http.StatusOK},
 		{"idempotent, lost, one attempt", true, 1, lost, 1, http.StatusBadGateway},
 		{"not idempotent, lost", false, 3, lost, 1, http.StatusBadGateway},
-		{"not idempotent, the server proved not to have run it", false, 3, notRun, 2, http.StatusOK},
+		{"not idempotent, refused by the server before running", false, 3, notRun, 2, http.StatusOK},
 		{"not idempotent, full gate", false, 1, shed, 2, http.StatusOK},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -235,7 +235,7 @@
 				if n == 1 {
 					return nil, test.first
 				}
-				return wholeOK, nil
+				return answerOK, nil
 			}}
 			sender, clock := newSender(t, p)
 			answer, err := sender.Send(t.Context(), newCall(clock.Now(), test.idempotent), test.attempts)
@@ -243,7 +243,7 @@
 			if err != nil {
 				got, _ = mtingress.Status(err)
 			} else {
-				assert.Equal(t, answer, wholeOK)
+				assert.Equal(t, answer, answerOK)
 			}
 			assert.Equal(t, got, test.status)
 			assert.Equal(t, len(p.sent), test.sent)
@@ -323,7 +323,7 @@
 		{"no key", newRequest("/plans/1", "1"), nil, true, http.StatusBadRequest, false},
 		{"body too large", big, nil, true, http.StatusRequestEntityTooLarge, false},
 		{"refused", newRequest("/desk/1", "1"), shed, true, http.StatusServiceUnavailable, true},
-		{"refused for good", newRequest("/desk/1", "1"), &mtreply.RefusedError{Cause: mtreply.CauseQuarantined, RetryAfter: -1}, true, http.StatusServiceUnavailable, false},
+		{"refused permanently", newRequest("/desk/1", "1"), &mtreply.RefusedError{Cause: mtreply.CauseQuarantined, RetryAfter: -1}, true, http.StatusServiceUnavailable, false},
 		{"timed out at the server", newRequest("/desk/1", "1"), &mtreply.UnknownError{Cause: mtreply.CauseTimeout, Err: context.DeadlineExceeded}, true, http.StatusGatewayTimeout, false},
 		{"lost", newRequest("/desk/1", "1"), lost, true, http.StatusBadGateway, false},
 	} {
@@ -430,7 +430,7 @@
 	clock.now = clock.now.Add(1600 * time.Millisecond)
 	assert.Equal(t, request("2990"), -time.Second, "third try after 2 s")
 	assert.Equal(t, request("2000"), time.Second, "new request of another caller")
-	s.err, s.answer = nil, wholeOK
+	s.err, s.answer = nil, answerOK
 	assert.Equal(t, request("1500"), time.Second)
 	assert.Equal(t, request("1500"), time.Second, "no retry follows a success")
 }
--- a/io/mtlisten/mtlisten.go
+++ b/io/mtlisten/mtlisten.go
@@ -6,7 +6,7 @@
 //
 //	server, cleanUp, err := mtlisten.Serve(settings.Admin, api.Handler(), mtlisten.Options{
 //		MaxConnections: 256,
-//		TLS:            held.Admin(), // nil for plain HTTP
+//		TLS:            credentials.Admin(), // nil for plain HTTP
 //	})
 //	defer cleanUp()
 //
--- a/io/mtowner/mtowner.go
+++ b/io/mtowner/mtowner.go
@@ -114,7 +114,7 @@
 	for r := range o.runs {
 		// A request may run past the end of one lease if the lease is renewed, but
 		// never past its holder's ownership: without a lease another daemon may own
-		// the key. Canceling closes the connection, which tells the backend server
+		// the key. Canceling closes the connection, which signals the backend server
 		// to stop.
 		if r.holder != holder || !now.Before(until) {
 			r.cancel()
--- a/io/mtowner/recent.go
+++ b/io/mtowner/recent.go
@@ -137,7 +137,7 @@
 	return verdict{}, v.Err
 }
 
-// verdict says how to continue with an admitted request.
+// verdict determines how to continue with an admitted request.
 type verdict struct {
 	run    bool
 	reply  *mtrequest.Reply
--- a/io/mtowner/recent_test.go
+++ b/io/mtowner/recent_test.go
@@ -64,7 +64,7 @@
 	noWriteID = mtroster.WriteID{}
 )
 
-// clock is a monotonic clock that stands still, with a wall clock that the test
+// clock is a monotonic clock that never advances, with a wall clock that the test
 // advances.
 type clock struct {
 	mu   sync.Mutex
@@ -154,12 +154,12 @@
 		Business: dispatch.Business, Service: dispatch.Service, Address: backend.Listener.Addr().String(),
 		Slots: 4, Connections: 4, State: mtannounce.Ready,
 	})
-	watch, cleanUpWatch := mtpoison.New(mtpoison.Config{
+	detector, cleanUpDetector := mtpoison.New(mtpoison.Config{
 		Self: func() mtid.Holder { return self }, View: b.view, Conns: conns{}, Clock: b.clock, Log: log, Count: func(string) {},
 	})
-	t.Cleanup(cleanUpWatch)
+	t.Cleanup(cleanUpDetector)
 	owner, cleanUp := mtowner.New(mtowner.Config{
-		View: b.view, Lease: b.lease, Servers: pool, Clock: b.clock, Log: log, Poison: watch,
+		View: b.view, Lease: b.lease, Servers: pool, Clock: b.clock, Log: log, Poison: detector,
 		OnRangeIdle: func(mtid.Ref, mtid.Point, mtid.Point) {},
 	})
 	t.Cleanup(cleanUp)
@@ -285,7 +285,7 @@
 
 // A shard was taken over from a lost daemon. Requests that may have crashed that
 // daemon's VM are marked as suspects, so that they run alone; RecentTakeover makes a
-// peer watch the run.
+// peer observe the run.
 func TestRequestsAfterTakeoverAreMarked(t *testing.T) {
 	tests := []struct {
 		name           string
--- a/io/mtpipeline/conn.go
+++ b/io/mtpipeline/conn.go
@@ -42,7 +42,7 @@
 	return c
 }
 
-// answered is a closed channel. It stands for the exchange before the first one.
+// answered is a closed channel. The first exchange of a connection has it as previous.
 var answered = func() chan struct{} {
 	done := make(chan struct{})
 	close(done)
--- a/io/mtplanner/mtplanner.go
+++ b/io/mtplanner/mtplanner.go
@@ -14,7 +14,7 @@
 //	planner, cleanUp, err := mtplanner.New(config, view, store, mover)
 //	defer cleanUp()
 //	mtwire.RegisterPlannerServer(grpcServer, planner)
-//	cleanUp, err = mtplanner.NewReporter(config, view, meters, link, planner)
+//	cleanUp, err = mtplanner.NewReporter(config, view, meters, sender, planner)
 //	defer cleanUp()
 //
 // The clean-up functions stop the background goroutines and wait for them. All
--- a/io/mtplanner/mtplanner_test.go
+++ b/io/mtplanner/mtplanner_test.go
@@ -383,10 +383,10 @@
 
 func (m meters) Meter(mtid.Ref) *mtload.Meter { return m.meter }
 
-// link implements ReportSender for planners in the same process.
-type link map[mtid.Daemon]*mtplanner.Planner
+// localSender implements ReportSender for planners in the same process.
+type localSender map[mtid.Daemon]*mtplanner.Planner
 
-func (l link) Report(ctx context.Context, to mtid.Holder, report *mtwire.LoadReport) (*mtwire.LoadReply, error) {
+func (l localSender) Report(ctx context.Context, to mtid.Holder, report *mtwire.LoadReport) (*mtwire.LoadReply, error) {
 	return l[to.Daemon].Report(ctx, report)
 }
 
@@ -395,7 +395,7 @@
 func TestReportedHotKeyIsSplitOff(t *testing.T) {
 	f := newStore("a", "b", "c")
 	hot := ref.Point("hotel-7/wing-2")
-	planners := make(link)
+	planners := make(localSender)
 	for _, record := range f.Roster() {
 		planners[record.Holder.Daemon] = startPlanner(t, f, record.Holder.Daemon)
 	}
--- a/io/mtpoison/observer.go
+++ b/io/mtpoison/observer.go
@@ -142,7 +142,7 @@
 }
 
 // end reports how a request ended.
-func (o *observerStream) end(number uint64, how mtpoison.RunResult) {
+func (o *observerStream) end(number uint64, result mtpoison.RunResult) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.confirmed, number)
@@ -150,7 +150,7 @@
 		return
 	}
 	end := &mtwire.Flight{
-		Number: number, Ended: true, Whole: how == mtpoison.Answered, Left: how == mtpoison.Abandoned || how == mtpoison.Broken,
+		Number: number, Ended: true, Whole: result == mtpoison.Answered, Left: result == mtpoison.Abandoned || result == mtpoison.Broken,
 	}
 	if err := o.stream.Send(end); err != nil {
 		o.reset()
--- a/io/mtrelay/mtrelay.go
+++ b/io/mtrelay/mtrelay.go
@@ -1,6 +1,6 @@
 // Package mtrelay transmits requests and view deltas between daemons over gRPC.
 //
-// The client distinguishes a request that was never handed to the transport (not
+// The client distinguishes a request that was never passed to the transport (not
 // run) from one that was (unknown). The gRPC status alone can't, since Unavailable
 // covers both, so a stats handler records when the message is written.
 //
@@ -103,14 +103,14 @@
 	return replyFromWire(w), nil
 }
 
-// Pull returns the changes in a peer's view after a revision. If whole is set,
+// Pull returns the changes in a peer's view after a revision. If full is set,
 // assignments are transmitted in full rather than as steps.
-func (c *Client) Pull(ctx context.Context, address string, after mtid.Revision, whole bool) (mtview.Delta, error) {
+func (c *Client) Pull(ctx context.Context, address string, after mtid.Revision, full bool) (mtview.Delta, error) {
 	conn, err := c.Conn(address)
 	if err != nil {
 		return mtview.Delta{}, err
 	}
-	w, err := mtwire.NewPeerClient(conn).Pull(ctx, &mtwire.PullRequest{After: uint64(after), Whole: whole})
+	w, err := mtwire.NewPeerClient(conn).Pull(ctx, &mtwire.PullRequest{After: uint64(after), Whole: full})
 	if err != nil {
 		return mtview.Delta{}, &PullError{Address: address, Err: err}
 	}
--- a/io/mtrelay/server.go
+++ b/io/mtrelay/server.go
@@ -65,7 +65,7 @@
 
 // begunHeader is sent ahead of the reply when the owner starts to run a request that
 // is suspected of crashing servers. If the whole VM is lost during the run, this
-// header tells the ingress that the request was running and not just waiting.
+// header shows the ingress that the request was running and not just waiting.
 const begunHeader = "begun"
 
 // Pull implements mtwire.PeerServer.
--- a/io/mtrouter/keyed_test.go
+++ b/io/mtrouter/keyed_test.go
@@ -24,10 +24,10 @@
 	reply := r.Route(context.Background(), &mtrequest.Request{Service: mapsvc, Key: "floor-1", Class: "lift"})
 	assert.Equal(t, reply.Outcome, mtreply.NotRun)
 	assert.Equal(t, reply.Cause, mtreply.CauseMalformed)
-	assert.Equal(t, len(p.asked), 0)
+	assert.Equal(t, len(p.requests), 0)
 }
 
-// stalePeers stands for two daemons. The first one that receives a request is not
+// stalePeers simulates two daemons. The first one that receives a request is not
 // the owner: it replies with another owner and with the frontier of its own view.
 type stalePeers struct {
 	*peers
--- a/io/mtrouter/mtrouter.go
+++ b/io/mtrouter/mtrouter.go
@@ -175,8 +175,8 @@
 // namedOwner returns the owner that a stale-route reply names, or zero if the
 // replying daemon's view is older than this one's. In that case the relayed request
 // has already carried the newer frontier to it, and it pulls what it lacks.
-func (r *Router) namedOwner(reply *mtrequest.Reply, asked mtid.Holder) mtid.Holder {
-	if reply.Owner == asked || reply.Frontier < r.View.Snapshot().Frontier() {
+func (r *Router) namedOwner(reply *mtrequest.Reply, target mtid.Holder) mtid.Holder {
+	if reply.Owner == target || reply.Frontier < r.View.Snapshot().Frontier() {
 		return mtid.Holder{}
 	}
 	return reply.Owner
--- a/io/mtrouter/spread_test.go
+++ b/io/mtrouter/spread_test.go
@@ -68,13 +68,13 @@
 // peers counts the requests to each address and fails those to servers that are
 // down.
 type peers struct {
-	asked map[string]int
-	down  map[string]error
-	next  []error // results of the next tries, at any address
+	requests map[string]int
+	down     map[string]error
+	next     []error // results of the next tries, at any address
 }
 
 func (p *peers) Relay(_ context.Context, address string, _ *mtrequest.Request, _ mtid.Revision, _ time.Duration) (*mtrequest.Reply, error) {
-	p.asked[address]++
+	p.requests[address]++
 	if len(p.next) > 0 {
 		err := p.next[0]
 		p.next = p.next[1:]
@@ -86,7 +86,7 @@
 	return &mtrequest.Reply{Outcome: mtreply.Answered}, nil
 }
 
-// Conn implements the connections of the poison watch. No other daemon is reachable.
+// Conn implements the connections of the poison detector. No other daemon is reachable.
 func (p *peers) Conn(address string) (*grpc.ClientConn, error) {
 	return nil, &mtreply.RefusedError{Cause: mtreply.CauseUnreachable, Detail: address}
 }
@@ -117,14 +117,14 @@
 	}
 	_, err = view.Merge(mtview.Delta{Revision: 9, Items: items})
 	assert.NilError(t, err)
-	p := &peers{asked: map[string]int{}, down: map[string]error{}}
+	p := &peers{requests: map[string]int{}, down: map[string]error{}}
 	self := func() mtid.Holder { return mtid.Holder{Daemon: "self", Incarnation: 1} }
 	c := &clock{}
 	ignore := func(string) {}
-	watch, cleanUp := iopoison.New(iopoison.Config{Self: self, View: view, Conns: p, Clock: &clock{}, Log: slog.Default(), Count: ignore})
+	detector, cleanUp := iopoison.New(iopoison.Config{Self: self, View: view, Conns: p, Clock: &clock{}, Log: slog.Default(), Count: ignore})
 	t.Cleanup(cleanUp)
 	r := mtrouter.New(mtrouter.Config{
-		Self: self, Zone: "old-town", View: view, Owner: p, Peers: p, Clock: c, Poison: watch,
+		Self: self, Zone: "old-town", View: view, Owner: p, Peers: p, Clock: c, Poison: detector,
 		Retry:          mtretry.NewBudgeted(rand.New(rand.NewPCG(1, 2))),
 		OnPeerFrontier: func(string, mtid.Revision) {}, Count: ignore,
 		OnDone: func(*mtrequest.Request, *mtrequest.Reply, time.Duration) {},
@@ -150,18 +150,18 @@
 func TestSpreadPrefersOwnZone(t *testing.T) {
 	r, p := newRouter(t)
 	assert.Equal(t, sendRequests(r, "doors", 200), 200)
-	assert.Equal(t, p.asked["a"]+p.asked["b"], 200)
-	assert.Assert(t, p.asked["a"] > 50 && p.asked["b"] > 50, "%v", p.asked)
+	assert.Equal(t, p.requests["a"]+p.requests["b"], 200)
+	assert.Assert(t, p.requests["a"] > 50 && p.requests["b"] > 50, "%v", p.requests)
 }
 
-// A server in the own zone breaks its connections. Its idempotent requests are
-// retried elsewhere, so every caller gets an answer, and the server receives little
-// more than probes.
+// A server in the router's own zone breaks its connections. Its idempotent requests
+// are retried elsewhere, so every caller gets an answer, and the server receives
+// little more than probes.
 func TestSpreadAvoidsFailingServer(t *testing.T) {
 	r, p := newRouter(t)
 	p.down["a"] = &mtreply.UnknownError{Cause: mtreply.CauseLost}
 	assert.Equal(t, sendRequests(r, "doors", 300), 300)
-	assert.Assert(t, p.asked["a"] < 10, "%v", p.asked)
+	assert.Assert(t, p.requests["a"] < 10, "%v", p.requests)
 }
 
 // A non-idempotent request that may have run is not sent to a second server.
@@ -172,7 +172,7 @@
 	}
 	assert.Equal(t, sendRequests(r, "lift", 1), 0)
 	sum := 0
-	for _, n := range p.asked {
+	for _, n := range p.requests {
 		sum += n
 	}
 	assert.Equal(t, sum, 1)
--- a/io/mtserver/conn.go
+++ b/io/mtserver/conn.go
@@ -9,7 +9,7 @@
 )
 
 // countedConn counts write attempts, so that a request that failed before its first
-// byte is recognized as such. The error alone can't tell: an idle connection that
+// byte is recognized as such. The error alone is ambiguous: an idle connection that
 // the server has closed gives the same error as a lost reply.
 type countedConn struct {
 	net.Conn
--- a/io/mtserver/mtserver_test.go
+++ b/io/mtserver/mtserver_test.go
@@ -224,7 +224,7 @@
 }
 
 // A frozen daemon can't cancel the requests that its server runs, so each
-// announcement reply tells the server when the lease ends.
+// announcement reply contains the end of the lease.
 func TestAnnouncementReplyHasLeaseEnd(t *testing.T) {
 	pool := mtserver.NewPool(fixedClock{}, maxReply, slog.New(slog.DiscardHandler), func() {})
 	pool.SetLeaseEnd(func() int64 { return 77 })
