--- a/io/mtowner/mtowner.go
+++ b/io/mtowner/mtowner.go
@@ -55,8 +55,8 @@
 // servers looks up the backend server of a service on this VM.
 type servers interface {
 	Server(ref mtid.Ref, now mtclock.Instant) (*mtserver.Server, bool)
-	// Lost removes a server that refuses connections.
-	Lost(ref mtid.Ref, server *mtserver.Server)
+	// Remove removes a server that refuses connections.
+	Remove(ref mtid.Ref, server *mtserver.Server)
 }
 
 // LeaseMargin is the last part of a lease, in which no request is started: a request
@@ -337,7 +337,7 @@
 func (o *Owner) removeIfUnreachable(ctx context.Context, ref mtid.Ref, server *mtserver.Server, err error) {
 	var refused *mtreply.RefusedError
 	if ctx.Err() == nil && errors.As(err, &refused) && refused.Cause == mtreply.CauseUnreachable {
-		o.Servers.Lost(ref, server)
+		o.Servers.Remove(ref, server)
 	}
 }
 
--- a/io/mtserver/pool.go
+++ b/io/mtserver/pool.go
@@ -158,11 +158,11 @@
 	return removed
 }
 
-// Lost removes a server that refused a connection: its process has terminated, and
+// Remove removes a server that refused a connection: its process has terminated, and
 // waiting for its announcement to expire would keep its keys unavailable for
 // mtannounce.TTL. A server that is still running announces itself again within a
 // second.
-func (p *Pool) Lost(ref mtid.Ref, server *Server) {
+func (p *Pool) Remove(ref mtid.Ref, server *Server) {
 	p.mu.Lock()
 	current, ok := p.servers[ref]
 	remove := ok && current.server.client == server.client
