--- a/core/mtchoice/power.go
+++ b/core/mtchoice/power.go
@@ -147,7 +147,7 @@
 	}
 	if len(p.local)+len(p.remote) == 0 {
 		// All servers are avoided or ejected. Any of them is tried, since the refusal
-		// of a server is more accurate than one that is made up here.
+		// of a server is more accurate than one generated here.
 		p.remote = append(p.remote, p.servers...)
 	}
 }
--- a/core/mtclock/mtclock.go
+++ b/core/mtclock/mtclock.go
@@ -1,4 +1,4 @@
-// Package mtclock defines the time that the packages without I/O work with.
+// Package mtclock defines Instant, the time type of the packages without I/O.
 //
 // An Instant counts the nanoseconds since the VM booted. Leases, queues and
 // deadlines are measured in Instants. Decisions never read a clock: they get the
--- a/core/mtload/audit.go
+++ b/core/mtload/audit.go
@@ -48,11 +48,12 @@
 	return calibration{logFactors: make(map[mtid.Holder][]float64), medians: make(map[mtid.Holder]float64)}
 }
 
-// add records that before reported load was for a shard, and its next owner
-// after reported load is. Both loads are already corrected, so the current
-// factor is added back to obtain the total factor required.
-func (c *calibration) add(before, after mtid.Holder, was, is float64) {
-	ratio := math.Log(was / max(is, minComparedLoad/maxCorrection))
+// add compares the loads that two successive owners reported for a shard: the
+// previous owner before reported loadBefore, and the next owner after reported
+// loadAfter. Both loads are already corrected, so the current factor is added
+// back to obtain the total factor required.
+func (c *calibration) add(before, after mtid.Holder, loadBefore, loadAfter float64) {
+	ratio := math.Log(loadBefore / max(loadAfter, minComparedLoad/maxCorrection))
 	toAfter := ratio + math.Log(c.factor(after))
 	toBefore := -ratio + math.Log(c.factor(before))
 	c.push(after, toAfter)
--- a/core/mtload/book.go
+++ b/core/mtload/book.go
@@ -21,8 +21,8 @@
 	// send a report that was measured before and omits the shard.
 	arrivalGrace = 20 * time.Second
 	// maxSplitReports is how many reports after a split may still include the
-	// load that was split off, since the meter counts it under the low that
-	// both shards had in common.
+	// load that was split off, since the meter still counts it under the low of
+	// the unsplit shard.
 	maxSplitReports = 2
 	// maxPoints bounds the hot keys in Estimates.
 	maxPoints = 4096
@@ -48,7 +48,7 @@
 	peak float64
 	at   mtclock.Instant
 	// by is the holder that reported last. listed is whether that report listed
-	// this shard with a load of its own.
+	// the load of this shard separately.
 	by     mtid.Holder
 	listed bool
 	single bool // holds only one point
@@ -56,7 +56,7 @@
 	// split off.
 	splitReports int
 	// previous is the load that the previous owner reported, until it is
-	// compared with the load that by reports.
+	// compared with the load that the next owner reports.
 	previous reportedLoad
 }
 
@@ -225,7 +225,7 @@
 	before := e.value(now)
 	if e.splitReports > 0 {
 		// The owner may still count the load that was split off under the low
-		// that both shards had in common.
+		// of the unsplit shard.
 		e.splitReports--
 		load = min(load, before)
 	}
--- a/core/mtload/meter.go
+++ b/core/mtload/meter.go
@@ -123,9 +123,8 @@
 	r.Shards = ScaleLoads(r.Shards, r.Load, sum*slotTime)
 	r.Shards, _ = Truncate(r.Shards, nil)
 	for _, c := range m.points.Top(now, MaxPoints) {
-		// Report the lower bound: a key that has just taken over a counter
-		// inherits the count of the evicted key, and would be split off without
-		// need.
+		// Report the lower bound: a key that has just taken over a counter inherits
+		// the count of the evicted key, and would be split off unnecessarily.
 		r.Points = append(r.Points, PointLoad{Point: c.Key, Load: (c.Rate - c.Error) * slotTime})
 	}
 	return r
--- a/core/mtload/mtload.go
+++ b/core/mtload/mtload.go
@@ -144,7 +144,7 @@
 type Reply struct {
 	Mean  float64       // load per slot over all servers
 	Pause time.Duration // minimum time until the next report
-	Again bool          // whether the planner needs another report soon in any case
+	Again bool          // whether the planner needs another report soon even if nothing changes
 }
 
 // Wire returns the wire form of r.
--- a/core/mtload/mtload_test.go
+++ b/core/mtload/mtload_test.go
@@ -347,7 +347,7 @@
 }
 
 // A hot key is split off, and for some seconds the meter of its owner still
-// counts its past requests under its former shard. They must not count twice.
+// counts its past requests under its previous shard. They must not count twice.
 func TestSplitOffLoadCountsOnce(t *testing.T) {
 	estimates := mtload.NewEstimates()
 	estimates.Sync([]mtid.Point{0})
@@ -359,18 +359,17 @@
 	mixed := report(a, 2, 14, mtload.ShardLoad{Low: 0, Load: 7}, mtload.ShardLoad{Low: 50, Load: 7})
 	estimates.AddReport(at(5*time.Second), mixed, shards(a, lows...))
 	got := estimates.Loads(at(5*time.Second), nil)
-	assert.Assert(t, got[0] < 1, "got %v for the former shard, want the rest without the hot key", got[0])
+	assert.Assert(t, got[0] < 1, "got %v for the previous shard, want the rest without the hot key", got[0])
 	assert.Assert(t, got[1] >= 7, "got %v for the hot key, want at least 7", got[1])
 }
 
-// The reports of one server hold a third of its load, for any reason. It
-// appears empty and receives one shard after another. Each shard that moves to
-// it seems to shrink to a third, while shards that move between other servers
-// do not. Its reports must be corrected, and those of accurate servers left
-// alone.
+// One server reports only a third of its load, for whatever reason. It appears
+// empty and receives one shard after another. Each shard that moves to it seems
+// to shrink to a third, while shards that move between other servers do not.
+// Its reports must be corrected, and those of accurate servers left alone.
 func TestInaccurateServerIsCorrected(t *testing.T) {
 	estimates := mtload.NewEstimates()
-	inaccurate := mtid.Holder{Daemon: "liar", Incarnation: 1}
+	inaccurate := mtid.Holder{Daemon: "inaccurate", Incarnation: 1}
 	var lows []mtid.Point
 	for i := range 20 {
 		lows = append(lows, mtid.Point(i*100))
@@ -385,7 +384,7 @@
 		now := time.Duration(i) * time.Minute
 		to, reported := inaccurate, 0.1
 		if i%2 == 1 {
-			to, reported = mtid.Holder{Daemon: "honest", Incarnation: 1}, 0.3
+			to, reported = mtid.Holder{Daemon: "accurate", Incarnation: 1}, 0.3
 		}
 		addReport(now, a, 0.3, low)
 		addReport(now+2*time.Second, to, reported, low)
--- a/core/mtload/pace.go
+++ b/core/mtload/pace.go
@@ -113,8 +113,8 @@
 }
 
 // ReplyReceived records the reply of the planner. again is whether the planner
-// requests another report soon in any case: until that arrives, it counts some
-// load twice or not at all.
+// requests another report soon even if nothing changes: until that arrives, it
+// counts some load twice or not at all.
 func (s *ReportScheduler) ReplyReceived(mean float64, pause time.Duration, again bool) {
 	s.leaderAnswered = true
 	s.meanKnown = true
@@ -153,9 +153,9 @@
 }
 
 // Reports per second that a planner handles. Together with ReportCost they are
-// the planner's share of the control budget. Overloaded daemons have a rate of
-// their own, so that the many daemons with small changes do not delay the few
-// that must be offloaded.
+// the planner's share of the control budget. Overloaded daemons have a separate
+// rate, so that the many daemons with small changes do not delay the few that
+// must be offloaded.
 const (
 	AboveRate = 1.25
 	OtherRate = 1.0
--- a/core/mtmember/mtmember.go
+++ b/core/mtmember/mtmember.go
@@ -60,7 +60,7 @@
 	uncertain bool
 }
 
-// Member tracks the record of a daemon on behalf of one process of it.
+// Member tracks the record of a daemon for one process of that daemon.
 type Member struct {
 	profile  Profile
 	sequence uint64
--- a/core/mtplan/balance.go
+++ b/core/mtplan/balance.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// splitOut gives point a shard of its own.
+// splitOut splits point into a separate shard.
 func (r *round) splitOut(i int, point mtid.Point) {
 	s := &r.state.Shards[i]
 	if s.Single() || !r.splittable(i) {
--- a/core/mtplan/create.go
+++ b/core/mtplan/create.go
@@ -77,7 +77,7 @@
 //
 // Create distributes a chunk by rendezvous rank, which is uneven. The moves
 // that even it out are part of the same write that creates the chunk: no server
-// has served any of its keys yet, so there is no owner to ask.
+// has served any of its keys yet, so there is nothing to hand over.
 func InitialLayout(shards, chunks int, members []Member) [][]mtshard.Op {
 	line := interleaveZones(members)
 	total := 0.0
--- a/core/mtplan/create_test.go
+++ b/core/mtplan/create_test.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// With rendezvous rank alone, some of many servers get half as many shards
-// again as others, and a service that starts under load stays unbalanced until
-// dozens of moves are done. Each server must start with its share.
+// With rendezvous rank alone, some of many servers get 1.5 times as many shards
+// as others, and a service that starts under load stays unbalanced until dozens
+// of moves are done. Each server must start with its share.
 func TestInitialLayoutIsProportionalToSlots(t *testing.T) {
 	tests := []struct {
 		name           string
--- a/core/mtplan/planner.go
+++ b/core/mtplan/planner.go
@@ -46,8 +46,8 @@
 	// intakeTime is how long an intake counts while the server sends no report.
 	// If none follows for longer than that, its load changed little.
 	intakeTime = 15 * time.Second
-	// hotShare is the share of a server's fair load above which a key gets a
-	// shard of its own if the server is above the band.
+	// hotShare is the share of a server's fair load above which a key is split
+	// into a separate shard if the server is above the band.
 	hotShare = 0.08
 	// minMeanUtil is the mean load per slot below which no shard is moved for
 	// balance.
@@ -264,9 +264,9 @@
 	}
 }
 
-// addUnreported counts servers that have never reported as loaded like the
-// mean. Their shards have no known load yet; without this, a leaving server
-// would be evacuated onto one of them.
+// addUnreported treats servers that have never reported as if they had the mean
+// load per slot. Their shards have no known load yet; without this, a leaving
+// server would be evacuated onto one of them.
 func (r *round) addUnreported() {
 	for i := range r.state.Servers {
 		if r.state.Servers[i].LastReport != 0 {
@@ -278,7 +278,7 @@
 	}
 }
 
-// countedOwner returns the owner that a shard's load counts for. It forgets a
+// countedOwner returns the owner that a shard's load counts for. It drops a
 // pending move that is completed or obsolete.
 func (r *round) countedOwner(s *Shard) int {
 	a, ok := r.p.pending[s.Low]
@@ -401,8 +401,8 @@
 	if r.capacity[server] == 0 || !s.LoadKnown {
 		return false
 	}
-	given := r.p.intakes[s.Holder].load
-	return given == 0 || given+load <= intakeShare*r.fairLoad(server)
+	received := r.p.intakes[s.Holder].load
+	return received == 0 || received+load <= intakeShare*r.fairLoad(server)
 }
 
 // recipient returns the server that fits a shard of that load best without
--- a/core/mtplan/planner_test.go
+++ b/core/mtplan/planner_test.go
@@ -321,9 +321,9 @@
 				Slots:     float64(rapid.IntRange(1, 20).Draw(t, "slots")),
 				WarmShare: rapid.Float64Range(0.1, 1).Draw(t, "warm"),
 				Leaving:   rapid.Bool().Draw(t, "leaving"),
-				LoadKnown: rapid.IntRange(0, 3).Draw(t, "heard") > 0,
+				LoadKnown: rapid.IntRange(0, 3).Draw(t, "load known") > 0,
 			}
-			if servers[i].LoadKnown || rapid.Bool().Draw(t, "ever heard") {
+			if servers[i].LoadKnown || rapid.Bool().Draw(t, "ever reported") {
 				servers[i].LastReport = start
 			}
 			among = append(among, servers[i].Holder)
--- a/core/mtplan/state.go
+++ b/core/mtplan/state.go
@@ -35,7 +35,7 @@
 	To   mtid.Holder
 }
 
-// Server is what a policy knows about one server of the service.
+// Server is a policy's view of one server of the service.
 type Server struct {
 	Holder mtid.Holder
 	Zone   mtid.Zone
@@ -50,7 +50,7 @@
 	LastReport mtclock.Instant
 }
 
-// Shard is what a policy knows about one shard.
+// Shard is a policy's view of one shard.
 type Shard struct {
 	Low, High mtid.Point
 	Chunk     int
--- a/core/mtpoison/evidence.go
+++ b/core/mtpoison/evidence.go
@@ -33,7 +33,8 @@
 	Complete     bool          // Fingerprints holds every request that was in flight
 	Fingerprints []Fingerprint // sorted, without duplicates
 	// Cleared holds those of Fingerprints that ran alone and were answered since an
-	// earlier crash. Being in flight at both crashes proves nothing against them.
+	// earlier crash. Having been in flight at both crashes is not evidence against
+	// them.
 	Cleared []Fingerprint
 	alone   bool // the only request in flight was admitted alone
 }
--- a/core/mtpoison/mtpoison.go
+++ b/core/mtpoison/mtpoison.go
@@ -216,9 +216,9 @@
 		}
 		c.alone = c.alone || f.alone
 	}
-	// A request that was admitted alone is in flight with others only if it was
-	// sent to a server that an earlier request had just crashed, undetected. Either
-	// may be the cause, so this crash proves nothing against any of them.
+	// A request that was admitted alone is in flight with others only if it was sent to
+	// a server that an earlier request had just crashed, undetected. Either may be the
+	// cause, so this crash is not evidence against any of them.
 	if len(c.Fingerprints) > 1 && c.alone {
 		c.alone = false
 		c.Complete = false
--- a/core/mtpoison/mtpoison_test.go
+++ b/core/mtpoison/mtpoison_test.go
@@ -376,7 +376,7 @@
 					// it: no evidence is left, and no caller can be answered.
 					ingress = (ingress + 1) % 4
 				}
-				reqs = append(reqs, request{fingerprint: mtpoison.Fingerprint(rapid.IntRange(1, 4).Draw(t, "print")), ingress: ingress})
+				reqs = append(reqs, request{fingerprint: mtpoison.Fingerprint(rapid.IntRange(1, 4).Draw(t, "fingerprint")), ingress: ingress})
 			}
 			f.batch(reqs)
 			f.now += mtclock.Instant(time.Second)
--- a/core/mtpoison/recurring.go
+++ b/core/mtpoison/recurring.go
@@ -144,8 +144,8 @@
 	}
 }
 
-// RefusedFor returns how long a request is still to be refused, or zero. answered is
-// set if the daemon that sends it has had an answer to the same request.
+// RefusedFor returns for how much longer a request is refused, or zero if it is not. answered
+// is set if the daemon that sends it has had an answer to the same request.
 func (r *RecurrenceDetector) RefusedFor(now mtclock.Instant, p Fingerprint, answered bool) time.Duration {
 	if answered || len(r.losses) < lossesToRefuse || r.Answered(p) {
 		return 0
--- a/core/mtpoison/recurring_test.go
+++ b/core/mtpoison/recurring_test.go
@@ -76,7 +76,7 @@
 }
 
 // All status checks have the same fingerprint. A power failure terminates sixty servers
-// shortly after they started, each with status checks in flight. The checks were held to be
+// shortly after they started, each with status checks in flight. The checks were considered
 // the cause and refused for minutes, so that no answer could ever clear them.
 func TestAnsweredRequestIsNotRefused(t *testing.T) {
 	f := newRecurringFleet(155)
@@ -158,7 +158,7 @@
 		for i := range rapid.IntRange(1, 8).Draw(t, "losses") {
 			source := mtpoison.NewRecurrenceDetector()
 			for range rapid.IntRange(1, 4).Draw(t, "in flight") {
-				source.Started(mtpoison.Fingerprint(rapid.IntRange(1, 5).Draw(t, "print")))
+				source.Started(mtpoison.Fingerprint(rapid.IntRange(1, 5).Draw(t, "fingerprint")))
 			}
 			reports = append(reports, report{daemon: name(i), suspects: source.ServerLost(0, name(i))})
 		}
--- a/core/mtrecent/mtrecent_test.go
+++ b/core/mtrecent/mtrecent_test.go
@@ -85,9 +85,9 @@
 	granted := epoch
 	tests := []struct {
 		name   string
-		lead   time.Duration // of the identifier's time over the grant
+		lead   time.Duration // from the grant to the time within the identifier
 		minted bool
-		after  time.Duration // of the request over the grant
+		after  time.Duration // from the grant to the arrival of the request
 		want   string
 	}{
 		{"older than the grant", -time.Second, false, 0, "unknown taken-over"},
--- a/core/mtrecent/simulation_test.go
+++ b/core/mtrecent/simulation_test.go
@@ -137,7 +137,7 @@
 		return
 	}
 	s := sim.sent[rapid.IntRange(0, len(sim.sent)-1).Draw(sim.t, "which")]
-	sim.try(s, false, mtrecent.Fingerprint(rapid.IntRange(1, 2).Draw(sim.t, "print")))
+	sim.try(s, false, mtrecent.Fingerprint(rapid.IntRange(1, 2).Draw(sim.t, "fingerprint")))
 }
 
 // end ends a request if it is running, with a random outcome.
--- a/core/mtrecent/span.go
+++ b/core/mtrecent/span.go
@@ -65,10 +65,11 @@
 	return fmt.Sprintf("recent: range %d to %d is inverted or out of bounds", e.Low, e.High)
 }
 
-// Grant adds the range from low to high, both inclusive, whose records were lost with
-// its previous owner. It is called when this owner may start to serve the range, never
-// before; at is the wall time of that, or zero if the range had no owner before. Entries
-// that the Table already has in the range stay, since they hold whoever owns the key.
+// Grant adds the range from low to high, both inclusive, whose records were lost with its
+// previous owner. It is called when this owner may start to serve the range, never before;
+// at is the wall time of that, or zero if the range had no owner before. Entries that the
+// Table already has in the range stay, since they are valid regardless of who owned the
+// key.
 func (t *Table) Grant(low, high mtid.Point, at time.Time) error {
 	if high < low {
 		return &RangeError{Low: low, High: high}
--- a/core/mtroster/mtroster.go
+++ b/core/mtroster/mtroster.go
@@ -9,7 +9,7 @@
 // # Usage
 //
 //	record, err := mtroster.Decode(entry.Value)
-//	value, err := record.Encode(stamp)
+//	value, err := record.Encode()
 //
 // Records are plain values. A decoded record shares no memory with its input.
 package mtroster
--- a/core/mtroute/certainty.go
+++ b/core/mtroute/certainty.go
@@ -7,8 +7,8 @@
 	"magnoliaturn/core/mtid"
 )
 
-// PollSchedule is how soon a daemon polls the store for the configuration if it receives
-// no update. A few daemons poll early, so that their updates save all others the poll.
+// PollSchedule is how soon a daemon polls the store for the configuration if it receives no
+// update. A few daemons poll early and update the others, which then need not poll.
 type PollSchedule int
 
 // The schedules.
--- a/core/mtspread/mtspread_test.go
+++ b/core/mtspread/mtspread_test.go
@@ -60,8 +60,8 @@
 			assert.Assert(t, len(upstreams) > 0)
 			for _, upstream := range upstreams {
 				assert.Assert(t, upstream.Daemon != n.Daemon)
-				turn := tree.PollSchedule(upstream.Daemon)
-				assert.Assert(t, turn != mtroute.PollFallback)
+				schedule := tree.PollSchedule(upstream.Daemon)
+				assert.Assert(t, schedule != mtroute.PollFallback)
 				if tree.PollSchedule(n.Daemon) == mtroute.PollRelay {
 					assert.Assert(t, tree.WatchesStore(upstream.Daemon))
 				}
--- a/core/mtstore/mtstore.go
+++ b/core/mtstore/mtstore.go
@@ -80,9 +80,9 @@
 	Version mtid.Version
 }
 
-// MaxConditions is the maximum number of conditions of SwapIf. The users' store
-// accepts 32 entries in a transaction, and the written name needs two of them: one
-// for its expected version and one for its new value.
+// MaxConditions is the maximum number of conditions of SwapIf. The platform's store
+// accepts 32 entries in a transaction, and the written name needs two of them: one for
+// its expected version and one for its new value.
 const MaxConditions = 30
 
 // ConditionalStore is a Store that can also write a name atomically under conditions
@@ -109,7 +109,7 @@
 
 // Error implements error.
 func (e *CompactedError) Error() string {
-	return fmt.Sprintf("store: changes after revision %d are forgotten", e.After)
+	return fmt.Sprintf("store: changes after revision %d were compacted and are no longer available", e.After)
 }
 
 // NotFoundError reports that a name does not exist in the store.
@@ -166,7 +166,7 @@
 
 // Error implements error.
 func (e *LeaseExpiredError) Error() string {
-	return fmt.Sprintf("store: lease %s lapsed", e.Lease)
+	return fmt.Sprintf("store: lease %s has expired or was ended", e.Lease)
 }
 
 // RejectedError reports that the store rejected a call as invalid, for example
--- a/core/mtview/mtview.go
+++ b/core/mtview/mtview.go
@@ -78,7 +78,7 @@
 }
 
 // MaxHistory is the number of past versions of a chunk whose revisions are
-// remembered, to find the steps that a receiver of a delta is missing.
+// retained, to find the steps that a receiver of a delta is missing.
 const MaxHistory = mtshard.RetainedSteps
 
 // historyEntry records the store revision at which a chunk reached a version.
--- a/core/mtzone/door.go
+++ b/core/mtzone/door.go
@@ -24,10 +24,10 @@
 }
 
 // Admission decides which work a server may start while its zone is taken out of service
-// and put back. Other servers can take work without a key at once, so none starts here as
-// soon as the order is known. Keys have to move to other owners first, which takes some
-// tenths of a second each. Until then only this server can serve them, but no longer than
-// the order allows.
+// and put back. Other servers can take work without a key at once, so none starts here once
+// the order is known. Keys have to move to other owners first, which takes some tenths of a
+// second each. Until then only this server can serve them, but no longer than the order
+// allows.
 //
 // The zero value is ready to use, for a server whose zone is in service.
 type Admission struct {
