--- a/core/mtclock/fusion_test.go
+++ b/core/mtclock/fusion_test.go
@@ -25,7 +25,7 @@
 		{"suspended: monotonic clock stopped", mtclock.Reading{Boot: 5 * second, Wall: 5 * second}, 5 * time.Second},
 		{"snapshot: only the wall clock advanced", mtclock.Reading{Wall: 5 * second}, 5 * time.Second},
 		{"wall clock stepped back", mtclock.Reading{Monotonic: second, Boot: second, Wall: -9 * second}, time.Second},
-		{"all went back", mtclock.Reading{Monotonic: -1, Boot: -1, Wall: -1}, 0},
+		{"all clocks stepped back", mtclock.Reading{Monotonic: -1, Boot: -1, Wall: -1}, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/core/mtload/audit.go
+++ b/core/mtload/audit.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// forget removes the comparisons of a server.
-func (c *calibration) forget(holder mtid.Holder) {
+// remove deletes the comparisons of a server.
+func (c *calibration) remove(holder mtid.Holder) {
 	delete(c.logFactors, holder)
 	delete(c.medians, holder)
 }
--- a/core/mtload/book.go
+++ b/core/mtload/book.go
@@ -345,7 +345,7 @@
 	for holder := range es.reporters {
 		if !live(holder) {
 			delete(es.reporters, holder)
-			es.calibration.forget(holder)
+			es.calibration.remove(holder)
 		}
 	}
 }
--- a/core/mtmove/mtmove_test.go
+++ b/core/mtmove/mtmove_test.go
@@ -41,7 +41,7 @@
 	}{
 		{"no shard begins there", 5, b},
 		{"new owner is the current one", second, a},
-		{"nobody", second, mtid.Holder{}},
+		{"no new owner", second, mtid.Holder{}},
 		{"already being moved", 0, b},
 		{"too many concurrent moves", second, b},
 	}
--- a/core/mtplan/balance.go
+++ b/core/mtplan/balance.go
@@ -87,10 +87,10 @@
 // offload moves shards off a server until it is within the band or no further
 // move would help.
 func (r *round) offload(donor int) {
-	goal := r.fairLoad(donor) * (1 + r.band.exit)
+	maxLoad := r.fairLoad(donor) * (1 + r.band.exit)
 	candidates := r.candidates(donor)
-	for r.load[donor] > goal && !r.full() {
-		excess := r.load[donor] - goal
+	for r.load[donor] > maxLoad && !r.full() {
+		excess := r.load[donor] - maxLoad
 		k, to := r.pickMove(candidates, donor, excess)
 		if k < 0 {
 			if !r.exchange(candidates, donor, excess) {
@@ -212,9 +212,9 @@
 
 // offloadSmall moves small shards off a server until it is within the band.
 func (r *round) offloadSmall(server int) {
-	goal := r.fairLoad(server) * (1 + r.band.exit)
+	maxLoad := r.fairLoad(server) * (1 + r.band.exit)
 	for _, i := range r.candidates(server) {
-		if r.load[server] <= goal || r.full() {
+		if r.load[server] <= maxLoad || r.full() {
 			return
 		}
 		load := r.state.Shards[i].Load
--- a/core/mtplan/create_test.go
+++ b/core/mtplan/create_test.go
@@ -59,7 +59,7 @@
 		slots          []float64
 	}{
 		{"one server", 8, 2, []float64{12}},
-		{"alike", 600, 4, []float64{12, 12, 12, 12, 12, 12}},
+		{"equal slots", 600, 4, []float64{12, 12, 12, 12, 12, 12}},
 		{"three sizes", 600, 4, []float64{6, 12, 18}},
 		{"more servers than shards", 2, 2, []float64{9, 9, 9, 9, 9}},
 		{"fewer shards than chunks", 2, 8, []float64{9, 9}},
--- a/core/mtpoison/recurring_test.go
+++ b/core/mtpoison/recurring_test.go
@@ -67,9 +67,9 @@
 			continue
 		}
 		lost++
-		beside := mtpoison.Fingerprint(1000 + 10*try)
-		f.lose(host, poison, beside, beside+1, beside+2)
-		assert.Assert(t, !f.refused(random.IntN(155), ingress, beside))
+		other := mtpoison.Fingerprint(1000 + 10*try)
+		f.lose(host, poison, other, other+1, other+2)
+		assert.Assert(t, !f.refused(random.IntN(155), ingress, other))
 		f.now = f.now.Add(time.Second)
 	}
 	assert.Equal(t, lost, 3)
--- a/core/mtshard/mtshard_test.go
+++ b/core/mtshard/mtshard_test.go
@@ -96,7 +96,7 @@
 		{"all others survive", mtshard.Failover{Lost: []mtid.Holder{b}, Survivors: []mtid.Holder{c, a}}, true},
 		{"an empty server is among the survivors", mtshard.Failover{Lost: []mtid.Holder{b}, Survivors: []mtid.Holder{a, c, {Daemon: "d", Incarnation: 1}}}, false},
 		{"an owner that is not lost is no survivor", mtshard.Failover{Lost: []mtid.Holder{b}, Survivors: []mtid.Holder{a}}, false},
-		{"the lost own nothing", mtshard.Failover{Lost: []mtid.Holder{{Daemon: "d", Incarnation: 1}}, Survivors: []mtid.Holder{a, b, c}}, false},
+		{"the lost holders own nothing", mtshard.Failover{Lost: []mtid.Holder{{Daemon: "d", Incarnation: 1}}, Survivors: []mtid.Holder{a, b, c}}, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
