--- a/core/mtmember/mtmember.go
+++ b/core/mtmember/mtmember.go
@@ -153,9 +153,9 @@
 	}
 }
 
-// ObserveVersion reports the version that the live state has of the daemon's
-// record. If it is newer than the known one, another process wrote it, and the next
-// step reads the record.
+// ObserveVersion reports the version that the live state has of the daemon's record.
+// If it is newer than the known one, the record is read again once no other write is
+// in progress.
 func (m *Member) ObserveVersion(version mtid.Version) {
 	if version > m.version {
 		m.known = false
--- a/core/mtmove/mtmove.go
+++ b/core/mtmove/mtmove.go
@@ -208,15 +208,15 @@
 	shard, _ := table.Lookup(id.Low)
 	switch {
 	case !begins:
-		return "no shard begins there"
+		return "no shard begins at this point"
 	case shard.Owner != m.self:
 		return "owned by " + shard.Owner.String()
 	case to == m.self || to.IsZero():
-		return "no other holder named"
+		return "the request names no holder other than the owner"
 	case m.moves[id] != nil:
-		return "on the move already"
+		return "the shard is already being moved"
 	case len(m.moves) >= m.limit:
-		return "too many shards on the move"
+		return "the limit of concurrent moves is reached"
 	}
 	return ""
 }
--- a/core/mtmove/mtmove_test.go
+++ b/core/mtmove/mtmove_test.go
@@ -39,7 +39,7 @@
 		low  mtid.Point
 		to   mtid.Holder
 	}{
-		{"no shard begins there", 5, b},
+		{"no shard begins at the point", 5, b},
 		{"new owner is the current one", second, a},
 		{"no new owner", second, mtid.Holder{}},
 		{"already being moved", 0, b},
@@ -49,7 +49,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			_, err := moves.Begin(0, first, tt.low, tt.to)
 			var got *mtmove.BeginError
-			assert.Assert(t, errors.As(err, &got), "got %v, want a WantError", err)
+			assert.Assert(t, errors.As(err, &got), "got %v, want a *mtmove.BeginError", err)
 			assert.Equal(t, moves.Len(), 1)
 		})
 	}
--- a/core/mtplan/balance.go
+++ b/core/mtplan/balance.go
@@ -128,8 +128,8 @@
 const maxOvershoot = 1.25
 
 // pickMove returns the index in candidates of the shard to move, and its
-// recipient, or -1. It prefers the single shard that just covers the excess,
-// then the largest one below it.
+// recipient, or -1. It prefers the heaviest shard whose load is at most
+// maxOvershoot times the excess.
 func (r *round) pickMove(candidates []int, donor int, excess float64) (int, int) {
 	// Candidates are sorted by load, heaviest first. first is the first one
 	// within the allowed overshoot.
--- a/core/mtpoison/recurring.go
+++ b/core/mtpoison/recurring.go
@@ -164,9 +164,10 @@
 	return left[len(left)-lossesToRefuse]
 }
 
-// Suspects lists the requests in flight at the last loss of a daemon's server, encoded
-// for the daemon's record: the number of the loss within the daemon's incarnation, then
-// the fingerprints, all in hexadecimal and separated by colons.
+// Suspects lists the requests in flight at the last loss of a daemon's server, without those
+// that a server is known to have answered, encoded for the daemon's record: the number of the
+// loss within the daemon's incarnation, then the fingerprints, all in hexadecimal and
+// separated by colons.
 type Suspects string
 
 // maxSuspects is the number of fingerprints that Suspects can hold, about as many as a
