--- a/cmd/policies/patterns.go
+++ b/cmd/policies/patterns.go
@@ -136,7 +136,7 @@
 			if i != chosen {
 				continue
 			}
-			s.estimators[i].Note(up)
+			s.estimators[i].Observe(up)
 			if up {
 				successes[step/patternWindow]++
 			}
--- a/cmd/policies/poison.go
+++ b/cmd/policies/poison.go
@@ -226,10 +226,10 @@
 	if !f.up {
 		return
 	}
-	hint := f.tables[r.ingress].Judge(f.now, r.print, false)
+	hint := f.tables[r.ingress].Classify(f.now, r.print, false)
 	verdict := hint
 	if hint != mtpoison.Quarantined {
-		verdict = f.tables[f.owner].Judge(f.now, r.print, hint == mtpoison.Suspect)
+		verdict = f.tables[f.owner].Classify(f.now, r.print, hint == mtpoison.Suspect)
 	}
 	if verdict == mtpoison.Quarantined {
 		if !r.fatal {
--- a/core/mtchoice/estimator.go
+++ b/core/mtchoice/estimator.go
@@ -3,8 +3,8 @@
 // Estimator estimates one server's availability from the outcomes of the
 // requests that were sent to it.
 type Estimator interface {
-	// Note records the outcome of one request.
-	Note(success bool)
+	// Observe records the outcome of one request.
+	Observe(success bool)
 	// Availability estimates the probability that the next request succeeds, 0 to 1.
 	Availability() float64
 	// Down reports whether the server should receive no requests but probes.
@@ -17,8 +17,8 @@
 // NewLastSuccess returns the estimator of a server without failures.
 func NewLastSuccess() *LastSuccess { return &LastSuccess{} }
 
-// Note implements Estimator.
-func (e *LastSuccess) Note(success bool) { e.failed = !success }
+// Observe implements Estimator.
+func (e *LastSuccess) Observe(success bool) { e.failed = !success }
 
 // Availability implements Estimator.
 func (e *LastSuccess) Availability() float64 {
@@ -41,8 +41,8 @@
 // NewStreak returns the estimator of a server without failures.
 func NewStreak() *Streak { return &Streak{} }
 
-// Note implements Estimator.
-func (e *Streak) Note(success bool) {
+// Observe implements Estimator.
+func (e *Streak) Observe(success bool) {
 	if success {
 		e.failures = 0
 		return
@@ -75,8 +75,8 @@
 // NewAverage returns the estimator of a server without failures.
 func NewAverage() *Average { return &Average{value: 1} }
 
-// Note implements Estimator.
-func (e *Average) Note(success bool) {
+// Observe implements Estimator.
+func (e *Average) Observe(success bool) {
 	outcome := 0.0
 	if success {
 		outcome = 1
@@ -136,8 +136,8 @@
 	return &StatusIdentification{lastSuccess: true, upRun: initialUpRun, downRun: initialDownRun}
 }
 
-// Note implements Estimator.
-func (e *StatusIdentification) Note(success bool) {
+// Observe implements Estimator.
+func (e *StatusIdentification) Observe(success bool) {
 	if success != e.lastSuccess {
 		e.run = 0
 	}
--- a/core/mtchoice/least.go
+++ b/core/mtchoice/least.go
@@ -207,13 +207,13 @@
 	}
 	switch kind {
 	case Success:
-		s.estimate.Note(true)
+		s.estimate.Observe(true)
 		s.failures, s.avoidUntil = 0, 0
 		if s.report.Requests < s.Slots {
 			s.fullUntil = 0
 		}
 	case Failure:
-		s.estimate.Note(false)
+		s.estimate.Observe(false)
 		s.avoidUntil = now.Add(min(minBackoff<<min(s.failures, 8), maxBackoff))
 		s.failures++
 	case Overloaded:
--- a/core/mtchoice/mtchoice_test.go
+++ b/core/mtchoice/mtchoice_test.go
@@ -159,7 +159,7 @@
 // observeAll records the outcomes of a pattern, in which 1 is a success.
 func observeAll(e mtchoice.Estimator, pattern string) {
 	for _, c := range pattern {
-		e.Note(c == '1')
+		e.Observe(c == '1')
 	}
 }
 
--- a/core/mtchoice/power.go
+++ b/core/mtchoice/power.go
@@ -210,10 +210,10 @@
 	switch r.Kind {
 	case Success:
 		s.recordQueueWait(now, r.QueueTime)
-		s.estimate.Note(true)
+		s.estimate.Observe(true)
 		p.reinstate(s)
 	case Failure:
-		s.estimate.Note(false)
+		s.estimate.Observe(false)
 		p.eject(now, s)
 	case Overloaded:
 		s.avoidUntil = now.Add(min(max(r.RetryAfter, 0), maxRetryAfter))
--- a/core/mtpoison/mtpoison.go
+++ b/core/mtpoison/mtpoison.go
@@ -30,7 +30,7 @@
 //
 // # Usage
 //
-//	switch table.Judge(now, fingerprint, hint) {
+//	switch table.Classify(now, fingerprint, hint) {
 //	case mtpoison.Quarantined: // refuse with mtreply.CauseQuarantined
 //	case mtpoison.Suspect:     // admit it with mtgate.Ticket.Alone set
 //	}
@@ -136,11 +136,11 @@
 	}
 }
 
-// Judge returns the verdict on a request. It is called at the ingress and again at
+// Classify returns the verdict on a request. It is called at the ingress and again at
 // the owner. hint is set if the request is a suspect at the ingress; the owner
 // follows it unless it has cleared the fingerprint itself. Each request renews a
 // quarantine, so the quarantine lasts as long as requests keep coming.
-func (t *Table[R]) Judge(now mtclock.Instant, p Fingerprint, hint bool) Verdict {
+func (t *Table[R]) Classify(now mtclock.Instant, p Fingerprint, hint bool) Verdict {
 	if requested, ok := t.quarantined[p]; ok {
 		if now.Sub(requested) < t.limits.Quarantine {
 			t.quarantined[p] = now
--- a/core/mtpoison/mtpoison_test.go
+++ b/core/mtpoison/mtpoison_test.go
@@ -147,7 +147,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			tb := newTable("a")
 			tt.setup(tb)
-			got := tb.Judge(5, tt.fingerprint, false)
+			got := tb.Classify(5, tt.fingerprint, false)
 			assert.Equal(t, got, tt.want, "got %s, want %s", got, tt.want)
 		})
 	}
@@ -157,24 +157,24 @@
 	tb := newTable("a")
 	crash(tb, 1, false, poison)
 	age := mtclock.Instant(mtpoison.DefaultSuspicion)
-	assert.Equal(t, tb.Judge(age, poison, false), mtpoison.Suspect)
-	assert.Equal(t, tb.Judge(1+age, poison, false), mtpoison.Clear)
+	assert.Equal(t, tb.Classify(age, poison, false), mtpoison.Suspect)
+	assert.Equal(t, tb.Classify(1+age, poison, false), mtpoison.Clear)
 
 	// Each request renews the quarantine.
 	crash(tb, 2, true, harmless)
 	step := mtclock.Instant(mtpoison.DefaultQuarantine - 1)
 	for now := step; now < 10*step; now += step {
 		tb.Expire(now)
-		assert.Equal(t, tb.Judge(now, harmless, false), mtpoison.Quarantined)
+		assert.Equal(t, tb.Classify(now, harmless, false), mtpoison.Quarantined)
 	}
 }
 
 func TestIngressHintCountsUntilCleared(t *testing.T) {
 	tb := newTable("a")
-	assert.Equal(t, tb.Judge(1, poison, true), mtpoison.Suspect)
+	assert.Equal(t, tb.Classify(1, poison, true), mtpoison.Suspect)
 	tb.Started(1, poison, true)
 	tb.Ended(2, 1, mtpoison.Answered)
-	assert.Equal(t, tb.Judge(3, poison, true), mtpoison.Clear)
+	assert.Equal(t, tb.Classify(3, poison, true), mtpoison.Clear)
 }
 
 // The ingress of a suspect is notified that it runs alone, then the connection to
@@ -186,10 +186,10 @@
 	ingress.StartedAlone(1)
 	ingress.RelayLost(1, 1)
 	send(t, 2, ingress, owner)
-	assert.Equal(t, owner.Judge(3, poison, false), mtpoison.Suspect)
+	assert.Equal(t, owner.Classify(3, poison, false), mtpoison.Suspect)
 	assert.DeepEqual(t, owner.PendingHolders(), []mtid.Holder{holder("b")})
 	owner.HolderLost(4, holder("b"))
-	assert.Equal(t, owner.Judge(5, poison, false), mtpoison.Quarantined)
+	assert.Equal(t, owner.Classify(5, poison, false), mtpoison.Quarantined)
 	assert.Equal(t, len(owner.PendingHolders()), 0)
 }
 
@@ -203,7 +203,7 @@
 	owner.Ended(2, 9, mtpoison.Answered)
 	crash(owner, 3, false, other, harmless)
 	send(t, 4, owner, receiver)
-	assert.Equal(t, receiver.Judge(5, harmless, false), mtpoison.Suspect)
+	assert.Equal(t, receiver.Classify(5, harmless, false), mtpoison.Suspect)
 }
 
 func TestTableAndDigestStayWithinLimits(t *testing.T) {
@@ -263,12 +263,12 @@
 	var unsuspected []request
 	var suspects []request
 	for _, r := range reqs {
-		hint := f.tables[r.ingress].Judge(f.now, r.fingerprint, false)
+		hint := f.tables[r.ingress].Classify(f.now, r.fingerprint, false)
 		if hint == mtpoison.Quarantined {
 			assert.Equal(f.t, r.fingerprint, poison, "a harmless request is quarantined")
 			continue
 		}
-		verdict := f.tables[f.owner].Judge(f.now, r.fingerprint, hint == mtpoison.Suspect)
+		verdict := f.tables[f.owner].Classify(f.now, r.fingerprint, hint == mtpoison.Suspect)
 		f.number++
 		r.number = f.number
 		switch verdict {
@@ -295,7 +295,7 @@
 func (f *fleet) run(running, waiting []request) bool {
 	f.now += mtclock.Instant(time.Millisecond)
 	owner := f.tables[f.owner]
-	alone := len(running) == 1 && owner.Judge(f.now, running[0].fingerprint, true) == mtpoison.Suspect
+	alone := len(running) == 1 && owner.Classify(f.now, running[0].fingerprint, true) == mtpoison.Suspect
 	crashed := false
 	for _, r := range waiting {
 		f.tables[r.ingress].Relayed(r.number, f.holder(f.owner), r.fingerprint)
@@ -418,7 +418,7 @@
 	for b.Loop() {
 		n++
 		now := mtclock.Instant(n)
-		tb.Judge(now, mtpoison.Fingerprint(n), false)
+		tb.Classify(now, mtpoison.Fingerprint(n), false)
 		tb.Started(n, mtpoison.Fingerprint(n), false)
 		tb.Ended(now, n, mtpoison.Answered)
 	}
--- a/io/mtpoison/mtpoison.go
+++ b/io/mtpoison/mtpoison.go
@@ -166,7 +166,7 @@
 			d.table.HolderLost(d.Clock.Now(), holder)
 		}
 	}
-	verdict := d.table.Judge(d.Clock.Now(), mtpoison.Fingerprint(r.Fingerprint()), r.Suspect)
+	verdict := d.table.Classify(d.Clock.Now(), mtpoison.Fingerprint(r.Fingerprint()), r.Suspect)
 	if verdict == mtpoison.Quarantined {
 		d.refusals.add(d.Clock.Now(), r.Service, mtpoison.Fingerprint(r.Fingerprint()))
 	}
