--- a/core/mtchoice/power.go
+++ b/core/mtchoice/power.go
@@ -147,7 +147,7 @@
 	}
 	if len(p.local)+len(p.remote) == 0 {
 		// All servers are avoided or ejected. Any of them is tried, since the refusal
-		// of a server is more accurate than one that is made up here.
+		// of a server is more accurate than one generated here.
 		p.remote = append(p.remote, p.servers...)
 	}
 }
@@ -210,10 +210,10 @@
 	switch r.Kind {
 	case Success:
 		s.recordQueueWait(now, r.QueueTime)
-		s.estimate.Note(true)
+		s.estimate.Observe(true)
 		p.reinstate(s)
 	case Failure:
-		s.estimate.Note(false)
+		s.estimate.Observe(false)
 		p.eject(now, s)
 	case Overloaded:
 		s.avoidUntil = now.Add(min(max(r.RetryAfter, 0), maxRetryAfter))
