--- a/core/mtmove/mtmove.go
+++ b/core/mtmove/mtmove.go
@@ -208,15 +208,15 @@
 	shard, _ := table.Lookup(id.Low)
 	switch {
 	case !begins:
-		return "no shard begins at this point"
+		return "no shard begins there"
 	case shard.Owner != m.self:
 		return "owned by " + shard.Owner.String()
 	case to == m.self || to.IsZero():
-		return "the request names no holder other than the owner"
+		return "no other holder named"
 	case m.moves[id] != nil:
-		return "the shard is already being moved"
+		return "on the move already"
 	case len(m.moves) >= m.limit:
-		return "the limit of concurrent moves is reached"
+		return "too many shards on the move"
 	}
 	return ""
 }
--- a/core/mtstore/mtstore.go
+++ b/core/mtstore/mtstore.go
@@ -109,7 +109,7 @@
 
 // Error implements error.
 func (e *CompactedError) Error() string {
-	return fmt.Sprintf("store: changes after revision %d were compacted and are no longer available", e.After)
+	return fmt.Sprintf("store: changes after revision %d are forgotten", e.After)
 }
 
 // NotFoundError reports that a name does not exist in the store.
@@ -166,7 +166,7 @@
 
 // Error implements error.
 func (e *LeaseExpiredError) Error() string {
-	return fmt.Sprintf("store: lease %s has expired or was ended", e.Lease)
+	return fmt.Sprintf("store: lease %s lapsed", e.Lease)
 }
 
 // RejectedError reports that the store rejected a call as invalid, for example
