--- a/io/mtgrant/command.go
+++ b/io/mtgrant/command.go
@@ -113,7 +113,7 @@
 // sendGrant grants one range. A grant that is not answered may still be executed. It is in
 // effect until its duration has passed, counted from its arrival.
 func (g *Grants) sendGrant(ctx context.Context, address string, held *grant) {
-	if !g.Host.Bound(held.incarnation) {
+	if !g.Host.ConnectedTo(held.incarnation) {
 		return // another incarnation might execute it; the host wakes the loop
 	}
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
@@ -139,7 +139,7 @@
 	err := g.Client.Grant(ctx, address, r, g.GrantDuration)
 	var unreachable *UnreachableError
 	if errors.As(err, &unreachable) {
-		g.Host.Suspect(held.incarnation)
+		g.Host.CheckServer(held.incarnation)
 		until = 0 // nothing was delivered
 	}
 	g.mu.Lock()
@@ -153,7 +153,7 @@
 	}
 	held.grantedAt = sent
 	if first {
-		g.Host.Gain(r.Low, r.High)
+		g.Host.AddKeys(r.Low, r.High)
 		g.Log.Info("granted", "server", held.incarnation.String(), "low", r.Low, "high", r.High, "epoch", uint64(r.Epoch), "hold", g.GrantDuration, "warm", r.WarmupState != "")
 	}
 }
--- a/io/mtgrant/move.go
+++ b/io/mtgrant/move.go
@@ -104,7 +104,7 @@
 		g.QueryLoads(ctx)
 		self, others = g.LoadReports()
 	}
-	runs := g.Host.Cut(owned, mtrange.PlanOffload(self, others))
+	runs := g.Host.SelectMoves(owned, mtrange.PlanOffload(self, others))
 	g.mu.Lock()
 	g.lastOffload = now
 	g.offloading = len(runs) > 0
--- a/io/mtgrant/mtgrant.go
+++ b/io/mtgrant/mtgrant.go
@@ -95,14 +95,14 @@
 	Stop(low, high mtid.KeyNumber)
 	Resume(low, high mtid.KeyNumber)
 	Release(low, high mtid.KeyNumber)
-	Cut(ranges []mtrange.Range, offloads []mtrange.Offload) []mtrange.KeyMove
+	SelectMoves(ranges []mtrange.Range, offloads []mtrange.Offload) []mtrange.KeyMove
 	Spill(ranges []mtrange.Range, position mtrange.SpillPosition, others []mtrange.LoadReport) []mtrange.KeyMove
 	Forget(low, high mtid.KeyNumber)
-	Gain(low, high mtid.KeyNumber)
-	Suspect(incarnation mtid.ServerIncarnation)
-	// Bound reports whether a command that is sent now reaches that incarnation of the
-	// server and no other.
-	Bound(incarnation mtid.ServerIncarnation) bool
+	AddKeys(low, high mtid.KeyNumber)
+	CheckServer(incarnation mtid.ServerIncarnation)
+	// ConnectedTo reports whether a command that is sent now reaches that incarnation of
+	// the server and no other.
+	ConnectedTo(incarnation mtid.ServerIncarnation) bool
 }
 
 // Config holds the settings and dependencies of a Grants.
--- a/io/mtgrant/mtgrant_test.go
+++ b/io/mtgrant/mtgrant_test.go
@@ -75,13 +75,13 @@
 	return h.record
 }
 
-func (*host) Stop(mtid.KeyNumber, mtid.KeyNumber)    {}
-func (*host) Resume(mtid.KeyNumber, mtid.KeyNumber)  {}
-func (*host) Release(mtid.KeyNumber, mtid.KeyNumber) {}
-func (*host) Forget(mtid.KeyNumber, mtid.KeyNumber)  {}
-func (*host) Gain(mtid.KeyNumber, mtid.KeyNumber)    {}
-func (*host) Suspect(mtid.ServerIncarnation)         {}
-func (h *host) Bound(mtid.ServerIncarnation) bool    { return !h.unbound.Load() }
+func (*host) Stop(mtid.KeyNumber, mtid.KeyNumber)       {}
+func (*host) Resume(mtid.KeyNumber, mtid.KeyNumber)     {}
+func (*host) Release(mtid.KeyNumber, mtid.KeyNumber)    {}
+func (*host) Forget(mtid.KeyNumber, mtid.KeyNumber)     {}
+func (*host) AddKeys(mtid.KeyNumber, mtid.KeyNumber)    {}
+func (*host) CheckServer(mtid.ServerIncarnation)        {}
+func (h *host) ConnectedTo(mtid.ServerIncarnation) bool { return !h.unbound.Load() }
 
 // Spill assigns each range to one of the other servers, round-robin.
 func (*host) Spill(ranges []mtrange.Range, _ mtrange.SpillPosition, others []mtrange.LoadReport) []mtrange.KeyMove {
@@ -94,8 +94,8 @@
 	return runs
 }
 
-// Cut selects a hundred keys for each offload.
-func (*host) Cut(ranges []mtrange.Range, offloads []mtrange.Offload) []mtrange.KeyMove {
+// SelectMoves selects a hundred keys for each offload.
+func (*host) SelectMoves(ranges []mtrange.Range, offloads []mtrange.Offload) []mtrange.KeyMove {
 	var runs []mtrange.KeyMove
 	low := ranges[0].Low
 	for _, g := range offloads {
--- a/io/mthost/crash.go
+++ b/io/mthost/crash.go
@@ -78,15 +78,15 @@
 	h.recurring.MergeSuspects(h.Clock.Now(), r.Daemon, r.Suspects)
 }
 
-// Proven reports whether a server is known to have answered the same request before.
-func (h *Host) Proven(p mtpoison.Fingerprint) bool {
+// Answered reports whether a server is known to have answered the same request before.
+func (h *Host) Answered(p mtpoison.Fingerprint) bool {
 	h.crashMu.Lock()
 	defer h.crashMu.Unlock()
 	return h.recurring.Answered(p)
 }
 
-// Prove records that a server, on this VM or another, has answered a request.
-func (h *Host) Prove(p mtpoison.Fingerprint) {
+// MarkAnswered records that a server, on this VM or another, has answered a request.
+func (h *Host) MarkAnswered(p mtpoison.Fingerprint) {
 	h.crashMu.Lock()
 	defer h.crashMu.Unlock()
 	h.recurring.MarkAnswered(p)
--- a/io/mthost/end.go
+++ b/io/mthost/end.go
@@ -59,10 +59,10 @@
 	h.setState(mtbackend.Draining)
 }
 
-// Leave records that the server deregisters itself: it serves for a while longer and then
-// exits. If the server does not report its birth, the current incarnation is meant. The
-// answer acknowledges the leaving, which binds this daemon.
-func (h *Host) Leave(incarnation mtid.ServerIncarnation) {
+// Deregister records that the server deregisters itself: it serves for a while longer and
+// then exits. If the server does not report its start time, the current incarnation is
+// meant. The answer acknowledges the leaving, which binds this daemon.
+func (h *Host) Deregister(incarnation mtid.ServerIncarnation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if incarnation.Started == 0 && incarnation.Server == h.record.Incarnation.Server {
@@ -145,9 +145,9 @@
 	clear(h.deniedKeys)
 }
 
-// Suspect checks the server's process after a command found nothing listening at the
-// server's address.
-func (h *Host) Suspect(incarnation mtid.ServerIncarnation) { h.checkProcess(incarnation) }
+// CheckServer checks the server's process after a command found nothing listening at its
+// address.
+func (h *Host) CheckServer(incarnation mtid.ServerIncarnation) { h.checkProcess(incarnation) }
 
 // checkProcess determines whether the server's process has terminated, unless a check is
 // already running.
--- a/io/mthost/end_test.go
+++ b/io/mthost/end_test.go
@@ -29,7 +29,7 @@
 			b.Draining = true
 			s.heartbeat(b)
 		},
-		"deregistration": func(s *fixture) { s.host.Leave(mtid.ServerIncarnation{Server: "life"}) },
+		"deregistration": func(s *fixture) { s.host.Deregister(mtid.ServerIncarnation{Server: "life"}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newFixture(t, "127.0.0.1:1")
@@ -40,7 +40,7 @@
 			assert.Equal(t, s.refusalCause(false), mtreply.CauseDraining)
 			assert.Equal(t, s.refusalCause(true), mtreply.Cause(""))
 			s.waitFor("keyed calls are refused too", func(mtbackend.Record) bool { return s.refusalCause(true) == mtreply.CauseDraining })
-			s.host.Beat(s.newHeartbeat("life", 3)) // a delayed heartbeat that reports ready again
+			s.host.ObserveHeartbeat(s.newHeartbeat("life", 3)) // a delayed heartbeat that reports ready again
 			assert.Equal(t, s.record().State, mtbackend.Draining)
 		})
 	}
@@ -74,10 +74,10 @@
 		},
 		"deregistration": func(s *fixture) {
 			s.heartbeat(s.newHeartbeat("life", 1))
-			s.host.Leave(mtid.ServerIncarnation{Server: "life"})
+			s.host.Deregister(mtid.ServerIncarnation{Server: "life"})
 		},
 		"deregistration before any heartbeat": func(s *fixture) {
-			s.host.Leave(mtid.ServerIncarnation{Server: "life"})
+			s.host.Deregister(mtid.ServerIncarnation{Server: "life"})
 			s.heartbeat(s.newHeartbeat("life", 1))
 		},
 	} {
@@ -216,12 +216,12 @@
 	var commandExpiry atomic.Int64
 	commandExpiry.Store(int64(s.clock.Now().Add(time.Hour)))
 	s.host.CommandExpiry = func() mtclock.Instant { return mtclock.Instant(commandExpiry.Load()) }
-	s.host.Suspect(mtid.ServerIncarnation{})
+	s.host.CheckServer(mtid.ServerIncarnation{})
 	time.Sleep(400 * time.Millisecond) // longer than the checks take
 	assert.Equal(t, s.record().State, mtbackend.Unknown)
 	commandExpiry.Store(int64(s.clock.Now()))
 	s.waitFor("the end is published", func(r mtbackend.Record) bool {
-		s.host.Suspect(mtid.ServerIncarnation{})
+		s.host.CheckServer(mtid.ServerIncarnation{})
 		return r.State == mtbackend.Ended
 	})
 }
@@ -240,12 +240,12 @@
 	leaving.Address, leaving.Draining = listener.Addr().String(), true
 	assert.NilError(t, listener.Close())
 	s.heartbeat(leaving)
-	s.host.Suspect(mtid.ServerIncarnation{Server: "one"})
+	s.host.CheckServer(mtid.ServerIncarnation{Server: "one"})
 	time.Sleep(400 * time.Millisecond) // longer than the checks take
 	assert.Equal(t, s.record().State, mtbackend.Draining)
 	commandExpiry.Store(int64(s.clock.Now()))
 	s.waitFor("the end is published", func(r mtbackend.Record) bool {
-		s.host.Suspect(mtid.ServerIncarnation{Server: "one"})
+		s.host.CheckServer(mtid.ServerIncarnation{Server: "one"})
 		return r.State == mtbackend.Ended
 	})
 }
--- a/io/mthost/incarnation.go
+++ b/io/mthost/incarnation.go
@@ -34,9 +34,9 @@
 	return fmt.Sprintf("host: a beat names the service %q, which nothing declares", e.Service)
 }
 
-// Beat processes a heartbeat of the server. It returns once the reported state is in force
-// here: the answer to a heartbeat that announces the server's leaving is an acknowledgement
-// that binds this daemon.
+// ObserveHeartbeat processes a heartbeat of the server. It returns once the reported state
+// is in force here: the answer to a heartbeat that announces the server's leaving is an
+// acknowledgement that binds this daemon.
 //
 // A heartbeat may be delayed and arrive after its sender has crashed and another
 // incarnation has started. So a heartbeat of an unknown incarnation only makes the daemon
@@ -45,7 +45,7 @@
 //
 // It fails with a *UndeclaredServiceError if the heartbeat names a service that is not
 // declared.
-func (h *Host) Beat(b mtbackend.Heartbeat) error {
+func (h *Host) ObserveHeartbeat(b mtbackend.Heartbeat) error {
 	if b.Service != h.Service && !h.IsDeclared(b.Service) {
 		return &UndeclaredServiceError{Service: b.Service}
 	}
--- a/io/mthost/liveness.go
+++ b/io/mthost/liveness.go
@@ -39,9 +39,9 @@
 	confirmed   bool                   // the incarnation is certainly at the other end
 }
 
-// Bound reports whether whatever is sent to the server's address now reaches that
-// incarnation.
-func (h *Host) Bound(incarnation mtid.ServerIncarnation) bool {
+// ConnectedTo reports whether a command that is sent to the server's address now reaches
+// that incarnation.
+func (h *Host) ConnectedTo(incarnation mtid.ServerIncarnation) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.liveness != nil && h.liveness.incarnation == incarnation && h.liveness.confirmed
--- a/io/mthost/liveness_test.go
+++ b/io/mthost/liveness_test.go
@@ -62,19 +62,19 @@
 	previous := s.newHeartbeat("one", 1)
 	previous.Address = first.address()
 	s.heartbeat(previous)
-	s.waitFor("the incarnation is connected", func(mtbackend.Record) bool { return s.host.Bound(one) })
-	assert.Assert(t, !s.host.Bound(mtid.ServerIncarnation{Server: "one", Started: 1}))
+	s.waitFor("the incarnation is connected", func(mtbackend.Record) bool { return s.host.ConnectedTo(one) })
+	assert.Assert(t, !s.host.ConnectedTo(mtid.ServerIncarnation{Server: "one", Started: 1}))
 	s.server.mu.Lock()
 	s.server.incarnation = "two"
 	s.server.mu.Unlock()
 	first.end()
 	newProcess(t, first.address())
-	s.waitFor("the incarnation is disconnected", func(mtbackend.Record) bool { return !s.host.Bound(one) })
+	s.waitFor("the incarnation is disconnected", func(mtbackend.Record) bool { return !s.host.ConnectedTo(one) })
 	b := s.newHeartbeat("two", 1)
 	b.Address = first.address()
 	s.heartbeat(b)
-	s.waitFor("the new incarnation is connected", func(mtbackend.Record) bool { return s.host.Bound(mtid.ServerIncarnation{Server: "two"}) })
-	assert.Assert(t, !s.host.Bound(one))
+	s.waitFor("the new incarnation is connected", func(mtbackend.Record) bool { return s.host.ConnectedTo(mtid.ServerIncarnation{Server: "two"}) })
+	assert.Assert(t, !s.host.ConnectedTo(one))
 }
 
 // The daemon's own connection to the server is reset, although the server has not ended. If
@@ -93,12 +93,12 @@
 				return b
 			}
 			s.heartbeat(heartbeat(1))
-			s.waitFor("the incarnation is connected", func(mtbackend.Record) bool { return s.host.Bound(incarnation) })
+			s.waitFor("the incarnation is connected", func(mtbackend.Record) bool { return s.host.ConnectedTo(incarnation) })
 			assert.NilError(t, (<-p.accepted).Close())
-			s.waitFor("the reset is detected", func(mtbackend.Record) bool { return !s.host.Bound(incarnation) || born == 0 })
+			s.waitFor("the reset is detected", func(mtbackend.Record) bool { return !s.host.ConnectedTo(incarnation) || born == 0 })
 			if born != 0 {
 				time.Sleep(500 * time.Millisecond) // the connection is open again, and the server could be queried
-				assert.Assert(t, !s.host.Bound(incarnation), "confirmed by a name that its next incarnation has too")
+				assert.Assert(t, !s.host.ConnectedTo(incarnation), "confirmed by a name that its next incarnation has too")
 			}
 			sequence := uint64(2)
 			s.waitFor("the incarnation is confirmed again", func(mtbackend.Record) bool {
@@ -106,7 +106,7 @@
 					s.heartbeat(heartbeat(sequence))
 					sequence++
 				}
-				return s.host.Bound(incarnation)
+				return s.host.ConnectedTo(incarnation)
 			})
 			assert.Equal(t, s.record().State, mtbackend.Ready)
 		})
@@ -128,15 +128,17 @@
 		return b
 	}
 	s.heartbeat(heartbeat(100, 1))
-	s.waitFor("the incarnation is connected", func(mtbackend.Record) bool { return s.host.Bound(previous) })
+	s.waitFor("the incarnation is connected", func(mtbackend.Record) bool { return s.host.ConnectedTo(previous) })
 	first.end()
-	s.waitFor("the incarnation is disconnected", func(mtbackend.Record) bool { return !s.host.Bound(previous) })
+	s.waitFor("the incarnation is disconnected", func(mtbackend.Record) bool { return !s.host.ConnectedTo(previous) })
 	second := newProcess(t, first.address())
 	conn := <-second.accepted // opened by the daemon
 	defer conn.Close()
 	time.Sleep(50 * time.Millisecond) // until the daemon has recorded that it is open
 	s.heartbeat(heartbeat(100, 2))
-	assert.Assert(t, !s.host.Bound(previous), "a late heartbeat confirmed the incarnation that answers")
+	assert.Assert(t, !s.host.ConnectedTo(previous), "a late heartbeat confirmed the incarnation that answers")
 	s.heartbeat(heartbeat(200, 1))
-	s.waitFor("the new incarnation is connected", func(mtbackend.Record) bool { return s.host.Bound(mtid.ServerIncarnation{Server: "one", Started: 200}) })
+	s.waitFor("the new incarnation is connected", func(mtbackend.Record) bool {
+		return s.host.ConnectedTo(mtid.ServerIncarnation{Server: "one", Started: 200})
+	})
 }
--- a/io/mthost/load.go
+++ b/io/mthost/load.go
@@ -87,16 +87,16 @@
 	return mean + (value-mean)/averageWindow
 }
 
-// Gain records that the server has just acquired keys.
-func (h *Host) Gain(low, high mtid.KeyNumber) {
+// AddKeys records that the server has just acquired keys.
+func (h *Host) AddKeys(low, high mtid.KeyNumber) {
 	h.meterMu.Lock()
 	defer h.meterMu.Unlock()
 	h.meter.AddKeys(h.Clock.Now(), low, high)
 }
 
-// Cut selects, for each offload, the run of keys in the ranges whose work comes closest to
-// it.
-func (h *Host) Cut(ranges []mtrange.Range, offloads []mtrange.Offload) []mtrange.KeyMove {
+// SelectMoves selects, for each offload, the run of keys in the ranges whose work comes
+// closest to it.
+func (h *Host) SelectMoves(ranges []mtrange.Range, offloads []mtrange.Offload) []mtrange.KeyMove {
 	if len(offloads) == 0 {
 		return nil
 	}
--- a/io/mthost/mthost.go
+++ b/io/mthost/mthost.go
@@ -8,8 +8,8 @@
 // # Usage
 //
 //	host, cleanUp := mthost.New(config)
-//	host.Beat(heartbeat)               // from the server
-//	answer, err := host.Run(ctx, call) // from callers
+//	err := host.ObserveHeartbeat(heartbeat) // from the server
+//	answer, err := host.Run(ctx, call)      // from callers
 //
 // Run fails with a *mtreply.RefusedError if the call was not run, otherwise with a
 // *mtreply.UnknownError. A Host is safe for concurrent use.
--- a/io/mthost/mthost_test.go
+++ b/io/mthost/mthost_test.go
@@ -115,7 +115,7 @@
 // heartbeat delivers a heartbeat to the host.
 func (s *fixture) heartbeat(b mtbackend.Heartbeat) {
 	s.t.Helper()
-	assert.NilError(s.t, s.host.Beat(b))
+	assert.NilError(s.t, s.host.ObserveHeartbeat(b))
 }
 
 func (s *fixture) record() mtbackend.Record {
@@ -309,7 +309,7 @@
 		late.Draining = true
 		s.heartbeat(late)
 	}
-	s.host.Leave(first)
+	s.host.Deregister(first)
 	assert.Equal(t, s.record().Incarnation, second)
 	assert.Assert(t, s.record().AcceptsWork())
 }
@@ -342,10 +342,10 @@
 	b := s.newHeartbeat("one", 1)
 	b.Service = "nobody's"
 	var foreign *mthost.UndeclaredServiceError
-	assert.Assert(t, errors.As(s.host.Beat(b), &foreign))
+	assert.Assert(t, errors.As(s.host.ObserveHeartbeat(b), &foreign))
 	assert.Assert(t, s.record().Incarnation.IsZero())
 	b.Service = "desk" // declared
-	assert.NilError(t, s.host.Beat(b))
+	assert.NilError(t, s.host.ObserveHeartbeat(b))
 }
 
 // A stopping daemon can't notify others while the store is unavailable. It refuses calls
--- a/io/mtingress/send.go
+++ b/io/mtingress/send.go
@@ -26,10 +26,10 @@
 type host interface {
 	Run(ctx context.Context, call *mtcall.Call) (*mtcall.Answer, error)
 	Load() mtcall.Load
-	// Proven reports whether a server has answered the same request before, and Prove
-	// records that one has.
-	Proven(p mtpoison.Fingerprint) bool
-	Prove(p mtpoison.Fingerprint)
+	// Answered reports whether a server has answered the same request before, and
+	// MarkAnswered records that one has.
+	Answered(p mtpoison.Fingerprint) bool
+	MarkAnswered(p mtpoison.Fingerprint)
 }
 
 // peers forwards calls to other daemons and reports their state.
@@ -149,7 +149,7 @@
 	s.mu.Unlock()
 	state := &sending{}
 	fingerprint := call.Fingerprint()
-	call.Proven = s.Host.Proven(fingerprint)
+	call.Proven = s.Host.Answered(fingerprint)
 	for {
 		member, err := s.target(call, state)
 		if err != nil {
@@ -158,7 +158,7 @@
 		begun := s.Clock.Now()
 		answer, err := s.try(ctx, call, member)
 		if err == nil {
-			s.Host.Prove(fingerprint)
+			s.Host.MarkAnswered(fingerprint)
 			return answer, nil
 		}
 		call.Tries = append(call.Tries, mtcall.Try{
--- a/io/mtingress/send_test.go
+++ b/io/mtingress/send_test.go
@@ -58,9 +58,9 @@
 
 func (host) Load() mtcall.Load { return mtcall.Load{} }
 
-func (host) Proven(mtpoison.Fingerprint) bool { return false }
+func (host) Answered(mtpoison.Fingerprint) bool { return false }
 
-func (host) Prove(mtpoison.Fingerprint) {}
+func (host) MarkAnswered(mtpoison.Fingerprint) {}
 
 // newSender returns a sender whose directory has the servers of three other daemons.
 func newSender(t *testing.T, p *fakePeers) (*mtingress.Sender, *mttime.Clock) {
--- a/io/mtmesh/mtmesh.go
+++ b/io/mtmesh/mtmesh.go
@@ -13,7 +13,7 @@
 //	mesh, cleanUp, err := mtmesh.New(config)
 //	defer cleanUp()
 //	mesh.Configure(configuration)
-//	mesh.Host().Beat(heartbeat)
+//	err = mesh.Host().ObserveHeartbeat(heartbeat)
 //	err = mesh.Run(ctx)
 //
 // When ctx ends, Run shuts down gracefully: it notifies the other daemons, serves callers
