--- a/io/mtmesh/feed.go
+++ b/io/mtmesh/feed.go
@@ -85,8 +85,8 @@
 
 // cachedTree is the distribution tree for one version of the members.
 type cachedTree struct {
-	roll uint64
-	tree *mtspread.Tree
+	membership uint64 // MembershipVersion of the view
+	tree       *mtspread.Tree
 }
 
 // view returns the current copy of the directory, or nil before the directory exists.
@@ -104,7 +104,7 @@
 	if view == nil {
 		return mtspread.New(nil)
 	}
-	if p := f.cached.Load(); p != nil && p.roll == view.MembershipVersion {
+	if p := f.cached.Load(); p != nil && p.membership == view.MembershipVersion {
 		return p.tree
 	}
 	nodes := make([]mtspread.Node, 0, len(view.Members))
@@ -113,7 +113,7 @@
 			nodes = append(nodes, mtspread.Node{Daemon: m.Daemon, Zone: m.Zone, Address: m.Address, Link: m.Link})
 		}
 	}
-	p := &cachedTree{roll: view.MembershipVersion, tree: mtspread.New(nodes)}
+	p := &cachedTree{membership: view.MembershipVersion, tree: mtspread.New(nodes)}
 	f.cached.Store(p)
 	return p.tree
 }
@@ -202,8 +202,8 @@
 }
 
 // pull requests changes from an upstream. A full read (after is 0) is accepted only if the
-// upstream knows a newer revision than this daemon; otherwise it has to be made from the
-// store. So a daemon that the store rejects can still make a full read.
+// upstream knows a newer revision than this daemon; otherwise the full read has to come
+// from the store. So a daemon that the store rejects can still make a full read.
 func (f *changeFeed) pull(ctx context.Context, upstream string, after mtid.Revision, wait time.Duration) (mtstore.Changes, error) {
 	if f.hops.Load() == 1 {
 		// This daemon no longer watches the store. Daemons that pull from it have to switch
--- a/io/mtmesh/feed_test.go
+++ b/io/mtmesh/feed_test.go
@@ -68,7 +68,7 @@
 	return mtspread.Node{Daemon: mtid.Daemon(name), Zone: zone, Address: name + ":1", Link: 10}
 }
 
-// The views of two daemons differ for a while, and each takes the other for a watcher. If
+// The views of two daemons differ for a while, and each considers the other a watcher. If
 // each waited for the other's changes, both would receive none until their pulls time out.
 func TestMutualUpstreamsStillReceiveChanges(t *testing.T) {
 	for name, zone := range map[string]mtid.Zone{"in two zones": "zone-2", "in one zone": "zone-1"} {
--- a/io/mtmesh/freshness.go
+++ b/io/mtmesh/freshness.go
@@ -9,7 +9,7 @@
 	"magnoliaturn/core/mtroute"
 )
 
-// freshness is a mtroute.Certainty for concurrent use: the instant at which the
+// freshness is a mtroute.Freshness for concurrent use: the instant at which the
 // configuration of this daemon was last known to be the newest.
 type freshness struct {
 	mu       sync.Mutex
@@ -62,16 +62,16 @@
 	return f.core.Age(now)
 }
 
-func (f *freshness) startPoll(now mtclock.Instant, turn mtroute.PollSchedule) bool {
+func (f *freshness) startPoll(now mtclock.Instant, schedule mtroute.PollSchedule) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.core.StartPoll(now, turn)
+	return f.core.StartPoll(now, schedule)
 }
 
-func (f *freshness) nextPoll(turn mtroute.PollSchedule) mtclock.Instant {
+func (f *freshness) nextPoll(schedule mtroute.PollSchedule) mtclock.Instant {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.core.NextPoll(turn)
+	return f.core.NextPoll(schedule)
 }
 
 func (f *freshness) mayDenyRoute(now mtclock.Instant) bool {
--- a/io/mtmesh/survey.go
+++ b/io/mtmesh/survey.go
@@ -75,13 +75,13 @@
 	rand.Shuffle(len(stale), func(i, j int) { stale[i], stale[j] = stale[j], stale[i] })
 	ctx, cancel := context.WithTimeout(ctx, surveyTimeout)
 	defer cancel()
-	var asked sync.WaitGroup
+	var queries sync.WaitGroup
 	for _, member := range stale[:min(len(stale), surveySize)] {
-		asked.Go(func() {
+		queries.Go(func() {
 			if err := peers.QueryLoad(ctx, member.Daemon, member.Address); err != nil {
 				m.config.Log.Info("requesting a load report failed", "peer", member.Daemon, "error", err)
 			}
 		})
 	}
-	asked.Wait()
+	queries.Wait()
 }
