--- a/io/mthost/crash.go
+++ b/io/mthost/crash.go
@@ -17,10 +17,10 @@
 
 // refusePoison refuses a request that is suspected of crashing its servers. It fails with a
 // *mtreply.RefusedError.
-func (h *Host) refusePoison(now mtclock.Instant, p mtpoison.Fingerprint, proven bool) error {
+func (h *Host) refusePoison(now mtclock.Instant, p mtpoison.Fingerprint, answeredBefore bool) error {
 	h.crashMu.Lock()
 	defer h.crashMu.Unlock()
-	left := h.recurring.RefusedFor(now, p, proven)
+	left := h.recurring.RefusedFor(now, p, answeredBefore)
 	if left == 0 {
 		return nil
 	}
--- a/io/mthost/end.go
+++ b/io/mthost/end.go
@@ -18,11 +18,11 @@
 // held, before the acknowledgement is sent to the server.
 //
 // The time for new work counts from the acknowledgement only if the incarnation is in
-// service here; for any other it may be over already and counts as over. A daemon that was
-// restarted, and acknowledged the leaving before it had read the assignment, used to count
-// from when it brought the server into service, and the server received calls 2.0 s after
-// the acknowledgement. One whose leaving the previous process of its daemon had
-// acknowledged received calls even later.
+// service here; for any other it may be over already and counts as over. When a restarted
+// daemon acknowledged the leaving before it had read the assignment, and counted from when
+// it brought the server into service, the server received calls 2.0 s after the
+// acknowledgement. It received them even later if the previous process of the daemon had
+// acknowledged the leaving.
 func (h *Host) acknowledgeLeaving(incarnation mtid.ServerIncarnation, now mtclock.Instant) {
 	at := now
 	if h.record.Incarnation != incarnation || h.record.State != mtbackend.Ready {
@@ -119,11 +119,11 @@
 }
 
 // recordDenial records that the server denies holding a key that it was granted: a release
-// command may have been carried out late, or the server has restarted under its name. The
-// new incarnation must not be granted the keys of the previous one under the same epoch, so
+// command may have been executed late, or the server has restarted under its name. The new
+// incarnation must not be granted the keys of the previous one under the same epoch, so
 // where incarnations share a name, the key is granted again only after the next heartbeat,
 // which distinguishes them. This makes such a key unavailable for up to a heartbeat
-// interval, and only where the server reports its birth.
+// interval, and only where the server reports its start time.
 func (h *Host) recordDenial(incarnation mtid.ServerIncarnation, key mtid.KeyNumber) {
 	if incarnation.Started == 0 {
 		h.OnKeyDenied(key)
--- a/io/mthost/end_test.go
+++ b/io/mthost/end_test.go
@@ -25,22 +25,22 @@
 func TestLeavingServerGetsNoNewWork(t *testing.T) {
 	for name, leave := range map[string]func(s *fixture){
 		"heartbeat": func(s *fixture) {
-			b := s.newHeartbeat("life", 2)
+			b := s.newHeartbeat("server-1", 2)
 			b.Draining = true
 			s.heartbeat(b)
 		},
-		"deregistration": func(s *fixture) { s.host.Deregister(mtid.ServerIncarnation{Server: "life"}) },
+		"deregistration": func(s *fixture) { s.host.Deregister(mtid.ServerIncarnation{Server: "server-1"}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newFixture(t, "127.0.0.1:1")
-			s.startServer("life")
+			s.startServer("server-1")
 			assert.Equal(t, s.refusalCause(false), mtreply.Cause(""))
 			leave(s)
 			assert.Equal(t, s.record().State, mtbackend.Draining)
 			assert.Equal(t, s.refusalCause(false), mtreply.CauseDraining)
 			assert.Equal(t, s.refusalCause(true), mtreply.Cause(""))
 			s.waitFor("keyed calls are refused too", func(mtbackend.Record) bool { return s.refusalCause(true) == mtreply.CauseDraining })
-			s.host.ObserveHeartbeat(s.newHeartbeat("life", 3)) // a delayed heartbeat that reports ready again
+			s.host.ObserveHeartbeat(s.newHeartbeat("server-1", 3)) // a delayed heartbeat that reports ready again
 			assert.Equal(t, s.record().State, mtbackend.Draining)
 		})
 	}
@@ -56,7 +56,7 @@
 func TestLeavingAcknowledgedBeforeServiceIsBinding(t *testing.T) {
 	for name, leave := range map[string]func(s *fixture){
 		"heartbeat": func(s *fixture) {
-			b := s.newHeartbeat("life", 1)
+			b := s.newHeartbeat("server-1", 1)
 			b.Draining = true
 			s.heartbeat(b)
 		},
@@ -64,7 +64,7 @@
 			s.mu.Lock()
 			s.path = ""
 			s.mu.Unlock()
-			b := s.newHeartbeat("life", 1)
+			b := s.newHeartbeat("server-1", 1)
 			b.Draining = true
 			s.heartbeat(b)
 			s.heartbeat(b)
@@ -73,17 +73,17 @@
 			s.mu.Unlock()
 		},
 		"deregistration": func(s *fixture) {
-			s.heartbeat(s.newHeartbeat("life", 1))
-			s.host.Deregister(mtid.ServerIncarnation{Server: "life"})
+			s.heartbeat(s.newHeartbeat("server-1", 1))
+			s.host.Deregister(mtid.ServerIncarnation{Server: "server-1"})
 		},
 		"deregistration before any heartbeat": func(s *fixture) {
-			s.host.Deregister(mtid.ServerIncarnation{Server: "life"})
-			s.heartbeat(s.newHeartbeat("life", 1))
+			s.host.Deregister(mtid.ServerIncarnation{Server: "server-1"})
+			s.heartbeat(s.newHeartbeat("server-1", 1))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newFixture(t, "server")
-			s.server.incarnation = "life"
+			s.server.incarnation = "server-1"
 			var assignmentUnread atomic.Bool
 			assignmentUnread.Store(true)
 			s.mu.Lock()
@@ -110,10 +110,10 @@
 }
 
 // A server has left before its keys have moved. The refusals include the time that a move
-// takes; without it callers retried at once, over and over, in vain.
+// takes; without it callers retried at once, again and again, without success.
 func TestRefusalOfKeyWhoseServerLeftHasRetryAfter(t *testing.T) {
 	s := newFixture(t, "server")
-	s.startServer("life")
+	s.startServer("server-1")
 	s.host.Close()
 	for keyed, wait := range map[bool]bool{true: true, false: false} {
 		_, err := s.host.Run(context.Background(), s.call(keyed))
@@ -125,23 +125,23 @@
 }
 
 // A server deregisters, which it does not repeat, and its daemon is killed and restarted.
-// The daemon's previous record says that the server is draining. Since it is unknown for
+// The daemon's previous record shows that the server is draining. Since it is unknown for
 // how long, the server gets no new work at all.
 func TestLeavingAcknowledgedByPreviousProcessIsBinding(t *testing.T) {
-	previous := mtbackend.Record{Daemon: "a", Incarnation: mtid.ServerIncarnation{Server: "life"}, State: mtbackend.Draining}
+	previous := mtbackend.Record{Daemon: "a", Incarnation: mtid.ServerIncarnation{Server: "server-1"}, State: mtbackend.Draining}
 	for name, deliver := range map[string]func(s *fixture){
 		"record before heartbeat": func(s *fixture) {
 			s.host.ProcessPreviousRecord(previous)
-			s.heartbeat(s.newHeartbeat("life", 7))
+			s.heartbeat(s.newHeartbeat("server-1", 7))
 		},
 		"record after heartbeat": func(s *fixture) {
-			s.startServer("life")
+			s.startServer("server-1")
 			s.host.ProcessPreviousRecord(previous)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newFixture(t, "server")
-			s.server.incarnation = "life"
+			s.server.incarnation = "server-1"
 			deliver(s)
 			s.waitFor("the server is draining", func(r mtbackend.Record) bool { return r.State == mtbackend.Draining })
 			s.waitFor("no new work reaches the server", func(mtbackend.Record) bool { return s.refusalCause(true) == mtreply.CauseDraining })
@@ -154,15 +154,15 @@
 }
 
 // The server's process has terminated and its port refuses connections. The daemon
-// publishes that, so that nobody has to wait for the grants to expire. A single refused
-// connection proves nothing.
+// publishes that, so that no claimant has to wait for the grants to expire. A single
+// refused connection is not sufficient.
 func TestTerminatedServerProcessIsDetected(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := listener.Addr().String()
 	s := newFixture(t, address)
-	s.server.incarnation = "life"
-	b := s.newHeartbeat("life", 1)
+	s.server.incarnation = "server-1"
+	b := s.newHeartbeat("server-1", 1)
 	b.Address = address
 	s.heartbeat(b)
 	s.waitFor("the server is ready", func(r mtbackend.Record) bool { return r.AcceptsWork() })
@@ -179,7 +179,7 @@
 }
 
 // A leaving server accepts no new connections but continues to work and holds its keys.
-// When its daemon took three refused connections for the end of the process, others took
+// When its daemon treated three refused connections as the end of the process, others took
 // over the keys, and two servers held them for half a second.
 func TestLeavingServerThatRefusesConnectionsHasNotEnded(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -258,7 +258,7 @@
 	s.server.incarnation = "one"
 	fenced := make(chan mtid.KeyNumber, 8)
 	s.host.OnKeyDenied = func(key mtid.KeyNumber) { fenced <- key }
-	s.heartbeat(s.heartbeatBorn(100, 1))
+	s.heartbeat(s.heartbeatStartedAt(100, 1))
 	s.waitFor("the server is ready", func(r mtbackend.Record) bool { return r.AcceptsWork() })
 	s.server.mu.Lock()
 	s.server.answer = func(context.Context) (*mtcall.Answer, error) {
@@ -267,25 +267,25 @@
 	s.server.mu.Unlock()
 	assert.Equal(t, s.refusalCause(true), mtreply.CauseFenced)
 	assert.Equal(t, len(fenced), 0, "granted again before a heartbeat")
-	s.heartbeat(s.heartbeatBorn(100, 2))
+	s.heartbeat(s.heartbeatStartedAt(100, 2))
 	assert.Equal(t, len(fenced), 1)
 	assert.Equal(t, s.refusalCause(true), mtreply.CauseFenced)
-	s.heartbeat(s.heartbeatBorn(200, 1))
+	s.heartbeat(s.heartbeatStartedAt(200, 1))
 	s.waitFor("the new incarnation is known", func(r mtbackend.Record) bool { return r.Incarnation.Started == 200 })
 	assert.Equal(t, len(fenced), 1, "the new incarnation was granted keys of the previous one")
 }
 
 // A request crashes every server that runs it, and its caller resends it under new
-// identifiers whenever the server is back. After it has crashed three servers, no more than
-// three further attempts may reach one: each makes a server's keys unavailable for some
-// seconds and loses all other requests in flight there.
+// identifiers whenever the server has restarted. After it has crashed three servers, no
+// more than three further attempts may reach one: each makes a server's keys unavailable
+// for some seconds and loses all other requests in flight there.
 func TestRequestThatCrashesItsServersIsRefused(t *testing.T) {
 	s := newFixture(t, "server")
 	s.server.answer = func(context.Context) (*mtcall.Answer, error) {
 		return nil, &mtreply.UnknownError{Cause: mtreply.CauseLost, Err: errors.New("connection reset")}
 	}
 	for n := range 13 {
-		s.startServer(mtid.Server(fmt.Sprintf("life-%d", n)))
+		s.startServer(mtid.Server(fmt.Sprintf("server-%d", n)))
 		call := s.call(true)
 		call.ID = mtcall.ID(strconv.Itoa(n))
 		_, err := s.host.Run(context.Background(), call)
--- a/io/mthost/incarnation.go
+++ b/io/mthost/incarnation.go
@@ -68,7 +68,7 @@
 
 // handleUnconfirmed determines whether the sender of a heartbeat is the running
 // incarnation, by querying the server. If that fails, a second heartbeat of the same
-// incarnation proves it too. It is called with mu held.
+// incarnation confirms it too. It is called with mu held.
 func (h *Host) handleUnconfirmed(b mtbackend.Heartbeat) {
 	previous := h.unconfirmed
 	h.unconfirmed, h.unconfirmedAt = b, h.Clock.Now()
@@ -160,7 +160,7 @@
 // clearGrants brings an incarnation of the server into service, after removing from it the
 // grants that were meant for a previous one. It is called with mu held.
 //
-// When a server crashes and restarts at the same address, the daemon takes it for the
+// When a server crashes and restarts at the same address, the daemon considers it the
 // previous incarnation until its next heartbeat, and renews that incarnation's grants: the
 // new one accepts them. If the new incarnation were published at once, others would take
 // over the keys of the previous one, and two servers would hold them.
--- a/io/mthost/liveness_test.go
+++ b/io/mthost/liveness_test.go
@@ -81,28 +81,28 @@
 // the name identifies the incarnation, a query confirms it again; otherwise its next
 // heartbeat does.
 func TestIncarnationIsConfirmedAgainAfterReset(t *testing.T) {
-	for name, born := range map[string]mtid.StartTime{"by name": 0, "by heartbeat": 100} {
+	for name, started := range map[string]mtid.StartTime{"by name": 0, "by heartbeat": 100} {
 		t.Run(name, func(t *testing.T) {
 			p := newProcess(t, "")
 			s := newFixture(t, p.address())
-			incarnation := mtid.ServerIncarnation{Server: "one", Started: born}
+			incarnation := mtid.ServerIncarnation{Server: "one", Started: started}
 			s.server.incarnation = "one"
 			heartbeat := func(sequence uint64) mtbackend.Heartbeat {
-				b := s.heartbeatBorn(born, sequence)
+				b := s.heartbeatStartedAt(started, sequence)
 				b.Address, b.Connected = p.address(), s.clock.Now()
 				return b
 			}
 			s.heartbeat(heartbeat(1))
 			s.waitFor("the incarnation is connected", func(mtbackend.Record) bool { return s.host.ConnectedTo(incarnation) })
 			assert.NilError(t, (<-p.accepted).Close())
-			s.waitFor("the reset is detected", func(mtbackend.Record) bool { return !s.host.ConnectedTo(incarnation) || born == 0 })
-			if born != 0 {
+			s.waitFor("the reset is detected", func(mtbackend.Record) bool { return !s.host.ConnectedTo(incarnation) || started == 0 })
+			if started != 0 {
 				time.Sleep(500 * time.Millisecond) // the connection is open again, and the server could be queried
 				assert.Assert(t, !s.host.ConnectedTo(incarnation), "confirmed by a name that its next incarnation has too")
 			}
 			sequence := uint64(2)
 			s.waitFor("the incarnation is confirmed again", func(mtbackend.Record) bool {
-				if born != 0 {
+				if started != 0 {
 					s.heartbeat(heartbeat(sequence))
 					sequence++
 				}
@@ -122,8 +122,8 @@
 	s := newFixture(t, first.address())
 	s.server.incarnation = "one"
 	previous := mtid.ServerIncarnation{Server: "one", Started: 100}
-	heartbeat := func(born mtid.StartTime, sequence uint64) mtbackend.Heartbeat {
-		b := s.heartbeatBorn(born, sequence)
+	heartbeat := func(started mtid.StartTime, sequence uint64) mtbackend.Heartbeat {
+		b := s.heartbeatStartedAt(started, sequence)
 		b.Address = first.address()
 		return b
 	}
--- a/io/mthost/load.go
+++ b/io/mthost/load.go
@@ -16,7 +16,7 @@
 // a move the callers' daemons receive the ownership update some tenths of a second later,
 // and send calls here every few milliseconds until then. When those were counted too, an
 // owner that had transferred a hot run of keys appeared to have nine times the work it
-// could handle for eight seconds, received no keys, and was idle beside servers with
+// could handle for eight seconds, received no keys, and was idle while other servers had
 // queues.
 //
 // Calls that are late on arrival are not counted: mostly they are a caller's second or
--- a/io/mthost/mthost.go
+++ b/io/mthost/mthost.go
@@ -76,7 +76,7 @@
 	tickInterval = 50 * time.Millisecond
 	// keyMoveRetry is the time after which to retry a call for a key whose server has left,
 	// but whose keys have not moved yet: a move takes 0.1 to 0.3 s while the store is
-	// available, and a record is back 0.6 s after an outage.
+	// available, and a record is written again 0.6 s after an outage.
 	keyMoveRetry = 500 * time.Millisecond
 )
 
@@ -205,8 +205,8 @@
 	}
 }
 
-// ignoreIdleRange ignores that no call is in flight in a stopped range any more. Nothing
-// here waits for that: the server itself answers a release command only then.
+// ignoreIdleRange ignores the gate's notification that no call is in flight in a stopped
+// range. Nothing here waits for it: the server itself answers a release command only then.
 func ignoreIdleRange(mtid.Point, mtid.Point) {}
 
 func (h *Host) newAdmission() *iogate.AdmissionController[*mtgate.Urgent] {
--- a/io/mthost/mthost_test.go
+++ b/io/mthost/mthost_test.go
@@ -175,7 +175,7 @@
 }
 
 // The server can't be queried. Two heartbeats of one incarnation with increasing sequence
-// numbers prove that it is running; the same heartbeat twice does not.
+// numbers show that it is running; the same heartbeat twice does not.
 func TestSecondHeartbeatConfirmsIncarnationWithoutQuery(t *testing.T) {
 	s := newFixture(t, "127.0.0.1:1")
 	s.heartbeat(s.newHeartbeat("old", 9))
@@ -256,7 +256,7 @@
 		<-release
 		return &mtcall.Answer{Status: 200}, nil
 	}
-	s.startServer("life")
+	s.startServer("server-1")
 	var others sync.WaitGroup
 	for range 2 {
 		others.Go(func() { _, _ = s.host.Run(context.Background(), s.call(true)) })
@@ -276,10 +276,10 @@
 	assert.Equal(t, s.server.calls, 2)
 }
 
-// heartbeatBorn returns a heartbeat of an incarnation that reports its birth.
-func (s *fixture) heartbeatBorn(born mtid.StartTime, sequence uint64) mtbackend.Heartbeat {
+// heartbeatStartedAt returns a heartbeat of an incarnation that reports its start time.
+func (s *fixture) heartbeatStartedAt(started mtid.StartTime, sequence uint64) mtbackend.Heartbeat {
 	b := s.newHeartbeat("one", sequence)
-	b.Incarnation.Started = born
+	b.Incarnation.Started = started
 	return b
 }
 
@@ -298,14 +298,14 @@
 	}
 	s.mu.Unlock()
 	first, second := mtid.ServerIncarnation{Server: "one", Started: 100}, mtid.ServerIncarnation{Server: "one", Started: 200}
-	s.heartbeat(s.heartbeatBorn(100, 50))
+	s.heartbeat(s.heartbeatStartedAt(100, 50))
 	s.waitFor("the first incarnation is ready", func(r mtbackend.Record) bool { return r.Incarnation == first && r.AcceptsWork() })
-	s.heartbeat(s.heartbeatBorn(200, 1))
+	s.heartbeat(s.heartbeatStartedAt(200, 1))
 	s.waitFor("the second incarnation is ready", func(r mtbackend.Record) bool { return r.Incarnation == second && r.AcceptsWork() })
 	assert.Equal(t, cleared.Load(), int64(2), "each incarnation is cleared of earlier grants once")
 	assert.Assert(t, !s.record().MayHoldKeys(first))
 	for sequence := range uint64(3) {
-		late := s.heartbeatBorn(100, 51+sequence)
+		late := s.heartbeatStartedAt(100, 51+sequence)
 		late.Draining = true
 		s.heartbeat(late)
 	}
@@ -321,15 +321,15 @@
 	s.mu.Lock()
 	s.path = "" // no configuration yet, so the server can't be queried
 	s.mu.Unlock()
-	s.heartbeat(s.heartbeatBorn(100, 50))
-	s.heartbeat(s.heartbeatBorn(200, 1))
+	s.heartbeat(s.heartbeatStartedAt(100, 50))
+	s.heartbeat(s.heartbeatStartedAt(200, 1))
 	s.mu.Lock()
 	s.path = "/health"
 	s.mu.Unlock()
 	want := mtid.ServerIncarnation{Server: "one", Started: 200}
 	s.waitFor("the later incarnation is current", func(r mtbackend.Record) bool { return r.Incarnation == want && r.AcceptsWork() })
-	s.heartbeat(s.heartbeatBorn(100, 51))
-	s.heartbeat(s.heartbeatBorn(100, 52))
+	s.heartbeat(s.heartbeatStartedAt(100, 51))
+	s.heartbeat(s.heartbeatStartedAt(100, 52))
 	known, _ := s.host.Record()
 	assert.Equal(t, known.Incarnation, want)
 }
@@ -340,7 +340,7 @@
 	s := newFixture(t, "server")
 	s.server.incarnation = "one"
 	b := s.newHeartbeat("one", 1)
-	b.Service = "nobody's"
+	b.Service = "undeclared"
 	var foreign *mthost.UndeclaredServiceError
 	assert.Assert(t, errors.As(s.host.ObserveHeartbeat(b), &foreign))
 	assert.Assert(t, s.record().Incarnation.IsZero())
@@ -352,7 +352,7 @@
 // that can go to another server itself, and continues to serve keys.
 func TestStoppingDaemonRefusesCallsWithoutKey(t *testing.T) {
 	s := newFixture(t, "127.0.0.1:1")
-	s.startServer("life")
+	s.startServer("server-1")
 	s.host.Retire()
 	assert.Equal(t, s.refusalCause(false), mtreply.CauseStopping)
 	assert.Equal(t, s.refusalCause(true), mtreply.Cause(""))
@@ -362,7 +362,7 @@
 
 func TestParent(t *testing.T) {
 	s := newFixture(t, "127.0.0.1:1")
-	s.startServer("life")
+	s.startServer("server-1")
 	inside := map[mtcall.ID]bool{}
 	s.server.answer = func(context.Context) (*mtcall.Answer, error) {
 		for _, id := range []mtcall.ID{"1.5", "1.5.6", "1", "15", "2.1"} {
--- a/io/mthost/zone.go
+++ b/io/mthost/zone.go
@@ -11,9 +11,9 @@
 )
 
 // ZoneOut records that the operators have taken this VM's availability zone out of service,
-// by an order of that version. From now on no work without a key is started at the server,
-// and waiting calls are refused at once. Keys are served until they have moved, but not
-// after until.
+// by an order with the given version. From now on no work without a key is started at the
+// server, and waiting calls are refused at once. Keys are served until they have moved, but
+// not after until.
 func (h *Host) ZoneOut(version mtid.Version, until mtclock.Instant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -107,9 +107,9 @@
 }
 
 // updateStartLimit limits the start rate of the gate while the server is cold or possibly
-// cold. While its zone is out of service the server may become cold at any moment, at the
-// end of that time at the latest, and has work only for keys that have not moved yet. It is
-// called with mu held.
+// cold. While its zone is out of service the server may become cold at any moment, and does
+// so at the latest when the zone is put back. Until then it has work only for keys that
+// have not moved yet. It is called with mu held.
 func (h *Host) updateStartLimit() {
 	now := h.Clock.Steady()
 	cold := h.startLimit > 0 && (h.warmup.Cold(now) || h.zone.Closed())
