--- a/io/mtgrant/command.go
+++ b/io/mtgrant/command.go
@@ -26,17 +26,18 @@
 	// certain to exist. All grants are then renewed once more: the store appears to be
 	// unavailable, and the grants have to last until it is available again. The later they
 	// are renewed, the longer an outage they survive. The window leaves 0.4 s for sending
-	// the commands, beside the timeout of the last one. It is shorter than the time left
-	// before a renewal of the lease that succeeds, 1.3 s.
+	// the commands, in addition to the timeout of the last one. It is shorter than the time
+	// left before a renewal of the lease that succeeds, 1.3 s.
 	lastRenewalWindow = 800 * time.Millisecond
 	// grantRetry is when callers should retry a key that is about to be granted.
 	grantRetry = 200 * time.Millisecond
 	// unavailableRetry is when callers should retry while the store rejects this daemon.
 	// The record takes about this long to return afterwards.
 	unavailableRetry = 800 * time.Millisecond
-	// maxStaleness is how long the copy may be older than the own record before the daemon
-	// reads everything again. A watch brings the record within 0.25 s, over two hops. A
-	// watch that receives nothing would keep the server idle until its connection is cut.
+	// maxStaleness is how long the copy may be older than this daemon's record before the
+	// daemon reads everything again. A watch brings the record within 0.25 s, over two
+	// hops. A watch that receives nothing would keep the server idle until its connection
+	// is cut.
 	maxStaleness = 400 * time.Millisecond
 )
 
@@ -50,7 +51,7 @@
 	return g.Directory.RecordValidUntil().Sub(now) > commandTimeout && g.Directory.Current()
 }
 
-// refreshStaleCopy updates a copy that is older than the own record. A watch that is
+// refreshStaleCopy updates a copy that is older than this daemon's record. A watch that is
 // pausing after a failure retries at once, and one that receives nothing is replaced by
 // reading everything again.
 func (g *Grants) refreshStaleCopy(now mtclock.Instant) {
--- a/io/mtgrant/command_test.go
+++ b/io/mtgrant/command_test.go
@@ -53,9 +53,10 @@
 	assert.Equal(t, f.server.count("grant"), 1)
 }
 
-// As above, but nobody has taken over the keys, and the watch still receives nothing
-// although the store is available. The daemon must read everything again by itself. If it
-// waited for the watch, its server would be idle until the watch recovered.
+// As above, but no other daemon has taken over the keys, and the watch still receives
+// nothing although the store is available. The daemon must read everything again on its own
+// initiative. If it waited for the watch, its server would be idle until the watch
+// recovered.
 func TestGrantsResumeAfterReconnectByFullRead(t *testing.T) {
 	f := newFleet(t, "a", "b")
 	f.start()
@@ -96,8 +97,8 @@
 	assert.Equal(t, f.server.count("grant"), 4, "granted after the record was no longer certain")
 }
 
-// A daemon restarts beside a server that is leaving, and has granted it nothing yet. It
-// granted the keys only to be able to release them, and the server got calls after it had
+// A daemon restarts while its server is leaving, and has granted it nothing yet. When it
+// granted the keys only to be able to release them, the server got calls after it had
 // stopped accepting new work. Keys of a leaving server must only move away.
 func TestLeavingServerIsGrantedNothing(t *testing.T) {
 	f := newFleet(t, "a", "b")
@@ -137,14 +138,14 @@
 	f := newFleet(t, "a", "b")
 	f.start()
 	f.until("the own range is granted", func() bool { return f.server.count("grant") == 1 })
-	f.host.unbound.Store(true)
+	f.host.disconnected.Store(true)
 	f.clock.advance(grantDuration / 2)
 	f.directory.Publish(record("a", mtbackend.Ready))
 	f.until("the record is certain to exist", func() bool { return f.directory.RecordValidUntil().Sub(f.clock.Now()) > lease/2 })
 	f.grants.Wake()
 	f.letLoopsRun()
 	assert.Equal(t, f.server.count("grant"), 1)
-	f.host.unbound.Store(false)
+	f.host.disconnected.Store(false)
 	f.grants.Wake()
 	f.until("the grant is renewed", func() bool { return f.server.count("grant") == 2 })
 }
@@ -171,21 +172,21 @@
 	assert.Equal(t, refused.Cause, mtreply.CauseNoLease)
 }
 
-// A daemon restarts beside a server that accepts no connections. A grant that its previous
+// A daemon restarts while its server accepts no connections. A grant that its previous
 // process sent just before it ended is in effect for the grant duration. When it was not
 // accounted for, the daemon reported that the server had terminated, and other servers took
 // over the keys of one that was still running.
 func TestLastExpiryIncludesGrantsOfPreviousProcess(t *testing.T) {
 	f := newFleet(t, "a", "b")
-	f.host.unbound.Store(true) // this process sends no grants
+	f.host.disconnected.Store(true) // this process sends no grants
 	started := f.clock.Now()
 	f.start()
 	assert.Assert(t, f.grants.LastExpiry().Sub(started) >= grantDuration)
 }
 
-// A key is not granted yet. The error must ask callers to retry soon while the daemon's record is
-// certain, and later while the store rejects the daemon, since the key can't be granted
-// before that ends.
+// A key is not granted yet. The error must ask callers to retry soon while the daemon's
+// record is certain, and later while the store rejects the daemon, since the key can't be
+// granted before that ends.
 func TestRetryAfterOfUngrantedKey(t *testing.T) {
 	f := newFleet(t, "a", "b")
 	f.start()
@@ -198,7 +199,7 @@
 		assert.Assert(t, asRefused(f.grants.CheckGranted(incarnationOf("a"), 0), &refused))
 		return refused.RetryAfter
 	}
-	f.host.unbound.Store(true)
+	f.host.disconnected.Store(true)
 	f.grants.Regrant(0)
 	first := retry()
 	f.clock.advance(lease)
--- a/io/mtgrant/move.go
+++ b/io/mtgrant/move.go
@@ -46,7 +46,7 @@
 
 // drain distributes all keys of a leaving server evenly among the others.
 func (g *Grants) drain(ctx context.Context, owned []mtrange.Range) {
-	// The own record in the directory may still be the one from before the server was
+	// This daemon's record in the directory may still be the one from before the server was
 	// leaving.
 	survivors := slices.DeleteFunc(g.survivors(g.Directory.View()), func(o mtrange.Owner) bool { return o.Daemon == g.Self })
 	if len(survivors) == 0 {
--- a/io/mtgrant/mtgrant.go
+++ b/io/mtgrant/mtgrant.go
@@ -64,8 +64,8 @@
 // Error implements error.
 func (*SupersededError) Error() string { return "grant: the server has seen a higher epoch" }
 
-// UnreachableError reports that nothing listens at a server's address, so that the command was
-// not delivered.
+// UnreachableError reports that nothing listens at a server's address, so that the command
+// was not delivered.
 type UnreachableError struct{ Err error }
 
 // Error implements error.
@@ -161,7 +161,7 @@
 	// its way, the server would hold it again.
 	uncertainUntil     map[mtid.ServerIncarnation]mtclock.Instant
 	lastExpiry         mtclock.Instant // until when any command may be in effect
-	staleSince         mtclock.Instant // since when the copy is older than the own record; zero if it is not
+	staleSince         mtclock.Instant // since when the copy is older than this daemon's record; zero if it is not
 	lastOffload        mtclock.Instant // when the last offload ended, or was last considered without a result
 	offloading         bool
 	movedKeys          int                // keys moved to other servers since the last TakeMovedCount
@@ -179,10 +179,10 @@
 	// less often than the takeover loop runs.
 	owners      []mtrange.Owner
 	ownersTable *mtrange.Table
-	// recordsValid is the result of allRecordsValid for ownersTable and a view with the
-	// roll recordsRoll.
-	recordsValid bool
-	recordsRoll  uint64
+	// recordsValid is the result of allRecordsValid for ownersTable and a view whose
+	// MembershipVersion is recordsVersion.
+	recordsValid   bool
+	recordsVersion uint64
 }
 
 // New starts the background loops and returns the Grants and its clean-up function.
@@ -252,8 +252,8 @@
 }
 
 // notGrantedError returns the error for a key that is assigned to the server but not
-// currently granted. While the own record is not certain to exist, nothing is granted here
-// or elsewhere, so the error asks the caller to retry later.
+// currently granted. While this daemon's record is not certain to exist, nothing is granted
+// here or elsewhere, so the error asks the caller to retry later.
 func (g *Grants) notGrantedError(now mtclock.Instant) error {
 	retry := grantRetry
 	if !g.Directory.RecordValidUntil().After(now) {
@@ -306,8 +306,8 @@
 	}
 }
 
-// ReleaseUnowned revokes all keys from an incarnation of the server that owns none. A command for
-// the previous incarnation at the same address may have reached it.
+// ReleaseUnowned revokes all keys from an incarnation of the server that owns none. A
+// command for the previous incarnation at the same address may have reached it.
 func (g *Grants) ReleaseUnowned(ctx context.Context, incarnation mtid.ServerIncarnation, address string) error {
 	view := g.Directory.View()
 	if view.Revision == 0 {
@@ -328,7 +328,8 @@
 	return err
 }
 
-// inFlightPolls is how many times ReleaseUnowned checks for a pending answer within commandTimeout.
+// inFlightPolls is how many times ReleaseUnowned checks for a pending answer within
+// commandTimeout.
 const inFlightPolls = 100
 
 // grantInFlight reports whether a grant has been sent and not answered yet.
@@ -397,8 +398,8 @@
 	return moved
 }
 
-// LastExpiry returns the time until which any command that was sent, answered or not, may be in
-// effect at the server.
+// LastExpiry returns the time until which any command that was sent, answered or not, may
+// be in effect at the server.
 func (g *Grants) LastExpiry() mtclock.Instant {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/io/mtgrant/mtgrant_test.go
+++ b/io/mtgrant/mtgrant_test.go
@@ -57,9 +57,9 @@
 
 // host is a fake of the component that manages the backend server.
 type host struct {
-	mu      sync.Mutex
-	record  mtbackend.Record
-	unbound atomic.Bool // another incarnation may answer
+	mu           sync.Mutex
+	record       mtbackend.Record
+	disconnected atomic.Bool // another incarnation may answer
 }
 
 func (h *host) Record() (mtbackend.Record, string) {
@@ -81,7 +81,7 @@
 func (*host) Forget(mtid.KeyNumber, mtid.KeyNumber)     {}
 func (*host) AddKeys(mtid.KeyNumber, mtid.KeyNumber)    {}
 func (*host) CheckServer(mtid.ServerIncarnation)        {}
-func (h *host) ConnectedTo(mtid.ServerIncarnation) bool { return !h.unbound.Load() }
+func (h *host) ConnectedTo(mtid.ServerIncarnation) bool { return !h.disconnected.Load() }
 
 // Spill assigns each range to one of the other servers, round-robin.
 func (*host) Spill(ranges []mtrange.Range, _ mtrange.SpillPosition, others []mtrange.LoadReport) []mtrange.KeyMove {
@@ -433,8 +433,8 @@
 }
 
 // The new owner of moved keys would see them through its watch only after a tenth of a
-// second, and nobody would serve them until then. It must be notified at once, with
-// the changes.
+// second, and no server would serve them until then. It must be notified at once, with the
+// changes.
 func TestNewOwnerIsNotified(t *testing.T) {
 	f := newFleet(t, "a", "b")
 	notified := make(chan mtrange.Owner, 8)
@@ -491,9 +491,9 @@
 	assert.Equal(t, f.server.count("grant"), 1)
 }
 
-// A daemon terminates while its write of a move is on the way, and restarts beside its
-// running server. The late write must not take effect after the keys have been granted
-// again. It is conditional on the record of the daemon's previous incarnation.
+// A daemon terminates while its write of a move is on the way, and restarts while its
+// server keeps running. The late write must not take effect after the keys have been
+// granted again. It is conditional on the record of the daemon's previous incarnation.
 func TestLateMoveOfPreviousIncarnationIsRejected(t *testing.T) {
 	f := newFleet(t, "a", "b")
 	f.write(record("a", mtbackend.Ready))
@@ -537,8 +537,8 @@
 }
 
 // A renewal for the previous incarnation of the server is on its way to an address at which
-// another incarnation answers now. ReleaseUnowned must revoke what the renewal grants, but only
-// after it has been answered. An incarnation that owns keys keeps them.
+// another incarnation answers now. ReleaseUnowned must revoke what the renewal grants, but
+// only after it has been answered. An incarnation that owns keys keeps them.
 func TestUnownedKeysAreReleasedAfterPendingGrant(t *testing.T) {
 	f := newFleet(t, "a", "b")
 	f.start()
@@ -645,15 +645,15 @@
 	})
 }
 
-// deafWatch is a watch whose results can be delayed.
-type deafWatch struct {
+// delayedWatch is a watch whose results can be delayed.
+type delayedWatch struct {
 	mtwatch.Source
-	deaf atomic.Bool
+	delayed atomic.Bool
 }
 
-func (w *deafWatch) Watch(ctx context.Context, prefix string, after mtid.Revision, wait time.Duration) (mtstore.Changes, error) {
+func (w *delayedWatch) Watch(ctx context.Context, prefix string, after mtid.Revision, wait time.Duration) (mtstore.Changes, error) {
 	changes, err := w.Source.Watch(ctx, prefix, after, wait)
-	for w.deaf.Load() && ctx.Err() == nil {
+	for w.delayed.Load() && ctx.Err() == nil {
 		time.Sleep(5 * time.Millisecond)
 	}
 	return changes, err
@@ -665,7 +665,7 @@
 // assignment and grant them again: two servers would hold them until the watch recovered.
 func TestDelegatedMoveEndsOnlyWhenCopyShowsIt(t *testing.T) {
 	f := newFleet(t, "a", "b")
-	watch := &deafWatch{Source: f.store}
+	watch := &delayedWatch{Source: f.store}
 	f.source = watch
 	wrote := make(chan struct{})
 	signalWritten := sync.OnceFunc(func() { close(wrote) })
@@ -693,7 +693,7 @@
 	f.ownLoad = mtrange.LoadReport{Owner: ownerOf("a"), Slots: 10, Demand: 30, Keys: 100, Known: true}
 	f.otherLoads = []mtrange.LoadReport{{Owner: ownerOf("b"), Slots: 10, Demand: 1, Keys: 100, Known: true}}
 	f.mu.Unlock()
-	watch.deaf.Store(true)
+	watch.delayed.Store(true)
 	f.clock.advance(mtrange.MoveCooldown)
 	<-wrote
 	f.letLoopsRun()
@@ -701,7 +701,7 @@
 		assert.Assert(t, !strings.HasPrefix(command, "grant 0-99 "), "granted after its release: %v", f.server.sent())
 	}
 	assert.Equal(t, f.server.count("grant 0-"), 1, "granted after its release: %v", f.server.sent())
-	watch.deaf.Store(false)
+	watch.delayed.Store(false)
 	f.until("the copy shows the move", func() bool { return f.owner(0) == "b" })
 }
 
@@ -712,9 +712,9 @@
 	for range 10 {
 		f := newFleet(t, "a", "b")
 		asked := make(chan struct{})
-		signalAsked := sync.OnceFunc(func() { close(asked) })
+		signalRequested := sync.OnceFunc(func() { close(asked) })
 		f.delegate = func(ctx context.Context, _ mtrange.Batch) ([]mtrange.Outcome, bool) {
-			signalAsked()
+			signalRequested()
 			<-ctx.Done()
 			return []mtrange.Outcome{mtrange.OutcomeUnknown}, true
 		}
--- a/io/mtgrant/takeover.go
+++ b/io/mtgrant/takeover.go
@@ -60,8 +60,8 @@
 	if len(lost) == 0 {
 		return
 	}
-	// Each owner is a condition of the write. Owners that exceed the limit are still lost
-	// in the next run.
+	// Each owner is a condition of the write, and the store limits the number of
+	// conditions. The remaining owners are handled in the next run.
 	lost = lost[:min(len(lost), mtstore.MaxConditions)]
 	g.takeOver(ctx, view, assignment, lost, survivors)
 }
@@ -120,13 +120,13 @@
 // keys. The result is cached until a record or the table changes, which is far less often
 // than the takeover loop runs.
 func (g *Grants) allRecordsValid(view *mtdirectory.View, a mtdirectory.Assignment) bool {
-	if g.ownersTable == a.Table && g.recordsRoll == view.MembershipVersion {
+	if g.ownersTable == a.Table && g.recordsVersion == view.MembershipVersion {
 		return g.recordsValid
 	}
 	if g.ownersTable != a.Table {
 		g.ownersTable, g.owners = a.Table, a.Owners()
 	}
-	g.recordsRoll, g.recordsValid = view.MembershipVersion, true
+	g.recordsVersion, g.recordsValid = view.MembershipVersion, true
 	for _, owner := range g.owners {
 		m, known := view.Members[owner.Daemon]
 		g.recordsValid = g.recordsValid && known && !m.Expired && m.MayHoldKeys(owner.Incarnation)
@@ -174,8 +174,8 @@
 }
 
 // takeOver writes new owners for the keys of the lost ones, on condition that their records
-// have not changed since the decision: a daemon that has come back in the meantime has
-// written its record before granting anything.
+// have not changed since the decision: a daemon that has become available again in the
+// meantime has written its record before granting anything.
 func (g *Grants) takeOver(ctx context.Context, view *mtdirectory.View, a mtdirectory.Assignment, lost, survivors []mtrange.Owner) {
 	next, err := a.TakeOver(func(o mtrange.Owner) bool { return slices.Contains(lost, o) }, survivors)
 	if err != nil {
