--- a/io/mtcommit/mtcommit.go
+++ b/io/mtcommit/mtcommit.go
@@ -91,8 +91,8 @@
 	return c.commit(ctx, b, 0)
 }
 
-// CommitForPeer writes a batch of another daemon, like Commit. It first waits a moment for further
-// batches, to write them in one step.
+// CommitForPeer writes a batch of another daemon, like Commit. It first waits a moment for
+// further batches, to write them in one step.
 func (c *Committer) CommitForPeer(ctx context.Context, b mtrange.Batch) []mtrange.Outcome {
 	return c.commit(ctx, b, batchDelay)
 }
@@ -221,8 +221,8 @@
 	return conditions
 }
 
-// apply makes the transfers in a copy of the table. It returns the ones that could be
-// applied and refuses the others, whose keys have changed hands in the meantime.
+// apply applies the transfers to a copy of the table. It returns the ones that could be
+// applied and refuses the others, whose keys have changed owners in the meantime.
 func (c *Committer) apply(table *mtrange.Table, batch []*pendingTransfer) (next *mtrange.Table, applicable []*pendingTransfer) {
 	next = table
 	for _, p := range batch {
@@ -243,8 +243,9 @@
 }
 
 // notifyNewOwners notifies the daemons that were given keys, before their watches show it.
-// A watch takes a tenth of a second over two hops, which is half of the time that a lookup
-// has. Nobody served the keys in the meantime, and callers retried every few milliseconds.
+// A watch takes a tenth of a second over two hops, which is half of the time within
+// which a lookup must be answered. Without the notification no server served the keys in
+// the meantime, and callers retried every few milliseconds.
 func (c *Committer) notifyNewOwners(service mtid.Service, applicable []*pendingTransfer, next mtid.Epoch) {
 	if c.NotifyOwner == nil {
 		return
--- a/io/mtgate/mtgate.go
+++ b/io/mtgate/mtgate.go
@@ -106,7 +106,7 @@
 // minSlownessChange is the smallest change of the multiple that is passed to the gate.
 const minSlownessChange = 0.05
 
-// Slow sets how much longer requests currently take than on average, as a multiple. It is
+// Slow sets the factor by which requests currently take longer than on average. It is
 // called often, and costs a comparison if the multiple has hardly changed.
 func (c *AdmissionController[O]) Slow(multiple float64) {
 	c.mu.Lock()
@@ -210,7 +210,7 @@
 	c.apply(c.gate.Stop(c.now(), low, high, mtgate.HoldNew))
 }
 
-// Resume admits the held requests of a range here.
+// Resume admits the held requests of a range, whose owner has not changed.
 func (c *AdmissionController[O]) Resume(low, high mtid.Point) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/io/mtsync/mtsync.go
+++ b/io/mtsync/mtsync.go
@@ -95,8 +95,8 @@
 }
 
 // Hint reports that the copy of the peer at a relay address is complete up to a revision.
-// It is called for every datagram, and does nothing if the copy of this
-// daemon is at least as recent.
+// It is called for every datagram, and does nothing if the copy of this daemon is at least
+// as recent.
 func (s *Sync) Hint(address string, revision mtid.Revision) {
 	if address == "" || revision <= s.config.View.Snapshot().Frontier() {
 		return
--- a/io/mtwatch/mtwatch_test.go
+++ b/io/mtwatch/mtwatch_test.go
@@ -74,8 +74,8 @@
 	return w, r
 }
 
-// A watch can miss changes for seconds while an operator writes. A caller that learns of a
-// change in another way uses Resync to read everything, more often than necessary, so
+// A watch can miss changes for seconds while an operator writes. A caller that is notified of
+// a change in another way uses Resync to read everything, more often than necessary, so
 // Resync must be rate-limited.
 func TestResyncReadsMissedChange(t *testing.T) {
 	store := mtstandin.NewRevisionStore(time.Now)
@@ -144,8 +144,8 @@
 }
 
 // The store is available again, and the daemon knows it because its record was written.
-// Without RetryNow its watch paused for up to 0.9 s, and the daemon granted nothing, since its
-// copy was from before the outage.
+// Without RetryNow its watch paused for up to 0.9 s, and the daemon granted nothing, since
+// its copy was from before the outage.
 func TestPauseAfterFailureCanBeEnded(t *testing.T) {
 	store := &unavailableStore{}
 	w, _ := start(t, store)
