--- a/io/mtbackend/mtbackend.go
+++ b/io/mtbackend/mtbackend.go
@@ -42,7 +42,7 @@
 
 const (
 	// dialTimeout limits the opening of a connection within one VM, which takes a
-	// millisecond or two. A server that does not answer at all is dead.
+	// millisecond or two. A server that has not answered by then is considered failed.
 	dialTimeout = 500 * time.Millisecond
 	// maxMismatchedAnswers is the number of answers to other calls after which a call fails.
 	maxMismatchedAnswers = 4
@@ -119,7 +119,7 @@
 }
 
 // unreachableRetry is the time after which to retry a call to a server that accepts no
-// connection: about the time in which it is back or its keys have another owner.
+// connection: about the time until it has restarted or its keys have another owner.
 const unreachableRetry = 500 * time.Millisecond
 
 // rejectedRetry is the time after which to retry a call that the server itself rejected
@@ -139,8 +139,8 @@
 // ConnectionRefused reports whether a connection failed because nothing listens at the address.
 func ConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// ConnectionTimedOut reports whether a connection failed because the other end did not answer in
-// time.
+// ConnectionTimedOut reports whether a connection failed because the other end did not
+// answer in time.
 func ConnectionTimedOut(err error) bool {
 	var timeout net.Error
 	return errors.As(err, &timeout) && timeout.Timeout()
@@ -224,8 +224,8 @@
 	return Health{Server: mtid.Server(response.Header.Get(c.Names.AnsweringServer)), Cold: c.parseCold(response.Header)}, nil
 }
 
-// parseCold returns how much longer a server stays cold by its header. If that is missing
-// or invalid, the heartbeats determine the warm-up state.
+// parseCold returns how much longer a server stays cold, as its header reports. If the
+// header is missing or invalid, the heartbeats determine the warm-up state.
 func (c *Client) parseCold(h http.Header) time.Duration {
 	if c.Names.ColdRemaining == "" {
 		return 0
@@ -341,8 +341,8 @@
 }
 
 // refusal returns the error for an answer in which the server refuses the call, or nil.
-// Only the server's not-run header, or the status for a request to another server, proves
-// that the call was not run.
+// Only the server's not-run header, or the status for a request to another server, shows
+// with certainty that the call was not run.
 func (c *Client) refusal(response *http.Response, target Target) error {
 	if response.StatusCode == http.StatusMisdirectedRequest {
 		if other := response.Header.Get(c.Names.AnsweringServer); other != "" && other != string(target.Server) {
--- a/io/mtbackend/mtbackend_test.go
+++ b/io/mtbackend/mtbackend_test.go
@@ -68,7 +68,7 @@
 }
 
 func (s *rawServer) target() mtbackend.Target {
-	return mtbackend.Target{Address: s.listener.Addr().String(), Server: "life-1"}
+	return mtbackend.Target{Address: s.listener.Addr().String(), Server: "server-1"}
 }
 
 // replyWith answers with a text in which ID is replaced, and closes the connection if the
@@ -118,7 +118,7 @@
 		{name: "only answers to other calls", answer: strings.Repeat(strings.ReplaceAll(goodAnswer, "ID", "other"), 4), unknown: mtreply.CauseTruncated},
 		{name: "refused by the server", answer: "HTTP/1.1 503 Busy\r\nRequest-Id: ID\r\nRequest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", refused: mtreply.CauseRefused},
 		{name: "key not held", answer: "HTTP/1.1 421 No\r\nRequest-Id: ID\r\nRequest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", refused: mtreply.CauseFenced},
-		{name: "another incarnation", answer: "HTTP/1.1 421 No\r\nRequest-Id: ID\r\nServer-Answering: life-2\r\nContent-Length: 0\r\n\r\n", refused: mtreply.CauseNoServer},
+		{name: "another incarnation", answer: "HTTP/1.1 421 No\r\nRequest-Id: ID\r\nServer-Answering: server-2\r\nContent-Length: 0\r\n\r\n", refused: mtreply.CauseNoServer},
 		{name: "503 without the not-run header", answer: "HTTP/1.1 503 Busy\r\nRequest-Id: ID\r\nContent-Length: 0\r\n\r\n", body: ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/io/mtbackend/pool.go
+++ b/io/mtbackend/pool.go
@@ -109,8 +109,8 @@
 	p.closeIdle()
 }
 
-// nothingReceived reports whether nothing has arrived on an idle connection: neither its end nor
-// bytes that belong to no call, which the next caller would receive as its answer.
+// nothingReceived reports whether nothing has arrived on an idle connection: neither its
+// end nor bytes that belong to no call, which the next caller would receive as its answer.
 func nothingReceived(c *conn) bool {
 	tcp, ok := c.Conn.(*net.TCPConn)
 	if !ok {
@@ -130,7 +130,8 @@
 	return err == nil && empty
 }
 
-// keepAlive returns how long a connection is kept while idle, by the server's header.
+// keepAlive returns how long a connection is kept while idle, according to the server's
+// Keep-Alive header.
 func keepAlive(h http.Header) time.Duration {
 	_, rest, ok := strings.Cut(h.Get("Keep-Alive"), "timeout=")
 	if !ok {
