--- a/io/mtdirectory/invalid_test.go
+++ b/io/mtdirectory/invalid_test.go
@@ -32,7 +32,7 @@
 		"empty value":            "",
 		"undecodable bytes":      "\x00\xff{",
 		"not an object":          `["b"]`,
-		"nothing":                `{}`,
+		"empty object":           `{}`,
 		"no daemon":              without("daemon"),
 		"no address":             without("address"),
 		"no service":             without("service"),
--- a/io/mtdirectory/member.go
+++ b/io/mtdirectory/member.go
@@ -26,7 +26,7 @@
 
 // markExpired returns the member with its record deleted at a revision, reported now.
 // If the record was already known to be absent at an earlier revision, it has been
-// present in between, and its daemon may have ordered grants until just now. When the
+// present in between, and its daemon may have sent grants until just now. When the
 // time was counted from the first deletion, keys were taken over while the last of
 // those grants was in force.
 func (m Member) markExpired(now mtclock.Instant, revision mtid.Revision) Member {
@@ -78,7 +78,7 @@
 	if e.Version == 0 {
 		// A deletion is also stored for an unknown record. The record may have been
 		// present between the last full read and now, while this daemon received no
-		// changes. Its daemon ordered grants until then, so a new owner that counts
+		// changes. Its daemon sent grants until then, so a claimant that counts
 		// from that read takes the keys over while the last grant is in force.
 		m, ok := v.Members[name]
 		if !ok {
--- a/io/mtdirectory/mtdirectory.go
+++ b/io/mtdirectory/mtdirectory.go
@@ -49,8 +49,8 @@
 	Store mtstore.ConditionalStore
 	Clock clock
 	Log   *slog.Logger
-	// Lease is the duration of the own record's lease: the record expires this long
-	// after the last renewal.
+	// Lease is the duration of the lease of this daemon's record: the record expires this
+	// long after the last renewal.
 	Lease time.Duration
 	// Source is the source of changes; nil means the store.
 	Source mtwatch.Source
@@ -130,7 +130,7 @@
 	storeUpSince atomic.Int64 // steady instant since when the store has responded; 0 if it fails
 }
 
-// New starts to follow the store and returns the Directory and its clean-up function.
+// New starts to watch the store and returns the Directory and its clean-up function.
 // The clean-up function ends the lease, so that other daemons are notified immediately
 // that this one has terminated.
 func New(config Config) (*Directory, func()) {
@@ -144,10 +144,10 @@
 		Source: d.Source, Apply: d.apply, Health: d.onStoreHealth, Log: config.Log,
 	})
 	d.watcher.Store(watcher)
-	stopKeeper := d.publisher.start()
+	stopPublisher := d.publisher.start()
 	return d, func() {
 		stopWatch()
-		stopKeeper()
+		stopPublisher()
 	}
 }
 
@@ -169,26 +169,26 @@
 	d.listeners = append(d.listeners, f)
 }
 
-// Publish sets the own record. It is written in the background, and written again
+// Publish sets this daemon's record. It is written in the background, and written again
 // whenever it has expired.
 func (d *Directory) Publish(r mtbackend.Record) { d.publisher.publish(r) }
 
-// RecordValidUntil returns the time until which the own record is certainly present in
-// the store, by the clock that never runs slow. Zero means that the record is not
+// RecordValidUntil returns the time until which this daemon's record is certainly present
+// in the store, by the clock that never runs slow. Zero means that the record is not
 // present yet.
 func (d *Directory) RecordValidUntil() mtclock.Instant { return d.publisher.recordValidUntil() }
 
-// Current reports whether the copy contains everything that was written before the own
-// record became valid. A claimant of the keys of this daemon's server writes the
-// takeover while the record is absent. So a daemon whose record has returned has
-// received every takeover only when its copy is at least as new as that record. With
-// an older copy, it granted keys that already had another owner.
+// Current reports whether the copy contains everything that was written before this
+// daemon's record became valid. A claimant of the keys of this daemon's server writes the
+// takeover while the record is absent. So a daemon whose record has returned has received
+// every takeover only when its copy is at least as new as that record. With an older copy,
+// it granted keys that already had another owner.
 func (d *Directory) Current() bool {
 	validSince := d.publisher.recordValidSince()
 	return validSince != 0 && uint64(d.View().Revision) >= uint64(validSince)
 }
 
-// RecordVersion returns the version of the own record that this incarnation wrote
+// RecordVersion returns the version of this daemon's record that this incarnation wrote
 // last, or zero.
 func (d *Directory) RecordVersion() mtid.Version { return d.publisher.lastWritten() }
 
@@ -199,9 +199,9 @@
 	return since, since != 0
 }
 
-// StoreAvailable reports whether the last calls to the store succeeded, both of the
-// watch and of the publisher of the own record. Operations that need a write should
-// not be started while it returns false.
+// StoreAvailable reports whether the last calls to the store succeeded, both of the watch
+// and of the publisher of this daemon's record. Operations that need a write should not be
+// started while it returns false.
 func (d *Directory) StoreAvailable() bool {
 	_, up := d.StoreUpSince()
 	return up && !d.publisher.unavailable.Load()
@@ -223,8 +223,8 @@
 	}
 }
 
-// RetryWatch makes a watch that waits after a failure retry immediately. It is called
-// when the own record is present, which shows that the store responds.
+// RetryWatch makes a watch that waits after a failure retry immediately. It is called when
+// this daemon's record is present, which shows that the store responds.
 func (d *Directory) RetryWatch() {
 	if watcher := d.watcher.Load(); watcher != nil {
 		watcher.RetryNow()
--- a/io/mtdirectory/mtdirectory_test.go
+++ b/io/mtdirectory/mtdirectory_test.go
@@ -113,9 +113,9 @@
 	waitFor(t, "a's record is certainly valid", func() bool { return a.RecordValidUntil() != 0 })
 }
 
-// A daemon is restarted while the record of its previous incarnation exists under a
-// lease that nobody renews. The new incarnation must replace the record, which must
-// still exist after the old lease has expired.
+// A daemon is restarted while the record of its previous incarnation exists under a lease
+// that is no longer renewed. The new incarnation must replace the record, which must still
+// exist after the old lease has expired.
 func TestNewIncarnationReplacesRecord(t *testing.T) {
 	store := mtstandin.NewRevisionStore(time.Now)
 	old, err := store.Grant(context.Background(), 300*time.Millisecond)
@@ -178,9 +178,9 @@
 }
 
 // A daemon starts and reads everything just before another daemon's record returns. It
-// receives no changes for three seconds, and then the deletion of that record. It used
-// to count from its own start how long the other daemon could have granted keys, and
-// took them over 1.9 s after the deletion: two servers held them.
+// receives no changes for three seconds, and then the deletion of that record. When it
+// counted the expiry of the other daemon's grants from its own start, it took the keys
+// over 1.9 s after the deletion, and two servers held them.
 func TestUnseenRecordExpiresAtItsDeletion(t *testing.T) {
 	store := mtstandin.NewRevisionStore(time.Now)
 	b := start(t, store, "b")
@@ -193,7 +193,7 @@
 
 // A record is deleted, returns and is deleted again, and another daemon is notified
 // only of the last deletion: it was disconnected, or its upstream reports only the
-// latest state. The daemon of the record ordered grants until then. When the time was
+// latest state. The daemon of the record sent grants until then. When the time was
 // counted from the first deletion, the keys were taken over while the last grant was
 // in force.
 func TestExpiryCountsFromLastDeletion(t *testing.T) {
@@ -223,7 +223,7 @@
 }
 
 // Another writer deletes a daemon's record without ending its lease. Renewals of the
-// lease succeed, so the daemon considered its record valid and ordered grants, while
+// lease succeed, so the daemon considered its record valid and sent grants, while
 // all other daemons counted down to taking over its keys.
 func TestDeletedRecordIsRewritten(t *testing.T) {
 	store := mtstandin.NewRevisionStore(time.Now)
--- a/io/mtdirectory/publisher.go
+++ b/io/mtdirectory/publisher.go
@@ -81,11 +81,11 @@
 	p.runNow()
 }
 
-// onDeleted is called when the own record was reported as deleted. If it is the one
-// that this incarnation wrote last, its lease may still be active: another writer
-// deleted the record, or the store deletes keys without ending their leases. Renewals
-// would keep succeeding, so this daemon would consider the record valid forever, while
-// all other daemons count down to taking over the keys.
+// onDeleted is called when this daemon's record was reported as deleted. If it is the one
+// that this incarnation wrote last, its lease may still be active: another writer deleted
+// the record, or the store deletes keys without ending their leases. Renewals would keep
+// succeeding, so this daemon would consider the record valid forever, while all other
+// daemons count down to taking over the keys.
 func (p *publisher) onDeleted(revision mtid.Revision) {
 	if uint64(revision) <= p.lastVersion.Load() {
 		return // the deletion precedes the last write
@@ -283,8 +283,8 @@
 }
 
 // reportPrevious passes on the record that a previous incarnation of this daemon left.
-// Otherwise, what that incarnation knew about its server would be lost, such as that
-// it is leaving, which a server may report only once.
+// Otherwise, what that incarnation knew about its server would be lost, for example that it
+// is leaving, which a server may report only once.
 func (p *publisher) reportPrevious(e mtstore.Entry) {
 	if p.OnPreviousRecord == nil || e.Version == 0 {
 		return
