--- a/core/mtplan/balance.go
+++ b/core/mtplan/balance.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// splitOut gives point a shard of its own.
+// splitOut splits point into a separate shard.
 func (r *round) splitOut(i int, point mtid.Point) {
 	s := &r.state.Shards[i]
 	if s.Single() || !r.splittable(i) {
@@ -87,10 +87,10 @@
 // offload moves shards off a server until it is within the band or no further
 // move would help.
 func (r *round) offload(donor int) {
-	goal := r.fairLoad(donor) * (1 + r.band.exit)
+	maxLoad := r.fairLoad(donor) * (1 + r.band.exit)
 	candidates := r.candidates(donor)
-	for r.load[donor] > goal && !r.full() {
-		excess := r.load[donor] - goal
+	for r.load[donor] > maxLoad && !r.full() {
+		excess := r.load[donor] - maxLoad
 		k, to := r.pickMove(candidates, donor, excess)
 		if k < 0 {
 			if !r.exchange(candidates, donor, excess) {
@@ -128,8 +128,8 @@
 const maxOvershoot = 1.25
 
 // pickMove returns the index in candidates of the shard to move, and its
-// recipient, or -1. It prefers the single shard that just covers the excess,
-// then the largest one below it.
+// recipient, or -1. It prefers the heaviest shard whose load is at most
+// maxOvershoot times the excess.
 func (r *round) pickMove(candidates []int, donor int, excess float64) (int, int) {
 	// Candidates are sorted by load, heaviest first. first is the first one
 	// within the allowed overshoot.
@@ -212,9 +212,9 @@
 
 // offloadSmall moves small shards off a server until it is within the band.
 func (r *round) offloadSmall(server int) {
-	goal := r.fairLoad(server) * (1 + r.band.exit)
+	maxLoad := r.fairLoad(server) * (1 + r.band.exit)
 	for _, i := range r.candidates(server) {
-		if r.load[server] <= goal || r.full() {
+		if r.load[server] <= maxLoad || r.full() {
 			return
 		}
 		load := r.state.Shards[i].Load
--- a/core/mtplan/create_test.go
+++ b/core/mtplan/create_test.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// With rendezvous rank alone, some of many servers get half as many shards
-// again as others, and a service that starts under load stays unbalanced until
-// dozens of moves are done. Each server must start with its share.
+// With rendezvous rank alone, some of many servers get 1.5 times as many shards
+// as others, and a service that starts under load stays unbalanced until dozens
+// of moves are done. Each server must start with its share.
 func TestInitialLayoutIsProportionalToSlots(t *testing.T) {
 	tests := []struct {
 		name           string
@@ -59,7 +59,7 @@
 		slots          []float64
 	}{
 		{"one server", 8, 2, []float64{12}},
-		{"alike", 600, 4, []float64{12, 12, 12, 12, 12, 12}},
+		{"equal slots", 600, 4, []float64{12, 12, 12, 12, 12, 12}},
 		{"three sizes", 600, 4, []float64{6, 12, 18}},
 		{"more servers than shards", 2, 2, []float64{9, 9, 9, 9, 9}},
 		{"fewer shards than chunks", 2, 8, []float64{9, 9}},
--- a/core/mtpoison/recurring.go
+++ b/core/mtpoison/recurring.go
@@ -144,8 +144,8 @@
 	}
 }
 
-// RefusedFor returns how long a request is still to be refused, or zero. answered is
-// set if the daemon that sends it has had an answer to the same request.
+// RefusedFor returns for how much longer a request is refused, or zero if it is not. answered
+// is set if the daemon that sends it has had an answer to the same request.
 func (r *RecurrenceDetector) RefusedFor(now mtclock.Instant, p Fingerprint, answered bool) time.Duration {
 	if answered || len(r.losses) < lossesToRefuse || r.Answered(p) {
 		return 0
@@ -164,9 +164,10 @@
 	return left[len(left)-lossesToRefuse]
 }
 
-// Suspects lists the requests in flight at the last loss of a daemon's server, encoded
-// for the daemon's record: the number of the loss within the daemon's incarnation, then
-// the fingerprints, all in hexadecimal and separated by colons.
+// Suspects lists the requests in flight at the last loss of a daemon's server, without those
+// that a server is known to have answered, encoded for the daemon's record: the number of the
+// loss within the daemon's incarnation, then the fingerprints, all in hexadecimal and
+// separated by colons.
 type Suspects string
 
 // maxSuspects is the number of fingerprints that Suspects can hold, about as many as a
--- a/io/mthost/life.go
+++ b/io/mthost/incarnation.go
@@ -34,9 +34,9 @@
 	return fmt.Sprintf("host: a beat names the service %q, which nothing declares", e.Service)
 }
 
-// Beat processes a heartbeat of the server. It returns once the reported state is in force
-// here: the answer to a heartbeat that announces the server's leaving is an acknowledgement
-// that binds this daemon.
+// ObserveHeartbeat processes a heartbeat of the server. It returns once the reported state
+// is in force here: the answer to a heartbeat that announces the server's leaving is an
+// acknowledgement that binds this daemon.
 //
 // A heartbeat may be delayed and arrive after its sender has crashed and another
 // incarnation has started. So a heartbeat of an unknown incarnation only makes the daemon
@@ -45,7 +45,7 @@
 //
 // It fails with a *UndeclaredServiceError if the heartbeat names a service that is not
 // declared.
-func (h *Host) Beat(b mtbackend.Heartbeat) error {
+func (h *Host) ObserveHeartbeat(b mtbackend.Heartbeat) error {
 	if b.Service != h.Service && !h.IsDeclared(b.Service) {
 		return &UndeclaredServiceError{Service: b.Service}
 	}
@@ -68,7 +68,7 @@
 
 // handleUnconfirmed determines whether the sender of a heartbeat is the running
 // incarnation, by querying the server. If that fails, a second heartbeat of the same
-// incarnation proves it too. It is called with mu held.
+// incarnation confirms it too. It is called with mu held.
 func (h *Host) handleUnconfirmed(b mtbackend.Heartbeat) {
 	previous := h.unconfirmed
 	h.unconfirmed, h.unconfirmedAt = b, h.Clock.Now()
@@ -160,7 +160,7 @@
 // clearGrants brings an incarnation of the server into service, after removing from it the
 // grants that were meant for a previous one. It is called with mu held.
 //
-// When a server crashes and restarts at the same address, the daemon takes it for the
+// When a server crashes and restarts at the same address, the daemon considers it the
 // previous incarnation until its next heartbeat, and renews that incarnation's grants: the
 // new one accepts them. If the new incarnation were published at once, others would take
 // over the keys of the previous one, and two servers would hold them.
