--- a/cmd/policies/admission.go
+++ b/cmd/policies/admission.go
@@ -19,9 +19,10 @@
 	"magnoliaturn/core/mtid"
 )
 
-func init() { reports = append(reports, &admission{}) }
+func init() { commands = append(commands, &admission{}) }
 
-// admission compares the orders of the gate in front of one backend server.
+// admission compares queueing disciplines of the gate in front of one backend
+// server.
 type admission struct {
 	seed    uint64
 	seconds int
@@ -57,34 +58,34 @@
 	return subcommands.ExitSuccess
 }
 
-// The backend server of the trials: the slots and connections of a dispatch
-// instance.
+// The simulated backend server has the slots and connections of a dispatch
+// server.
 const (
 	trialSlots       = 12
 	trialConnections = 130
 )
 
-// trialClass is a class with the load that is offered for it.
+// trialClass is a request class and the load offered for it.
 type trialClass struct {
 	business mtid.Business
 	class    mtbundle.Class
 	service  time.Duration // mean of an exponential service time
-	share    float64       // of the server's capacity that is offered
+	share    float64       // offered load as a fraction of the server's capacity
 }
 
-// admissionLoad is one load of the trials.
+// admissionLoad is a named mix of classes offered to the server.
 type admissionLoad struct {
 	name    string
 	classes []trialClass
 }
 
 var (
-	status  = mtbundle.Class{Name: "status", Timeout: 500 * time.Millisecond, Priority: 1, Queue: 64, Share: 2}
-	send    = mtbundle.Class{Name: "send", Timeout: 2 * time.Second, Priority: 3, Queue: 64, Share: 4}
-	archive = mtbundle.Class{Name: "archive", Timeout: 5 * time.Second, Priority: 0, Queue: 64, Share: 1}
-	collat  = mtbundle.Class{Name: "collateral", Timeout: 500 * time.Millisecond, Priority: 1, Queue: 64, Share: 1}
-	balance = mtbundle.Class{Name: "balance", Timeout: time.Second, Priority: 2, Queue: 64, Share: 2}
-	payment = mtbundle.Class{Name: "payment", Timeout: 3 * time.Second, Priority: 3, Queue: 64, Share: 4}
+	status     = mtbundle.Class{Name: "status", Timeout: 500 * time.Millisecond, Priority: 1, Queue: 64, Share: 2}
+	send       = mtbundle.Class{Name: "send", Timeout: 2 * time.Second, Priority: 3, Queue: 64, Share: 4}
+	archive    = mtbundle.Class{Name: "archive", Timeout: 5 * time.Second, Priority: 0, Queue: 64, Share: 1}
+	collateral = mtbundle.Class{Name: "collateral", Timeout: 500 * time.Millisecond, Priority: 1, Queue: 64, Share: 1}
+	balance    = mtbundle.Class{Name: "balance", Timeout: time.Second, Priority: 2, Queue: 64, Share: 2}
+	payment    = mtbundle.Class{Name: "payment", Timeout: 3 * time.Second, Priority: 3, Queue: 64, Share: 4}
 )
 
 var admissionLoads = []admissionLoad{
@@ -112,13 +113,13 @@
 func loansLoad(ofArchive, ofCollateral, ofBalance, ofPayment float64) []trialClass {
 	return []trialClass{
 		{"bundesamt", archive, 60 * time.Millisecond, ofArchive},
-		{"bundesamt", collat, 6 * time.Millisecond, ofCollateral},
+		{"bundesamt", collateral, 6 * time.Millisecond, ofCollateral},
 		{"bundesamt", balance, 10 * time.Millisecond, ofBalance},
 		{"bundesamt", payment, 20 * time.Millisecond, ofPayment},
 	}
 }
 
-// orders are the policies that are compared.
+// orders lists the queueing disciplines compared.
 var orders = []struct {
 	name string
 	run  func(l admissionLoad, seed uint64, length time.Duration) *trial
@@ -137,52 +138,53 @@
 	}
 }
 
-// result is what became of one class.
+// result counts the outcomes of the requests of one class.
 type result struct {
 	class    trialClass
 	offered  int
 	inTime   int
 	refused  int
 	late     int
-	latency  *hdrhistogram.Histogram // of what was admitted, in microseconds
-	refusals *hdrhistogram.Histogram // time until the refusal, in microseconds
+	latency  *hdrhistogram.Histogram // of admitted requests, in microseconds
+	refusals *hdrhistogram.Histogram // time until a request was refused, in microseconds
 }
 
-// trial is a run of one gate and one server in virtual time.
+// trial simulates one gate and one server in virtual time.
 type trial struct {
-	now     mtclock.Instant
-	length  time.Duration
-	random  *rand.Rand
-	events  eventHeap
-	results []*result
-	byNo    map[mtgate.Number]*trialRequest
-	useful  time.Duration // server time of what ended in time
+	now        mtclock.Instant
+	length     time.Duration
+	random     *rand.Rand
+	events     eventHeap
+	results    []*result
+	requests   map[mtgate.Number]*trialRequest
+	usefulTime time.Duration // service time of requests that finished before their deadline
 }
 
-// trialRequest is a request of a trial.
+// trialRequest is a simulated request.
 type trialRequest struct {
 	result  *result
 	arrival mtclock.Instant
 	service time.Duration
 }
 
-// goodput returns the part of the server's time that went into answers in
-// time.
+// goodput returns the fraction of the server's slot time that was spent on
+// requests that finished before their deadline.
 func (t *trial) goodput() float64 {
-	return t.useful.Seconds() / (t.length.Seconds() * trialSlots)
+	return t.usefulTime.Seconds() / (t.length.Seconds() * trialSlots)
 }
 
-// event is something that happens at a time.
+// event is a function to run at a point in virtual time.
 type event struct {
-	at mtclock.Instant
-	no int
-	do func()
+	at       mtclock.Instant
+	sequence int
+	run      func()
 }
 
-// eventHeap orders events by time, and by their making among equals.
+// eventHeap is a priority queue of events, ordered by time and then by the
+// order in which they were scheduled.
 type eventHeap struct {
-	items []event
-	made  int
+	items     []event
+	scheduled int
 }
 
 // Len implements heap.Interface.
@@ -193,7 +195,7 @@
 	if h.items[i].at != h.items[j].at {
 		return h.items[i].at < h.items[j].at
 	}
-	return h.items[i].no < h.items[j].no
+	return h.items[i].sequence < h.items[j].sequence
 }
 
 // Swap implements heap.Interface.
@@ -209,41 +211,41 @@
 	return last
 }
 
-// at lets something happen later.
-func (h *eventHeap) at(t mtclock.Instant, do func()) {
-	h.made++
-	heap.Push(h, event{at: t, no: h.made, do: do})
+// schedule adds an event.
+func (h *eventHeap) schedule(t mtclock.Instant, run func()) {
+	h.scheduled++
+	heap.Push(h, event{at: t, sequence: h.scheduled, run: run})
 }
 
-// next takes out the first event.
+// next removes and returns the earliest event.
 func (h *eventHeap) next() event { return heap.Pop(h).(event) }
 
-// maxMicros is the largest time that a histogram takes.
+// maxMicros is the largest value that the histograms record, in microseconds.
 const maxMicros = 60_000_000
 
-// runTrial runs a load against a gate.
-func runTrial[O mtgate.Order](order O, patience float64, l admissionLoad, seed uint64, length time.Duration) *trial {
-	gate := mtgate.New(order, mtgate.Limits{Slots: trialSlots, Connections: trialConnections, MaxWaitFraction: patience})
-	t := &trial{length: length, random: rand.New(rand.NewPCG(seed, 0)), byNo: make(map[mtgate.Number]*trialRequest)}
+// runTrial offers a load to a gate with the given queueing discipline.
+func runTrial[O mtgate.Order](order O, maxWaitFraction float64, l admissionLoad, seed uint64, length time.Duration) *trial {
+	gate := mtgate.New(order, mtgate.Limits{Slots: trialSlots, Connections: trialConnections, MaxWaitFraction: maxWaitFraction})
+	t := &trial{length: length, random: rand.New(rand.NewPCG(seed, 0)), requests: make(map[mtgate.Number]*trialRequest)}
 	for _, c := range l.classes {
 		gate.Declare(c.business, c.class)
 		r := &result{class: c, latency: hdrhistogram.New(1, maxMicros, 3), refusals: hdrhistogram.New(1, maxMicros, 3)}
 		t.results = append(t.results, r)
-		arrivals(t, gate, r)
+		scheduleArrivals(t, gate, r)
 	}
 	for t.events.Len() > 0 {
 		e := t.events.next()
 		t.now = e.at
-		e.do()
+		e.run()
 		if due, ok := gate.Next(); ok && (t.events.Len() == 0 || due.Before(t.events.items[0].at)) {
-			t.events.at(max(due, t.now), func() { act(t, gate, gate.Expire(t.now)) })
+			t.events.schedule(max(due, t.now), func() { apply(t, gate, gate.Expire(t.now)) })
 		}
 	}
 	return t
 }
 
-// arrivals offers the requests of one class, with exponential gaps.
-func arrivals[O mtgate.Order](t *trial, gate *mtgate.Gate[O], r *result) {
+// scheduleArrivals offers the requests of one class as a Poisson process.
+func scheduleArrivals[O mtgate.Order](t *trial, gate *mtgate.Gate[O], r *result) {
 	perSecond := r.class.share * trialSlots / r.class.service.Seconds()
 	gap := func() time.Duration { return time.Duration(t.random.ExpFloat64() / perSecond * float64(time.Second)) }
 	var arrive func()
@@ -252,62 +254,62 @@
 			return
 		}
 		r.offered++
-		number := mtgate.Number(len(t.byNo) + 1)
+		number := mtgate.Number(len(t.requests) + 1)
 		service := time.Duration(t.random.ExpFloat64() * float64(r.class.service))
-		t.byNo[number] = &trialRequest{result: r, arrival: t.now, service: service}
-		t.events.at(t.now.Add(gap()), arrive)
-		act(t, gate, gate.Offer(t.now, mtgate.Ticket{
+		t.requests[number] = &trialRequest{result: r, arrival: t.now, service: service}
+		t.events.schedule(t.now.Add(gap()), arrive)
+		apply(t, gate, gate.Offer(t.now, mtgate.Ticket{
 			Number:   number,
 			Business: r.class.business,
 			Class:    r.class.class.Name,
 			Deadline: t.now.Add(r.class.class.Timeout),
 		}))
 	}
-	t.events.at(mtclock.Instant(gap()), arrive)
+	t.events.schedule(mtclock.Instant(gap()), arrive)
 }
 
-// act carries out the effects of the gate. The server cancels what reaches its
-// deadline.
-func act[O mtgate.Order](t *trial, gate *mtgate.Gate[O], effects []mtgate.Effect) {
+// apply carries out the effects that the gate returned. The server cancels
+// requests at their deadline.
+func apply[O mtgate.Order](t *trial, gate *mtgate.Gate[O], effects []mtgate.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case mtgate.Start:
 			start(t, gate, e.Ticket)
 		case mtgate.Refuse:
-			r := t.byNo[e.Ticket.Number]
+			r := t.requests[e.Ticket.Number]
 			r.result.refused++
 			_ = r.result.refusals.RecordValue(max(t.now.Sub(r.arrival).Microseconds(), 1))
 		}
 	}
 }
 
-// start runs a request on the server.
+// start runs a request on the server, up to its deadline.
 func start[O mtgate.Order](t *trial, gate *mtgate.Gate[O], ticket mtgate.Ticket) {
-	r := t.byNo[ticket.Number]
+	r := t.requests[ticket.Number]
 	end := t.now.Add(r.service)
 	late := end.After(ticket.Deadline)
-	t.events.at(min(end, ticket.Deadline), func() {
+	t.events.schedule(min(end, ticket.Deadline), func() {
 		if late {
 			r.result.late++
 		} else {
 			r.result.inTime++
 			if t.now.Sub(0) <= t.length {
-				t.useful += r.service
+				t.usefulTime += r.service
 			}
 		}
 		_ = r.result.latency.RecordValue(max(t.now.Sub(r.arrival).Microseconds(), 1))
-		act(t, gate, gate.Done(t.now, ticket.Number))
+		apply(t, gate, gate.Done(t.now, ticket.Number))
 	})
 }
 
-// printTrial prints one line per class.
+// printTrial prints one row per class.
 func printTrial(w *tabwriter.Writer, name string, t *trial) {
 	goodput := fmt.Sprintf("%.3f", t.goodput())
 	for _, r := range t.results {
-		part := func(n int) float64 { return 100 * float64(n) / float64(max(r.offered, 1)) }
+		percent := func(n int) float64 { return 100 * float64(n) / float64(max(r.offered, 1)) }
 		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%.0f\t%.2f\t%.2f\t%.2f\t%.1f\t%d\t%.1f\t\n",
 			name, goodput, r.class.class.Name, float64(r.offered)/t.length.Seconds(),
-			part(r.inTime), part(r.refused), part(r.late),
+			percent(r.inTime), percent(r.refused), percent(r.late),
 			float64(r.latency.ValueAtQuantile(99))/1000, r.class.class.Timeout.Milliseconds(),
 			float64(r.refusals.ValueAtQuantile(99))/1000)
 		name, goodput = "", ""
--- a/cmd/policies/admission_test.go
+++ b/cmd/policies/admission_test.go
@@ -9,10 +9,10 @@
 	"magnoliaturn/core/mtgate"
 )
 
-// A canton's harvest brings three times the load that the loan desk can take.
-// Farmers who pay an instalment must not notice; who looks up the archive may be
-// told to come back, at once and not after a wait in vain.
-func TestAdmissionAtThreeTimesCapacity(t *testing.T) {
+// At up to three times the capacity, admission must keep the goodput at 0.9 or
+// more, admitted requests must meet their class's deadline, and a class of the
+// highest priority must lose no request while it stays within its share.
+func TestFairAdmissionKeepsGoodputUnderOverload(t *testing.T) {
 	for _, l := range admissionLoads {
 		t.Run(l.name, func(t *testing.T) {
 			for seed := uint64(1); seed <= 3; seed++ {
@@ -21,8 +21,9 @@
 				for _, r := range got.results {
 					p99 := time.Duration(r.latency.ValueAtQuantile(99)) * time.Microsecond
 					assert.Assert(t, p99 <= r.class.class.Timeout, "%s: p99 is %v", r.class.class.Name, p99)
-					// The top classes have half of their business at least, and
-					// the two businesses of the last load half of all each.
+					// A class of the highest priority has at least half of its
+					// business's share, and each of the two businesses of the
+					// last load has half of the capacity.
 					inShare := r.class.class.Priority == 3 && r.class.share <= 0.5
 					lost := r.offered - r.inTime
 					assert.Assert(t, !inShare || lost == 0, "%s: %d of %d lost", r.class.class.Name, lost, r.offered)
--- a/cmd/policies/choice.go
+++ b/cmd/policies/choice.go
@@ -17,10 +17,10 @@
 	"magnoliaturn/core/mtid"
 )
 
-func init() { reports = append(reports, &choice{}) }
+func init() { commands = append(commands, &choice{}) }
 
-// choice compares the policies that choose a server of a spread service, and
-// the estimators of a server's availability.
+// choice compares policies that select a server of a spread service, and
+// estimators of a server's availability.
 type choice struct {
 	seed    uint64
 	seconds int
@@ -57,23 +57,23 @@
 	return subcommands.ExitSuccess
 }
 
-// choiceLoad is one load of the trials.
+// choiceLoad is a load offered to the servers, with the faults they have.
 type choiceLoad struct {
-	name  string
-	load  float64 // of the capacity of all servers
-	skew  float64 // part of the requests that come from the first zone
-	fault fault
+	name           string
+	utilization    float64 // offered load as a fraction of all servers' capacity
+	firstZoneShare float64 // fraction of the requests that come from the first zone
+	fault          fault
 }
 
-// fault is how servers fail in a trial.
+// fault selects how servers fail during a trial.
 type fault uint8
 
 const (
 	noFault    fault = iota
-	slowServer       // the first one takes three times as long
-	brokenPair       // two fail everything from 10 to 25 s
-	flaky            // all fail single requests, one a third of them
-	restarting       // each is down for 3 s now and then
+	slowServer       // the first server takes three times as long
+	brokenPair       // two servers fail all requests from 10 to 25 s
+	flaky            // all servers fail 0.5 % of their requests, the first one a third
+	restarting       // each server is down for 3 s in every 24 s
 )
 
 var choiceLoads = []choiceLoad{
@@ -85,20 +85,21 @@
 	{"mapsvc, servers restarting for 3 s", 0.5, 0.25, restarting},
 }
 
-// The service of the trials, after the map service of the hotels.
+// The simulated service, modelled on the map service of the hotels. The delays
+// are one-way, within an availability zone and across zones.
 const (
-	choiceServers = 6
-	choiceSlots   = 12
-	choiceQueue   = 64
-	choiceCallers = 12
-	choiceService = 10 * time.Millisecond
-	choiceNear    = 100 * time.Microsecond
-	choiceFar     = 500 * time.Microsecond
+	choiceServers        = 6
+	choiceSlots          = 12
+	choiceQueue          = 64
+	choiceCallers        = 12
+	choiceService        = 10 * time.Millisecond
+	choiceSameZoneDelay  = 100 * time.Microsecond
+	choiceCrossZoneDelay = 500 * time.Microsecond
 )
 
 var choiceZones = []mtid.Zone{"old-town", "centrs", "kipsala", "airport"}
 
-// choicePolicies are what is compared.
+// choicePolicies lists the policies compared.
 var choicePolicies = []struct {
 	name string
 	make func(zone mtid.Zone, random *rand.Rand) mtchoice.Policy
@@ -117,48 +118,49 @@
 	{"power, status", powerWith(mtchoice.NewStatusIdentification)},
 }
 
-func powerWith[E mtchoice.Estimator](fresh func() E) func(mtid.Zone, *rand.Rand) mtchoice.Policy {
+func powerWith[E mtchoice.Estimator](newEstimator func() E) func(mtid.Zone, *rand.Rand) mtchoice.Policy {
 	return func(z mtid.Zone, r *rand.Rand) mtchoice.Policy {
-		return mtchoice.NewPowerOfTwo(r, mtchoice.Options{Zone: z, UseQueueTimes: true}, fresh)
+		return mtchoice.NewPowerOfTwo(r, mtchoice.Options{Zone: z, UseQueueTimes: true}, newEstimator)
 	}
 }
 
-// choiceTrial is a run of one policy in virtual time.
+// choiceTrial simulates one policy in virtual time.
 type choiceTrial struct {
-	now     mtclock.Instant
-	length  time.Duration
-	events  eventHeap
-	random  *rand.Rand
-	load    choiceLoad
-	callers []*choiceCaller
-	servers []*choiceServer
-	sent    int
-	far     int
-	good    int
-	bad     int
-	wrongly int // samples in which a server that was up was left out
-	samples int
-	latency *hdrhistogram.Histogram // of what was answered, in microseconds
+	now            mtclock.Instant
+	length         time.Duration
+	events         eventHeap
+	random         *rand.Rand
+	load           choiceLoad
+	callers        []*choiceCaller
+	servers        []*choiceServer
+	sent           int
+	crossZone      int
+	answered       int
+	failed         int
+	wronglyEjected int // samples in which a server that was up was ejected
+	samples        int
+	latency        *hdrhistogram.Histogram // of answered requests, in microseconds
 }
 
-// choiceCaller is a daemon that chooses.
+// choiceCaller is a daemon that selects a server for each of its requests.
 type choiceCaller struct {
 	zone   mtid.Zone
 	policy mtchoice.Policy
 }
 
-// choiceServer is a server with a queue.
+// choiceServer is a simulated server with slots and a queue.
 type choiceServer struct {
 	index     int
 	candidate mtchoice.Candidate
 	busy      int
 	queue     []func()
-	served    time.Duration // time that its slots were taken
+	busyTime  time.Duration // sum over the slots of the time that they were occupied
 	down      [][2]mtclock.Instant
 }
 
-// imbalance returns the largest load over the mean, of servers that were down
-// equally long: where some never were, those that were are left out.
+// imbalance returns the largest server load divided by the mean. Servers of a
+// broken pair are excluded, since only servers that were down equally long are
+// comparable.
 func (t *choiceTrial) imbalance() float64 {
 	var most, sum time.Duration
 	n := 0
@@ -166,14 +168,14 @@
 		if len(s.down) > 0 && t.load.fault == brokenPair {
 			continue
 		}
-		most = max(most, s.served)
-		sum += s.served
+		most = max(most, s.busyTime)
+		sum += s.busyTime
 		n++
 	}
 	return float64(most) * float64(n) / float64(max(sum, 1))
 }
 
-// runChoice offers requests for the length of time.
+// runChoice simulates callers that send requests for the given length of time.
 func runChoice(policy func(mtid.Zone, *rand.Rand) mtchoice.Policy, l choiceLoad, seed uint64, length time.Duration) *choiceTrial {
 	t := &choiceTrial{
 		length:  length,
@@ -197,17 +199,17 @@
 		p.Update(candidates)
 		t.callers = append(t.callers, &choiceCaller{zone: zone, policy: p})
 	}
-	t.events.at(0, t.arrive)
-	t.events.at(0, t.sample)
+	t.events.schedule(0, t.arrive)
+	t.events.schedule(0, t.sample)
 	for t.events.Len() > 0 {
 		e := t.events.next()
 		t.now = e.at
-		e.do()
+		e.run()
 	}
 	return t
 }
 
-// outages returns when a server is down.
+// outages returns the intervals during which a server is down.
 func (t *choiceTrial) outages(server int) [][2]mtclock.Instant {
 	second := mtclock.Instant(time.Second)
 	switch {
@@ -223,7 +225,7 @@
 	return nil
 }
 
-// fails reports whether a request that reaches the server now fails.
+// fails reports whether a request that arrives at the server now fails.
 func (t *choiceTrial) fails(s *choiceServer) bool {
 	if t.load.fault == flaky {
 		chance := 0.005
@@ -244,21 +246,21 @@
 	return false
 }
 
-// arrive lets one caller send one request.
+// arrive sends one request and schedules the next arrival.
 func (t *choiceTrial) arrive() {
 	if t.now.Sub(0) >= t.length {
 		return
 	}
-	perSecond := t.load.load * choiceServers * choiceSlots / choiceService.Seconds()
-	t.events.at(t.now.Add(time.Duration(t.random.ExpFloat64()/perSecond*float64(time.Second))), t.arrive)
+	perSecond := t.load.utilization * choiceServers * choiceSlots / choiceService.Seconds()
+	t.events.schedule(t.now.Add(time.Duration(t.random.ExpFloat64()/perSecond*float64(time.Second))), t.arrive)
 	t.send(t.caller(), t.now)
 }
 
-// caller draws the daemon that the next request comes to.
+// caller picks a random daemon to receive the next request.
 func (t *choiceTrial) caller() *choiceCaller {
 	zones := len(choiceZones)
 	zone := 0
-	if t.random.Float64() >= t.load.skew {
+	if t.random.Float64() >= t.load.firstZoneShare {
 		zone = 1 + t.random.IntN(zones-1)
 	}
 	return t.callers[zone+zones*t.random.IntN(choiceCallers/zones)]
@@ -277,19 +279,20 @@
 		}
 	}
 	t.sent++
-	way := choiceNear
+	delay := choiceSameZoneDelay
 	if server.candidate.Zone != c.zone {
-		t.far++
-		way = choiceFar
+		t.crossZone++
+		delay = choiceCrossZoneDelay
 	}
 	end := func(r mtchoice.Result) {
-		t.events.at(t.now.Add(way), func() { t.end(c, holder, start, r) })
+		t.events.schedule(t.now.Add(delay), func() { t.end(c, holder, start, r) })
 	}
-	t.events.at(t.now.Add(way), func() { t.reach(server, end) })
+	t.events.schedule(t.now.Add(delay), func() { t.deliver(server, end) })
 }
 
-// reach lets a request reach its server.
-func (t *choiceTrial) reach(s *choiceServer, end func(mtchoice.Result)) {
+// deliver handles the arrival of a request at its server: it fails, is rejected,
+// queues or runs.
+func (t *choiceTrial) deliver(s *choiceServer, end func(mtchoice.Result)) {
 	if t.fails(s) {
 		end(mtchoice.Result{Kind: mtchoice.Failure})
 		return
@@ -307,7 +310,8 @@
 	run()
 }
 
-// run takes a slot for the time that the request needs.
+// run occupies a slot for the request's service time, then starts the next
+// queued request.
 func (t *choiceTrial) run(s *choiceServer, arrived mtclock.Instant, end func(mtchoice.Result)) {
 	s.busy++
 	waited := t.now.Sub(arrived)
@@ -315,8 +319,8 @@
 	if t.load.fault == slowServer && s.index == 0 {
 		service *= 3
 	}
-	s.served += service
-	t.events.at(t.now.Add(service), func() {
+	s.busyTime += service
+	t.events.schedule(t.now.Add(service), func() {
 		s.busy--
 		end(mtchoice.Result{Kind: mtchoice.Success, QueueTime: waited})
 		if len(s.queue) > 0 {
@@ -331,22 +335,23 @@
 	c.policy.Ended(t.now, holder, r)
 	switch r.Kind {
 	case mtchoice.Success:
-		t.good++
+		t.answered++
 		_ = t.latency.RecordValue(max(t.now.Sub(start).Microseconds(), 1))
 	case mtchoice.Failure:
-		t.bad++
+		t.failed++
 	}
 }
 
-// sampleEvery is how often it is looked at who is left out.
+// sampleEvery is the interval at which ejected servers are counted.
 const sampleEvery = 100 * time.Millisecond
 
-// sample counts servers that are up and left out by a caller all the same.
+// sample counts, for each caller, ejected servers in excess of those that are
+// down.
 func (t *choiceTrial) sample() {
 	if t.now.Sub(0) >= t.length {
 		return
 	}
-	t.events.at(t.now.Add(sampleEvery), t.sample)
+	t.events.schedule(t.now.Add(sampleEvery), t.sample)
 	down := 0
 	for _, s := range t.servers {
 		if s.isDown(t.now) {
@@ -356,15 +361,15 @@
 	for _, c := range t.callers {
 		t.samples += choiceServers
 		if p, ok := c.policy.(interface{ Ejected() int }); ok {
-			t.wrongly += max(p.Ejected()-down, 0)
+			t.wronglyEjected += max(p.Ejected()-down, 0)
 		}
 	}
 }
 
-// printChoice prints one line.
+// printChoice prints the row of one policy.
 func printChoice(w *tabwriter.Writer, name string, t *choiceTrial) {
-	part := func(n, of int) float64 { return 100 * float64(n) / float64(max(of, 1)) }
+	percent := func(n, of int) float64 { return 100 * float64(n) / float64(max(of, 1)) }
 	_, _ = fmt.Fprintf(w, "%s\t%.3f\t%.1f\t%.2f\t%.2f\t%.2f\t%.1f\t%.1f\t\n", name, t.imbalance(),
-		part(t.far, t.sent), part(t.good, t.sent), part(t.bad, t.sent), part(t.wrongly, t.samples),
+		percent(t.crossZone, t.sent), percent(t.answered, t.sent), percent(t.failed, t.sent), percent(t.wronglyEjected, t.samples),
 		float64(t.latency.ValueAtQuantile(50))/1000, float64(t.latency.ValueAtQuantile(99))/1000)
 }
--- a/cmd/policies/main.go
+++ b/cmd/policies/main.go
@@ -1,5 +1,5 @@
-// Command policies compares the decision policies with their baselines and
-// prints the tables.
+// Command policies runs the router's decision policies and simpler baselines
+// on simulated loads and prints the results as tables.
 //
 // # Usage
 //
@@ -16,14 +16,14 @@
 	"github.com/google/subcommands"
 )
 
-// reports are the subcommands; each file of this command adds its own.
-var reports []subcommands.Command
+// commands lists the subcommands. Each subcommand adds itself in an init function.
+var commands []subcommands.Command
 
 func main() {
 	subcommands.Register(subcommands.HelpCommand(), "")
 	subcommands.Register(subcommands.FlagsCommand(), "")
-	for _, report := range reports {
-		subcommands.Register(report, "")
+	for _, command := range commands {
+		subcommands.Register(command, "")
 	}
 	flag.Parse()
 	os.Exit(int(subcommands.Execute(context.Background())))
--- a/cmd/policies/patterns.go
+++ b/cmd/policies/patterns.go
@@ -8,24 +8,24 @@
 	"magnoliaturn/core/mtchoice"
 )
 
-// Failure patterns after the tables of the paper on status identification:
-// per 10,000 invocations, one a minute, 7 to 45 transient failures of one or
-// two in a row, and outages of up to 34 in a row.
+// The failure patterns follow the tables of the paper on status identification:
+// per 10,000 invocations, made once a minute, there are 7 to 45 transient
+// failures of one or two invocations in a row, and outages of up to 34 in a row.
 const (
 	patternSteps   = 30_000
-	patternWindow  = 10_000 // the services change their habits after so many
+	patternWindow  = 10_000 // steps after which failure patterns are reassigned to the services
 	patternServers = 8
 )
 
-// habit is how a service of the patterns fails, per step.
-type habit struct {
-	transient float64 // chance that a transient failure begins
-	outage    float64 // chance that an outage begins
-	longest   int     // steps of the longest outage
-	unsteady  float64 // chance that a time begins in which half of all fails
+// failurePattern describes how often and how long a service fails.
+type failurePattern struct {
+	transient float64 // probability per step that a transient failure begins
+	outage    float64 // probability per step that an outage begins
+	maxOutage int     // bounds the length of an outage, in steps
+	degraded  float64 // probability per step that a period begins in which half of all invocations fail
 }
 
-var habits = []habit{
+var failurePatterns = []failurePattern{
 	{0.0027, 0.0004, 11, 0.0005},
 	{0.0045, 0.0004, 16, 0.0005},
 	{0.0033, 0.0004, 34, 0.0005},
@@ -36,50 +36,50 @@
 	{0, 1, 1 << 30, 0}, // never up
 }
 
-// service is one service of the patterns.
+// service is a simulated service.
 type service struct {
-	habit    habit
-	down     int // steps that an outage or transient failure goes on for
-	unsteady int // steps that half of all fails
+	pattern  failurePattern
+	down     int // remaining steps of an outage or transient failure
+	degraded int // remaining steps of a period in which half of all invocations fail
 }
 
-// step moves the service on and reports whether an invocation would succeed.
+// step advances the service by one step and reports whether an invocation in
+// that step would succeed.
 func (s *service) step(random *rand.Rand) bool {
 	switch {
 	case s.down > 0:
-	case random.Float64() < s.habit.outage:
-		s.down = 3 + random.IntN(s.habit.longest)
-	case random.Float64() < s.habit.transient:
+	case random.Float64() < s.pattern.outage:
+		s.down = 3 + random.IntN(s.pattern.maxOutage)
+	case random.Float64() < s.pattern.transient:
 		s.down = 1 + random.IntN(2)
 	}
-	if s.unsteady == 0 && random.Float64() < s.habit.unsteady {
-		s.unsteady = 10 + random.IntN(20)
+	if s.degraded == 0 && random.Float64() < s.pattern.degraded {
+		s.degraded = 10 + random.IntN(20)
 	}
 	up := s.down == 0
-	if s.unsteady > 0 {
-		s.unsteady--
+	if s.degraded > 0 {
+		s.degraded--
 		up = up && random.IntN(2) == 0
 	}
 	s.down = max(s.down-1, 0)
 	return up
 }
 
-// selector chooses among services by their estimators: any of those with
-// nothing against them, else the most available, else the one that was not
-// asked for the longest time.
+// selector chooses among services by their estimators: a random one of the most
+// available services, or the least recently invoked one if all are down.
 type selector struct {
-	estimators []mtchoice.Estimator
-	asked      []int
-	random     *rand.Rand
+	estimators  []mtchoice.Estimator
+	lastInvoked []int
+	random      *rand.Rand
 }
 
 func (s *selector) pick() int {
 	var best []int
 	for i, e := range s.estimators {
 		switch {
-		case len(best) == 0 || s.better(e, s.estimators[best[0]]):
+		case len(best) == 0 || s.prefers(e, s.estimators[best[0]]):
 			best = append(best[:0], i)
-		case !s.better(s.estimators[best[0]], e):
+		case !s.prefers(s.estimators[best[0]], e):
 			best = append(best, i)
 		}
 	}
@@ -88,22 +88,22 @@
 	}
 	first := best[0]
 	for i := range s.estimators {
-		if s.asked[i] < s.asked[first] {
+		if s.lastInvoked[i] < s.lastInvoked[first] {
 			first = i
 		}
 	}
 	return first
 }
 
-// better reports whether one estimate is preferred to another.
-func (*selector) better(e, f mtchoice.Estimator) bool {
+// prefers reports whether e ranks above f: up before down, then by availability.
+func (*selector) prefers(e, f mtchoice.Estimator) bool {
 	if e.Down() != f.Down() {
 		return !e.Down()
 	}
 	return !e.Down() && e.Availability() > f.Availability()
 }
 
-// estimators are what is compared.
+// estimators lists the estimators compared.
 var estimators = []struct {
 	name string
 	make func() mtchoice.Estimator
@@ -114,23 +114,24 @@
 	{"status", func() mtchoice.Estimator { return mtchoice.NewStatusIdentification() }},
 }
 
-// runPatterns returns the successes in each window, with one invocation a step.
-func runPatterns(fresh func() mtchoice.Estimator, seed uint64) []int {
+// runPatterns makes one invocation per step and returns the number of successes
+// in each window.
+func runPatterns(newEstimator func() mtchoice.Estimator, seed uint64) []int {
 	random := rand.New(rand.NewPCG(seed, 4))
-	s := &selector{random: rand.New(rand.NewPCG(seed, 5)), asked: make([]int, patternServers)}
+	s := &selector{random: rand.New(rand.NewPCG(seed, 5)), lastInvoked: make([]int, patternServers)}
 	services := make([]service, patternServers)
 	for range patternServers {
-		s.estimators = append(s.estimators, fresh())
+		s.estimators = append(s.estimators, newEstimator())
 	}
 	successes := make([]int, patternSteps/patternWindow)
 	for step := range patternSteps {
 		if step%patternWindow == 0 {
 			for i, h := range random.Perm(patternServers) {
-				services[i] = service{habit: habits[h]}
+				services[i] = service{pattern: failurePatterns[h]}
 			}
 		}
 		chosen := s.pick()
-		s.asked[chosen] = step + 1
+		s.lastInvoked[chosen] = step + 1
 		for i := range services {
 			up := services[i].step(random)
 			if i != chosen {
@@ -145,10 +146,10 @@
 	return successes
 }
 
-// patternSeeds is how many runs each line of the table is the mean of.
+// patternSeeds is the number of runs that each row of the table averages.
 const patternSeeds = 20
 
-// printPatterns prints the successes of each estimator.
+// printPatterns prints the success rate of each estimator in each window.
 func printPatterns(w *tabwriter.Writer, seed uint64) {
 	_, _ = fmt.Fprintf(w, "\nfailure patterns, one invocation a step, mean of seeds %d to %d\n", seed, seed+patternSeeds-1)
 	_, _ = fmt.Fprintln(w, "estimator\tfirst 10,000 %\tafter a change %\tafter another %\t")
--- a/cmd/policies/placement.go
+++ b/cmd/policies/placement.go
@@ -16,9 +16,9 @@
 	"magnoliaturn/core/mtscene"
 )
 
-func init() { reports = append(reports, &placement{}) }
+func init() { commands = append(commands, &placement{}) }
 
-// placement is the subcommand that compares the policies of mtplan.
+// placement compares the placement policies of mtplan.
 type placement struct {
 	seed  uint64
 	plot  string
@@ -48,9 +48,9 @@
 		if c.scene != "" && c.scene != scene.Name {
 			continue
 		}
-		results := compare(scene)
-		write(os.Stdout, results)
-		if err := c.draw(results); err != nil {
+		results := runPolicies(scene)
+		writeTable(os.Stdout, results)
+		if err := c.plotImbalance(results); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			return subcommands.ExitFailure
 		}
@@ -61,8 +61,8 @@
 	return subcommands.ExitSuccess
 }
 
-// compare runs a scene under each policy.
-func compare(scene mtscene.Scene) []mtscene.Result {
+// runPolicies runs a scenario once under each policy.
+func runPolicies(scene mtscene.Scene) []mtscene.Result {
 	return []mtscene.Result{
 		mtscene.Run(scene, mtplan.NewRendezvous()),
 		mtscene.Run(scene, mtplan.NewBounded()),
@@ -70,8 +70,8 @@
 	}
 }
 
-// write prints the table of one scene.
-func write(out io.Writer, results []mtscene.Result) {
+// writeTable prints the results of one scenario, one row per policy.
+func writeTable(out io.Writer, results []mtscene.Result) {
 	fmt.Fprintf(out, "\n%s (hottest key alone: %.2f of a server's mean)\n", results[0].Scene, results[0].Floor)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "policy\timbalance\tp99\tover 1.15\tlongest\tchurn/min\tmoves\treturns\tunavailable/min\tshed\tsplits\tmerges\tshards\treports B/s\tpeak\t")
@@ -83,15 +83,15 @@
 	w.Flush()
 }
 
-// timed notes how long each round of a policy takes.
-type timed struct {
+// timedPolicy measures the wall time of each planning round of a policy.
+type timedPolicy struct {
 	mtplan.Policy
 	rounds   int
 	sum, max time.Duration
 }
 
 // Plan implements mtplan.Policy.
-func (t *timed) Plan(now mtclock.Instant, state *mtplan.State) mtplan.Plan {
+func (t *timedPolicy) Plan(now mtclock.Instant, state *mtplan.State) mtplan.Plan {
 	start := time.Now()
 	plan := t.Policy.Plan(now, state)
 	spent := time.Since(start)
@@ -101,21 +101,22 @@
 	return plan
 }
 
-// largeChunks are the numbers of chunks that the largest fleet is run with.
+// largeChunks lists the numbers of chunks that the largest fleet is run with.
 var largeChunks = []int{4, 64, 256}
 
-// writeLarge prints the figures of the largest fleet.
+// writeLarge runs the planner on the largest fleet, under load with each number
+// of chunks and at rest, and prints its figures.
 func writeLarge(out io.Writer, seed uint64) {
 	for _, chunks := range largeChunks {
-		writeFleet(out, mtscene.Fleet480(seed, chunks))
+		writeFleetFigures(out, mtscene.Fleet480(seed, chunks))
 	}
-	writeFleet(out, mtscene.Rest480(seed, largeChunks[len(largeChunks)-1]))
+	writeFleetFigures(out, mtscene.Rest480(seed, largeChunks[len(largeChunks)-1]))
 }
 
-func writeFleet(out io.Writer, scene mtscene.Scene) {
-	policy := &timed{Policy: mtplan.NewPlanner()}
+func writeFleetFigures(out io.Writer, scene mtscene.Scene) {
+	policy := &timedPolicy{Policy: mtplan.NewPlanner()}
 	r := mtscene.Run(scene, policy)
-	write(out, []mtscene.Result{r})
+	writeTable(out, []mtscene.Result{r})
 	mean := policy.sum / time.Duration(policy.rounds)
 	measured := time.Duration(len(r.Series))*time.Second - scene.WarmTime()
 	writes := float64(r.Writes) / measured.Seconds()
--- a/cmd/policies/poison_test.go
+++ b/cmd/policies/poison_test.go
@@ -7,19 +7,20 @@
 	"gotest.tools/v3/assert"
 )
 
-// A request crashes each server that runs it and is sent again every 700 ms,
-// through any daemon, among hundreds of innocent ones. Told in time, the fleet
-// loses two servers to each such request and refuses nothing innocent.
-func TestNarrowLosesTwoServersAtMost(t *testing.T) {
+// Poison requests crash every server that runs them and arrive every 700 ms,
+// through any daemon, among 400 innocent requests per second. If evidence is
+// shared without delay, each different poison request may crash at most two
+// servers, and no innocent request may be quarantined.
+func TestNarrowRuleLosesAtMostTwoServersPerRequest(t *testing.T) {
 	for _, l := range poisonLoads {
-		if l.delay > 0 {
+		if l.evidenceDelay > 0 {
 			continue
 		}
 		t.Run(l.name, func(t *testing.T) {
 			for seed := uint64(1); seed <= 5; seed++ {
 				got := poisonRules[3].run(l, seed, 30*time.Second)
 				assert.Assert(t, got.crashes <= 2*l.kinds, "seed %d: %d servers lost", seed, got.crashes)
-				assert.Equal(t, len(got.wronged), 0, "seed %d", seed)
+				assert.Equal(t, len(got.wronglyQuarantined), 0, "seed %d", seed)
 			}
 		})
 	}
--- a/cmd/policies/recent.go
+++ b/cmd/policies/recent.go
@@ -21,10 +21,10 @@
 	"magnoliaturn/core/mtreply"
 )
 
-func init() { reports = append(reports, &recent{}) }
+func init() { commands = append(commands, &recent{}) }
 
-// recent compares the memories of request identifiers while owners are lost and
-// shards move.
+// recent compares deduplicators of request identifiers while owners are lost
+// and shards move.
 type recent struct {
 	seed    uint64
 	seconds int
@@ -52,22 +52,22 @@
 	for _, l := range recentLoads {
 		_, _ = fmt.Fprintf(w, "\n%s, seed %d, %v\n", l.name, c.seed, length)
 		_, _ = fmt.Fprintln(w, "memory\torders\tran twice\ttold not run of one that ran\tnever ran, told unknown\trefused, full\tnot served for want of an owner\t")
-		for _, m := range memories {
+		for _, m := range deduplicators {
 			t := runRecent(m.make, l, c.seed, length)
-			_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t\n", m.name, len(t.orders), t.twice(), t.lies, t.needless(), t.full, t.ownerless)
+			_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t\n", m.name, len(t.orders), t.ranTwice(), t.wronglyNotRun, t.unknownNeverRan(), t.full, t.ownerless)
 		}
 	}
 	_ = w.Flush()
 	return subcommands.ExitSuccess
 }
 
-// recentLoad is how often things go wrong.
+// recentLoad sets the rates of the faults in a trial.
 type recentLoad struct {
 	name   string
-	lost   float64       // chance that an answer is lost on its way to the caller
-	losses time.Duration // between two losses of an owner; zero is none
-	moves  time.Duration // between two planned moves; zero is none
-	skew   time.Duration // largest difference of two clocks
+	lost   float64       // probability that an answer is lost on its way to the caller
+	losses time.Duration // interval between losses of an owner; zero for none
+	moves  time.Duration // interval between planned moves; zero for none
+	skew   time.Duration // maximum difference between two clocks
 }
 
 var recentLoads = []recentLoad{
@@ -77,8 +77,8 @@
 	{"all of it", 0.02, 10 * time.Second, time.Second, mtrecent.DefaultSkew},
 }
 
-// memories are what is compared.
-var memories = []struct {
+// deduplicators lists the deduplicators compared.
+var deduplicators = []struct {
 	name string
 	make func() mtrecent.Deduplicator
 }{
@@ -88,7 +88,7 @@
 	{"table", func() mtrecent.Deduplicator { return mtrecent.New(mtrecent.Limits{}) }},
 }
 
-// The fleet of the trials.
+// The simulated fleet and its callers.
 const (
 	recentOwners  = 5
 	recentShards  = 20
@@ -98,38 +98,38 @@
 	takeoverTime  = 2 * time.Second
 )
 
-// order is what a caller wants to happen once.
+// order is a request that must run at most once, with all its tries.
 type order struct {
-	name   mtrecent.DedupKey
-	shard  int
-	runs   int
-	tries  int
-	told   bool // of an unknown outcome
-	minted bool
+	key             mtrecent.DedupKey
+	shard           int
+	runs            int
+	tries           int
+	reportedUnknown bool // the caller received the outcome "unknown"
+	minted          bool
 }
 
-// recentTrial is a run of one memory in virtual time.
+// recentTrial simulates one kind of deduplicator in virtual time.
 type recentTrial struct {
-	now       mtclock.Instant
-	length    time.Duration
-	events    eventHeap
-	random    *rand.Rand
-	load      recentLoad
-	fresh     func() mtrecent.Deduplicator
-	memories  [recentOwners]mtrecent.Deduplicator
-	clocks    [recentOwners]time.Duration
-	owner     [recentShards]int // -1 while there is none
-	orders    []*order
-	lies      int
-	full      int
-	ownerless int
+	now             mtclock.Instant
+	length          time.Duration
+	events          eventHeap
+	random          *rand.Rand
+	load            recentLoad
+	newDeduplicator func() mtrecent.Deduplicator
+	deduplicators   [recentOwners]mtrecent.Deduplicator
+	clockOffsets    [recentOwners]time.Duration
+	owner           [recentShards]int // -1 while the shard has no owner
+	orders          []*order
+	wronglyNotRun   int
+	full            int
+	ownerless       int
 }
 
-// recentEpoch is the true wall time at which a trial begins.
+// recentEpoch is the wall time, without clock skew, at which a trial begins.
 var recentEpoch = time.UnixMilli(1_800_000_000_000)
 
-func (t *recentTrial) wall(owner int) time.Time {
-	return recentEpoch.Add(t.now.Sub(0) + t.clocks[owner])
+func (t *recentTrial) wallTime(owner int) time.Time {
+	return recentEpoch.Add(t.now.Sub(0) + t.clockOffsets[owner])
 }
 
 func shardRange(shard int) (mtid.Point, mtid.Point) {
@@ -141,17 +141,17 @@
 	return low, low + width - 1
 }
 
-// runRecent lets callers order for the length of time.
-func runRecent(fresh func() mtrecent.Deduplicator, l recentLoad, seed uint64, length time.Duration) *recentTrial {
-	t := &recentTrial{length: length, random: rand.New(rand.NewPCG(seed, 6)), load: l, fresh: fresh}
+// runRecent simulates callers that send orders for the given length of time.
+func runRecent(newDeduplicator func() mtrecent.Deduplicator, l recentLoad, seed uint64, length time.Duration) *recentTrial {
+	t := &recentTrial{length: length, random: rand.New(rand.NewPCG(seed, 6)), load: l, newDeduplicator: newDeduplicator}
 	for i := range recentOwners {
-		t.memories[i] = fresh()
-		t.clocks[i] = time.Duration(t.random.Float64() * float64(l.skew))
+		t.deduplicators[i] = newDeduplicator()
+		t.clockOffsets[i] = time.Duration(t.random.Float64() * float64(l.skew))
 	}
 	for s := range recentShards {
 		t.owner[s] = s % recentOwners
 		low, high := shardRange(s)
-		_ = t.memories[t.owner[s]].Grant(low, high, time.Time{})
+		_ = t.deduplicators[t.owner[s]].Grant(low, high, time.Time{})
 	}
 	t.every(func() time.Duration { return time.Duration(t.random.ExpFloat64() / recentRate * float64(time.Second)) }, t.newOrder)
 	if l.losses > 0 {
@@ -163,12 +163,13 @@
 	for t.events.Len() > 0 {
 		e := t.events.next()
 		t.now = e.at
-		e.do()
+		e.run()
 	}
 	return t
 }
 
-// every does something again and again until the trial is over.
+// every calls do repeatedly until the trial ends, waiting for gap before each
+// call.
 func (t *recentTrial) every(gap func() time.Duration, do func()) {
 	var again func()
 	again = func() {
@@ -176,12 +177,13 @@
 			return
 		}
 		do()
-		t.events.at(t.now.Add(gap()), again)
+		t.events.schedule(t.now.Add(gap()), again)
 	}
-	t.events.at(t.now.Add(gap()), again)
+	t.events.schedule(t.now.Add(gap()), again)
 }
 
-// newOrder sends an order; the ingress mints the identifier of every second.
+// newOrder sends an order. The ingress mints the identifier of every second
+// order, callers those of the others.
 func (t *recentTrial) newOrder() {
 	shard := t.random.IntN(recentShards)
 	low, _ := shardRange(shard)
@@ -189,114 +191,118 @@
 	var id uuid.UUID
 	binary.BigEndian.PutUint64(id[:8], uint64(made.UnixMilli())<<16|0x7000)
 	binary.BigEndian.PutUint64(id[8:], uint64(len(t.orders)))
-	o := &order{name: mtrecent.DedupKey{Point: low + 1, ID: id}, shard: shard, minted: len(t.orders)%2 == 0}
+	o := &order{key: mtrecent.DedupKey{Point: low + 1, ID: id}, shard: shard, minted: len(t.orders)%2 == 0}
 	t.orders = append(t.orders, o)
 	t.try(o)
 }
 
-// try sends an order to its owner.
+// try sends an order to the owner of its shard.
 func (t *recentTrial) try(o *order) {
 	o.tries++
 	owner := t.owner[o.shard]
 	if owner < 0 {
 		t.ownerless++
-		t.later(o)
+		t.retryLater(o)
 		return
 	}
-	memory := t.memories[owner]
-	request := mtrecent.Request{DedupKey: o.name, Fingerprint: 1, Minted: o.minted && o.tries == 1}
-	v := memory.Begin(t.now, t.wall(owner), request, 1)
+	deduplicator := t.deduplicators[owner]
+	request := mtrecent.Request{DedupKey: o.key, Fingerprint: 1, Minted: o.minted && o.tries == 1}
+	v := deduplicator.Begin(t.now, t.wallTime(owner), request, 1)
 	var refused *mtreply.RefusedError
 	switch {
 	case v.Kind == mtrecent.Run:
 		o.runs++
-		t.events.at(t.now.Add(recentService), func() { t.end(o, owner, memory) })
+		t.events.schedule(t.now.Add(recentService), func() { t.end(o, owner, deduplicator) })
 	case errors.As(v.Err, &refused):
 		if refused.Cause == mtreply.CauseRecentFull {
 			t.full++
 		}
 		if o.runs > 0 {
-			t.lies++
+			t.wronglyNotRun++
 		}
-		t.later(o)
+		t.retryLater(o)
 	case v.Err != nil:
-		o.told = true
+		o.reportedUnknown = true
 	}
 }
 
-// end ends a run. Its answer reaches the caller unless it or its owner is lost.
-func (t *recentTrial) end(o *order, owner int, memory mtrecent.Deduplicator) {
-	if t.memories[owner] != memory {
-		t.later(o)
+// end completes a run. The caller receives the answer unless the answer or the
+// owner was lost.
+func (t *recentTrial) end(o *order, owner int, deduplicator mtrecent.Deduplicator) {
+	if t.deduplicators[owner] != deduplicator {
+		t.retryLater(o)
 		return
 	}
-	memory.End(t.now, o.name, mtrecent.Result{Outcome: mtreply.Answered, Answer: &mtrecent.Answer{Status: 201}})
+	deduplicator.End(t.now, o.key, mtrecent.Result{Outcome: mtreply.Answered, Answer: &mtrecent.Answer{Status: 201}})
 	if t.random.Float64() < t.load.lost {
-		t.later(o)
+		t.retryLater(o)
 	}
 }
 
-// later lets the caller send the order again, after seconds, or give up.
-func (t *recentTrial) later(o *order) {
+// retryLater schedules the next try of an order after 0.2 to 5.2 s, unless the
+// caller has used up its tries.
+func (t *recentTrial) retryLater(o *order) {
 	if o.tries < recentTries {
 		wait := time.Duration((0.2 + 5*t.random.Float64()) * float64(time.Second))
-		t.events.at(t.now.Add(wait), func() { t.try(o) })
+		t.events.schedule(t.now.Add(wait), func() { t.try(o) })
 	}
 }
 
-// loseOwner loses one owner; others take its shards over.
+// loseOwner removes a random owner with its deduplicator. Other owners take over
+// its shards after takeoverTime.
 func (t *recentTrial) loseOwner() {
 	lost := t.random.IntN(recentOwners)
-	t.memories[lost] = t.fresh()
+	t.deduplicators[lost] = t.newDeduplicator()
 	for s := range recentShards {
 		if t.owner[s] != lost {
 			continue
 		}
 		t.owner[s] = -1
-		t.events.at(t.now.Add(takeoverTime), func() {
+		t.events.schedule(t.now.Add(takeoverTime), func() {
 			next := (lost + 1 + t.random.IntN(recentOwners-1)) % recentOwners
 			low, high := shardRange(s)
-			_ = t.memories[next].Grant(low, high, t.wall(next))
+			_ = t.deduplicators[next].Grant(low, high, t.wallTime(next))
 			t.owner[s] = next
 		})
 	}
 }
 
-// move hands a shard over as planned, after what is in flight has ended.
+// move hands over a random shard to another owner once the requests in flight
+// have ended.
 func (t *recentTrial) move() {
 	s := t.random.IntN(recentShards)
 	from := t.owner[s]
 	if from < 0 {
 		return
 	}
-	memory := t.memories[from]
+	deduplicator := t.deduplicators[from]
 	t.owner[s] = -1
-	t.events.at(t.now.Add(recentService), func() {
-		if t.memories[from] != memory {
-			t.events.at(t.now.Add(takeoverTime), func() { t.adopt(s, (from+1)%recentOwners) })
+	t.events.schedule(t.now.Add(recentService), func() {
+		if t.deduplicators[from] != deduplicator {
+			t.events.schedule(t.now.Add(takeoverTime), func() { t.takeOver(s, (from+1)%recentOwners) })
 			return
 		}
 		low, high := shardRange(s)
 		to := (from + 1 + t.random.IntN(recentOwners-1)) % recentOwners
-		handover := memory.Export(t.now, low, high)
-		if err := t.memories[to].Import(t.now, handover); err != nil {
+		handover := deduplicator.Export(t.now, low, high)
+		if err := t.deduplicators[to].Import(t.now, handover); err != nil {
 			t.owner[s] = from
 			return
 		}
-		memory.Revoke(low, high)
+		deduplicator.Revoke(low, high)
 		t.owner[s] = to
 	})
 }
 
-// adopt gives a shard whose owner was lost in a move to another one.
-func (t *recentTrial) adopt(shard, to int) {
+// takeOver assigns a shard whose owner was lost during a move to another owner.
+func (t *recentTrial) takeOver(shard, to int) {
 	low, high := shardRange(shard)
-	_ = t.memories[to].Grant(low, high, t.wall(to))
+	_ = t.deduplicators[to].Grant(low, high, t.wallTime(to))
 	t.owner[shard] = to
 }
 
-// twice returns how many orders ran more than once.
-func (t *recentTrial) twice() int {
+// ranTwice returns how many orders ran more than once.
+func (t *recentTrial) ranTwice() int {
 	n := 0
 	for _, o := range t.orders {
 		if o.runs > 1 {
@@ -306,11 +312,12 @@
 	return n
 }
 
-// needless returns how many orders were told unknown and never ran.
-func (t *recentTrial) needless() int {
+// unknownNeverRan returns how many orders were reported as unknown but never
+// ran.
+func (t *recentTrial) unknownNeverRan() int {
 	n := 0
 	for _, o := range t.orders {
-		if o.told && o.runs == 0 {
+		if o.reportedUnknown && o.runs == 0 {
 			n++
 		}
 	}
--- a/cmd/policies/recent_test.go
+++ b/cmd/policies/recent_test.go
@@ -7,20 +7,21 @@
 	"gotest.tools/v3/assert"
 )
 
-// Owners are lost, shards move, answers vanish, clocks differ, and callers send
-// again what they heard nothing of. No order runs twice, and nobody is told "not
-// run" of one that has run.
-func TestTableRunsNothingTwice(t *testing.T) {
+// Callers retry orders while answers are lost, owners are lost, shards move and
+// clocks differ. No order may run twice, and no order that ran may be reported
+// as "not run".
+func TestTableRunsNoOrderTwice(t *testing.T) {
 	for _, l := range recentLoads {
 		t.Run(l.name, func(t *testing.T) {
-			for _, m := range memories[2:] {
+			for _, m := range deduplicators[2:] {
 				got := runRecent(m.make, l, 1, time.Minute)
-				assert.Equal(t, got.twice(), 0, m.name)
-				assert.Equal(t, got.lies, 0, m.name)
+				assert.Equal(t, got.ranTwice(), 0, m.name)
+				assert.Equal(t, got.wronglyNotRun, 0, m.name)
 			}
-			// The plain memory fails here, so the trial can tell them apart.
-			none := runRecent(memories[0].make, l, 1, time.Minute)
-			assert.Assert(t, none.twice() > 0)
+			// The baseline remembers a single identifier and runs orders twice, so
+			// the trial detects the fault.
+			none := runRecent(deduplicators[0].make, l, 1, time.Minute)
+			assert.Assert(t, none.ranTwice() > 0)
 		})
 	}
 }
--- a/cmd/policies/retry.go
+++ b/cmd/policies/retry.go
@@ -17,7 +17,7 @@
 	"magnoliaturn/core/mtretry"
 )
 
-func init() { reports = append(reports, &retries{}) }
+func init() { commands = append(commands, &retries{}) }
 
 // retries compares the retry policies while servers fail.
 type retries struct {
@@ -49,9 +49,9 @@
 		_, _ = fmt.Fprintln(w, "policy\ttries per request\tanswered %\tnot run %\tunknown %\tp99 ms\t")
 		for _, p := range retryPolicies {
 			r := runRetries(p.make, failure, c.seed, length)
-			part := func(n int) float64 { return 100 * float64(n) / float64(r.requests) }
-			_, _ = fmt.Fprintf(w, "%s\t%.3f\t%.2f\t%.2f\t%.2f\t%.1f\t\n", p.name, r.load(),
-				part(r.outcomes[mtreply.Answered]), part(r.outcomes[mtreply.NotRun]), part(r.outcomes[mtreply.Unknown]),
+			percent := func(n int) float64 { return 100 * float64(n) / float64(r.requests) }
+			_, _ = fmt.Fprintf(w, "%s\t%.3f\t%.2f\t%.2f\t%.2f\t%.1f\t\n", p.name, r.triesPerRequest(),
+				percent(r.outcomes[mtreply.Answered]), percent(r.outcomes[mtreply.NotRun]), percent(r.outcomes[mtreply.Unknown]),
 				float64(r.latency.ValueAtQuantile(99))/1000)
 		}
 	}
@@ -59,7 +59,7 @@
 	return subcommands.ExitSuccess
 }
 
-// The service of the trials: ten servers, of which three fail.
+// The simulated service has ten servers, three of which fail.
 const (
 	retryServers = 10
 	retryFailing = 3
@@ -68,14 +68,14 @@
 	retryTimeout = time.Second
 )
 
-// failure is how the failing servers fail.
+// failure describes how the failing servers fail, and the requests sent to them.
 type failure struct {
-	name       string
-	load       float64 // of the capacity of all servers
-	idempotent bool
-	spread     bool          // the next try goes to another server
-	until      time.Duration // the failure ends then; zero is never
-	try        func(t *retryTrial, done func(error))
+	name        string
+	utilization float64 // offered load as a fraction of all servers' capacity
+	idempotent  bool
+	spread      bool          // each retry picks a server at random again
+	until       time.Duration // end of the failure; zero for never
+	try         func(t *retryTrial, done func(error))
 }
 
 var failures = []failure{
@@ -88,18 +88,18 @@
 }
 
 func refuseConnection(t *retryTrial, done func(error)) {
-	t.events.at(t.now.Add(time.Millisecond), func() { done(&mtreply.RefusedError{Cause: mtreply.CauseUnreachable}) })
+	t.events.schedule(t.now.Add(time.Millisecond), func() { done(&mtreply.RefusedError{Cause: mtreply.CauseUnreachable}) })
 }
 
 func breakConnection(t *retryTrial, done func(error)) {
-	t.events.at(t.now.Add(retryService), func() { done(&mtreply.UnknownError{Cause: mtreply.CauseLost}) })
+	t.events.schedule(t.now.Add(retryService), func() { done(&mtreply.UnknownError{Cause: mtreply.CauseLost}) })
 }
 
 func hang(t *retryTrial, done func(error)) {
-	t.events.at(t.now.Add(300*time.Millisecond), func() { done(&mtreply.UnknownError{Cause: mtreply.CauseTimeout}) })
+	t.events.schedule(t.now.Add(300*time.Millisecond), func() { done(&mtreply.UnknownError{Cause: mtreply.CauseTimeout}) })
 }
 
-// retryPolicies are what is compared.
+// retryPolicies lists the policies compared.
 var retryPolicies = []struct {
 	name string
 	make func(*rand.Rand) mtretry.Policy
@@ -120,7 +120,7 @@
 	}
 }
 
-// retryTrial is a run of one policy in virtual time.
+// retryTrial simulates one policy in virtual time.
 type retryTrial struct {
 	now      mtclock.Instant
 	events   eventHeap
@@ -134,10 +134,10 @@
 	latency  *hdrhistogram.Histogram // of all requests, in microseconds
 }
 
-// load returns the tries per request.
-func (t *retryTrial) load() float64 { return float64(t.tries) / float64(t.requests) }
+// triesPerRequest returns the mean number of tries of a request.
+func (t *retryTrial) triesPerRequest() float64 { return float64(t.tries) / float64(t.requests) }
 
-// runRetries offers requests for the length of time.
+// runRetries simulates callers that send requests for the given length of time.
 func runRetries(policy func(*rand.Rand) mtretry.Policy, f failure, seed uint64, length time.Duration) *retryTrial {
 	t := &retryTrial{
 		random:   rand.New(rand.NewPCG(seed, 1)),
@@ -146,28 +146,29 @@
 		outcomes: make(map[mtreply.Outcome]int),
 		latency:  hdrhistogram.New(1, maxMicros, 3),
 	}
-	perSecond := f.load * retryServers * retrySlots / retryService.Seconds()
+	perSecond := f.utilization * retryServers * retrySlots / retryService.Seconds()
 	var arrive func()
 	arrive = func() {
 		if t.now.Sub(0) >= length {
 			return
 		}
 		gap := time.Duration(t.random.ExpFloat64() / perSecond * float64(time.Second))
-		t.events.at(t.now.Add(gap), arrive)
+		t.events.schedule(t.now.Add(gap), arrive)
 		t.requests++
 		t.policy.First(retryFlow)
 		t.send(t.now, t.random.IntN(retryServers), 1)
 	}
-	t.events.at(0, arrive)
+	t.events.schedule(0, arrive)
 	for t.events.Len() > 0 {
 		e := t.events.next()
 		t.now = e.at
-		e.do()
+		e.run()
 	}
 	return t
 }
 
-// send makes one try of a request that arrived at that time.
+// send makes one try of a request and schedules the next one if the policy
+// allows a retry.
 func (t *retryTrial) send(arrival mtclock.Instant, server, tries int) {
 	t.tries++
 	t.try(server, func(err error) {
@@ -188,11 +189,12 @@
 		if t.failure.spread {
 			next = t.random.IntN(retryServers)
 		}
-		t.events.at(t.now.Add(wait), func() { t.send(arrival, next, tries+1) })
+		t.events.schedule(t.now.Add(wait), func() { t.send(arrival, next, tries+1) })
 	})
 }
 
-// try lets a server take the request, and calls done with its end.
+// try runs the request on a server and calls done when it ends, with the error
+// if it failed.
 func (t *retryTrial) try(server int, done func(error)) {
 	failing := t.failure.until == 0 || t.now.Sub(0) < t.failure.until
 	if failing && server < retryFailing {
@@ -205,13 +207,13 @@
 	}
 	t.busy[server]++
 	service := time.Duration(t.random.ExpFloat64() * float64(retryService))
-	t.events.at(t.now.Add(service), func() {
+	t.events.schedule(t.now.Add(service), func() {
 		t.busy[server]--
 		done(nil)
 	})
 }
 
-// outcomeOf returns what the caller is told.
+// outcomeOf returns the outcome that the caller receives for err.
 func outcomeOf(err error) mtreply.Outcome {
 	switch err.(type) {
 	case nil:
