--- a/scripts/planted.sh
+++ b/scripts/planted.sh
@@ -100,7 +100,7 @@
 plant "a revoked registration is entered" $member 's/m.record.WriteID.Writer == h \&\& m.record.MayHoldLease\(\)/m.record.WriteID.Writer == h/; s/\|\| record.RevokedBelow > m.holder.Incarnation/\|\| false/'
 plant "new addresses are not published" $member 's/case m.mustFence\(\) \&\& !m.published\(\)/case m.mustFence() \&\& !m.published() \&\& m.revoked/'
 plant "an older read replaces a newer one" $member 's/if version < m.version/if version < m.version \&\& m.revoked/'
-plant "an answer to a previous incarnation counts" $renew 's|!= d.lease.Holder\(\).Incarnation|== 99|'
+plant "an answer to a previous incarnation counts" $renew 's|!= r.lease.Holder\(\).Incarnation|== 99|'
 plant "no replay window" $packet 's|return false$|return true|'
 plant "tags are not checked" $packet 's|hmac.Equal\(tag, s.tag\(self, body\)\)|hmac.Equal(tag, tag)|'
 plant "tags don't name the receiver" $packet 's|\[\]byte\(to\)|[]byte(nil)|'
