--- a/io/mtadmin/live.go
+++ b/io/mtadmin/live.go
@@ -38,7 +38,7 @@
 		}
 	}
 	if s.config.Figures != nil {
-		d.Services = s.figures(o)
+		d.Services = s.stats(o)
 	}
 	return c.JSON(http.StatusOK, d)
 }
--- a/io/mtadmin/mtadmin_test.go
+++ b/io/mtadmin/mtadmin_test.go
@@ -46,26 +46,26 @@
 	down    bool
 }
 
-func (v *memoryStore) Get(_ context.Context, name string) (mtstore.Entry, error) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.down {
+func (s *memoryStore) Get(_ context.Context, name string) (mtstore.Entry, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.down {
 		return mtstore.Entry{}, &mtstore.UnavailableError{Op: "get", Err: context.DeadlineExceeded}
 	}
-	entry, ok := v.entries[name]
+	entry, ok := s.entries[name]
 	if !ok {
 		return entry, &mtstore.NotFoundError{Name: name}
 	}
 	return entry, nil
 }
 
-func (v *memoryStore) Swap(_ context.Context, name string, expected mtid.Version, value []byte, _ mtstore.LeaseID) (mtid.Version, error) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if current := v.entries[name]; current.Version != expected {
+func (s *memoryStore) Swap(_ context.Context, name string, expected mtid.Version, value []byte, _ mtstore.LeaseID) (mtid.Version, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if current := s.entries[name]; current.Version != expected {
 		return 0, &mtstore.ConflictError{Name: name, Expected: expected, Current: current}
 	}
-	v.entries[name] = mtstore.Entry{Name: name, Value: value, Version: expected + 1}
+	s.entries[name] = mtstore.Entry{Name: name, Value: value, Version: expected + 1}
 	return expected + 1, nil
 }
 
@@ -268,9 +268,9 @@
 	assert.NilError(t, err)
 	assert.Equal(t, len(history.Items), 2)
 	assert.Equal(t, history.Items[1].Digest, d.Digest)
-	former, err := f.client("view", 0).Version(ctx, "ratins", 1)
+	previous, err := f.client("view", 0).Version(ctx, "ratins", 1)
 	assert.NilError(t, err)
-	assert.Equal(t, former.Text, string(text(1, "first")))
+	assert.Equal(t, previous.Text, string(text(1, "first")))
 }
 
 func TestProblemReasons(t *testing.T) {
@@ -329,7 +329,7 @@
 	routes := []struct {
 		method, path string
 		may          string // single-role operators of ratins that are allowed
-		beat         bool   // whether the operator of bundesamt is allowed
+		bundesamt    bool   // whether the operator of bundesamt is allowed
 	}{
 		{"GET", "/", view, true},
 		{"GET", "/metrics", view, true},
@@ -378,7 +378,7 @@
 				got := allowed(send(route.method, route.path, "Bearer "+role))
 				assert.Equal(t, got, strings.Contains(route.may, role), role)
 			}
-			assert.Equal(t, allowed(send(route.method, route.path, "Bearer beat")), route.beat)
+			assert.Equal(t, allowed(send(route.method, route.path, "Bearer beat")), route.bundesamt)
 			// Browsers add basic authentication to requests forged by other
 			// sites, so it must only permit reading.
 			basic := "Basic " + base64.StdEncoding.EncodeToString([]byte("x:"+strings.SplitN(route.may+" beat", " ", 2)[0]))
--- a/io/mtadmin/page.go
+++ b/io/mtadmin/page.go
@@ -97,22 +97,22 @@
 	return c.HTMLBlob(http.StatusOK, out.Bytes())
 }
 
-// figures returns the statistics of the services that the operator may view.
-func (s *Server) figures(o *mtoperator.Operator) map[string]mtmetric.ServiceStats {
+// stats returns the statistics of the services that the operator may view.
+func (s *Server) stats(o *mtoperator.Operator) map[string]mtmetric.ServiceStats {
 	out := make(map[string]mtmetric.ServiceStats)
 	if s.config.Figures == nil {
 		return out
 	}
-	for ref, figures := range s.config.Figures() {
+	for ref, stats := range s.config.Figures() {
 		if o.May(mtoperator.View, ref.Business) {
-			out[ref.String()] = figures
+			out[ref.String()] = stats
 		}
 	}
 	return out
 }
 
 func (s *Server) pageServices(o *mtoperator.Operator) []pageService {
-	figures := s.figures(o)
+	stats := s.stats(o)
 	var out []pageService
 	for _, b := range s.config.View.Bundles() {
 		if !o.May(mtoperator.View, b.Business) {
@@ -123,7 +123,7 @@
 			ref := mtid.Ref{Business: b.Business, Service: service.Name}
 			out = append(out, pageService{
 				Ref: ref.String(), Kind: service.Kind, Version: b.Version,
-				Figures: describeFigures(figures, ref.String()), Owners: s.pageOwners(ref),
+				Figures: describeStats(stats, ref.String()), Owners: s.pageOwners(ref),
 			})
 		}
 	}
@@ -131,8 +131,8 @@
 	return out
 }
 
-func describeFigures(figures map[string]mtmetric.ServiceStats, ref string) string {
-	f, ok := figures[ref]
+func describeStats(stats map[string]mtmetric.ServiceStats, ref string) string {
+	f, ok := stats[ref]
 	if !ok {
 		return ""
 	}
--- a/io/mtadmin/problem.go
+++ b/io/mtadmin/problem.go
@@ -25,15 +25,15 @@
 const (
 	ReasonFaults         Reason = "faults"       // the bundle's text is invalid
 	ReasonBusiness       Reason = "business"     // the text is another business's bundle
-	ReasonConflict       Reason = "conflict"     // the version does not directly follow the one in force
+	ReasonConflict       Reason = "conflict"     // not the next version after the one in force
 	ReasonUnsigned       Reason = "unsigned"     // signatures are missing
 	ReasonSignature      Reason = "signature"    // a signature is not valid
 	ReasonMissing        Reason = "missing"      // the named object does not exist
 	ReasonFull           Reason = "full"         // too many open proposals
-	ReasonRace           Reason = "race"         // each attempt lost the race against a concurrent write
-	ReasonOutcomeUnknown Reason = "doubt"        // outcome unknown, the request may have taken effect; repeat it
-	ReasonStore          Reason = "store"        // the platform's store is unavailable; nothing was changed
-	ReasonUnreachable    Reason = "unreachable"  // the daemon that the request concerns does not respond
+	ReasonRace           Reason = "race"         // each attempt lost to a concurrent write
+	ReasonOutcomeUnknown Reason = "doubt"        // it may have taken effect; repeat it
+	ReasonStore          Reason = "store"        // the store is unavailable; nothing changed
+	ReasonUnreachable    Reason = "unreachable"  // the requested daemon does not respond
 	ReasonIdentity       Reason = "identity"     // no valid token
 	ReasonRole           Reason = "role"         // the operator lacks the required role
 	ReasonParameter      Reason = "parameter"    // a parameter is invalid
@@ -165,7 +165,7 @@
 	var (
 		unknown     *mtrollout.OutcomeUnknownError
 		race        *mtrollout.RaceError
-		page        *mtrollout.NotRetainedError
+		notRetained *mtrollout.NotRetainedError
 		unavailable *mtstore.UnavailableError
 	)
 	switch {
@@ -173,8 +173,8 @@
 		return problem(http.StatusGatewayTimeout, ReasonOutcomeUnknown, "The outcome is not known", unknown.Error())
 	case errors.As(err, &race):
 		return problem(http.StatusServiceUnavailable, ReasonRace, "Other operators were faster", race.Error())
-	case errors.As(err, &page):
-		return problem(http.StatusNotFound, ReasonMissing, "The version is not kept", page.Error())
+	case errors.As(err, &notRetained):
+		return problem(http.StatusNotFound, ReasonMissing, "The version is not kept", notRetained.Error())
 	case errors.As(err, &unavailable):
 		return problem(http.StatusServiceUnavailable, ReasonStore, "The platform's store is not available", unavailable.Error())
 	}
--- a/io/mtcommand/accept.go
+++ b/io/mtcommand/accept.go
@@ -12,18 +12,18 @@
 )
 
 func bundleAccept(c *console) *command {
-	at := &connection{}
+	conn := &connection{}
 	var wait time.Duration
 	return &command{
 		console: c, name: "accept", synopsis: "put a signed proposal in force", usage: "BUSINESS VERSION [DIGEST]",
 		help:    "Puts a proposal in force everywhere. If another bundle took the version first,\nnothing is done and the winner is named. May be repeated after exit code 4.\nWith -wait it goes on until every live daemon goes by the bundle, and exits with\n5 if that takes longer.",
 		example: "magnoliaturn bundle accept -wait 10s ratins 2 5f0c",
 		flags: func(f *flag.FlagSet) {
-			at.flags(f)
+			conn.flags(f)
 			f.DurationVar(&wait, "wait", 0, "wait that long for the bundle to be in force everywhere")
 		},
 		run: func(ctx context.Context, args []string) error {
-			client, err := at.client()
+			client, err := conn.client()
 			if err != nil {
 				return err
 			}
--- a/io/mtcommand/force.go
+++ b/io/mtcommand/force.go
@@ -32,7 +32,7 @@
 			signed = fmt.Sprintf("%d of %d %s", len(d.Signed), d.Needed, signed)
 		}
 		rows = append(rows, []string{
-			string(d.Business), version(d.Version), d.Digest, d.Proposer, dash(signed), dash(d.Accepter), accepted,
+			string(d.Business), version(d.Version), d.Digest, d.Proposer, orDash(signed), orDash(d.Accepter), accepted,
 		})
 	}
 	return rows
@@ -40,7 +40,7 @@
 
 func version(v mtid.Version) string { return strconv.FormatUint(uint64(v), 10) }
 
-func dash(s string) string {
+func orDash(s string) string {
 	if s == "" {
 		return "-"
 	}
@@ -55,35 +55,35 @@
 }
 
 func bundleShow(c *console) *command {
-	at := &connection{}
+	conn := &connection{}
 	var text bool
-	var former uint64
+	var requested uint64
 	return &command{
 		console: c, name: "show", synopsis: "show the bundle in force, and where it is", usage: "BUSINESS",
 		help:    "Shows the bundle in force, the open proposals, and which version each daemon\ngoes by. With -text only the text is printed, with -version a former one.",
 		example: "magnoliaturn bundle show ratins\nmagnoliaturn bundle show -text -version 6 ratins",
 		flags: func(f *flag.FlagSet) {
-			at.flags(f)
+			conn.flags(f)
 			f.BoolVar(&text, "text", false, "print the text only")
-			f.Uint64Var(&former, "version", 0, "a former version; the one in force if absent")
+			f.Uint64Var(&requested, "version", 0, "a former version; the one in force if absent")
 		},
-		run: at.run(1, 1, "BUSINESS", func(ctx context.Context, client *mtadmin.Client, args []string) error {
+		run: conn.run(1, 1, "BUSINESS", func(ctx context.Context, client *mtadmin.Client, args []string) error {
 			business := mtid.Business(args[0])
-			if text || former > 0 {
-				return c.showText(ctx, client, business, mtid.Version(former), text)
+			if text || requested > 0 {
+				return c.showText(ctx, client, business, mtid.Version(requested), text)
 			}
 			return c.showStatus(ctx, client, business)
 		}),
 	}
 }
 
-func (c *console) showText(ctx context.Context, client *mtadmin.Client, business mtid.Business, former mtid.Version, text bool) error {
+func (c *console) showText(ctx context.Context, client *mtadmin.Client, business mtid.Business, requested mtid.Version, text bool) error {
 	var d mtadmin.BundleDocument
 	var err error
-	if former == 0 {
+	if requested == 0 {
 		d, err = client.Bundle(ctx, business)
 	} else {
-		d, err = client.Version(ctx, business, former)
+		d, err = client.Version(ctx, business, requested)
 	}
 	if err != nil {
 		return err
@@ -140,7 +140,7 @@
 		if shown.InForce != nil && d.Version == shown.InForce.Version {
 			current++
 		}
-		rows = append(rows, []string{string(d.Daemon), string(d.Zone), version(d.Version), dash(d.Error)})
+		rows = append(rows, []string{string(d.Daemon), string(d.Zone), version(d.Version), orDash(d.Error)})
 	}
 	fmt.Fprintln(c.out)
 	c.show(nil, []string{"DAEMON", "ZONE", "VERSION", "ERROR"}, rows)
@@ -155,13 +155,13 @@
 }
 
 func bundleHistory(c *console) *command {
-	at := &connection{}
+	conn := &connection{}
 	return &command{
 		console: c, name: "history", synopsis: "list the versions that are kept", usage: "BUSINESS",
 		help:    "Lists the bundle in force and the former ones that the store keeps, the newest\nfirst.",
 		example: "magnoliaturn bundle history ratins",
-		flags:   at.flags,
-		run: at.run(1, 1, "BUSINESS", func(ctx context.Context, client *mtadmin.Client, args []string) error {
+		flags:   conn.flags,
+		run: conn.run(1, 1, "BUSINESS", func(ctx context.Context, client *mtadmin.Client, args []string) error {
 			page, err := client.History(ctx, mtid.Business(args[0]))
 			if err != nil {
 				return err
--- a/io/mtcommand/propose.go
+++ b/io/mtcommand/propose.go
@@ -14,17 +14,17 @@
 )
 
 func bundlePropose(c *console) *command {
-	at := &connection{}
+	conn := &connection{}
 	var rollback uint64
 	return &command{
 		console: c, name: "propose", synopsis: "propose a bundle, or a rollback", usage: "FILE | -rollback VERSION BUSINESS",
 		help:    "Brings a new bundle. Its version must be the one after that in force. With\n-rollback the text of a former version is proposed under the next number.",
 		example: "magnoliaturn bundle propose ratins.ini\nmagnoliaturn bundle propose -rollback 7 ratins",
 		flags: func(f *flag.FlagSet) {
-			at.flags(f)
+			conn.flags(f)
 			f.Uint64Var(&rollback, "rollback", 0, "former version to propose again")
 		},
-		run: at.run(1, 1, "FILE | -rollback VERSION BUSINESS", func(ctx context.Context, client *mtadmin.Client, args []string) error {
+		run: conn.run(1, 1, "FILE | -rollback VERSION BUSINESS", func(ctx context.Context, client *mtadmin.Client, args []string) error {
 			business, text, err := proposal(ctx, client, args[0], mtid.Version(rollback))
 			if err != nil {
 				return err
@@ -54,11 +54,11 @@
 	if err != nil {
 		return "", nil, err
 	}
-	former, err := client.Version(ctx, business, rollback)
+	previous, err := client.Version(ctx, business, rollback)
 	if err != nil {
 		return "", nil, err
 	}
-	return business, mtbundle.Renumber([]byte(former.Text), inForce.Version+1), nil
+	return business, mtbundle.Renumber([]byte(previous.Text), inForce.Version+1), nil
 }
 
 // findDraft returns the open proposal that the arguments BUSINESS VERSION
@@ -135,14 +135,14 @@
 }
 
 func bundleSign(c *console) *command {
-	at := &connection{}
+	conn := &connection{}
 	var signer, keyFile string
 	return &command{
 		console: c, name: "sign", synopsis: "sign a proposal off", usage: "-signer NAME -key FILE BUSINESS VERSION [DIGEST]",
 		help:    "Shows what the proposal changes, works out its digest from its text, signs\nthat with the key, which stays here, and hands the signature in.",
 		example: "magnoliaturn bundle sign -signer janis -key janis.key ratins 2 5f0c",
 		flags: func(f *flag.FlagSet) {
-			at.flags(f)
+			conn.flags(f)
 			f.StringVar(&signer, "signer", "", "the signer's name in the bundle in force")
 			f.StringVar(&keyFile, "key", "", "file with the signer's private key")
 		},
@@ -154,7 +154,7 @@
 			if err != nil {
 				return err
 			}
-			client, err := at.client()
+			client, err := conn.client()
 			if err != nil {
 				return err
 			}
--- a/io/mtcommand/show.go
+++ b/io/mtcommand/show.go
@@ -27,13 +27,13 @@
 }
 
 func showOwner(c *console) *command {
-	at := &connection{}
+	conn := &connection{}
 	return &command{
 		console: c, name: "owner", synopsis: "show who owns a key", usage: "BUSINESS/SERVICE KEY",
 		help:    "Shows the shard of a key, its owner and epoch. An owner that is not live is\nabout to be taken over.",
 		example: "magnoliaturn show owner ratins/dispatch hotel-7/room-214",
-		flags:   at.flags,
-		run: at.run(2, 2, "BUSINESS/SERVICE KEY", func(ctx context.Context, client *mtadmin.Client, args []string) error {
+		flags:   conn.flags,
+		run: conn.run(2, 2, "BUSINESS/SERVICE KEY", func(ctx context.Context, client *mtadmin.Client, args []string) error {
 			ref, err := parseRef(args[0])
 			if err != nil {
 				return err
@@ -43,7 +43,7 @@
 				return err
 			}
 			c.show(d, []string{"KEY", "OWNER", "EPOCH", "SHARD", "LIVE", "CALLER"}, [][]string{{
-				string(d.Key), formatHolder(d.Shard.Owner, d.Shard.Incarnation), fmt.Sprint(d.Shard.Epoch), d.Shard.Low, yesNo(d.Live), dash(d.Caller),
+				string(d.Key), formatHolder(d.Shard.Owner, d.Shard.Incarnation), fmt.Sprint(d.Shard.Epoch), d.Shard.Low, yesNo(d.Live), orDash(d.Caller),
 			}})
 			return nil
 		}),
@@ -62,13 +62,13 @@
 }
 
 func showRoster(c *console) *command {
-	at := &connection{}
+	conn := &connection{}
 	return &command{
 		console: c, name: "roster", synopsis: "list the daemons and their servers", usage: "",
 		help:    "Lists every daemon with its zone, state, witnesses and backend servers.",
 		example: "magnoliaturn show roster",
-		flags:   at.flags,
-		run: at.run(0, 0, "no arguments", func(ctx context.Context, client *mtadmin.Client, _ []string) error {
+		flags:   conn.flags,
+		run: conn.run(0, 0, "no arguments", func(ctx context.Context, client *mtadmin.Client, _ []string) error {
 			page, err := client.Roster(ctx)
 			if err != nil {
 				return err
@@ -77,7 +77,7 @@
 			for _, d := range page.Items {
 				rows = append(rows, []string{
 					formatHolder(d.Daemon, d.Incarnation), string(d.Zone), string(d.Region), d.State, yesNo(d.Live),
-					formatOffers(d.Offers), dash(strings.Join(d.Witnesses, ",")),
+					formatOffers(d.Offers), orDash(strings.Join(d.Witnesses, ",")),
 				})
 			}
 			c.show(page.Items, []string{"DAEMON", "ZONE", "REGION", "STATE", "LIVE", "SERVERS", "WITNESSES"}, rows)
@@ -91,17 +91,17 @@
 	for _, o := range documents {
 		words = append(words, fmt.Sprintf("%s/%s:%d", o.Business, o.Service, o.Slots))
 	}
-	return dash(strings.Join(words, ","))
+	return orDash(strings.Join(words, ","))
 }
 
 func showAssignment(c *console) *command {
-	at := &connection{}
+	conn := &connection{}
 	return &command{
 		console: c, name: "assignment", synopsis: "list the shards of a service", usage: "BUSINESS/SERVICE",
 		help:    "Lists every shard with its owner and epoch, in order of the ring.",
 		example: "magnoliaturn show assignment ratins/dispatch",
-		flags:   at.flags,
-		run: at.run(1, 1, "BUSINESS/SERVICE", func(ctx context.Context, client *mtadmin.Client, args []string) error {
+		flags:   conn.flags,
+		run: conn.run(1, 1, "BUSINESS/SERVICE", func(ctx context.Context, client *mtadmin.Client, args []string) error {
 			ref, err := parseRef(args[0])
 			if err != nil {
 				return err
@@ -121,13 +121,13 @@
 }
 
 func showQuarantine(c *console) *command {
-	at := &connection{}
+	conn := &connection{}
 	return &command{
 		console: c, name: "quarantine", synopsis: "list requests that are kept from running", usage: "BUSINESS",
 		help:    "Lists the fingerprints of requests in quarantine since they crashed backend\nservers, as far as daemons have refused them. Daemons that gave no answer are\nnamed on standard error.",
 		example: "magnoliaturn show quarantine ratins",
-		flags:   at.flags,
-		run: at.run(1, 1, "BUSINESS", func(ctx context.Context, client *mtadmin.Client, args []string) error {
+		flags:   conn.flags,
+		run: conn.run(1, 1, "BUSINESS", func(ctx context.Context, client *mtadmin.Client, args []string) error {
 			page, err := client.Quarantine(ctx, mtid.Business(args[0]))
 			if err != nil {
 				return err
@@ -146,13 +146,13 @@
 }
 
 func drainCommand(c *console) *command {
-	at := &connection{}
+	conn := &connection{}
 	return &command{
 		console: c, name: "drain", synopsis: "take a daemon and its server out of service", usage: "DAEMON",
 		help:    "The daemon moves its shards to others, finishes the requests that it has, and\ngoes on as an ingress. Watch its shards go with \"show assignment\".",
 		example: "magnoliaturn drain riga-old-town-1",
-		flags:   at.flags,
-		run: at.run(1, 1, "DAEMON", func(ctx context.Context, client *mtadmin.Client, args []string) error {
+		flags:   conn.flags,
+		run: conn.run(1, 1, "DAEMON", func(ctx context.Context, client *mtadmin.Client, args []string) error {
 			d, err := client.Drain(ctx, mtid.Daemon(args[0]))
 			if err != nil {
 				return err
@@ -214,7 +214,7 @@
 		run: func(context.Context, []string) error {
 			b := build{Version: "(devel)", Revision: "unknown", Go: runtime.Version(), Platform: runtime.GOOS + "/" + runtime.GOARCH}
 			if info, ok := debug.ReadBuildInfo(); ok {
-				b.Version = dash(info.Main.Version)
+				b.Version = orDash(info.Main.Version)
 				for _, setting := range info.Settings {
 					if setting.Key == "vcs.revision" {
 						b.Revision = setting.Value
--- a/io/mtdaemon/figures.go
+++ b/io/mtdaemon/figures.go
@@ -90,8 +90,8 @@
 	defer f.mu.Unlock()
 	before, ok := f.rates[ref]
 	next := rate{count: count, at: now}
-	if passed := now.Sub(before.at); ok && passed > 0 && count >= before.count {
-		next.perSecond = float64(count-before.count) / passed.Seconds()
+	if elapsed := now.Sub(before.at); ok && elapsed > 0 && count >= before.count {
+		next.perSecond = float64(count-before.count) / elapsed.Seconds()
 	}
 	f.rates[ref] = next
 }
--- a/io/mtdaemon/listen.go
+++ b/io/mtdaemon/listen.go
@@ -200,8 +200,8 @@
 }
 
 // waitFailureOrStop waits until a server fails or all listeners are closed. It
-// does not return when only this server has shut down: the kernel stops all tasks as soon
-// as one returns, which would abort requests in flight on the other listeners.
+// does not return when only this server has shut down: the kernel stops all tasks as
+// soon as one returns, which would abort requests in flight on the other listeners.
 func (l *listeners) waitFailureOrStop(server *mtlisten.Server) error {
 	select {
 	case err := <-server.Failed():
--- a/io/mtdaemon/member.go
+++ b/io/mtdaemon/member.go
@@ -124,7 +124,7 @@
 }
 
 func (d *Daemon) addRenew() error {
-	duty, cleanUp, err := mtrenew.New(mtrenew.Config{
+	renewer, cleanUp, err := mtrenew.New(mtrenew.Config{
 		Self:       d.config.Settings.Name,
 		Listen:     d.config.Settings.Renew,
 		Secrets:    mtkernel.MustLookup[*credentialSet](d.kernel, NameKeys).datagramSecrets,
@@ -138,14 +138,14 @@
 	}
 	mtkernel.MustLookup[*mtsync.Sync](d.kernel, NameSync).OnChange(func(names []string) {
 		if slices.ContainsFunc(names, affectsRouting) {
-			duty.NotifyPeers()
+			renewer.NotifyPeers()
 		}
 	})
 	clock := mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock)
 	mtkernel.MustLookup[*mtserver.Pool](d.kernel, NameServers).SetLeaseEnd(func() int64 {
-		return clock.Boot() + int64(duty.Until().Add(-mtowner.LeaseMargin).Sub(clock.Now()))
+		return clock.Boot() + int64(renewer.Until().Add(-mtowner.LeaseMargin).Sub(clock.Now()))
 	})
-	return mtkernel.Register(d.kernel, NameRenew, duty, cleanUp)
+	return mtkernel.Register(d.kernel, NameRenew, renewer, cleanUp)
 }
 
 // affectsRouting reports whether a change of the value affects the routing of requests,
--- a/io/mtdaemon/mtdaemon.go
+++ b/io/mtdaemon/mtdaemon.go
@@ -288,19 +288,19 @@
 // Run serves until ctx is done, then shuts down gracefully. If a listener fails,
 // Run returns its error without a graceful shutdown.
 func (d *Daemon) Run(ctx context.Context) error {
-	inner, cancel := context.WithCancel(context.Background())
+	kernelCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	d.kernel.AddTask(func() error {
 		select {
 		case <-ctx.Done():
 			d.shutdown()
 			return nil
-		case <-inner.Done():
+		case <-kernelCtx.Done():
 			return nil
 		}
 	}, func(error) { cancel() })
 	d.listeners.addTasks(d.kernel)
-	return d.kernel.Run(inner)
+	return d.kernel.Run(kernelCtx)
 }
 
 // shutdown hands over all shards and closes the listeners. The order matters:
--- a/io/mtmember/bench_test.go
+++ b/io/mtmember/bench_test.go
@@ -141,14 +141,14 @@
 	reads1, writes1 := f.store.calls()
 	f.start(lost)
 	f.waitSettled()
-	giveBack(f, lost)
+	reassignShards(f, lost)
 	reads2, writes2 := f.store.calls()
 	return took, reads1 - reads0 + writes1 - writes0, reads2 - reads1 + writes2 - writes1 - 1
 }
 
-// giveBack moves some shards to a restarted daemon, so that there are shards to
+// reassignShards moves some shards to a restarted daemon, so that there are shards to
 // recover when it is lost again.
-func giveBack(f *fleet, n *node) {
+func reassignShards(f *fleet, n *node) {
 	for {
 		table := f.store.Tables()[0]
 		var ops []mtshard.Op
@@ -197,7 +197,7 @@
 		}
 	}
 	stops.Wait()
-	stuck := func() int {
+	unrecovered := func() int {
 		count := 0
 		for _, h := range holders {
 			if f.owns(h) {
@@ -206,7 +206,7 @@
 		}
 		return count
 	}
-	for stuck() > 0 && time.Since(begin) < time.Minute {
+	for unrecovered() > 0 && time.Since(begin) < time.Minute {
 		time.Sleep(5 * time.Millisecond)
 	}
 	took := time.Since(begin)
@@ -216,7 +216,7 @@
 	}
 	b.ReportMetric(took.Seconds(), "s")
 	b.ReportMetric(float64(len(holders)), "lost")
-	b.ReportMetric(float64(stuck()), "lost-still-owning")
+	b.ReportMetric(float64(unrecovered()), "lost-still-owning")
 	b.ReportMetric(0, "ns/op")
 }
 
--- a/io/mtmember/fleet_test.go
+++ b/io/mtmember/fleet_test.go
@@ -155,11 +155,11 @@
 // create writes a table that distributes shards among all registered daemons.
 func (s *fakeStore) create(t testing.TB, shards int) {
 	t.Helper()
-	var among []mtid.Holder
+	var holders []mtid.Holder
 	for _, r := range s.Roster() {
-		among = append(among, r.Holder)
+		holders = append(holders, r.Holder)
 	}
-	table, err := mtshard.New(ref, 0, 1).Apply(mtroster.WriteID{}, mtshard.Create{Shards: shards, Holders: among})
+	table, err := mtshard.New(ref, 0, 1).Apply(mtroster.WriteID{}, mtshard.Create{Shards: shards, Holders: holders})
 	assert.NilError(t, err)
 	value, err := table.Encode()
 	assert.NilError(t, err)
--- a/io/mtmember/mtmember.go
+++ b/io/mtmember/mtmember.go
@@ -57,7 +57,7 @@
 	Confirm(since mtclock.Instant)
 	ConfirmedUntil() mtclock.Instant
 	Defects() (mtlease.Defects, []mtid.Holder)
-	Lapsed(mtid.Holder) bool
+	PromiseExpired(mtid.Holder) bool
 	Revoke(mtwitness.Request) mtwitness.Reply
 }
 
--- a/io/mtmember/registrar.go
+++ b/io/mtmember/registrar.go
@@ -65,269 +65,269 @@
 }
 
 // run executes steps until the member stops.
-func (k *registrar) run() {
+func (r *registrar) run() {
 	for {
-		wait := k.step()
-		k.syncLease()
-		k.confirm()
-		if !k.sleep(wait) {
+		wait := r.step()
+		r.syncLease()
+		r.confirm()
+		if !r.sleep(wait) {
 			return
 		}
 	}
 }
 
 // step executes one step and returns how long to wait before the next.
-func (k *registrar) step() time.Duration {
-	offers, state := k.desired()
-	k.machine.PrepareRegistration(offers, state)
-	next := k.machine.Next()
+func (r *registrar) step() time.Duration {
+	offers, state := r.desired()
+	r.machine.PrepareRegistration(offers, state)
+	next := r.machine.Next()
 	switch next.Kind {
 	case mtmember.Read:
-		return k.read()
+		return r.read()
 	case mtmember.Fence:
-		return k.fencePrevious(next)
+		return r.fencePrevious(next)
 	case mtmember.Write:
-		return k.write(next)
+		return r.write(next)
 	}
-	if _, version, ok := k.config.View.Record(k.config.Profile.Daemon); ok {
-		k.machine.ObserveVersion(version)
+	if _, version, ok := r.config.View.Record(r.config.Profile.Daemon); ok {
+		r.machine.ObserveVersion(version)
 	}
-	k.updateRecord(offers, state)
+	r.updateRecord(offers, state)
 	return recordInterval
 }
 
-func (k *registrar) name() string { return mtstore.RosterName(k.config.Profile.Daemon) }
+func (r *registrar) name() string { return mtstore.RosterName(r.config.Profile.Daemon) }
 
 // nextBackoff returns a delay that doubles with each consecutive failure.
-func (k *registrar) nextBackoff() time.Duration {
-	pause := k.backoff
-	k.backoff = min(2*k.backoff, maxBackoff)
+func (r *registrar) nextBackoff() time.Duration {
+	pause := r.backoff
+	r.backoff = min(2*r.backoff, maxBackoff)
 	return pause
 }
 
-func (k *registrar) read() time.Duration {
-	k.lastCall = k.config.Clock.Now()
-	entry, err := k.store.get(k.ctx, k.name())
+func (r *registrar) read() time.Duration {
+	r.lastCall = r.config.Clock.Now()
+	entry, err := r.store.get(r.ctx, r.name())
 	if isNotFound(err) {
-		k.machine.ObserveMissing()
+		r.machine.ObserveMissing()
 		return 0
 	}
 	if err != nil {
-		return k.nextBackoff()
+		return r.nextBackoff()
 	}
-	return k.observe(entry)
+	return r.observe(entry)
 }
 
-func (k *registrar) observe(entry mtstore.Entry) time.Duration {
+func (r *registrar) observe(entry mtstore.Entry) time.Duration {
 	record, err := mtroster.Decode(entry.Value)
 	if err != nil {
-		k.config.Log.Error("member: failed to decode own record", "err", err)
-		return k.nextBackoff()
+		r.config.Log.Error("member: failed to decode own record", "err", err)
+		return r.nextBackoff()
 	}
-	k.backoff = minBackoff
-	k.machine.Observe(record, entry.Version)
-	k.confirmed = true
-	k.reportEntry(entry.Name, entry.Version, entry.Value)
+	r.backoff = minBackoff
+	r.machine.Observe(record, entry.Version)
+	r.confirmed = true
+	r.reportEntry(entry.Name, entry.Version, entry.Value)
 	return 0
 }
 
-func (k *registrar) write(next mtmember.Step) time.Duration {
+func (r *registrar) write(next mtmember.Step) time.Duration {
 	value, err := next.Record.Encode()
 	if err != nil {
-		k.config.Log.Error("member: failed to encode own record", "err", err)
-		return k.nextBackoff()
+		r.config.Log.Error("member: failed to encode own record", "err", err)
+		return r.nextBackoff()
 	}
 	if next.Record.State == mtroster.Gone {
-		k.config.Lease.Close()
+		r.config.Lease.Close()
 	}
-	k.config.Lease.Attempt()
-	k.lastCall = k.config.Clock.Now()
-	version, err := k.store.swap(k.ctx, k.name(), next.Expected, value)
+	r.config.Lease.Attempt()
+	r.lastCall = r.config.Clock.Now()
+	version, err := r.store.swap(r.ctx, r.name(), next.Expected, value)
 	switch outcomeOf(err) {
 	case succeeded:
-		k.backoff = minBackoff
-		k.machine.WriteSucceeded(version)
-		k.confirmed = true
-		k.reportEntry(k.name(), version, value)
+		r.backoff = minBackoff
+		r.machine.WriteSucceeded(version)
+		r.confirmed = true
+		r.reportEntry(r.name(), version, value)
 		return 0
 	case conflicted:
-		return k.observe(conflictingEntry(err))
+		return r.observe(conflictingEntry(err))
 	case notApplied:
-		k.machine.WriteRejected()
+		r.machine.WriteRejected()
 	default:
-		k.machine.WriteUnknown()
+		r.machine.WriteUnknown()
 	}
-	return k.nextBackoff()
+	return r.nextBackoff()
 }
 
 // fencePrevious asks the witnesses of the previous incarnation to revoke it.
-func (k *registrar) fencePrevious(next mtmember.Step) time.Duration {
-	now := k.config.Clock.Steady()
-	if k.fence == nil || k.fence.Version() != next.Expected {
-		k.fence = mttakeover.New(next.Record, next.Expected)
-		k.fenceDeadline = now.Add(fenceTimeout)
+func (r *registrar) fencePrevious(next mtmember.Step) time.Duration {
+	now := r.config.Clock.Steady()
+	if r.fence == nil || r.fence.Version() != next.Expected {
+		r.fence = mttakeover.New(next.Record, next.Expected)
+		r.fenceDeadline = now.Add(fenceTimeout)
 	}
-	step := k.fence.Next(now)
+	step := r.fence.Next(now)
 	switch step.Kind {
 	case mttakeover.Ask:
-		if k.revokeAll(k.fence, step.Witnesses) {
+		if r.revokeAll(r.fence, step.Witnesses) {
 			// A promise to the previous incarnation is still valid: wait until it
 			// expires.
-			k.fenceDeadline = max(k.fenceDeadline, now.Add(fenceTimeout/2))
+			r.fenceDeadline = max(r.fenceDeadline, now.Add(fenceTimeout/2))
 		}
 		return 0
 	case mttakeover.Write, mttakeover.Done:
-		k.machine.MarkFenced(next.Expected)
+		r.machine.MarkFenced(next.Expected)
 		return 0
 	}
-	if now.After(k.fenceDeadline) {
-		k.config.Log.Warn("member: registering without the witnesses of the previous incarnation", "former", next.Record.Holder)
-		k.machine.MarkFenced(next.Expected)
+	if now.After(r.fenceDeadline) {
+		r.config.Log.Warn("member: registering without the witnesses of the previous incarnation", "former", next.Record.Holder)
+		r.machine.MarkFenced(next.Expected)
 		return 0
 	}
 	return min(step.Wait, recordInterval)
 }
 
 // syncLease updates the lease to the known state of the record.
-func (k *registrar) syncLease() {
-	holder := k.machine.Holder()
-	if holder != k.holder {
-		k.setHolder(holder)
+func (r *registrar) syncLease() {
+	holder := r.machine.Holder()
+	if holder != r.holder {
+		r.setHolder(holder)
 		return
 	}
-	if holder.IsZero() || k.machine.WritePending() {
+	if holder.IsZero() || r.machine.WritePending() {
 		return
 	}
-	record, version := k.machine.Record()
-	if version != k.setVersion {
-		k.setVersion, k.proposed = version, nil
-		k.counters.SetChanges.Add(1)
-		k.config.Lease.Settle(mtlease.Set{Version: version, Witnesses: record.Witnesses})
+	record, version := r.machine.Record()
+	if version != r.setVersion {
+		r.setVersion, r.proposed = version, nil
+		r.counters.SetChanges.Add(1)
+		r.config.Lease.Settle(mtlease.Set{Version: version, Witnesses: record.Witnesses})
 	}
 }
 
 // confirm lets this daemon continue to make promises as a witness once the store
 // has confirmed its incarnation. A valid lease confirms it as well, so an idle
 // daemon makes no store calls; without one, the record is read repeatedly.
-func (k *registrar) confirm() {
-	if k.holder.IsZero() {
+func (r *registrar) confirm() {
+	if r.holder.IsZero() {
 		return
 	}
-	if k.confirmed {
-		k.confirmed = false
-		k.config.Lease.Confirm(k.lastCall)
+	if r.confirmed {
+		r.confirmed = false
+		r.config.Lease.Confirm(r.lastCall)
 	}
-	if k.config.Lease.ConfirmedUntil().Sub(k.config.Clock.Now()) < mtlease.ConfirmationTTL/2 && !k.machine.WritePending() {
-		_, version := k.machine.Record()
-		k.machine.ObserveVersion(version + 1)
+	if r.config.Lease.ConfirmedUntil().Sub(r.config.Clock.Now()) < mtlease.ConfirmationTTL/2 && !r.machine.WritePending() {
+		_, version := r.machine.Record()
+		r.machine.ObserveVersion(version + 1)
 	}
 }
 
 // setHolder starts or ends an incarnation.
-func (k *registrar) setHolder(holder mtid.Holder) {
-	previous := k.holder
-	k.holder, k.proposed = holder, nil
+func (r *registrar) setHolder(holder mtid.Holder) {
+	previous := r.holder
+	r.holder, r.proposed = holder, nil
 	if holder.IsZero() {
-		k.config.Log.Warn("member: incarnation was revoked, registering again", "holder", previous)
-		k.config.Lease.Close()
-		k.Member.holder.Store(&holder)
+		r.config.Log.Warn("member: incarnation was revoked, registering again", "holder", previous)
+		r.config.Lease.Close()
+		r.Member.holder.Store(&holder)
 		return
 	}
-	record, version := k.machine.Record()
-	k.setVersion = version
-	k.counters.Registrations.Add(1)
-	k.config.Lease.Register(holder, mtlease.Set{Version: version, Witnesses: record.Witnesses})
-	k.Member.holder.Store(&holder)
-	k.config.Log.Info("member: registered", "holder", holder)
+	record, version := r.machine.Record()
+	r.setVersion = version
+	r.counters.Registrations.Add(1)
+	r.config.Lease.Register(holder, mtlease.Set{Version: version, Witnesses: record.Witnesses})
+	r.Member.holder.Store(&holder)
+	r.config.Log.Info("member: registered", "holder", holder)
 	// This registration fences the previous incarnation, and no claimant has been
 	// notified of that.
-	k.fenced.Store(holder.Daemon, record)
-	k.queueFailover()
-	if k.config.Registered != nil {
-		k.config.Registered(holder)
+	r.fenced.Store(holder.Daemon, record)
+	r.queueFailover()
+	if r.config.Registered != nil {
+		r.config.Registered(holder)
 	}
 }
 
 // updateRecord proposes a record with the desired contents, and has it written
 // once its witnesses have promised.
-func (k *registrar) updateRecord(offers []mtroster.Offer, state mtroster.State) {
-	now := k.config.Clock.Steady()
-	if k.proposed == nil {
-		k.propose(now, offers, state)
+func (r *registrar) updateRecord(offers []mtroster.Offer, state mtroster.State) {
+	now := r.config.Clock.Steady()
+	if r.proposed == nil {
+		r.propose(now, offers, state)
 		return
 	}
-	current, _ := k.machine.Record()
-	sameSet := slices.Equal(k.proposed.Witnesses, current.Witnesses)
-	late := now.Sub(k.proposedAt) > proposalTimeout
-	_, unpromised := k.config.Lease.Defects()
-	urgent := !k.config.Clock.Now().Before(k.config.Lease.Until())
+	current, _ := r.machine.Record()
+	sameSet := slices.Equal(r.proposed.Witnesses, current.Witnesses)
+	late := now.Sub(r.proposedAt) > proposalTimeout
+	_, unpromised := r.config.Lease.Defects()
+	urgent := !r.config.Clock.Now().Before(r.config.Lease.Until())
 	switch {
-	case k.config.Lease.Ready() && (urgent || len(unpromised) == 0), sameSet && late:
+	case r.config.Lease.Ready() && (urgent || len(unpromised) == 0), sameSet && late:
 		// Without a lease, a majority is enough. With one, it is better to wait
 		// for all: replacing a witness that did not answer takes another write.
 		//
 		// Offers and state must be published even while there is no majority.
 		// That is safe, but may interrupt serving: both sets count until the
 		// outcome of the write is known.
-		k.machine.Change(k.proposed)
+		r.machine.Change(r.proposed)
 	case late:
-		k.suspect(now, unpromised)
-		k.proposed = nil
-		k.config.Lease.Withdraw()
+		r.suspect(now, unpromised)
+		r.proposed = nil
+		r.config.Lease.Withdraw()
 	}
 }
 
 // propose starts to request promises from the witnesses of the desired record, if
 // it differs from the stored one.
-func (k *registrar) propose(now mtclock.Instant, offers []mtroster.Offer, state mtroster.State) {
-	current, version := k.machine.Record()
+func (r *registrar) propose(now mtclock.Instant, offers []mtroster.Offer, state mtroster.State) {
+	current, version := r.machine.Record()
 	next := *current
 	next.Offers, next.State = offers, state
-	defects, _ := k.config.Lease.Defects()
-	next.Witnesses = k.chooseWitnesses(now, current, defects)
+	defects, _ := r.config.Lease.Defects()
+	next.Witnesses = r.chooseWitnesses(now, current, defects)
 	changed := defects.Revoked || !slices.Equal(next.Offers, current.Offers) || next.State != current.State ||
 		!slices.Equal(next.Witnesses, current.Witnesses)
 	if !changed {
 		return
 	}
-	if k.config.Lease.Propose(mtlease.Set{Version: version + 1, Witnesses: next.Witnesses}) {
-		k.proposed, k.proposedAt = &next, now
+	if r.config.Lease.Propose(mtlease.Set{Version: version + 1, Witnesses: next.Witnesses}) {
+		r.proposed, r.proposedAt = &next, now
 	}
 }
 
 // suspect excludes witnesses that made no promise from the next proposals.
-func (k *registrar) suspect(now mtclock.Instant, unpromised []mtid.Holder) {
+func (r *registrar) suspect(now mtclock.Instant, unpromised []mtid.Holder) {
 	for _, w := range unpromised {
-		k.suspects[w] = now.Add(suspectExpiry)
+		r.suspects[w] = now.Add(suspectExpiry)
 	}
 }
 
 // chooseWitnesses returns the witnesses that the record should name: the current
 // ones that are usable, and replacements for the others.
-func (k *registrar) chooseWitnesses(now mtclock.Instant, current *mtroster.Record, defects mtlease.Defects) []mtid.Holder {
-	if len(defects.Lost) == 0 && now.Before(k.nextPairing) && k.hasLiveWitnesses(current) {
+func (r *registrar) chooseWitnesses(now mtclock.Instant, current *mtroster.Record, defects mtlease.Defects) []mtid.Holder {
+	if len(defects.Lost) == 0 && now.Before(r.nextPairing) && r.hasLiveWitnesses(current) {
 		return current.Witnesses
 	}
 	for _, w := range defects.Lost {
-		k.suspects[w] = now.Add(suspectExpiry)
+		r.suspects[w] = now.Add(suspectExpiry)
 	}
-	for w, until := range k.suspects {
+	for w, until := range r.suspects {
 		if now.After(until) {
-			delete(k.suspects, w)
+			delete(r.suspects, w)
 		}
 	}
-	self, peers := k.candidates()
-	keep := slices.DeleteFunc(slices.Clone(current.Witnesses), func(w mtid.Holder) bool {
+	self, peers := r.candidates()
+	usable := slices.DeleteFunc(slices.Clone(current.Witnesses), func(w mtid.Holder) bool {
 		return !slices.ContainsFunc(peers, func(c mtwitness.Candidate) bool { return c.Holder == w })
 	})
 	if len(peers) == 0 {
 		return current.Witnesses
 	}
-	if len(keep) == mtwitness.SetSize {
-		return k.pair(now, self, peers, current.Witnesses)
+	if len(usable) == mtwitness.SetSize {
+		return r.pair(now, self, peers, current.Witnesses)
 	}
-	chosen := mtwitness.Choose(self, peers, keep)
-	if len(chosen) == len(current.Witnesses) && len(keep) == len(chosen) {
+	chosen := mtwitness.Choose(self, peers, usable)
+	if len(chosen) == len(current.Witnesses) && len(usable) == len(chosen) {
 		return current.Witnesses
 	}
 	return chosen
@@ -335,9 +335,9 @@
 
 // hasLiveWitnesses reports whether the record names a full set of live witnesses.
 // With this check an idle daemon does not scan the whole roster at each interval.
-func (k *registrar) hasLiveWitnesses(current *mtroster.Record) bool {
+func (r *registrar) hasLiveWitnesses(current *mtroster.Record) bool {
 	for _, w := range current.Witnesses {
-		record, _, ok := k.config.View.Record(w.Daemon)
+		record, _, ok := r.config.View.Record(w.Daemon)
 		if !ok || record.Holder != w || !record.MayHoldLease() {
 			return false
 		}
@@ -348,12 +348,12 @@
 // pair returns the set with one witness replaced by a mutual one, if there is any.
 // The interval is random, so that two daemons that missed each other do not search
 // at the same time again.
-func (k *registrar) pair(now mtclock.Instant, self mtwitness.Candidate, peers []mtwitness.Candidate, set []mtid.Holder) []mtid.Holder {
-	if now.Before(k.nextPairing) {
+func (r *registrar) pair(now mtclock.Instant, self mtwitness.Candidate, peers []mtwitness.Candidate, set []mtid.Holder) []mtid.Holder {
+	if now.Before(r.nextPairing) {
 		return set
 	}
-	first := k.nextPairing == 0
-	k.nextPairing = now.Add(minPairInterval + rand.N(2*minPairInterval))
+	first := r.nextPairing == 0
+	r.nextPairing = now.Add(minPairInterval + rand.N(2*minPairInterval))
 	if first {
 		return set
 	}
@@ -361,36 +361,36 @@
 }
 
 // candidates returns this daemon and its live peers, excluding suspects.
-func (k *registrar) candidates() (mtwitness.Candidate, []mtwitness.Candidate) {
-	profile := k.config.Profile
-	self := mtwitness.Candidate{Holder: k.holder, Zone: profile.Zone, Region: profile.Region}
-	roster := k.config.View.Roster()
+func (r *registrar) candidates() (mtwitness.Candidate, []mtwitness.Candidate) {
+	profile := r.config.Profile
+	self := mtwitness.Candidate{Holder: r.holder, Zone: profile.Zone, Region: profile.Region}
+	roster := r.config.View.Roster()
 	load := make(map[mtid.Holder]int)
 	sameZone := make(map[mtid.Holder]*mtroster.Record) // of this daemon's zone
-	for _, r := range roster {
-		if r.Zone == profile.Zone && r.MayHoldLease() {
-			sameZone[r.Holder] = r
+	for _, record := range roster {
+		if record.Zone == profile.Zone && record.MayHoldLease() {
+			sameZone[record.Holder] = record
 		}
-		if r.Zone != profile.Zone || !r.MayHoldLease() || r.Holder.Daemon == profile.Daemon {
+		if record.Zone != profile.Zone || !record.MayHoldLease() || record.Holder.Daemon == profile.Daemon {
 			continue
 		}
-		for _, w := range r.Witnesses {
+		for _, w := range record.Witnesses {
 			load[w]++
 		}
 	}
 	var peers []mtwitness.Candidate
-	for _, r := range roster {
-		_, suspect := k.suspects[r.Holder]
-		if suspect || !r.MayHoldLease() || r.Holder.Daemon == profile.Daemon {
+	for _, record := range roster {
+		_, suspect := r.suspects[record.Holder]
+		if suspect || !record.MayHoldLease() || record.Holder.Daemon == profile.Daemon {
 			continue
 		}
 		peers = append(peers, mtwitness.Candidate{
-			Holder:   r.Holder,
-			Zone:     r.Zone,
-			Region:   r.Region,
-			Load:     load[r.Holder],
-			Mutual:   slices.Contains(r.Witnesses, k.holder),
-			Unpaired: isUnpaired(r, sameZone),
+			Holder:   record.Holder,
+			Zone:     record.Zone,
+			Region:   record.Region,
+			Load:     load[record.Holder],
+			Mutual:   slices.Contains(record.Witnesses, r.holder),
+			Unpaired: isUnpaired(record, sameZone),
 		})
 	}
 	return self, peers
--- a/io/mtmember/watcher.go
+++ b/io/mtmember/watcher.go
@@ -71,19 +71,19 @@
 		if now.Before(w.pausedUntil) || w.Holder().IsZero() {
 			continue
 		}
-		w.findLapsed(now)
+		w.findLost(now)
 		w.startTakeovers(now)
 		w.searchTables(now)
 	}
 }
 
-// findLapsed queues the takeover of each daemon whose promises have expired.
-func (w *watcher) findLapsed(now mtclock.Instant) {
+// findLost queues the takeover of each daemon whose promises have expired.
+func (w *watcher) findLost(now mtclock.Instant) {
 	var roster mttakeover.Roster
 	seen := make(map[mtid.Holder]bool)
 	for _, record := range w.config.View.Roster() {
 		w.fences.Note(now, record)
-		if !record.MayHoldLease() || record.Holder.Daemon == w.config.Profile.Daemon || !w.lapsed(now, record) {
+		if !record.MayHoldLease() || record.Holder.Daemon == w.config.Profile.Daemon || !w.mayTakeOver(now, record) {
 			continue
 		}
 		if roster == nil {
@@ -99,16 +99,16 @@
 	}
 }
 
-// lapsed reports whether this daemon may start a takeover of record's daemon. If it
-// is a witness, its own promise must have expired. Otherwise it leaves the takeover
+// mayTakeOver reports whether this daemon may start a takeover of record's daemon. If
+// it is a witness, its own promise must have expired. Otherwise it leaves the takeover
 // to the live witnesses, or waits for orphanDelay if there are none.
-func (w *watcher) lapsed(now mtclock.Instant, record *mtroster.Record) bool {
+func (w *watcher) mayTakeOver(now mtclock.Instant, record *mtroster.Record) bool {
 	h := record.Holder
 	isWitness := slices.ContainsFunc(record.Witnesses, func(o mtid.Holder) bool {
 		return o.Daemon == w.config.Profile.Daemon
 	})
 	if isWitness {
-		return w.config.Lease.Lapsed(h)
+		return w.config.Lease.PromiseExpired(h)
 	}
 	hasLiveWitness := slices.ContainsFunc(record.Witnesses, func(o mtid.Holder) bool {
 		other, _, ok := w.config.View.Record(o.Daemon)
--- a/io/mtrenew/exchange.go
+++ b/io/mtrenew/exchange.go
@@ -213,9 +213,9 @@
 // NotifyPeers sends the frontier immediately to the peers whose last known frontier is
 // older, instead of with the next renewal. It is called when a change affects
 // callers, such as new owners after a loss: as it propagates through the fleet, the
-// update would otherwise be delayed by half a period at each daemon. A
-// call within notifyInterval of the last round does nothing, since the renewals
-// carry the frontier. It returns how many peers were notified.
+// update would otherwise be delayed by half a period at each daemon. A call within
+// notifyInterval of the last round does nothing, since the renewals carry the frontier.
+// It returns how many peers were notified.
 func (r *Renewer) NotifyPeers() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/io/mtrenew/mtrenew.go
+++ b/io/mtrenew/mtrenew.go
@@ -324,9 +324,9 @@
 	return r.lease.Defects(now), r.lease.Unpromised(now)
 }
 
-// Lapsed reports whether this daemon, as a witness, would agree to a takeover
-// of target now.
-func (r *Renewer) Lapsed(target mtid.Holder) bool {
+// PromiseExpired reports whether this daemon, as a witness, has no unexpired promise
+// to target and so would agree to its takeover now.
+func (r *Renewer) PromiseExpired(target mtid.Holder) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.config.Clock.Steady().Before(r.witness.Until(target))
--- a/io/mtrollout/mtrollout_test.go
+++ b/io/mtrollout/mtrollout_test.go
@@ -322,6 +322,6 @@
 	assert.NilError(t, err)
 	assert.Equal(t, draft.Version, mtid.Version(versions+1))
 	_, err = r.Version(t.Context(), "ratins", 2)
-	var page *mtrollout.NotRetainedError
-	assert.Assert(t, errors.As(err, &page), "%v", err)
+	var notRetained *mtrollout.NotRetainedError
+	assert.Assert(t, errors.As(err, &notRetained), "%v", err)
 }
--- a/io/mtsetting/mesh.go
+++ b/io/mtsetting/mesh.go
@@ -30,22 +30,22 @@
 	Metrics         string              // listen address for metrics
 	Store           string              // host:port of the platform's store
 	GrantDuration   time.Duration       // upper bound of how long a key grant lasts
-	Drain           time.Duration       // how long new requests may still reach a draining server
+	Drain           time.Duration       // how long a draining server may get new requests
 	Grace           time.Duration       // from the request to stop until the process is killed
 	ConfigDeadline  time.Duration       // time within which a configuration must be in force
-	ZoneOutDeadline time.Duration       // time within which a zone taken out of service gets no new work
+	ZoneOutDeadline time.Duration       // time until a zone taken out of service gets no new work
 	// Warmup bounds how far the rate of a cold server may be exceeded.
 	Warmup mtbackend.Allowance
 }
 
 // Bounds of the durations, and defaults for those that the platform does not set.
 const (
-	minTime      = 100 * time.Millisecond
-	maxTime      = 10 * time.Minute
-	defaultHold  = 8 * time.Second
-	defaultDrain = 2 * time.Second
-	defaultGrace = 6 * time.Second
-	minConfig    = time.Second
+	minTime              = 100 * time.Millisecond
+	maxTime              = 10 * time.Minute
+	defaultGrantDuration = 8 * time.Second
+	defaultDrain         = 2 * time.Second
+	defaultGrace         = 6 * time.Second
+	minConfig            = time.Second
 )
 
 // Default and upper bound of the VM's link bandwidth, in Mbit/s. Only the order
@@ -77,7 +77,7 @@
 	s.parsePorts(listen)
 	s.Store = f.RequiredSection("store").Address("address")
 	times := f.RequiredSection("times")
-	s.GrantDuration = times.Duration("hold", defaultHold, minTime, maxTime)
+	s.GrantDuration = times.Duration("hold", defaultGrantDuration, minTime, maxTime)
 	s.Drain = times.Duration("drain", defaultDrain, minTime, maxTime)
 	s.Grace = times.Duration("grace", defaultGrace, minTime, maxTime)
 	s.ConfigDeadline = times.Duration("config", mtroute.DefaultPropagationLimit, minConfig, maxTime)
--- a/io/mtstandin/load.go
+++ b/io/mtstandin/load.go
@@ -32,7 +32,7 @@
 const (
 	timeoutSlack  = 500 * time.Millisecond // how long a caller waits past its timeout
 	maxIdleConns  = 1024                   // idle connections kept open per target
-	retryDelay    = 50 * time.Millisecond  // between tries, if there is no Retry-After and the target was reachable
+	retryDelay    = 50 * time.Millisecond  // between tries without a Retry-After of a reachable target
 	maxRetryDelay = 2 * time.Second        // upper limit of Retry-After
 	maxReply      = MaxBody
 )
--- a/io/mtstandin/server_test.go
+++ b/io/mtstandin/server_test.go
@@ -142,8 +142,8 @@
 	assert.Equal(t, events[1].Reply, mtaudit.DigestOf([]byte(body)))
 }
 
-// until polls for a state that may take any time to be reached, and fails after 30 s.
-func until(t *testing.T, reached func() bool) {
+// waitUntil polls for a state that may take any time to be reached, and fails after 30 s.
+func waitUntil(t *testing.T, reached func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if reached() {
@@ -165,10 +165,10 @@
 		_, _, err := send(ctx, url+"/k/run", map[string]string{mtheader.ID: "r"})
 		done <- err
 	}()
-	until(t, func() bool { return len(read[mtaudit.Event](t, written)) == 1 })
+	waitUntil(t, func() bool { return len(read[mtaudit.Event](t, written)) == 1 })
 	cancel()
 	assert.ErrorIs(t, <-done, context.Canceled)
-	until(t, func() bool { return server.Busy() == 0 })
+	waitUntil(t, func() bool { return server.Busy() == 0 })
 	events := read[mtaudit.Event](t, written)
 	assert.Equal(t, len(events), 2)
 	assert.Equal(t, events[1].Reply, mtaudit.Digest(""))
@@ -196,7 +196,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() { _, _, _ = send(ctx, url+"/k/run", map[string]string{mtheader.ID: "r"}) }()
-	until(t, func() bool { return len(read[mtaudit.Event](t, written)) == 1 })
+	waitUntil(t, func() bool { return len(read[mtaudit.Event](t, written)) == 1 })
 	response, _, err := send(t.Context(), url+"/k/run", map[string]string{mtheader.ID: "r2"})
 	assert.NilError(t, err)
 	assert.Equal(t, response.Header.Get(mtheader.Cause), string(mtreply.CauseShed))
@@ -271,7 +271,7 @@
 			s.Daemon, s.Grants, s.Time.Mean = daemon.URL, true, time.Hour
 			url, server, written := start(t, s)
 			// The second announcement shows that the server has read the first reply.
-			until(t, func() bool { return announcements.Load() > 1 })
+			waitUntil(t, func() bool { return announcements.Load() > 1 })
 			startBy := clock.Boot() + int64(lease)
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
@@ -290,7 +290,7 @@
 				assert.Equal(t, events[1].Reply, mtaudit.Digest(""))
 				return
 			}
-			until(t, func() bool { return server.Busy() == 1 && clock.Boot() > startBy+int64(lease) })
+			waitUntil(t, func() bool { return server.Busy() == 1 && clock.Boot() > startBy+int64(lease) })
 			assert.Equal(t, len(done), 0)
 		})
 	}
--- a/io/mtstandin/tally.go
+++ b/io/mtstandin/tally.go
@@ -102,10 +102,10 @@
 	_, _ = fmt.Fprintln(w, "class\toutcome\tcause\tcalls\tp50\tp99\tp99.9\tmax")
 	for _, l := range s.Lines {
 		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\n", l.Class, l.Outcome, l.Cause, l.Calls,
-			short(l.P50), short(l.P99), short(l.P999), short(l.Max))
+			formatLatency(l.P50), formatLatency(l.P99), formatLatency(l.P999), formatLatency(l.Max))
 	}
 	return w.Flush()
 }
 
-// short formats a latency, rounded to microseconds.
-func short(d time.Duration) string { return d.Round(time.Microsecond).String() }
+// formatLatency formats a latency, rounded to microseconds.
+func formatLatency(d time.Duration) string { return d.Round(time.Microsecond).String() }
