--- a/io/mtadmin/live.go
+++ b/io/mtadmin/live.go
@@ -37,7 +37,7 @@
 			d.Bundles[b.Business] = b.Version
 		}
 	}
-	if s.config.Figures != nil {
+	if s.config.ServiceStats != nil {
 		d.Services = s.stats(o)
 	}
 	return c.JSON(http.StatusOK, d)
--- a/io/mtadmin/mtadmin.go
+++ b/io/mtadmin/mtadmin.go
@@ -102,20 +102,20 @@
 	Dial(record *mtroster.Record) (grpc.ClientConnInterface, error)
 }
 
-// Config configures a Server. All fields but Peers, Figures, Metrics, Rate and
-// Burst are required.
+// Config configures a Server. All fields but Peers, ServiceStats, Metrics,
+// Rate and Burst are required.
 type Config struct {
-	View      View
-	Self      Self
-	Rollout   *mtrollout.Rollout
-	Operators *mtoperator.Directory
-	Peers     Dialer                                    // nil: other daemons are not queried
-	Figures   func() map[mtid.Ref]mtmetric.ServiceStats // nil: no statistics
-	Metrics   http.Handler                              // nil: GET /metrics is answered with 404
-	Now       func() time.Time
-	Logger    *slog.Logger
-	Rate      float64 // requests per second of a client address; 0: DefaultRate
-	Burst     int     // 0: DefaultBurst
+	View         View
+	Self         Self
+	Rollout      *mtrollout.Rollout
+	Operators    *mtoperator.Directory
+	Peers        Dialer                                    // nil: other daemons are not queried
+	ServiceStats func() map[mtid.Ref]mtmetric.ServiceStats // nil: no statistics
+	Metrics      http.Handler                              // nil: GET /metrics is answered with 404
+	Now          func() time.Time
+	Logger       *slog.Logger
+	Rate         float64 // requests per second of a client address; 0: DefaultRate
+	Burst        int     // 0: DefaultBurst
 }
 
 // Server serves the administration API.
--- a/io/mtadmin/mtadmin_test.go
+++ b/io/mtadmin/mtadmin_test.go
@@ -150,7 +150,7 @@
 		server := mtadmin.New(mtadmin.Config{
 			View: d, Self: d, Peers: d, Operators: directory,
 			Rollout: mtrollout.New(f.store, d.Holder, nil),
-			Figures: func() map[mtid.Ref]mtmetric.ServiceStats {
+			ServiceStats: func() map[mtid.Ref]mtmetric.ServiceStats {
 				return map[mtid.Ref]mtmetric.ServiceStats{dispatch: {KeyImbalance: 1.25}}
 			},
 			Now:    func() time.Time { return time.UnixMilli(1_700_000_000_000) },
--- a/io/mtadmin/page.go
+++ b/io/mtadmin/page.go
@@ -100,10 +100,10 @@
 // stats returns the statistics of the services that the operator may view.
 func (s *Server) stats(o *mtoperator.Operator) map[string]mtmetric.ServiceStats {
 	out := make(map[string]mtmetric.ServiceStats)
-	if s.config.Figures == nil {
+	if s.config.ServiceStats == nil {
 		return out
 	}
-	for ref, stats := range s.config.Figures() {
+	for ref, stats := range s.config.ServiceStats() {
 		if o.May(mtoperator.View, ref.Business) {
 			out[ref.String()] = stats
 		}
--- a/io/mtdaemon/admin.go
+++ b/io/mtdaemon/admin.go
@@ -26,8 +26,8 @@
 
 // Names under which the services for operators are registered with the kernel.
 const (
-	NameAdmin   mtkernel.Name = "admin"
-	NameFigures mtkernel.Name = "figures"
+	NameAdmin        mtkernel.Name = "admin"
+	NameServiceStats mtkernel.Name = "figures"
 )
 
 // addAdmin starts the HTTP server for operators. It runs before listen, because
@@ -41,15 +41,15 @@
 	self := &self{daemon: d}
 	self.ctx, self.cancel = context.WithCancel(context.Background())
 	server := mtadmin.New(mtadmin.Config{
-		View:      snapshotView{mtkernel.MustLookup[*mtview.View](d.kernel, NameView)},
-		Self:      self,
-		Rollout:   mtrollout.New(mtkernel.MustLookup[mtstore.Store](d.kernel, NameStore), d.Self, d.config.Settings.Roots),
-		Operators: operators,
-		Peers:     dialer{mtkernel.MustLookup[*mtrelay.Client](d.kernel, NameRelay)},
-		Figures:   mtkernel.MustLookup[*serviceStats](d.kernel, NameFigures).All,
-		Metrics:   mtkernel.MustLookup[*mtmetric.Metrics](d.kernel, NameMetrics).Handler(),
-		Now:       mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock).Wall,
-		Logger:    d.config.Log,
+		View:         snapshotView{mtkernel.MustLookup[*mtview.View](d.kernel, NameView)},
+		Self:         self,
+		Rollout:      mtrollout.New(mtkernel.MustLookup[mtstore.Store](d.kernel, NameStore), d.Self, d.config.Settings.Roots),
+		Operators:    operators,
+		Peers:        dialer{mtkernel.MustLookup[*mtrelay.Client](d.kernel, NameRelay)},
+		ServiceStats: mtkernel.MustLookup[*serviceStats](d.kernel, NameServiceStats).All,
+		Metrics:      mtkernel.MustLookup[*mtmetric.Metrics](d.kernel, NameMetrics).Handler(),
+		Now:          mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock).Wall,
+		Logger:       d.config.Log,
 	})
 	options := mtadmin.Options(mtkernel.MustLookup[*credentialSet](d.kernel, NameKeys).admin())
 	listener := mtlisten.Start(mtkernel.MustLookup[*sockets](d.kernel, NameSockets).admin, server.Handler(), options)
@@ -121,7 +121,7 @@
 // Loads implements mtadmin.Self.
 func (s *self) Loads() []mtadmin.Load {
 	owner := mtkernel.MustLookup[*mtowner.Owner](s.daemon.kernel, NameOwner)
-	rates := mtkernel.MustLookup[*serviceStats](s.daemon.kernel, NameFigures)
+	rates := mtkernel.MustLookup[*serviceStats](s.daemon.kernel, NameServiceStats)
 	var loads []mtadmin.Load
 	for _, a := range mtkernel.MustLookup[*mtserver.Pool](s.daemon.kernel, NameServers).Announcements() {
 		ref := mtid.Ref{Business: a.Business, Service: a.Service}
--- a/io/mtdaemon/member.go
+++ b/io/mtdaemon/member.go
@@ -226,7 +226,7 @@
 		Now:        clock.Now,
 		Log:        d.config.Log,
 		ObserveRound: func(ref mtid.Ref, state *mtplan.State) {
-			mtkernel.MustLookup[*serviceStats](d.kernel, NameFigures).setPlannedLoads(clock.Now(), ref, state)
+			mtkernel.MustLookup[*serviceStats](d.kernel, NameServiceStats).setPlannedLoads(clock.Now(), ref, state)
 		},
 	}
 	view := snapshotView{mtkernel.MustLookup[*mtview.View](d.kernel, NameView)}
--- a/io/mtdaemon/stats.go
+++ b/io/mtdaemon/stats.go
@@ -140,7 +140,7 @@
 		}
 		return out
 	})
-	return mtkernel.Register(d.kernel, NameFigures, f, mtduty.Every(statsInterval, func(context.Context) { d.measure(f) }))
+	return mtkernel.Register(d.kernel, NameServiceStats, f, mtduty.Every(statsInterval, func(context.Context) { d.measure(f) }))
 }
 
 // varsProvider is implemented by services that maintain their own expvar counters.
