--- a/io/mtdaemon/listen.go
+++ b/io/mtdaemon/listen.go
@@ -50,21 +50,21 @@
 func (d *Daemon) openSockets() error {
 	s := d.config.Settings
 	opened := &sockets{}
-	for _, one := range []struct {
+	for _, socket := range []struct {
 		purpose, address string
-		into             *net.Listener
+		listener         *net.Listener
 	}{
 		{"callers", s.Caller, &opened.callers},
 		{"daemons", s.Relay, &opened.peers},
 		{"the backend server", s.Local, &opened.local},
 		{"operators", s.Admin, &opened.admin},
 	} {
-		listener, err := net.Listen("tcp", one.address)
+		listener, err := net.Listen("tcp", socket.address)
 		if err != nil {
 			opened.close()
-			return &mtlisten.ListenError{Purpose: one.purpose, Address: one.address, Err: err}
+			return &mtlisten.ListenError{Purpose: socket.purpose, Address: socket.address, Err: err}
 		}
-		*one.into = listener
+		*socket.listener = listener
 	}
 	return mtkernel.Register(d.kernel, NameSockets, opened, opened.close)
 }
--- a/io/mtsetting/load.go
+++ b/io/mtsetting/load.go
@@ -91,23 +91,23 @@
 	l.checkDistinctAddresses(listen, s)
 	for name, address := range map[string]string{"caller": s.Caller, "relay": s.Relay, "renew": s.Renew, "admin": s.Admin} {
 		// Other hosts connect to exactly this address.
-		if at, err := netip.ParseAddrPort(address); err == nil && at.Addr().IsUnspecified() {
+		if parsed, err := netip.ParseAddrPort(address); err == nil && parsed.Addr().IsUnspecified() {
 			listen.AddFault(name, address, "the IP of this VM that others connect to, not the unspecified one")
 		}
 	}
 }
 
 // checkDistinctAddresses rejects two listeners on the same TCP address. The renew
-// listener uses UDP and may share one.
+// listener uses UDP and may use the same address.
 func (l *loader) checkDistinctAddresses(listen *mtini.Section, s *Settings) {
-	taken := make(map[string]string)
-	for _, at := range []struct{ name, address string }{
+	listenerByAddress := make(map[string]string)
+	for _, listener := range []struct{ name, address string }{
 		{"caller", s.Caller}, {"relay", s.Relay}, {"local", s.Local}, {"admin", s.Admin},
 	} {
-		if other, ok := taken[at.address]; ok && at.address != "" {
-			listen.AddFault(at.name, at.address, "an address of its own; "+other+" has this one")
+		if other, ok := listenerByAddress[listener.address]; ok && listener.address != "" {
+			listen.AddFault(listener.name, listener.address, "an address of its own; "+other+" has this one")
 		}
-		taken[at.address] = at.name
+		listenerByAddress[listener.address] = listener.name
 	}
 }
 
@@ -161,8 +161,8 @@
 func (l *loader) checkLoopback(s *Settings) {
 	listen := l.file.RequiredSection("listen")
 	for name, address := range map[string]string{"caller": s.Caller, "relay": s.Relay, "renew": s.Renew, "admin": s.Admin} {
-		at, err := netip.ParseAddrPort(address)
-		if err == nil && !at.Addr().IsLoopback() {
+		parsed, err := netip.ParseAddrPort(address)
+		if err == nil && !parsed.Addr().IsLoopback() {
 			listen.AddFault(name, address, "a loopback address as long as there is no [keys] section")
 		}
 	}
@@ -175,7 +175,7 @@
 		return
 	}
 	listen := l.file.RequiredSection("listen")
-	if at, err := netip.ParseAddrPort(s.Admin); err == nil && !at.Addr().IsLoopback() {
+	if parsed, err := netip.ParseAddrPort(s.Admin); err == nil && !parsed.Addr().IsLoopback() {
 		listen.AddFault("admin", s.Admin, "a loopback address as long as there is no [operators] section")
 	}
 }
--- a/io/mttls/mttls_test.go
+++ b/io/mttls/mttls_test.go
@@ -86,7 +86,7 @@
 	file, pair := authority(t)
 	otherFile, otherPair := authority(t)
 	fleet := open(t, keys(t, file, pair, "127.0.0.1"))
-	elsewhere := open(t, keys(t, file, pair, "127.0.0.9"))
+	otherAddress := open(t, keys(t, file, pair, "127.0.0.9"))
 	foreign := open(t, keys(t, otherFile, otherPair, "127.0.0.1"))
 	tests := []struct {
 		name           string
@@ -94,7 +94,7 @@
 		wantError      bool
 	}{
 		{"same authority", fleet, fleet, false},
-		{"server at another address", fleet, elsewhere, true},
+		{"server at another address", fleet, otherAddress, true},
 		{"server of another authority", fleet, foreign, true},
 		{"client of another authority", foreign, fleet, true},
 	}
