--- a/io/mtadmin/live.go
+++ b/io/mtadmin/live.go
@@ -37,8 +37,8 @@
 			d.Bundles[b.Business] = b.Version
 		}
 	}
-	if s.config.Figures != nil {
-		d.Services = s.figures(o)
+	if s.config.ServiceStats != nil {
+		d.Services = s.stats(o)
 	}
 	return c.JSON(http.StatusOK, d)
 }
--- a/io/mtdaemon/listen.go
+++ b/io/mtdaemon/listen.go
@@ -50,21 +50,21 @@
 func (d *Daemon) openSockets() error {
 	s := d.config.Settings
 	opened := &sockets{}
-	for _, one := range []struct {
+	for _, socket := range []struct {
 		purpose, address string
-		into             *net.Listener
+		listener         *net.Listener
 	}{
 		{"callers", s.Caller, &opened.callers},
 		{"daemons", s.Relay, &opened.peers},
 		{"the backend server", s.Local, &opened.local},
 		{"operators", s.Admin, &opened.admin},
 	} {
-		listener, err := net.Listen("tcp", one.address)
+		listener, err := net.Listen("tcp", socket.address)
 		if err != nil {
 			opened.close()
-			return &mtlisten.ListenError{Purpose: one.purpose, Address: one.address, Err: err}
+			return &mtlisten.ListenError{Purpose: socket.purpose, Address: socket.address, Err: err}
 		}
-		*one.into = listener
+		*socket.listener = listener
 	}
 	return mtkernel.Register(d.kernel, NameSockets, opened, opened.close)
 }
@@ -200,8 +200,8 @@
 }
 
 // waitFailureOrStop waits until a server fails or all listeners are closed. It
-// does not return when only this server has shut down: the kernel stops all tasks as soon
-// as one returns, which would abort requests in flight on the other listeners.
+// does not return when only this server has shut down: the kernel stops all tasks as
+// soon as one returns, which would abort requests in flight on the other listeners.
 func (l *listeners) waitFailureOrStop(server *mtlisten.Server) error {
 	select {
 	case err := <-server.Failed():
