--- a/core/mtretry/mtretry.go
+++ b/core/mtretry/mtretry.go
@@ -8,14 +8,14 @@
 // immediately, not only at its deadline.
 //
 // The budget keeps retries from overloading the servers: each request earns the
-// fraction of a retry that its class declares, and each retry costs a whole one.
+// fraction of a retry that its class declares, and each retry costs one.
 // Budgeted is the policy for production, Fixed the baseline for comparison.
 //
 // # Usage
 //
 //	policy := mtretry.NewBudgeted(rand.New(rand.NewPCG(seed, 0)))
 //	policy.Declare(flow, class.Retries)
-//	policy.First(flow)
+//	policy.RecordRequest(flow)
 //	for tries := 1; ; tries++ {
 //		err := try()
 //		wait, ok := policy.Next(now, mtretry.Attempt{Flow: flow, Tries: tries, Err: err, ...})
@@ -57,8 +57,8 @@
 
 // Policy decides on retries. The ingress has one.
 type Policy interface {
-	// First records a new request before its first try.
-	First(flow Flow)
+	// RecordRequest records a new request before its first try.
+	RecordRequest(flow Flow)
 	// Next returns how long to wait before the next try, or false if the request
 	// must not be retried and the caller gets a.Err now.
 	Next(now mtclock.Instant, a Attempt) (time.Duration, bool)
@@ -82,17 +82,18 @@
 
 // Limits on the credit of a budget, in retries.
 const (
-	// firstCredit allows retries in classes with little traffic.
-	firstCredit = 3.0
+	// initialCredit allows retries in classes with little traffic.
+	initialCredit = 3.0
 	// maxCredit limits the credit that accumulates while few requests fail.
 	maxCredit = 20.0
 )
 
-// DefaultRetries is what each request earns in a class that is not declared.
+// DefaultRetries is the fraction of a retry that each request earns in a class that is
+// not declared.
 const DefaultRetries = 0.1
 
-// minTry is the least time before the deadline for which a try is worthwhile.
-const minTry = 5 * time.Millisecond
+// minTryTime is the least time before the deadline for which a try is worthwhile.
+const minTryTime = 5 * time.Millisecond
 
 // Fixed allows a fixed number of tries, with backoff but without a budget, for every
 // request that may be sent again.
@@ -101,8 +102,8 @@
 	Random *rand.Rand
 }
 
-// First implements Policy.
-func (*Fixed) First(Flow) {}
+// RecordRequest implements Policy.
+func (*Fixed) RecordRequest(Flow) {}
 
 // Next implements Policy.
 func (p *Fixed) Next(now mtclock.Instant, a Attempt) (time.Duration, bool) {
@@ -141,8 +142,8 @@
 	}
 }
 
-// First implements Policy.
-func (p *Budgeted) First(flow Flow) {
+// RecordRequest implements Policy.
+func (p *Budgeted) RecordRequest(flow Flow) {
 	b := p.budget(flow)
 	b.credit = min(b.credit+b.earn, maxCredit)
 }
@@ -156,13 +157,13 @@
 	// so it needs neither a wait nor credit. After a planned move all held requests
 	// are redirected to the new owner at the same time.
 	if isRedirect(a.Err) {
-		return 0, a.Redirects < MaxRedirects && now.Add(minTry).Before(a.Deadline)
+		return 0, a.Redirects < MaxRedirects && now.Add(minTryTime).Before(a.Deadline)
 	}
 	if a.Tries-a.Redirects >= MaxTries {
 		return 0, false
 	}
 	wait := max(backoff(p.random, a.Tries-a.Redirects), requestedWait(a))
-	if !now.Add(wait + minTry).Before(a.Deadline) {
+	if !now.Add(wait + minTryTime).Before(a.Deadline) {
 		return 0, false
 	}
 	b := p.budget(a.Flow)
@@ -180,7 +181,7 @@
 func (p *Budgeted) budget(flow Flow) *budget {
 	b, ok := p.flows[flow]
 	if !ok {
-		b = &budget{earn: DefaultRetries, credit: firstCredit}
+		b = &budget{earn: DefaultRetries, credit: initialCredit}
 		p.flows[flow] = b
 	}
 	return b
--- a/core/mtstore/mtstore.go
+++ b/core/mtstore/mtstore.go
@@ -80,9 +80,9 @@
 	Version mtid.Version
 }
 
-// MaxConditions is the maximum number of conditions of SwapIf. The users' store
-// accepts 32 entries in a transaction, and the written name needs two of them: one
-// for its expected version and one for its new value.
+// MaxConditions is the maximum number of conditions of SwapIf. The platform's store
+// accepts 32 entries in a transaction, and the written name needs two of them: one for
+// its expected version and one for its new value.
 const MaxConditions = 30
 
 // ConditionalStore is a Store that can also write a name atomically under conditions
--- a/io/mtdaemon/figures.go
+++ b/io/mtdaemon/figures.go
@@ -150,7 +150,7 @@
 // metrics. It must be called after they are registered.
 func (d *Daemon) publishMetrics() {
 	metrics := mtkernel.MustLookup[*mtmetric.Metrics](d.kernel, NameMetrics)
-	metrics.Publish("renew", mtkernel.MustLookup[*mtrenew.Duty](d.kernel, NameRenew).Vars())
+	metrics.Publish("renew", mtkernel.MustLookup[*mtrenew.Renewer](d.kernel, NameRenew).Vars())
 	metrics.Publish("member", mtkernel.MustLookup[*mtmember.Member](d.kernel, NameMember).Vars())
 	if store, ok := mtkernel.MustLookup[mtstore.Store](d.kernel, NameStore).(varsProvider); ok {
 		metrics.Publish("store", store.Vars())
@@ -167,7 +167,7 @@
 // leaseRemaining returns the remaining time of this daemon's lease; it is negative
 // if the lease has expired.
 func (d *Daemon) leaseRemaining() any {
-	return mtkernel.MustLookup[*mtrenew.Duty](d.kernel, NameRenew).Until().Sub(mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock).Now())
+	return mtkernel.MustLookup[*mtrenew.Renewer](d.kernel, NameRenew).Until().Sub(mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock).Now())
 }
 
 // gateCounts holds the counters of one service's gate.
--- a/io/mtdaemon/listen.go
+++ b/io/mtdaemon/listen.go
@@ -87,7 +87,7 @@
 	return Addresses{
 		Caller: s.callers.Addr().String(),
 		Relay:  s.peers.Addr().String(),
-		Renew:  mtkernel.MustLookup[*mtrenew.Duty](d.kernel, NameRenew).Address(),
+		Renew:  mtkernel.MustLookup[*mtrenew.Renewer](d.kernel, NameRenew).Address(),
 		Local:  s.local.Addr().String(),
 		Admin:  s.admin.Addr().String(),
 	}
@@ -134,7 +134,7 @@
 		Router:      mtkernel.MustLookup[*mtrouter.Router](d.kernel, NameRouter),
 		Addresses:   addresses{view: mtkernel.MustLookup[*mtview.View](d.kernel, NameView)},
 		Clock:       mtkernel.MustLookup[*mttime.Clock](d.kernel, NameClock),
-		MaxBodySize: d.config.Settings.Body,
+		MaxBodySize: d.config.Settings.MaxBodyBytes,
 	})
 	return e
 }
@@ -165,7 +165,7 @@
 }
 
 func (d *Daemon) peers() *grpc.Server {
-	size := int(d.config.Settings.Body) + messageOverhead
+	size := int(d.config.Settings.MaxBodyBytes) + messageOverhead
 	server := grpc.NewServer(
 		grpc.Creds(mtkernel.MustLookup[*credentialSet](d.kernel, NameKeys).server()),
 		grpc.MaxRecvMsgSize(size),
@@ -185,7 +185,7 @@
 	relay.Register(server)
 	mtkernel.MustLookup[*mtmover.Mover](d.kernel, NameMover).Register(server)
 	mtkernel.MustLookup[*mtpoison.Detector](d.kernel, NamePoison).Register(server)
-	mtkernel.MustLookup[*mtrenew.Duty](d.kernel, NameRenew).ServeOn(server)
+	mtkernel.MustLookup[*mtrenew.Renewer](d.kernel, NameRenew).ServeOn(server)
 	mtwire.RegisterPlannerServer(server, mtkernel.MustLookup[*mtplanner.Planner](d.kernel, NamePlanner))
 	mtwire.RegisterInformServer(server, mtkernel.MustLookup[*mtadmin.Server](d.kernel, NameAdmin).Informer())
 	return server
--- a/io/mtexplain/mtexplain_test.go
+++ b/io/mtexplain/mtexplain_test.go
@@ -22,11 +22,11 @@
 {"time":"2026-01-01T00:00:03Z","level":"INFO","msg":"server state","daemon":"c","to":"ready"}
 `
 
-func TestTheStoryOfARequest(t *testing.T) {
-	story, err := mtexplain.Read("7", strings.NewReader(first), strings.NewReader(second))
+func TestPrintShowsLinesOfSeveralDaemons(t *testing.T) {
+	timeline, err := mtexplain.Read("7", strings.NewReader(first), strings.NewReader(second))
 	assert.NilError(t, err)
 	var out strings.Builder
-	assert.NilError(t, story.Print(&out))
+	assert.NilError(t, timeline.Print(&out))
 	assert.Equal(t, out.String(), `request 7
 before:
      -1.000s a: configuration in force version=4
@@ -36,10 +36,10 @@
 `)
 }
 
-func TestARequestThatNoLineNames(t *testing.T) {
-	story, err := mtexplain.Read("9", strings.NewReader(first))
+func TestPrintWithoutMatchingLines(t *testing.T) {
+	timeline, err := mtexplain.Read("9", strings.NewReader(first))
 	assert.NilError(t, err)
 	var out strings.Builder
-	assert.NilError(t, story.Print(&out))
+	assert.NilError(t, timeline.Print(&out))
 	assert.Assert(t, strings.Contains(out.String(), "no line of request 9"))
 }
--- a/io/mtgrant/mtgrant_test.go
+++ b/io/mtgrant/mtgrant_test.go
@@ -57,9 +57,9 @@
 
 // host is a fake of the component that manages the backend server.
 type host struct {
-	mu      sync.Mutex
-	record  mtbackend.Record
-	unbound atomic.Bool // another incarnation may answer
+	mu           sync.Mutex
+	record       mtbackend.Record
+	disconnected atomic.Bool // another incarnation may answer
 }
 
 func (h *host) Record() (mtbackend.Record, string) {
@@ -75,13 +75,13 @@
 	return h.record
 }
 
-func (*host) Stop(mtid.KeyNumber, mtid.KeyNumber)    {}
-func (*host) Resume(mtid.KeyNumber, mtid.KeyNumber)  {}
-func (*host) Release(mtid.KeyNumber, mtid.KeyNumber) {}
-func (*host) Forget(mtid.KeyNumber, mtid.KeyNumber)  {}
-func (*host) Gain(mtid.KeyNumber, mtid.KeyNumber)    {}
-func (*host) Suspect(mtid.ServerIncarnation)         {}
-func (h *host) Bound(mtid.ServerIncarnation) bool    { return !h.unbound.Load() }
+func (*host) Stop(mtid.KeyNumber, mtid.KeyNumber)       {}
+func (*host) Resume(mtid.KeyNumber, mtid.KeyNumber)     {}
+func (*host) Release(mtid.KeyNumber, mtid.KeyNumber)    {}
+func (*host) Forget(mtid.KeyNumber, mtid.KeyNumber)     {}
+func (*host) AddKeys(mtid.KeyNumber, mtid.KeyNumber)    {}
+func (*host) CheckServer(mtid.ServerIncarnation)        {}
+func (h *host) ConnectedTo(mtid.ServerIncarnation) bool { return !h.disconnected.Load() }
 
 // Spill assigns each range to one of the other servers, round-robin.
 func (*host) Spill(ranges []mtrange.Range, _ mtrange.SpillPosition, others []mtrange.LoadReport) []mtrange.KeyMove {
@@ -94,8 +94,8 @@
 	return runs
 }
 
-// Cut selects a hundred keys for each offload.
-func (*host) Cut(ranges []mtrange.Range, offloads []mtrange.Offload) []mtrange.KeyMove {
+// SelectMoves selects a hundred keys for each offload.
+func (*host) SelectMoves(ranges []mtrange.Range, offloads []mtrange.Offload) []mtrange.KeyMove {
 	var runs []mtrange.KeyMove
 	low := ranges[0].Low
 	for _, g := range offloads {
@@ -153,7 +153,7 @@
 type fleet struct {
 	t         *testing.T
 	clock     *clock
-	store     *mtstandin.Revisions
+	store     *mtstandin.RevisionStore
 	directory *mtdirectory.Directory
 	host      *host
 	server    *fakeServer
@@ -196,7 +196,7 @@
 func newFleet(t *testing.T, assigned ...mtid.Daemon) *fleet {
 	t.Helper()
 	f := &fleet{t: t, clock: &clock{now: mtclock.Instant(time.Hour)}, host: &host{record: record("a", mtbackend.Ready)}, server: &fakeServer{}}
-	f.store = mtstandin.NewRevisions(f.clock.time)
+	f.store = mtstandin.NewRevisionStore(f.clock.time)
 	var owners []mtrange.Owner
 	for _, d := range assigned {
 		owners = append(owners, ownerOf(d))
@@ -318,7 +318,7 @@
 	f.start()
 	f.until("the own range is granted", func() bool { return f.server.count("grant") == 1 })
 	var writes atomic.Int64
-	f.store.Lose(func(_, name string) error {
+	f.store.LoseReplies(func(_, name string) error {
 		if name == mtstore.RangeName(service) {
 			writes.Add(1)
 		}
@@ -433,8 +433,8 @@
 }
 
 // The new owner of moved keys would see them through its watch only after a tenth of a
-// second, and nobody would serve them until then. It must be notified at once, with
-// the changes.
+// second, and no server would serve them until then. It must be notified at once, with the
+// changes.
 func TestNewOwnerIsNotified(t *testing.T) {
 	f := newFleet(t, "a", "b")
 	notified := make(chan mtrange.Owner, 8)
@@ -478,8 +478,8 @@
 	f := newFleet(t, "a", "b")
 	f.start()
 	f.until("the own range is granted", func() bool { return f.server.count("grant") == 1 })
-	f.store.Deafen(true) // the watch does not show the move either
-	f.store.Lose(func(op, name string) error {
+	f.store.SuppressWatchEvents(true) // the watch does not show the move either
+	f.store.LoseReplies(func(op, name string) error {
 		if name != mtstore.RangeName(service) {
 			return nil
 		}
@@ -491,9 +491,9 @@
 	assert.Equal(t, f.server.count("grant"), 1)
 }
 
-// A daemon terminates while its write of a move is on the way, and restarts beside its
-// running server. The late write must not take effect after the keys have been granted
-// again. It is conditional on the record of the daemon's previous incarnation.
+// A daemon terminates while its write of a move is on the way, and restarts while its
+// server keeps running. The late write must not take effect after the keys have been
+// granted again. It is conditional on the record of the daemon's previous incarnation.
 func TestLateMoveOfPreviousIncarnationIsRejected(t *testing.T) {
 	f := newFleet(t, "a", "b")
 	f.write(record("a", mtbackend.Ready))
@@ -522,7 +522,7 @@
 	f.start()
 	f.until("the own range is granted", func() bool { return f.server.count("grant") == 1 })
 	var written atomic.Bool
-	f.store.Lose(func(_, name string) error {
+	f.store.LoseReplies(func(_, name string) error {
 		if name == mtstore.RangeName(service) {
 			written.Store(true)
 		}
@@ -537,8 +537,8 @@
 }
 
 // A renewal for the previous incarnation of the server is on its way to an address at which
-// another incarnation answers now. ReleaseUnowned must revoke what the renewal grants, but only
-// after it has been answered. An incarnation that owns keys keeps them.
+// another incarnation answers now. ReleaseUnowned must revoke what the renewal grants, but
+// only after it has been answered. An incarnation that owns keys keeps them.
 func TestUnownedKeysAreReleasedAfterPendingGrant(t *testing.T) {
 	f := newFleet(t, "a", "b")
 	f.start()
@@ -645,15 +645,15 @@
 	})
 }
 
-// deafWatch is a watch whose results can be delayed.
-type deafWatch struct {
+// delayedWatch is a watch whose results can be delayed.
+type delayedWatch struct {
 	mtwatch.Source
-	deaf atomic.Bool
+	delayed atomic.Bool
 }
 
-func (w *deafWatch) Watch(ctx context.Context, prefix string, after mtid.Revision, wait time.Duration) (mtstore.Changes, error) {
+func (w *delayedWatch) Watch(ctx context.Context, prefix string, after mtid.Revision, wait time.Duration) (mtstore.Changes, error) {
 	changes, err := w.Source.Watch(ctx, prefix, after, wait)
-	for w.deaf.Load() && ctx.Err() == nil {
+	for w.delayed.Load() && ctx.Err() == nil {
 		time.Sleep(5 * time.Millisecond)
 	}
 	return changes, err
@@ -665,7 +665,7 @@
 // assignment and grant them again: two servers would hold them until the watch recovered.
 func TestDelegatedMoveEndsOnlyWhenCopyShowsIt(t *testing.T) {
 	f := newFleet(t, "a", "b")
-	watch := &deafWatch{Source: f.store}
+	watch := &delayedWatch{Source: f.store}
 	f.source = watch
 	wrote := make(chan struct{})
 	signalWritten := sync.OnceFunc(func() { close(wrote) })
@@ -693,7 +693,7 @@
 	f.ownLoad = mtrange.LoadReport{Owner: ownerOf("a"), Slots: 10, Demand: 30, Keys: 100, Known: true}
 	f.otherLoads = []mtrange.LoadReport{{Owner: ownerOf("b"), Slots: 10, Demand: 1, Keys: 100, Known: true}}
 	f.mu.Unlock()
-	watch.deaf.Store(true)
+	watch.delayed.Store(true)
 	f.clock.advance(mtrange.MoveCooldown)
 	<-wrote
 	f.letLoopsRun()
@@ -701,7 +701,7 @@
 		assert.Assert(t, !strings.HasPrefix(command, "grant 0-99 "), "granted after its release: %v", f.server.sent())
 	}
 	assert.Equal(t, f.server.count("grant 0-"), 1, "granted after its release: %v", f.server.sent())
-	watch.deaf.Store(false)
+	watch.delayed.Store(false)
 	f.until("the copy shows the move", func() bool { return f.owner(0) == "b" })
 }
 
@@ -712,9 +712,9 @@
 	for range 10 {
 		f := newFleet(t, "a", "b")
 		asked := make(chan struct{})
-		signalAsked := sync.OnceFunc(func() { close(asked) })
+		signalRequested := sync.OnceFunc(func() { close(asked) })
 		f.delegate = func(ctx context.Context, _ mtrange.Batch) ([]mtrange.Outcome, bool) {
-			signalAsked()
+			signalRequested()
 			<-ctx.Done()
 			return []mtrange.Outcome{mtrange.OutcomeUnknown}, true
 		}
--- a/io/mthost/load.go
+++ b/io/mthost/load.go
@@ -16,7 +16,7 @@
 // a move the callers' daemons receive the ownership update some tenths of a second later,
 // and send calls here every few milliseconds until then. When those were counted too, an
 // owner that had transferred a hot run of keys appeared to have nine times the work it
-// could handle for eight seconds, received no keys, and was idle beside servers with
+// could handle for eight seconds, received no keys, and was idle while other servers had
 // queues.
 //
 // Calls that are late on arrival are not counted: mostly they are a caller's second or
@@ -87,16 +87,16 @@
 	return mean + (value-mean)/averageWindow
 }
 
-// Gain records that the server has just acquired keys.
-func (h *Host) Gain(low, high mtid.KeyNumber) {
+// AddKeys records that the server has just acquired keys.
+func (h *Host) AddKeys(low, high mtid.KeyNumber) {
 	h.meterMu.Lock()
 	defer h.meterMu.Unlock()
 	h.meter.AddKeys(h.Clock.Now(), low, high)
 }
 
-// Cut selects, for each offload, the run of keys in the ranges whose work comes closest to
-// it.
-func (h *Host) Cut(ranges []mtrange.Range, offloads []mtrange.Offload) []mtrange.KeyMove {
+// SelectMoves selects, for each offload, the run of keys in the ranges whose work comes
+// closest to it.
+func (h *Host) SelectMoves(ranges []mtrange.Range, offloads []mtrange.Offload) []mtrange.KeyMove {
 	if len(offloads) == 0 {
 		return nil
 	}
--- a/io/mtwatch/mtwatch_test.go
+++ b/io/mtwatch/mtwatch_test.go
@@ -74,15 +74,15 @@
 	return w, r
 }
 
-// A watch can miss changes for seconds while an operator writes. A caller that learns of a
-// change in another way uses Resync to read everything, more often than necessary, so
+// A watch can miss changes for seconds while an operator writes. A caller that is notified of
+// a change in another way uses Resync to read everything, more often than necessary, so
 // Resync must be rate-limited.
 func TestResyncReadsMissedChange(t *testing.T) {
-	store := mtstandin.NewRevisions(time.Now)
+	store := mtstandin.NewRevisionStore(time.Now)
 	store.Put("op", []byte("1"))
 	w, r := start(t, store)
 	until(t, "the first value is applied", func() bool { _, ok := r.last("op"); return ok })
-	store.Deafen(true)
+	store.SuppressWatchEvents(true)
 	store.Put("op", []byte("2"))
 	w.Resync(time.Now())
 	until(t, "the second value is applied", func() bool { e, _ := r.last("op"); return string(e.Value) == "2" })
@@ -93,13 +93,13 @@
 }
 
 func TestCompactionCausesFullRead(t *testing.T) {
-	store := mtstandin.NewRevisions(time.Now)
+	store := mtstandin.NewRevisionStore(time.Now)
 	_, r := start(t, store)
 	until(t, "all entries are read", func() bool { return r.snapshots() == 1 })
-	store.Deafen(true)
+	store.SuppressWatchEvents(true)
 	store.Put("a", nil)
 	store.Compact()
-	store.Deafen(false)
+	store.SuppressWatchEvents(false)
 	until(t, "all entries are read again", func() bool { return r.snapshots() == 2 })
 	_, ok := r.last("a")
 	assert.Assert(t, ok)
@@ -144,8 +144,8 @@
 }
 
 // The store is available again, and the daemon knows it because its record was written.
-// Without RetryNow its watch paused for up to 0.9 s, and the daemon granted nothing, since its
-// copy was from before the outage.
+// Without RetryNow its watch paused for up to 0.9 s, and the daemon granted nothing, since
+// its copy was from before the outage.
 func TestPauseAfterFailureCanBeEnded(t *testing.T) {
 	store := &unavailableStore{}
 	w, _ := start(t, store)
