--- a/core/mtcall/mtcall.go
+++ b/core/mtcall/mtcall.go
@@ -52,12 +52,12 @@
 	// request that has already used other servers' time.
 	Nested bool
 	Repeat bool // an earlier try reached a backend server
-	// Proven is set if the ingress daemon remembers that a server has answered the
-	// same request before, so that it isn't one that crashes servers.
-	Proven    bool
-	Priority  int // the lowest value is the most urgent
-	Objective mtclock.Instant
-	Deadline  mtclock.Instant
+	// AnsweredBefore is set if the ingress daemon remembers that a server has answered
+	// the same request before, so it is not one that crashes servers.
+	AnsweredBefore bool
+	Priority       int // the lowest value is the most urgent
+	Objective      mtclock.Instant
+	Deadline       mtclock.Instant
 	// The following fields are known only at the ingress.
 	TypicalService time.Duration // typical service time of the route
 	Arrived        mtclock.Instant
--- a/io/mthost/mthost.go
+++ b/io/mthost/mthost.go
@@ -351,7 +351,7 @@
 		return nil, err
 	}
 	fingerprint := call.Fingerprint()
-	if err := h.refusePoison(arrived, fingerprint, call.Proven); err != nil {
+	if err := h.refusePoison(arrived, fingerprint, call.AnsweredBefore); err != nil {
 		return nil, err
 	}
 	h.recordArrival(arrived, call)
@@ -373,7 +373,7 @@
 		}
 	}
 	started := h.Clock.Now()
-	if err := h.refusePoison(started, fingerprint, call.Proven); err != nil {
+	if err := h.refusePoison(started, fingerprint, call.AnsweredBefore); err != nil {
 		return nil, err
 	}
 	defer h.track(call.ID)()
--- a/io/mtingress/send.go
+++ b/io/mtingress/send.go
@@ -149,7 +149,7 @@
 	s.mu.Unlock()
 	state := &sending{}
 	fingerprint := call.Fingerprint()
-	call.Proven = s.Host.Answered(fingerprint)
+	call.AnsweredBefore = s.Host.Answered(fingerprint)
 	for {
 		member, err := s.target(call, state)
 		if err != nil {
--- a/io/mtowner/mtowner.go
+++ b/io/mtowner/mtowner.go
@@ -188,7 +188,7 @@
 	if service.Kind == mtbundle.Keyed {
 		o.markRecentTakeover(r, class, f.holder)
 	}
-	switch o.Poison.Judge(r) {
+	switch o.Poison.Classify(r) {
 	case mtpoison.Quarantined:
 		return nil, &mtreply.RefusedError{Cause: mtreply.CauseQuarantined, RetryAfter: -1}
 	case mtpoison.Suspect:
--- a/io/mtpoison/mtpoison.go
+++ b/io/mtpoison/mtpoison.go
@@ -11,7 +11,7 @@
 //
 //	detector, cleanUp := mtpoison.New(config)
 //	detector.Register(grpcServer)
-//	verdict := detector.Judge(request)              // ingress and owner
+//	verdict := detector.Classify(request)           // ingress and owner
 //	end := detector.TrackRun(request, address)      // owner, before the request runs
 //	defer func() { end(err) }()
 //	relayed := detector.TrackRelay(request, holder) // ingress, before the request is relayed
@@ -152,10 +152,10 @@
 	}
 }
 
-// Judge returns the verdict on a request. It is called at the ingress and again at the
-// owner. If the key was recently taken over from a lost daemon, it first queries the
-// peers, for at most queryTimeout.
-func (d *Detector) Judge(r *mtrequest.Request) mtpoison.Verdict {
+// Classify returns the verdict on a request. It is called at the ingress and again at
+// the owner. If the key was recently taken over from a lost daemon, it first queries
+// the peers, for at most queryTimeout.
+func (d *Detector) Classify(r *mtrequest.Request) mtpoison.Verdict {
 	if r.RecentTakeover {
 		d.awaitEvidence()
 	}
--- a/io/mtpoison/mtpoison_test.go
+++ b/io/mtpoison/mtpoison_test.go
@@ -139,7 +139,7 @@
 			d := fleet(t, "a")[0]
 			r := request("room-1")
 			d.TrackRun(r, address)(tt.err)
-			got := d.Judge(r)
+			got := d.Classify(r)
 			assert.Equal(t, got, tt.want, "got %s, want %s", got, tt.want)
 		})
 	}
@@ -152,8 +152,8 @@
 	daemons := fleet(t, "a", "b", "c")
 	daemons[0].TrackRun(request("room-1"), closedAddress(t))(broken)
 	for _, d := range daemons {
-		assert.Equal(t, d.Judge(request("room-1")), mtpoison.Suspect, "at %s", d.name)
-		assert.Equal(t, d.Judge(request("room-2")), mtpoison.Clear, "at %s", d.name)
+		assert.Equal(t, d.Classify(request("room-1")), mtpoison.Suspect, "at %s", d.name)
+		assert.Equal(t, d.Classify(request("room-2")), mtpoison.Clear, "at %s", d.name)
 	}
 }
 
@@ -178,7 +178,7 @@
 	relayed := ingress.TrackRelay(request("room-1"), holder("c"))
 	relayed.StartedAlone()
 	relayed.End(broken, false)
-	assert.Equal(t, other.Judge(request("room-1")), mtpoison.Suspect)
+	assert.Equal(t, other.Classify(request("room-1")), mtpoison.Suspect)
 	other.put(t, 2, 9, &mtroster.Record{Holder: holder("c"), RelayAddress: daemons[2].address, RevokedBelow: 2})
-	assert.Equal(t, other.Judge(request("room-1")), mtpoison.Quarantined)
+	assert.Equal(t, other.Classify(request("room-1")), mtpoison.Quarantined)
 }
--- a/io/mtrouter/mtrouter.go
+++ b/io/mtrouter/mtrouter.go
@@ -240,7 +240,7 @@
 		return &mtrequest.Reply{Outcome: mtreply.NotRun, Cause: mtreply.CauseNoOwner, RetryAfter: time.Second}
 	}
 	q.Suspect, q.OnBegun = false, nil
-	switch r.Poison.Judge(q) {
+	switch r.Poison.Classify(q) {
 	case mtpoison.Quarantined:
 		return mtrequest.FromError(errQuarantined)
 	case mtpoison.Suspect:
