--- a/core/mtaudit/mtaudit.go
+++ b/core/mtaudit/mtaudit.go
@@ -209,7 +209,7 @@
 		r, known := open[at]
 		switch {
 		case e.Kind == Begin && known:
-			addBadJournal(e, "begun twice")
+			addBadJournal(e, "second Begin event")
 		case e.Kind == Begin:
 			r = &run{Event: e}
 			open[at] = r
@@ -217,9 +217,9 @@
 		case e.Kind != End:
 			addBadJournal(e, "event of unknown kind "+string(e.Kind))
 		case !known:
-			addBadJournal(e, "ended without a begin")
+			addBadJournal(e, "End event without a Begin event")
 		case r.ended:
-			addBadJournal(e, "ended twice")
+			addBadJournal(e, "second End event")
 		default:
 			r.ended, r.end, r.reply = true, e.At, e.Reply
 		}
@@ -270,7 +270,7 @@
 			}
 			findings = append(findings, Finding{
 				Kind: TwoOwners, Service: at.service, Key: at.key, ID: r.ID,
-				Detail: fmt.Sprintf("%s began under epoch %d at %s while %s under epoch %d ran request %s, %s more",
+				Detail: fmt.Sprintf("%s began under epoch %d at %s while %s, under epoch %d, was running request %s for another %s",
 					r.Server, r.Epoch, r.At.Format(time.RFC3339Nano), a.Server, a.Epoch, a.ID, a.end.Sub(r.At)),
 			})
 		}
@@ -381,10 +381,10 @@
 	}
 	for _, r := range ran {
 		if !t.accountsFor(r) {
-			addFinding(RanAnyway, fmt.Sprintf("at %s at %s; told %s", r.Server, r.At.Format(time.RFC3339Nano), t.formatOutcomes()))
+			addFinding(RanAnyway, fmt.Sprintf("ran on %s at %s although the caller received %s", r.Server, r.At.Format(time.RFC3339Nano), t.formatOutcomes()))
 		}
 		if r.Request != t[0].Request || r.keyRef() != t.keyRef() || r.Class != t[0].Class {
-			addFinding(WrongAsk, fmt.Sprintf("%s got body %s of key %q class %s, sent was %s class %s",
+			addFinding(WrongAsk, fmt.Sprintf("%s received body %s of key %q class %s, but the caller sent body %s class %s",
 				r.Server, r.Request, r.Key, r.Class, t[0].Request, t[0].Class))
 		}
 	}
@@ -418,14 +418,14 @@
 			at := t.keyRef()
 			findings = append(findings, Finding{Kind: kind, Service: at.service, Key: at.key, ID: c.ID, Detail: detail})
 		}
-		whole := slices.ContainsFunc(ran, func(r *run) bool { return r.ended && r.reply != "" && r.reply == c.Reply })
+		sentByServer := slices.ContainsFunc(ran, func(r *run) bool { return r.ended && r.reply != "" && r.reply == c.Reply })
 		switch {
 		case len(ran) == 0:
 			addFinding(NoRun, "answered via "+c.Via)
 		case c.ReplyID != c.ID:
 			addFinding(WrongAnswer, fmt.Sprintf("the reply via %s is to request %q", c.Via, c.ReplyID))
-		case !whole:
-			addFinding(WrongAnswer, fmt.Sprintf("body %s via %s, which no server sent for it", c.Reply, c.Via))
+		case !sentByServer:
+			addFinding(WrongAnswer, fmt.Sprintf("no server sent the reply body %s received via %s", c.Reply, c.Via))
 		}
 	}
 	return findings
@@ -438,7 +438,7 @@
 		if i > 0 {
 			text += ", "
 		}
-		text += fmt.Sprintf("%s %s by %s from %s to %s", c.Outcome, c.Cause, c.Via,
+		text += fmt.Sprintf("%s %s via %s from %s to %s", c.Outcome, c.Cause, c.Via,
 			c.Sent.Format(time.RFC3339Nano), c.Ended.Format(time.RFC3339Nano))
 	}
 	return text
--- a/core/mtaudit/phase.go
+++ b/core/mtaudit/phase.go
@@ -74,16 +74,16 @@
 		}
 		return n
 	}
-	waits := make([][]time.Duration, len(out))
+	latencies := make([][]time.Duration, len(out))
 	for _, t := range calls {
 		n := phaseAt(t[0].Planned)
 		out[n].add(t.last())
 		if t.last().Outcome == mtreply.Answered {
-			waits[n] = append(waits[n], t.last().Ended.Sub(t[0].Planned))
+			latencies[n] = append(latencies[n], t.last().Ended.Sub(t[0].Planned))
 		}
 	}
 	for n := range out {
-		out[n].setQuantiles(waits[n])
+		out[n].setQuantiles(latencies[n])
 	}
 	for _, o := range outages(calls) {
 		phase := &out[phaseAt(o.From)]
@@ -104,15 +104,15 @@
 	p.Counts[i].Calls++
 }
 
-// setQuantiles sets the latency quantiles from the waits of the answered calls.
-func (p *Phase) setQuantiles(waits []time.Duration) {
+// setQuantiles sets the latency quantiles from the latencies of the answered calls.
+func (p *Phase) setQuantiles(latencies []time.Duration) {
 	const percent = 100
-	if len(waits) == 0 {
+	if len(latencies) == 0 {
 		return
 	}
-	slices.Sort(waits)
-	last := len(waits) - 1
-	p.P50, p.P99, p.Slowest = waits[last*50/percent], waits[last*99/percent], waits[last]
+	slices.Sort(latencies)
+	last := len(latencies) - 1
+	p.P50, p.P99, p.Slowest = latencies[last*50/percent], latencies[last*99/percent], latencies[last]
 }
 
 // outages returns the outages of all keys, leaving out calls that were refused
