--- a/core/mtscene/memory.go
+++ b/core/mtscene/memory.go
@@ -40,11 +40,11 @@
 	measured []float64
 }
 
-func newKeyAverages(halfLife, busy time.Duration, keys int) *keyAverages {
+func newKeyAverages(halfLife, serviceTime time.Duration, keys int) *keyAverages {
 	window := 2 * halfLife.Seconds() / math.Ln2
 	return &keyAverages{
 		decay:    math.Exp2(-time.Second.Seconds() / halfLife.Seconds()),
-		stdDev:   math.Sqrt(busy.Seconds() / window),
+		stdDev:   math.Sqrt(serviceTime.Seconds() / window),
 		expected: make([]float64, keys),
 		noise:    make([]float64, keys),
 		measured: make([]float64, keys),
@@ -74,6 +74,6 @@
 // smoothedLoad returns the load that a meter reports, given its short-term and
 // long-term averages.
 func (r *run[P]) smoothedLoad(short, long float64) float64 {
-	busy := r.scenario.ServiceTime.Seconds()
-	return mtload.SmoothRate(max(0, short)/busy, max(0, long)/busy) * busy
+	serviceTime := r.scenario.ServiceTime.Seconds()
+	return mtload.SmoothRate(max(0, short)/serviceTime, max(0, long)/serviceTime) * serviceTime
 }
--- a/core/mtscene/report.go
+++ b/core/mtscene/report.go
@@ -16,11 +16,11 @@
 	for len(r.reports) > 0 && r.reports[0].at <= r.at {
 		report := r.reports[0].report
 		r.reports = r.reports[1:]
-		again := r.estimates.AddReport(r.now(), report, r.owned(report.From))
+		needsAnother := r.estimates.AddReport(r.now(), report, r.owned(report.From))
 		server := r.serverIndex[report.From]
 		load := report.Load / r.slots(server)
 		pause := r.throttle.Arrived(r.now(), load > r.mean*(1+mtload.Band))
-		r.schedulers[server].ReplyReceived(r.mean, pause, again)
+		r.schedulers[server].ReplyReceived(r.mean, pause, needsAnother)
 	}
 }
 
@@ -75,7 +75,7 @@
 // isFrozen reports whether a server repeats its last report at present.
 func (r *run[P]) isFrozen(server int) bool {
 	frozen := r.scenario.Faults.Frozen
-	return frozen != nil && frozen(server, r.at) && r.frozen[server] != nil
+	return frozen != nil && frozen(server, r.at) && r.lastReports[server] != nil
 }
 
 // loadFactor returns the factor by which a server's reports scale its load.
@@ -89,7 +89,7 @@
 // reportedLoad returns the total load that a server would report at present.
 func (r *run[P]) reportedLoad(server int, shards []ownedLoad) float64 {
 	if r.isFrozen(server) {
-		return r.frozen[server].Load
+		return r.lastReports[server].Load
 	}
 	short, long := 0.0, 0.0
 	for _, s := range shards {
@@ -103,7 +103,7 @@
 // scenario.
 func (r *run[P]) buildReport(server int, shards []ownedLoad) *mtload.Report {
 	if r.isFrozen(server) {
-		return r.frozen[server]
+		return r.lastReports[server]
 	}
 	loadFactor := r.loadFactor(server)
 	r.sequence[server]++
@@ -118,7 +118,7 @@
 	report.Load = r.reportedLoad(server, shards)
 	report.Shards = mtload.ScaleLoads(report.Shards, report.Load, sum)
 	report.Shards, report.Points = mtload.Truncate(report.Shards, report.Points)
-	r.frozen[server] = report
+	r.lastReports[server] = report
 	return report
 }
 
--- a/core/mtscene/run.go
+++ b/core/mtscene/run.go
@@ -43,12 +43,12 @@
 	losses        mtplan.OwnerLosses
 	schedulers    []mtload.ReportScheduler
 	reports       []delivery
-	frozen        []*mtload.Report
+	lastReports   []*mtload.Report // repeated by servers whose reports are frozen
 	sequence      []uint64
 	mean          float64
-	next          time.Duration
+	nextPlan      time.Duration // when the next planning round is due
 	pendingMoves  []pendingMove
-	left          map[departure]time.Duration
+	departedAt    map[departure]time.Duration
 	writeSequence uint64
 
 	totals totals
@@ -115,9 +115,9 @@
 		serverIndex: make(map[mtid.Holder]int, n),
 		estimates:   mtload.NewEstimates(),
 		schedulers:  make([]mtload.ReportScheduler, n),
-		frozen:      make([]*mtload.Report, n),
+		lastReports: make([]*mtload.Report, n),
 		sequence:    make([]uint64, n),
-		left:        make(map[departure]time.Duration),
+		departedAt:  make(map[departure]time.Duration),
 	}
 	r.totals.perMinute = make([]float64, int(scenario.Length/time.Minute)+1)
 	for i := range scenario.Servers {
@@ -283,10 +283,10 @@
 // plan runs a planning round if one is due, writes its splits and merges, and
 // queues its moves.
 func (r *run[P]) plan() {
-	if r.at < r.next {
+	if r.at < r.nextPlan {
 		return
 	}
-	r.next = r.at + planInterval
+	r.nextPlan = r.at + planInterval
 	state := r.state()
 	plan := r.policy.Plan(r.now(), state)
 	r.mean = state.Mean()
@@ -296,7 +296,7 @@
 		}
 	}
 	if len(plan.Ops) > 0 {
-		r.next = r.at + replanDelay
+		r.nextPlan = r.at + replanDelay
 	}
 	for _, move := range plan.Moves {
 		r.pendingMoves = append(r.pendingMoves, pendingMove{at: r.at + moveDelay, move: move})
@@ -395,7 +395,7 @@
 
 // countMove adds a move to the result.
 func (r *run[P]) countMove(m mtplan.Move) {
-	const backWithin = 2 * time.Minute
+	const returnWindow = 2 * time.Minute
 	i, _ := slices.BinarySearchFunc(r.shardLoads, m.Low, func(s ownedLoad, low mtid.Point) int {
 		if s.shard.Low < low {
 			return -1
@@ -411,8 +411,8 @@
 	}
 	r.result.Moves++
 	r.result.Writes++
-	if at, ok := r.left[departure{low: m.Low, owner: m.To}]; ok && r.at-at <= backWithin {
+	if at, ok := r.departedAt[departure{low: m.Low, owner: m.To}]; ok && r.at-at <= returnWindow {
 		r.result.Returns++
 	}
-	r.left[departure{low: m.Low, owner: m.From}] = r.at
+	r.departedAt[departure{low: m.Low, owner: m.From}] = r.at
 }
--- a/core/mtscene/scenes.go
+++ b/core/mtscene/scenes.go
@@ -26,16 +26,16 @@
 )
 
 const (
-	hotelSlots = 12
-	loanSlots  = 9
-	hotelBusy  = 5 * time.Millisecond
-	loanBusy   = 5 * time.Millisecond
-	slowBusy   = 200 * time.Millisecond
+	hotelSlots       = 12
+	loanSlots        = 9
+	hotelServiceTime = 5 * time.Millisecond
+	loanServiceTime  = 5 * time.Millisecond
+	slowServiceTime  = 200 * time.Millisecond
 	// usualLoad is the load per slot of a fleet without peaks.
 	usualLoad = 0.4
 )
 
-// servers returns n servers, distributed over the zones in turn.
+// servers returns n servers, assigned to the zones round robin.
 func servers(n int, zones []mtid.Zone, slots float64) []Server {
 	var list []Server
 	for i := range n {
@@ -142,7 +142,7 @@
 	p := newPopulation(hotels, count, 50, 6*hotelSlots*usualLoad, equalWeight, newRand(seed))
 	return Scenario{
 		Name: "breakfast", Ref: hotels, Length: 40 * time.Minute, Servers: fleet, Keys: p.points,
-		Shards: 240, Chunks: 4, Weights: hotelWeights, ServiceTime: hotelBusy, Seed: seed,
+		Shards: 240, Chunks: 4, Weights: hotelWeights, ServiceTime: hotelServiceTime, Seed: seed,
 		Load: func(at time.Duration, load []float64) {
 			p.fillLoads(at, load)
 			for i := range load {
@@ -163,7 +163,7 @@
 	p := newPopulation(loans, cantons, 100, 5*loanSlots*usualLoad*0.7, equalWeight, newRand(seed))
 	return Scenario{
 		Name: "harvest", Ref: loans, Length: 40 * time.Minute, Servers: fleet, Keys: p.points,
-		Shards: 200, Chunks: 4, Weights: loanWeights, ServiceTime: loanBusy, Seed: seed,
+		Shards: 200, Chunks: 4, Weights: loanWeights, ServiceTime: loanServiceTime, Seed: seed,
 		Load: func(at time.Duration, load []float64) {
 			p.fillLoads(at, load)
 			for i := range load {
@@ -185,7 +185,7 @@
 	p := newPopulation(hotels, 200, 100, n*hotelSlots*usualLoad, zipf(s), newRand(seed))
 	return Scenario{
 		Name: fmt.Sprintf("zipf %.1f", s), Ref: hotels, Length: 15 * time.Minute, Servers: servers(n, riga, hotelSlots), Keys: p.points,
-		Shards: 480, Chunks: 8, Weights: hotelWeights, ServiceTime: hotelBusy, Seed: seed, Load: p.fillLoads,
+		Shards: 480, Chunks: 8, Weights: hotelWeights, ServiceTime: hotelServiceTime, Seed: seed, Load: p.fillLoads,
 	}
 }
 
@@ -202,7 +202,7 @@
 	p := newPopulation(hotels, keys/100, 100, float64(n)*hotelSlots*usualLoad*0.85, equalWeight, newRand(seed))
 	return Scenario{
 		Name: "hot keys", Ref: hotels, Length: length, Servers: servers(n, riga, hotelSlots), Keys: p.points,
-		Shards: shards, Chunks: chunks, Weights: hotelWeights, ServiceTime: hotelBusy, Seed: seed,
+		Shards: shards, Chunks: chunks, Weights: hotelWeights, ServiceTime: hotelServiceTime, Seed: seed,
 		Load: func(at time.Duration, load []float64) {
 			p.fillLoads(at, load)
 			picks := newRand(seed + uint64(at/hotTime) + 1)
@@ -225,7 +225,7 @@
 	p := newPopulation(hotels, 40, 50, 6*hotelSlots*usualLoad, equalWeight, newRand(seed))
 	return Scenario{
 		Name: "flash", Ref: hotels, Length: 15 * time.Minute, Servers: servers(6, riga, hotelSlots), Keys: p.points,
-		Shards: 240, Chunks: 4, Weights: hotelWeights, ServiceTime: hotelBusy, Seed: seed,
+		Shards: 240, Chunks: 4, Weights: hotelWeights, ServiceTime: hotelServiceTime, Seed: seed,
 		Load: func(at time.Duration, load []float64) {
 			p.fillLoads(at, load)
 			load[len(load)/3] += 1.5 * hotelSlots * trapezoid(at, 5*time.Minute, 5*time.Minute)
@@ -248,7 +248,7 @@
 	p := newPopulation(hotels, 200, 100, n*hotelSlots*usualLoad, zipf(0.7), newRand(seed))
 	return Scenario{
 		Name: "join, leave, loss", Ref: hotels, Length: 20 * time.Minute, Servers: fleet, Keys: p.points,
-		Shards: 480, Chunks: 8, Weights: hotelWeights, ServiceTime: hotelBusy, Seed: seed, Load: p.fillLoads,
+		Shards: 480, Chunks: 8, Weights: hotelWeights, ServiceTime: hotelServiceTime, Seed: seed, Load: p.fillLoads,
 	}
 }
 
@@ -265,7 +265,7 @@
 	p := newPopulation(hotels, 200, 100, n*hotelSlots*usualLoad, zipf(0.7), newRand(seed))
 	return Scenario{
 		Name: "zone loss", Ref: hotels, Length: 12 * time.Minute, Servers: fleet, Keys: p.points,
-		Shards: 960, Chunks: 8, Weights: hotelWeights, ServiceTime: hotelBusy, Seed: seed, Load: p.fillLoads,
+		Shards: 960, Chunks: 8, Weights: hotelWeights, ServiceTime: hotelServiceTime, Seed: seed, Load: p.fillLoads,
 	}
 }
 
@@ -275,7 +275,7 @@
 	p := newPopulation(loans, 200, 100, n*loanSlots*usualLoad, zipf(0.7), newRand(seed))
 	return Scenario{
 		Name: "rest", Ref: loans, Length: 60 * time.Minute, Servers: servers(n, bern, loanSlots), Keys: p.points,
-		Shards: 480, Chunks: 8, Weights: loanWeights, ServiceTime: loanBusy, Seed: seed, Load: p.fillLoads,
+		Shards: 480, Chunks: 8, Weights: loanWeights, ServiceTime: loanServiceTime, Seed: seed, Load: p.fillLoads,
 	}
 }
 
@@ -289,7 +289,7 @@
 	p := newPopulation(hotels, 200, 100, n*hotelSlots*usualLoad, zipf(0.7), newRand(seed))
 	return Scenario{
 		Name: "capacities", Ref: hotels, Length: 15 * time.Minute, Servers: list, Keys: p.points,
-		Shards: 480, Chunks: 8, Weights: hotelWeights, ServiceTime: hotelBusy, Seed: seed, Load: p.fillLoads,
+		Shards: 480, Chunks: 8, Weights: hotelWeights, ServiceTime: hotelServiceTime, Seed: seed, Load: p.fillLoads,
 	}
 }
 
@@ -318,7 +318,7 @@
 func SlowRest(seed uint64) Scenario {
 	s := Rest(seed)
 	s.Name = "rest, slow requests"
-	s.ServiceTime = slowBusy
+	s.ServiceTime = slowServiceTime
 	return s
 }
 
@@ -332,7 +332,7 @@
 	frozen := func(server int, at time.Duration) bool {
 		return server%6 == 1 && at > 5*time.Minute && at < 12*time.Minute
 	}
-	lies := func(server int) float64 {
+	wrongFactor := func(server int) float64 {
 		switch server % 8 {
 		case 2:
 			return 0.3
@@ -354,7 +354,7 @@
 		HotFleet(seed),
 		LateFleet(seed),
 		withFaults(seed, "hot keys, frozen", Faults{Frozen: frozen}),
-		withFaults(seed, "hot keys, lying", Faults{LoadFactor: lies}),
+		withFaults(seed, "hot keys, lying", Faults{LoadFactor: wrongFactor}),
 		Flash(seed),
 		Capacities(seed),
 		JoinLeave(seed),
@@ -382,6 +382,6 @@
 	return Scenario{
 		Name: fmt.Sprintf("480 servers at rest, %d chunks", chunks), Ref: hotels, Length: 14 * time.Minute, WarmUp: largeWarmUp,
 		Servers: servers(n, riga, hotelSlots), Keys: p.points,
-		Shards: 25000, Chunks: chunks, Weights: hotelWeights, ServiceTime: hotelBusy, Seed: seed, Load: p.fillLoads,
+		Shards: 25000, Chunks: chunks, Weights: hotelWeights, ServiceTime: hotelServiceTime, Seed: seed, Load: p.fillLoads,
 	}
 }
