--- a/cmd/capacity/fleet.go
+++ b/cmd/capacity/fleet.go
@@ -31,9 +31,9 @@
 )
 
 const (
-	business     = "ratins"
-	forceTimeout = 30 * time.Second
-	forcePoll    = time.Millisecond
+	business          = "ratins"
+	activationTimeout = 30 * time.Second
+	activationPoll    = time.Millisecond
 	// changePause separates changes so that they do not overlap, which they would
 	// not do at 1,900 a day either.
 	changePause = 1230 * time.Millisecond
@@ -51,7 +51,7 @@
 func (*fleetCommand) Name() string { return "fleet" }
 
 // Synopsis implements subcommands.Command.
-func (*fleetCommand) Synopsis() string { return "measure daemons at rest, and the spread of a change" }
+func (*fleetCommand) Synopsis() string { return "measure idle daemons and the propagation of a change" }
 
 // Usage implements subcommands.Command.
 func (*fleetCommand) Usage() string {
@@ -62,8 +62,8 @@
 func (c *fleetCommand) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.sizes, "sizes", "6,12,24", "`numbers` of daemons")
 	f.DurationVar(&c.settle, "settle", 40*time.Second, "how long to wait after the start, until shards have stopped moving")
-	f.DurationVar(&c.rest, "rest", 20*time.Second, "how long to measure at rest")
-	f.IntVar(&c.changes, "changes", 20, "how many bundles to bring into force at each size")
+	f.DurationVar(&c.rest, "rest", 20*time.Second, "how long to measure the idle fleet")
+	f.IntVar(&c.changes, "changes", 20, "how many bundles to activate at each fleet size")
 }
 
 // Execute implements subcommands.Command.
@@ -75,7 +75,7 @@
 	for _, text := range strings.Split(c.sizes, ",") {
 		size, err := strconv.Atoi(text)
 		if err != nil || size < 2 {
-			fmt.Fprintf(os.Stderr, "sizes: %q: want a whole number of at least 2\n", text)
+			fmt.Fprintf(os.Stderr, "sizes: %q: want an integer of at least 2\n", text)
 			return subcommands.ExitUsageError
 		}
 		if err := c.measure(w, size); err != nil {
@@ -112,7 +112,7 @@
 	first := readCounters(f)
 	time.Sleep(c.rest)
 	last := readCounters(f)
-	spread, err := c.force(f)
+	delays, err := c.activateBundles(f)
 	if err != nil {
 		return err
 	}
@@ -124,7 +124,7 @@
 		each(float64(last.bytes-first.bytes))/seconds, each(float64(last.messages-first.messages))/seconds,
 		each((last.cpu-first.cpu).Seconds())/seconds*100, each(float64(memory))/mega, runtime.NumGoroutine()/size,
 		float64(last.calls-first.calls)/seconds*3600, last.watching,
-		float64(spread[len(spread)/2].Milliseconds()), float64(spread[len(spread)-1].Milliseconds()),
+		float64(delays[len(delays)/2].Milliseconds()), float64(delays[len(delays)-1].Milliseconds()),
 		float64(pulled)/float64(c.changes))
 	return err
 }
@@ -170,13 +170,13 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// force activates bundles one after another and returns how long each took to
+// activateBundles activates bundles one after another and returns how long each took to
 // reach every daemon, in ascending order.
-func (c *fleetCommand) force(f *mtfleet.Fleet) ([]time.Duration, error) {
+func (c *fleetCommand) activateBundles(f *mtfleet.Fleet) ([]time.Duration, error) {
 	var took []time.Duration
 	for i := range c.changes {
 		version := mtid.Version(i + 2)
-		d, err := forceVersion(f, version)
+		d, err := activateVersion(f, version)
 		if err != nil {
 			return nil, err
 		}
@@ -187,18 +187,18 @@
 	return took, nil
 }
 
-// NotForcedError reports that some daemon did not activate a bundle within
-// forceTimeout.
-type NotForcedError struct{ Version mtid.Version }
+// NotActivatedError reports that some daemon did not activate a bundle within
+// activationTimeout.
+type NotActivatedError struct{ Version mtid.Version }
 
 // Error implements error.
-func (e *NotForcedError) Error() string {
-	return fmt.Sprintf("bundle version %d was not in force on every daemon after %s", e.Version, forceTimeout)
+func (e *NotActivatedError) Error() string {
+	return fmt.Sprintf("bundle version %d was not active on every daemon after %s", e.Version, activationTimeout)
 }
 
-// forceVersion writes a bundle version to the store and returns how long it took
+// activateVersion writes a bundle version to the store and returns how long it took
 // until every daemon had activated it.
-func forceVersion(f *mtfleet.Fleet, version mtid.Version) (time.Duration, error) {
+func activateVersion(f *mtfleet.Fleet, version mtid.Version) (time.Duration, error) {
 	text := bytes.Replace(bundles.Ratins, []byte("version    = 1"), fmt.Appendf(nil, "version    = %d", version), 1)
 	stored := mtbundle.Stored{Business: business, Version: version, Text: text, Accepted: time.Now()}
 	value, err := stored.Encode()
@@ -212,18 +212,18 @@
 	for _, d := range f.Daemons() {
 		view, err := mtkernel.Lookup[*mtview.View](d.Kernel(), mtdaemon.NameView)
 		must(err)
-		for !inForce(view, version) {
-			if time.Since(begin) > forceTimeout {
-				return 0, &NotForcedError{Version: version}
+		for !isActive(view, version) {
+			if time.Since(begin) > activationTimeout {
+				return 0, &NotActivatedError{Version: version}
 			}
-			time.Sleep(forcePoll)
+			time.Sleep(activationPoll)
 		}
 	}
 	return time.Since(begin), nil
 }
 
-// inForce reports whether a daemon's view has the bundle version or a newer one.
-func inForce(view *mtview.View, version mtid.Version) bool {
+// isActive reports whether a daemon's view has the bundle version or a newer one.
+func isActive(view *mtview.View, version mtid.Version) bool {
 	bundle, ok := view.Snapshot().Bundle(business)
 	return ok && bundle.Version >= version
 }
--- a/cmd/capacity/loss.go
+++ b/cmd/capacity/loss.go
@@ -56,7 +56,7 @@
 	for _, text := range strings.Split(c.sizes, ",") {
 		size, err := strconv.Atoi(text)
 		if err != nil || size < 8 {
-			fmt.Fprintf(os.Stderr, "sizes: %q: want a whole number of at least 8\n", text)
+			fmt.Fprintf(os.Stderr, "sizes: %q: want an integer of at least 8\n", text)
 			return subcommands.ExitUsageError
 		}
 		if err := c.measure(w, size); err != nil {
@@ -77,8 +77,8 @@
 	time.Sleep(c.settle)
 	var singles []time.Duration
 	for i := range c.rounds {
-		// Daemons are assigned to the four zones in turn. The ones lost here
-		// are not in the first zone, which is lost as a whole at the end.
+		// Daemons are assigned to the four zones round robin. The ones lost here
+		// are not in the first zone, all of whose daemons are lost at the end.
 		took, err := measureLoss(f, []int{1 + 4*i/3 + i%3})
 		if err != nil {
 			return err
@@ -122,10 +122,10 @@
 		if recovered(f, lost) {
 			return time.Since(begin), nil
 		}
-		if time.Since(begin) > forceTimeout {
-			return 0, &LossError{After: forceTimeout}
+		if time.Since(begin) > activationTimeout {
+			return 0, &LossError{After: activationTimeout}
 		}
-		time.Sleep(forcePoll)
+		time.Sleep(activationPoll)
 	}
 }
 
--- a/cmd/capacity/moves.go
+++ b/cmd/capacity/moves.go
@@ -36,7 +36,7 @@
 func (*movesCommand) Name() string { return "moves" }
 
 // Synopsis implements subcommands.Command.
-func (*movesCommand) Synopsis() string { return "measure how long moving shards take no work" }
+func (*movesCommand) Synopsis() string { return "measure how long moving shards accept no requests" }
 
 // Usage implements subcommands.Command.
 func (*movesCommand) Usage() string {
@@ -48,7 +48,7 @@
 	f.IntVar(&c.size, "size", 8, "daemons")
 	f.IntVar(&c.moves, "moves", 500, "shards to move, one after another")
 	f.DurationVar(&c.slow, "slow", 3*time.Millisecond, "how long each call of the store takes")
-	f.Float64Var(&c.rate, "rate", 800, "requests a second meanwhile")
+	f.Float64Var(&c.rate, "rate", 800, "requests per second during the moves")
 }
 
 // Execute implements subcommands.Command.
--- a/cmd/capacity/state.go
+++ b/cmd/capacity/state.go
@@ -37,7 +37,9 @@
 func (*stateCommand) Name() string { return "state" }
 
 // Synopsis implements subcommands.Command.
-func (*stateCommand) Synopsis() string { return "measure the copied state at 120, 240 and 480 daemons" }
+func (*stateCommand) Synopsis() string {
+	return "measure the replicated state at 120, 240 and 480 daemons"
+}
 
 // Usage implements subcommands.Command.
 func (*stateCommand) Usage() string { return "state\n  Example: go run ./cmd/capacity state\n" }
@@ -85,29 +87,29 @@
 }
 
 func newFleetState(daemons int) *fleetState {
-	w := &fleetState{ref: mtid.Ref{Business: "ratins", Service: "dispatch"}, records: map[string][]byte{}}
+	f := &fleetState{ref: mtid.Ref{Business: "ratins", Service: "dispatch"}, records: map[string][]byte{}}
 	for i := range daemons {
-		w.holders = append(w.holders, mtid.Holder{Daemon: mtid.Daemon(fmt.Sprintf("riga-old-town-%d", i)), Incarnation: 3})
+		f.holders = append(f.holders, mtid.Holder{Daemon: mtid.Daemon(fmt.Sprintf("riga-old-town-%d", i)), Incarnation: 3})
 	}
-	for i, h := range w.holders {
+	for i, h := range f.holders {
 		record := &mtroster.Record{
 			WriteID: mtroster.WriteID{Writer: h, Sequence: uint64(i)}, Holder: h, Zone: "old-town", Region: "riga",
 			RelayAddress: "10.20.100.111:8081", RenewAddress: "10.20.100.111:8081", CallerAddress: "10.20.100.111:8080", AdminAddress: "10.20.100.111:8083",
-			Witnesses: []mtid.Holder{w.holders[(i+1)%daemons], w.holders[(i+2)%daemons], w.holders[(i+3)%daemons]},
-			Offers:    []mtroster.Offer{{Service: w.ref, Slots: 12, Connections: 130, Epochs: true}},
+			Witnesses: []mtid.Holder{f.holders[(i+1)%daemons], f.holders[(i+2)%daemons], f.holders[(i+3)%daemons]},
+			Offers:    []mtroster.Offer{{Service: f.ref, Slots: 12, Connections: 130, Epochs: true}},
 		}
 		value, err := record.Encode()
 		must(err)
-		w.records[mtstore.RosterName(h.Daemon)] = value
+		f.records[mtstore.RosterName(h.Daemon)] = value
 	}
 	shards := daemons * shardsPerDaemon
 	chunks := (shards + chunkShards - 1) / chunkShards
 	for c := range chunks {
-		table, err := mtshard.New(w.ref, c, chunks).Apply(mtroster.WriteID{}, mtshard.Create{Shards: shards / chunks, Holders: w.chunkOwners(c, chunks)})
+		table, err := mtshard.New(f.ref, c, chunks).Apply(mtroster.WriteID{}, mtshard.Create{Shards: shards / chunks, Holders: f.chunkOwners(c, chunks)})
 		must(err)
-		w.tables = append(w.tables, table)
+		f.tables = append(f.tables, table)
 	}
-	return w
+	return f
 }
 
 // ownersPerChunk is the number of daemons that own shards of a chunk. It is small
@@ -116,13 +118,13 @@
 
 // chunkOwners returns the owners of a chunk's shards, spaced evenly over the fleet.
 // If there are too few chunks for every daemon to own shards, it returns all daemons.
-func (w *fleetState) chunkOwners(chunk, chunks int) []mtid.Holder {
-	if chunks*ownersPerChunk < len(w.holders) {
-		return w.holders
+func (f *fleetState) chunkOwners(chunk, chunks int) []mtid.Holder {
+	if chunks*ownersPerChunk < len(f.holders) {
+		return f.holders
 	}
 	var out []mtid.Holder
 	for i := range ownersPerChunk {
-		out = append(out, w.holders[(chunk*len(w.holders)/chunks+i*len(w.holders)/ownersPerChunk)%len(w.holders)])
+		out = append(out, f.holders[(chunk*len(f.holders)/chunks+i*len(f.holders)/ownersPerChunk)%len(f.holders)])
 	}
 	return out
 }
@@ -136,46 +138,46 @@
 }
 
 // fullDelta returns the complete state as the store would send it.
-func (w *fleetState) fullDelta() mtview.Delta {
+func (f *fleetState) fullDelta() mtview.Delta {
 	d := mtview.Delta{}
 	add := func(name string, value []byte) {
-		w.revision++
-		d.Items = append(d.Items, mtview.Item{Name: name, Version: 1, Revision: w.revision, Value: value})
+		f.revision++
+		d.Items = append(d.Items, mtview.Item{Name: name, Version: 1, Revision: f.revision, Value: value})
 	}
-	for name, value := range w.records {
+	for name, value := range f.records {
 		add(name, value)
 	}
-	for _, t := range w.tables {
+	for _, t := range f.tables {
 		value, err := t.Encode()
 		must(err)
-		add(mtstore.ShardName(w.ref, t.Chunk), value)
+		add(mtstore.ShardName(f.ref, t.Chunk), value)
 	}
-	d.Revision = w.revision
+	d.Revision = f.revision
 	return d
 }
 
 func measure(daemons int) measurement {
-	w := newFleetState(daemons)
-	s := measurement{daemons: daemons, shards: daemons * shardsPerDaemon, chunks: len(w.tables)}
-	for _, value := range w.records {
+	f := newFleetState(daemons)
+	s := measurement{daemons: daemons, shards: daemons * shardsPerDaemon, chunks: len(f.tables)}
+	for _, value := range f.records {
 		s.record = len(value)
 		s.roster += len(value)
 	}
-	for _, t := range w.tables {
+	for _, t := range f.tables {
 		value, err := t.Encode()
 		must(err)
 		s.tables += len(value)
 	}
-	full := w.fullDelta()
+	full := f.fullDelta()
 	view := mtview.New()
 	before := heap()
 	_, err := view.Merge(full)
 	must(err)
 	s.view = heap() - before
 	s.coldBytes = wireSize(view.Delta(0, 1<<30, false))
-	s.lookup = timeLookup(view, w)
-	s.timeMove(view, w)
-	s.zoneBytes = w.zoneLoss(view)
+	s.lookup = timeLookup(view, f)
+	s.timeMove(view, f)
+	s.zoneBytes = f.zoneLoss(view)
 	runtime.KeepAlive(full)
 	return s
 }
@@ -190,40 +192,40 @@
 }
 
 // timeLookup returns the mean duration of a lookup in a view.
-func timeLookup(view *mtview.View, w *fleetState) time.Duration {
+func timeLookup(view *mtview.View, f *fleetState) time.Duration {
 	const rounds = 1 << 20
 	begin := time.Now()
 	for i := range rounds {
-		view.Snapshot().Lookup(w.ref, mtid.Point(uint64(i)*0x9e3779b97f4a7c15))
+		view.Snapshot().Lookup(f.ref, mtid.Point(uint64(i)*0x9e3779b97f4a7c15))
 	}
 	return time.Since(begin) / rounds
 }
 
 // timeMove measures the bytes and the time that a planned move costs each daemon.
-func (s *measurement) timeMove(view *mtview.View, w *fleetState) {
+func (s *measurement) timeMove(view *mtview.View, f *fleetState) {
 	const rounds = 50
-	table := w.tables[0]
+	table := f.tables[0]
 	begin := time.Now()
 	for i := range rounds {
 		shard := table.Shards[i*7%len(table.Shards)]
-		next, err := table.Apply(mtroster.WriteID{Writer: w.holders[0], Sequence: uint64(i)},
-			mtshard.Move{Low: shard.Low, To: w.holders[(i*13)%len(w.holders)]})
+		next, err := table.Apply(mtroster.WriteID{Writer: f.holders[0], Sequence: uint64(i)},
+			mtshard.Move{Low: shard.Low, To: f.holders[(i*13)%len(f.holders)]})
 		must(err)
-		s.moveBytes = w.merge(view, next)
+		s.moveBytes = f.merge(view, next)
 		table = next
 	}
 	// Half of this time is Apply, which only the writer runs; every daemon spends
 	// the other half on replaying the step.
 	s.move = time.Since(begin) / rounds
-	w.tables[0] = table
+	f.tables[0] = table
 }
 
 // merge merges a table's newest step into a view in the form in which daemons send
 // it, and returns the size of the message.
-func (w *fleetState) merge(view *mtview.View, table *mtshard.Table) int {
-	w.revision++
-	d := mtview.Delta{After: w.revision - 1, Revision: w.revision, Items: []mtview.Item{{
-		Name: mtstore.ShardName(w.ref, table.Chunk), Version: table.Version, Revision: w.revision,
+func (f *fleetState) merge(view *mtview.View, table *mtshard.Table) int {
+	f.revision++
+	d := mtview.Delta{After: f.revision - 1, Revision: f.revision, Items: []mtview.Item{{
+		Name: mtstore.ShardName(f.ref, table.Chunk), Version: table.Version, Revision: f.revision,
 		Steps: table.Steps[len(table.Steps)-1:],
 	}}}
 	_, err := view.Merge(d)
@@ -233,12 +235,12 @@
 
 // zoneLoss returns the bytes of the updates that a daemon receives when a zone with
 // a fifth of all daemons is lost.
-func (w *fleetState) zoneLoss(view *mtview.View) int {
+func (f *fleetState) zoneLoss(view *mtview.View) int {
 	const zones = 5
-	lost := w.holders[:len(w.holders)/zones]
+	lost := f.holders[:len(f.holders)/zones]
 	size := 0
-	for i, t := range w.tables {
-		op := mtshard.Failover{Survivors: t.Survivors(w.holders[len(lost):])}
+	for i, t := range f.tables {
+		op := mtshard.Failover{Survivors: t.Survivors(f.holders[len(lost):])}
 		for _, owner := range t.Owners() {
 			if slices.Contains(lost, owner) {
 				op.Lost = append(op.Lost, owner)
@@ -247,10 +249,10 @@
 		if len(op.Lost) == 0 {
 			continue
 		}
-		next, err := t.Apply(mtroster.WriteID{Writer: w.holders[len(w.holders)-1]}, t.CompactFailover(op))
+		next, err := t.Apply(mtroster.WriteID{Writer: f.holders[len(f.holders)-1]}, t.CompactFailover(op))
 		must(err)
-		w.tables[i] = next
-		size += w.merge(view, next)
+		f.tables[i] = next
+		size += f.merge(view, next)
 	}
 	return size
 }
