--- a/cmd/policies/admission.go
+++ b/cmd/policies/admission.go
@@ -32,7 +32,7 @@
 func (*admission) Name() string { return "admission" }
 
 // Synopsis implements subcommands.Command.
-func (*admission) Synopsis() string { return "compare the orders of the gate under load" }
+func (*admission) Synopsis() string { return "compare queueing disciplines of the gate under load" }
 
 // Usage implements subcommands.Command.
 func (*admission) Usage() string { return "admission [-seed n] [-seconds n]\n" }
--- a/cmd/policies/choice.go
+++ b/cmd/policies/choice.go
@@ -30,7 +30,7 @@
 func (*choice) Name() string { return "choice" }
 
 // Synopsis implements subcommands.Command.
-func (*choice) Synopsis() string { return "compare choices among the servers of a spread service" }
+func (*choice) Synopsis() string { return "compare policies that select a server of a spread service" }
 
 // Usage implements subcommands.Command.
 func (*choice) Usage() string { return "choice [-seed n] [-seconds n]\n" }
--- a/cmd/policies/placement.go
+++ b/cmd/policies/placement.go
@@ -28,7 +28,7 @@
 
 func (*placement) Name() string { return "placement" }
 func (*placement) Synopsis() string {
-	return "compare the placement of keyed services with its baselines"
+	return "compare placement policies for keyed services"
 }
 
 func (*placement) Usage() string {
@@ -38,7 +38,7 @@
 func (c *placement) SetFlags(f *flag.FlagSet) {
 	f.Uint64Var(&c.seed, "seed", 1, "seed of the loads")
 	f.StringVar(&c.plot, "plot", "", "directory to write plots to")
-	f.StringVar(&c.scene, "scene", "", "run only the scene with this name")
+	f.StringVar(&c.scene, "scene", "", "run only the scenario with this name")
 	f.BoolVar(&c.large, "large", false, "run the planner on 480 servers and 25,000 shards as well")
 }
 
--- a/cmd/policies/poison.go
+++ b/cmd/policies/poison.go
@@ -31,7 +31,7 @@
 func (*poison) Name() string { return "poison" }
 
 // Synopsis implements subcommands.Command.
-func (*poison) Synopsis() string { return "compare rules against requests that crash servers" }
+func (*poison) Synopsis() string { return "compare rules that quarantine requests that crash servers" }
 
 // Usage implements subcommands.Command.
 func (*poison) Usage() string { return "poison [-seed n] [-seconds n]\n" }
@@ -98,8 +98,8 @@
 const (
 	poisonDaemons      = 5
 	poisonSlots        = 12
-	poisonRate         = 400.0 // innocent requests a second
-	poisonFingerprints = 300   // number of different innocent requests
+	poisonRate         = 400.0 // harmless requests per second
+	poisonFingerprints = 300   // number of different harmless requests
 	poisonService      = 15 * time.Millisecond
 	poisonCrashDelay   = 5 * time.Millisecond // from the start of a poison request to the crash
 	poisonEvery        = 700 * time.Millisecond
@@ -159,8 +159,8 @@
 			f.tables = append(f.tables, mtpoison.New(rule, f.holder(i), mtpoison.Limits{}))
 		}
 		f.restart()
-		f.every(func() time.Duration { return time.Duration(f.random.ExpFloat64() / poisonRate * float64(time.Second)) }, f.innocent)
-		f.every(func() time.Duration { return poisonEvery }, f.poisonous)
+		f.every(func() time.Duration { return time.Duration(f.random.ExpFloat64() / poisonRate * float64(time.Second)) }, f.sendHarmless)
+		f.every(func() time.Duration { return poisonEvery }, f.sendPoison)
 		for f.events.Len() > 0 {
 			e := f.events.next()
 			f.now = e.at
@@ -212,12 +212,12 @@
 	f.inFlight = make(map[mtgate.Number]*poisonRequest)
 }
 
-func (f *poisonFleet[R]) innocent() {
+func (f *poisonFleet[R]) sendHarmless() {
 	f.offered++
 	f.send(&poisonRequest{fingerprint: mtpoison.Fingerprint(1000 + f.random.IntN(poisonFingerprints))})
 }
 
-func (f *poisonFleet[R]) poisonous() {
+func (f *poisonFleet[R]) sendPoison() {
 	f.send(&poisonRequest{fingerprint: mtpoison.Fingerprint(1 + f.random.IntN(f.load.kinds)), fatal: true})
 }
 
--- a/cmd/policies/poison_test.go
+++ b/cmd/policies/poison_test.go
@@ -8,9 +8,9 @@
 )
 
 // Poison requests crash every server that runs them and arrive every 700 ms,
-// through any daemon, among 400 innocent requests per second. If evidence is
+// through any daemon, among 400 harmless requests per second. If evidence is
 // shared without delay, each different poison request may crash at most two
-// servers, and no innocent request may be quarantined.
+// servers, and no harmless request may be quarantined.
 func TestNarrowRuleLosesAtMostTwoServersPerRequest(t *testing.T) {
 	for _, l := range poisonLoads {
 		if l.evidenceDelay > 0 {
--- a/cmd/policies/recent.go
+++ b/cmd/policies/recent.go
@@ -34,7 +34,7 @@
 func (*recent) Name() string { return "recent" }
 
 // Synopsis implements subcommands.Command.
-func (*recent) Synopsis() string { return "compare memories of request identifiers under faults" }
+func (*recent) Synopsis() string { return "compare deduplicators of request identifiers under faults" }
 
 // Usage implements subcommands.Command.
 func (*recent) Usage() string { return "recent [-seed n] [-seconds n]\n" }
