--- a/cmd/capacity/fleet.go
+++ b/cmd/capacity/fleet.go
@@ -31,11 +31,11 @@
 )
 
 const (
-	business          = "ratins"
-	activationTimeout = 30 * time.Second
-	activationPoll    = time.Millisecond
-	// changePause separates changes so that they do not overlap, which they would
-	// not do at 1,900 a day either.
+	business     = "ratins"
+	waitTimeout  = 30 * time.Second
+	pollInterval = time.Millisecond
+	// changePause keeps consecutive changes from overlapping, because at 1,900 a
+	// day they would not overlap either.
 	changePause = 1230 * time.Millisecond
 )
 
@@ -118,11 +118,11 @@
 	}
 	pulled := readCounters(f).pulls - last.pulls
 	seconds := c.rest.Seconds()
-	each := func(v float64) float64 { return v / float64(size) }
+	perDaemon := func(v float64) float64 { return v / float64(size) }
 	const mega = 1 << 20
 	_, err = fmt.Fprintf(w, "%d\t%.0f\t%.1f\t%.2f\t%.1f\t%d\t%.0f\t%d\t%.0f\t%.0f\t%.1f\t\n", size,
-		each(float64(last.bytes-first.bytes))/seconds, each(float64(last.messages-first.messages))/seconds,
-		each((last.cpu-first.cpu).Seconds())/seconds*100, each(float64(memory))/mega, runtime.NumGoroutine()/size,
+		perDaemon(float64(last.bytes-first.bytes))/seconds, perDaemon(float64(last.messages-first.messages))/seconds,
+		perDaemon((last.cpu-first.cpu).Seconds())/seconds*100, perDaemon(float64(memory))/mega, runtime.NumGoroutine()/size,
 		float64(last.calls-first.calls)/seconds*3600, last.watching,
 		float64(delays[len(delays)/2].Milliseconds()), float64(delays[len(delays)-1].Milliseconds()),
 		float64(pulled)/float64(c.changes))
@@ -142,9 +142,9 @@
 func readCounters(f *mtfleet.Fleet) fleetCounters {
 	var r fleetCounters
 	for _, d := range f.Daemons() {
-		duty, err := mtkernel.Lookup[*mtrenew.Renewer](d.Kernel(), mtdaemon.NameRenew)
+		renewer, err := mtkernel.Lookup[*mtrenew.Renewer](d.Kernel(), mtdaemon.NameRenew)
 		must(err)
-		counters := duty.Counters()
+		counters := renewer.Counters()
 		r.bytes += counters.SentBytes.Value() + counters.ReceivedBytes.Value()
 		r.messages += counters.SentMessages.Value() + counters.ReceivedMessages.Value()
 		r.pulls += d.Counter("sync", "pulled")
@@ -188,12 +188,12 @@
 }
 
 // NotActivatedError reports that some daemon did not activate a bundle within
-// activationTimeout.
+// waitTimeout.
 type NotActivatedError struct{ Version mtid.Version }
 
 // Error implements error.
 func (e *NotActivatedError) Error() string {
-	return fmt.Sprintf("bundle version %d was not active on every daemon after %s", e.Version, activationTimeout)
+	return fmt.Sprintf("bundle version %d was not active on every daemon after %s", e.Version, waitTimeout)
 }
 
 // activateVersion writes a bundle version to the store and returns how long it took
@@ -213,10 +213,10 @@
 		view, err := mtkernel.Lookup[*mtview.View](d.Kernel(), mtdaemon.NameView)
 		must(err)
 		for !isActive(view, version) {
-			if time.Since(begin) > activationTimeout {
+			if time.Since(begin) > waitTimeout {
 				return 0, &NotActivatedError{Version: version}
 			}
-			time.Sleep(activationPoll)
+			time.Sleep(pollInterval)
 		}
 	}
 	return time.Since(begin), nil
--- a/cmd/capacity/loss.go
+++ b/cmd/capacity/loss.go
@@ -122,10 +122,10 @@
 		if recovered(f, lost) {
 			return time.Since(begin), nil
 		}
-		if time.Since(begin) > activationTimeout {
-			return 0, &LossError{After: activationTimeout}
+		if time.Since(begin) > waitTimeout {
+			return 0, &LossError{After: waitTimeout}
 		}
-		time.Sleep(activationPoll)
+		time.Sleep(pollInterval)
 	}
 }
 
--- a/cmd/policies/admission.go
+++ b/cmd/policies/admission.go
@@ -50,7 +50,7 @@
 	for _, l := range admissionLoads {
 		_, _ = fmt.Fprintf(w, "\n%s, seed %d, %v\n", l.name, c.seed, length)
 		_, _ = fmt.Fprintln(w, "order\tgoodput\tclass\toffered/s\tin time %\trefused %\tlate %\tp99 ms\tdeadline ms\trefusal p99 ms\t")
-		for _, o := range orders {
+		for _, o := range disciplines {
 			printTrial(w, o.name, o.run(l, c.seed, length))
 		}
 	}
@@ -119,20 +119,20 @@
 	}
 }
 
-// orders lists the queueing disciplines compared.
-var orders = []struct {
+// disciplines lists the queueing disciplines compared.
+var disciplines = []struct {
 	name string
 	run  func(l admissionLoad, seed uint64, length time.Duration) *trial
 }{
 	{"fifo", func(l admissionLoad, seed uint64, length time.Duration) *trial {
 		return runTrial(mtgate.NewFIFO(), 1, l, seed, length)
 	}},
-	{"priority", fairOrder(0)},
-	{"shares", fairOrder(1)},
-	{"fair", fairOrder(mtgate.DefaultGuaranteed)},
+	{"priority", fairDiscipline(0)},
+	{"shares", fairDiscipline(1)},
+	{"fair", fairDiscipline(mtgate.DefaultGuaranteed)},
 }
 
-func fairOrder(guaranteed float64) func(admissionLoad, uint64, time.Duration) *trial {
+func fairDiscipline(guaranteed float64) func(admissionLoad, uint64, time.Duration) *trial {
 	return func(l admissionLoad, seed uint64, length time.Duration) *trial {
 		return runTrial(mtgate.NewFair(guaranteed), mtgate.DefaultMaxWaitFraction, l, seed, length)
 	}
--- a/cmd/policies/admission_test.go
+++ b/cmd/policies/admission_test.go
@@ -35,7 +35,7 @@
 
 func TestTrialIsDeterministic(t *testing.T) {
 	l := admissionLoads[4]
-	first, second := orders[3].run(l, 7, time.Second), orders[3].run(l, 7, time.Second)
+	first, second := disciplines[3].run(l, 7, time.Second), disciplines[3].run(l, 7, time.Second)
 	assert.Equal(t, first.goodput(), second.goodput())
 	for i := range first.results {
 		assert.Equal(t, first.results[i].refused, second.results[i].refused)
--- a/cmd/policies/choice.go
+++ b/cmd/policies/choice.go
@@ -162,17 +162,17 @@
 // broken pair are excluded, since only servers that were down equally long are
 // comparable.
 func (t *choiceTrial) imbalance() float64 {
-	var most, sum time.Duration
+	var largest, sum time.Duration
 	n := 0
 	for _, s := range t.servers {
 		if len(s.down) > 0 && t.load.fault == brokenPair {
 			continue
 		}
-		most = max(most, s.busyTime)
+		largest = max(largest, s.busyTime)
 		sum += s.busyTime
 		n++
 	}
-	return float64(most) * float64(n) / float64(max(sum, 1))
+	return float64(largest) * float64(n) / float64(max(sum, 1))
 }
 
 // runChoice simulates callers that send requests for the given length of time.
--- a/cmd/policies/recent.go
+++ b/cmd/policies/recent.go
@@ -187,9 +187,9 @@
 func (t *recentTrial) newOrder() {
 	shard := t.random.IntN(recentShards)
 	low, _ := shardRange(shard)
-	made := recentEpoch.Add(t.now.Sub(0) + time.Duration(t.random.Float64()*float64(t.load.skew)))
+	created := recentEpoch.Add(t.now.Sub(0) + time.Duration(t.random.Float64()*float64(t.load.skew)))
 	var id uuid.UUID
-	binary.BigEndian.PutUint64(id[:8], uint64(made.UnixMilli())<<16|0x7000)
+	binary.BigEndian.PutUint64(id[:8], uint64(created.UnixMilli())<<16|0x7000)
 	binary.BigEndian.PutUint64(id[8:], uint64(len(t.orders)))
 	o := &order{key: mtrecent.DedupKey{Point: low + 1, ID: id}, shard: shard, minted: len(t.orders)%2 == 0}
 	t.orders = append(t.orders, o)
