--- a/cmd/policies/recent.go
+++ b/cmd/policies/recent.go
@@ -34,7 +34,7 @@
 func (*recent) Name() string { return "recent" }
 
 // Synopsis implements subcommands.Command.
-func (*recent) Synopsis() string { return "compare memories of request identifiers under faults" }
+func (*recent) Synopsis() string { return "compare deduplicators of request identifiers under faults" }
 
 // Usage implements subcommands.Command.
 func (*recent) Usage() string { return "recent [-seed n] [-seconds n]\n" }
@@ -187,9 +187,9 @@
 func (t *recentTrial) newOrder() {
 	shard := t.random.IntN(recentShards)
 	low, _ := shardRange(shard)
-	made := recentEpoch.Add(t.now.Sub(0) + time.Duration(t.random.Float64()*float64(t.load.skew)))
+	created := recentEpoch.Add(t.now.Sub(0) + time.Duration(t.random.Float64()*float64(t.load.skew)))
 	var id uuid.UUID
-	binary.BigEndian.PutUint64(id[:8], uint64(made.UnixMilli())<<16|0x7000)
+	binary.BigEndian.PutUint64(id[:8], uint64(created.UnixMilli())<<16|0x7000)
 	binary.BigEndian.PutUint64(id[8:], uint64(len(t.orders)))
 	o := &order{key: mtrecent.DedupKey{Point: low + 1, ID: id}, shard: shard, minted: len(t.orders)%2 == 0}
 	t.orders = append(t.orders, o)
