--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,5 +1,6 @@
-# Functions that run a fleet as plain processes on 127.0.0.1, for drill and
-# relaycost. Every process that they start is ended by its id on exit.
+# Functions that run a fleet as plain processes on 127.0.0.1, sourced by the other
+# scripts of this folder. On exit, every process that they started is killed by its
+# process ID.
 
 out=${OUT:-out/$name}
 base=${BASE:-20000}
@@ -7,7 +8,7 @@
 zones=(old-town centrs kipsala airport)
 declare -A pids=()
 
-# build makes the two programs in a fresh directory for output.
+# build empties the output directory and builds the two programs there.
 build() {
 	rm -rf "$out"
 	mkdir -p "$out"
@@ -15,7 +16,7 @@
 	go build -o "$out/standin" ./cmd/standin
 }
 
-# start NAME COMMAND... runs a process in the background with a log of its own.
+# start NAME COMMAND... runs a process in the background and logs to NAME.log.
 start() {
 	local as=$1
 	shift
@@ -23,10 +24,10 @@
 	pids[$as]=$!
 }
 
-# end NAME SIGNAL sends a signal to a process that start began.
+# end NAME SIGNAL sends a signal to a process that start launched.
 end() { kill -s "$2" "${pids[$1]}"; }
 
-# finish ends everything that still runs.
+# finish kills all processes that are still running, frozen ones included.
 finish() {
 	local status=$? as
 	for as in "${!pids[@]}"; do
@@ -39,13 +40,14 @@
 trap finish EXIT
 trap 'exit 130' INT TERM
 
-# port N WHAT prints a port of daemon N.
+# port N WHAT prints the port of daemon N for one kind of listener. Relay (TCP) and
+# renew (UDP) share a number.
 port() {
 	local -A offset=([caller]=0 [relay]=1 [renew]=1 [local]=2 [admin]=3 [server]=4 [debug]=5)
 	echo $((base + 10 * $1 + offset[$2]))
 }
 
-# daemon N runs daemon N, in the zone that comes in turn.
+# daemon N runs daemon N; zones are assigned round robin.
 daemon() {
 	local n=$1 seeds="127.0.0.1:$(port 1 relay), 127.0.0.1:$(port 2 relay), 127.0.0.1:$(port 3 relay)"
 	cat >"$out/d$n.ini" <<-INI
@@ -68,7 +70,7 @@
 	start "d$n" "$out/magnoliaturn" serve -settings "$out/d$n.ini"
 }
 
-# server N SERVICE FLAGS... runs the backend server beside daemon N.
+# server N SERVICE FLAGS... runs the backend server of daemon N.
 server() {
 	local n=$1 service=$2
 	shift 2
@@ -77,30 +79,31 @@
 		-journal "$out/journal-$n.jsonl" -seed "$n" "$@"
 }
 
-# targets N... prints the addresses for callers of these daemons.
+# targets N... prints the caller addresses of these daemons, separated by commas.
 targets() {
 	local n list=
 	for n in "$@"; do list+=",http://127.0.0.1:$(port "$n" caller)"; done
 	echo "${list:1}"
 }
 
-# mark NAME begins a phase.
+# mark NAME records the start of a phase in marks.jsonl and prints it.
 mark() {
 	echo "{\"name\":\"$1\",\"at\":\"$(date -u +%Y-%m-%dT%H:%M:%S.%NZ)\"}" >>"$out/marks.jsonl"
 	echo "$(date -u +%H:%M:%S) $1"
 }
 
-# faults FORM replaces the faults of the store.
+# faults FORM replaces the faults that the store stand-in injects.
 faults() { curl -sS -d "$1" "$store/admin/faults" >/dev/null; }
 
-# settle waits until no request of a short load is refused.
+# settle COMMAND... repeats a short load until none of its requests is refused, at
+# most 30 times.
 settle() {
 	local try
 	for try in $(seq 1 30); do
 		"$@" -records "$out/calls-settle-$try-$RANDOM.jsonl" >"$out/settle.txt"
 		if ! awk 'NR > 2 && $2 == "not-run"' "$out/settle.txt" | grep -q .; then return; fi
 	done
-	echo "the fleet does not answer:" >&2
+	echo "the fleet still refuses requests after 30 tries:" >&2
 	cat "$out/settle.txt" >&2
 	return 1
 }
